--- a/library/src/main/java/org/chivetally/queue/JobCodec.java
+++ b/library/src/main/java/org/chivetally/queue/JobCodec.java
@@ -131,7 +131,7 @@
         StoredProgress.Builder stored = StoredProgress.newBuilder();
         progress.crashes()
                 .forEach((place, count) -> stored.putCrashes(place, count.crashes())
-                        .putCrashedRuns(place, count.newestRun())
+                        .putCrashedRuns(place, count.latestRun())
                         .putBoundedStarts(place, count.boundedStarts()));
         return stored.setPhase(encode(progress.phase()))
                 .setDone(ByteString.copyFrom(progress.done().toByteArray()))
--- a/library/src/main/java/org/chivetally/queue/Task.java
+++ b/library/src/main/java/org/chivetally/queue/Task.java
@@ -94,7 +94,7 @@
     /** Notes that a minion crashed under a run; tells whether that was not known. */
     public boolean crashed(long run) {
         CrashCount before = crashes;
-        crashes = crashes.plus(run);
+        crashes = crashes.withCrash(run);
         return crashes != before;
     }
 
--- a/library/src/main/java/org/chivetally/queue/agent/TimingMinionPort.java
+++ b/library/src/main/java/org/chivetally/queue/agent/TimingMinionPort.java
@@ -110,7 +110,7 @@
                 TimedRun run = runs.remove(end.run());
                 if (run != null && run.dated && endsDated && end.outcome() == RunOutcome.DONE) {
                     long now = timers.nanos();
-                    stretch.ended(now - run.startedAtNanos, run.estimatedMillis, now);
+                    stretch.recordRun(now - run.startedAtNanos, run.estimatedMillis, now);
                 }
             }
             endsDated = true;
--- a/library/src/main/java/org/chivetally/queue/crash/CrashPolicy.java
+++ b/library/src/main/java/org/chivetally/queue/crash/CrashPolicy.java
@@ -52,8 +52,8 @@
      * @param lastStartNanos when it has to start for its job to end in its caller's time, by the steady clock
      */
     public boolean isUrgent(long nowNanos, long lastStartNanos) {
-        long left = lastStartNanos - nowNanos;
-        return left >= 0 && left <= ISOLATION_MARGIN.toNanos();
+        long remainingNanos = lastStartNanos - nowNanos;
+        return remainingNanos >= 0 && remainingNanos <= ISOLATION_MARGIN.toNanos();
     }
 
     /** Tells whether each start of a kept task has to be counted, and the count be stored, before it is made. */
@@ -62,7 +62,7 @@
     }
 
     /** Tells whether a kept task may be started no more. */
-    public static boolean isUsedUp(int crashes, int boundedStarts) {
+    public static boolean hasUsedUpStarts(int crashes, int boundedStarts) {
         return isBounded(crashes) && boundedStarts >= STARTS_AFTER_BOUND;
     }
 }
--- a/library/src/main/java/org/chivetally/queue/crash/CrashWatch.java
+++ b/library/src/main/java/org/chivetally/queue/crash/CrashTracker.java
@@ -8,19 +8,19 @@
 import org.chivetally.queue.Task;
 
 /** The crashes that an entry has heard of: applies the policy, logs and counts. */
-public final class CrashWatch {
+public final class CrashTracker {
     private static final FluentLogger LOGGER = FluentLogger.forEnclosingClass();
 
     private final CrashPolicy policy;
     private final Set<Task> suspects = new HashSet<>();
     /** Suspects whose run in progress has no other suspect beside it. */
-    private final Set<Task> alone = new HashSet<>();
+    private final Set<Task> suspectsAlone = new HashSet<>();
 
     private long crashedRuns;
     private long givenUpTasks;
 
     /** Creates a watch that has heard of no crash. */
-    public CrashWatch(CrashPolicy policy) {
+    public CrashTracker(CrashPolicy policy) {
         this.policy = policy;
     }
 
@@ -50,10 +50,10 @@
     }
 
     /** Notes a crash that is counted with its task; tells whether the task is given up by it. */
-    public boolean crashed(Task task, long run) {
+    public boolean recordCrash(Task task, long run) {
         crashedRuns++;
         int crashes = task.crashes().crashes();
-        boolean wasAlone = alone.remove(task);
+        boolean wasAlone = suspectsAlone.remove(task);
         EventLine.of("run-crashed")
                 .with("task", task.key())
                 .with("run", run)
@@ -67,17 +67,17 @@
     }
 
     /** Notes that a start of a suspect goes out, and whether it goes to a worker without another one. */
-    public void sent(Task task, boolean isAlone) {
+    public void recordStart(Task task, boolean isAlone) {
         if (isAlone) {
             suspects.add(task);
-            alone.add(task);
+            suspectsAlone.add(task);
         } else {
-            alone.remove(task);
+            suspectsAlone.remove(task);
         }
     }
 
     /** Notes that a task is given up. */
-    public void givenUp(Task task) {
+    public void recordGivenUp(Task task) {
         givenUpTasks++;
         EventLine.of("task-given-up")
                 .with("task", task.key())
@@ -88,18 +88,18 @@
     }
 
     /** Notes that a task is done, or needs no more runs. */
-    public void cleared(Task task) {
+    public void removeTask(Task task) {
         if (!suspects.isEmpty()) {
             suspects.remove(task);
-            alone.remove(task);
+            suspectsAlone.remove(task);
         }
     }
 
     /** Notes that a job has ended. */
-    public void ended(Job job) {
+    public void removeJob(Job job) {
         if (!suspects.isEmpty()) {
             suspects.removeIf(task -> task.job() == job);
-            alone.removeIf(task -> task.job() == job);
+            suspectsAlone.removeIf(task -> task.job() == job);
         }
     }
 }
--- a/library/src/main/java/org/chivetally/queue/entry/EntryNode.java
+++ b/library/src/main/java/org/chivetally/queue/entry/EntryNode.java
@@ -19,7 +19,7 @@
 import org.chivetally.queue.JobPhase;
 import org.chivetally.queue.Task;
 import org.chivetally.queue.crash.CrashPolicy;
-import org.chivetally.queue.crash.CrashWatch;
+import org.chivetally.queue.crash.CrashTracker;
 import org.chivetally.queue.link.Dialer;
 import org.chivetally.queue.link.LinkListener;
 import org.chivetally.queue.link.LinkTable;
@@ -101,7 +101,7 @@
     private final EntryOptions options;
     private final LinkTable links;
     private final Ownership ownership;
-    private final CrashWatch crashes;
+    private final CrashTracker crashes;
     private final RunCoordinator runs;
     private final JobDesk desk;
     private final MemberDirectory directory;
@@ -126,7 +126,7 @@
         this.links = new LinkTable(self, timers, dialer, this);
         this.ownership = new Ownership(group, timers, self.process() + "-" + self.incarnation(), this);
         CrashPolicy crashPolicy = new CrashPolicy(options.scheduling().crashLimit());
-        this.crashes = new CrashWatch(crashPolicy);
+        this.crashes = new CrashTracker(crashPolicy);
         PlacementPolicy placement = new PlacementPolicy(
                 self.failureDomain(),
                 new SplittableRandom(self.process().hashCode()),
@@ -199,7 +199,7 @@
     }
 
     /** Returns the crashes of minions that this entry has heard of. */
-    public CrashWatch crashes() {
+    public CrashTracker crashes() {
         return crashes;
     }
 
@@ -474,7 +474,7 @@
                     .demand()
                     .forEach((service, demand) -> beat.addDemand(Demand.newBuilder()
                             .setService(service)
-                            .setArrivingMillis(demand.arrivingMillis())
+                            .setArrivingMillis(demand.arrivingMillicores())
                             .setWaitingWork(demand.waitingWork())));
             beat.addAllQueueDemand(queueDemand);
         }
--- a/library/src/main/java/org/chivetally/queue/entry/PartitionOwner.java
+++ b/library/src/main/java/org/chivetally/queue/entry/PartitionOwner.java
@@ -24,7 +24,7 @@
 import org.chivetally.queue.Task;
 import org.chivetally.queue.TaskKey;
 import org.chivetally.queue.crash.CrashPolicy;
-import org.chivetally.queue.crash.CrashWatch;
+import org.chivetally.queue.crash.CrashTracker;
 import org.chivetally.queue.log.KeyedLog;
 import org.chivetally.queue.log.KeyedRecord;
 import org.chivetally.queue.log.LogStream;
@@ -65,7 +65,7 @@
     private final Timers timers;
     private final LogStream stream;
     private final long epoch;
-    private final CrashWatch crashes;
+    private final CrashTracker crashes;
     private final PartitionEvents events;
     private final PartitionWriter writer;
     private final Map<String, Job> jobs = new LinkedHashMap<>();
@@ -83,7 +83,7 @@
     private boolean closed;
 
     PartitionOwner(
-            KeyedLog log, Timers timers, LogStream stream, long epoch, CrashWatch crashes, PartitionEvents events) {
+            KeyedLog log, Timers timers, LogStream stream, long epoch, CrashTracker crashes, PartitionEvents events) {
         this.crashes = crashes;
         this.log = log;
         this.timers = timers;
@@ -414,7 +414,7 @@
             toldAgain(task, kept);
             return;
         }
-        boolean overLimit = crashes.crashed(task, run);
+        boolean overLimit = crashes.recordCrash(task, run);
         if (task.status() == Task.Status.PLACED
                 && CrashPolicy.isBounded(task.crashes().crashes())) {
             // It was started before anybody here knew of this crash.
@@ -458,7 +458,7 @@
                 && CrashPolicy.isBounded(task.crashes().crashes())) {
             task.countStarts(-1);
         }
-        boolean overLimit = outcome == RunOutcome.CRASHED && crashes.crashed(task, task.lastRun());
+        boolean overLimit = outcome == RunOutcome.CRASHED && crashes.recordCrash(task, task.lastRun());
         if (!task.job().phase().isFinal() && (overLimit || isUsedUp(task))) {
             giveUp(task);
         }
@@ -472,11 +472,11 @@
 
     private static boolean isUsedUp(Task task) {
         return task.status() != Task.Status.DONE
-                && CrashPolicy.isUsedUp(task.crashes().crashes(), task.crashes().boundedStarts());
+                && CrashPolicy.hasUsedUpStarts(task.crashes().crashes(), task.crashes().boundedStarts());
     }
 
     private void giveUp(Task task) {
-        crashes.givenUp(task);
+        crashes.recordGivenUp(task);
         task.job().finish(JobPhase.FAILED, timers.epochMillis());
     }
 
--- a/library/src/main/java/org/chivetally/queue/entry/PlacementPasses.java
+++ b/library/src/main/java/org/chivetally/queue/entry/PlacementPasses.java
@@ -10,10 +10,10 @@
 import org.chivetally.queue.Job;
 import org.chivetally.queue.JobPhase;
 import org.chivetally.queue.Task;
-import org.chivetally.queue.crash.CrashWatch;
-import org.chivetally.queue.placement.Choice;
+import org.chivetally.queue.crash.CrashTracker;
+import org.chivetally.queue.placement.PlacementDecision;
 import org.chivetally.queue.placement.PlacementPolicy;
-import org.chivetally.queue.placement.Turns;
+import org.chivetally.queue.placement.FairShareOrder;
 import org.chivetally.queue.placement.WaitingTasks;
 import org.chivetally.queue.placement.Worker;
 import org.chivetally.queue.share.QueueLoads;
@@ -38,7 +38,7 @@
     private final WaitingTasks waiting;
     private final Collection<Worker> workers;
     private final PlacementPolicy placement;
-    private final CrashWatch crashes;
+    private final CrashTracker crashes;
     private final ServiceShares shares;
     private final Optional<QueueShares> queueShares;
     private final Runs runs;
@@ -57,7 +57,7 @@
             WaitingTasks waiting,
             Collection<Worker> workers,
             PlacementPolicy placement,
-            CrashWatch crashes,
+            CrashTracker crashes,
             ServiceShares shares,
             Optional<QueueShares> queueShares,
             Runs runs) {
@@ -114,12 +114,12 @@
     }
 
     private void place(long now) {
-        PlacementPolicy.Pass choices = placement.over(workers, now);
+        PlacementPolicy.Pass choices = placement.newPass(workers, now);
         Map<String, QueueLoads> own =
                 queueShares.isPresent() ? queueShares.get().own() : Map.of();
         for (String service : waiting.services()) {
-            double part = shares.of(service).backlogPart();
-            boolean contended = PlacementPolicy.isContended(choices, service, waiting.processorMillis(service), part);
+            double part = shares.of(service).backlogShare();
+            boolean contended = PlacementPolicy.isContended(choices, service, waiting.waitingMillicores(service), part);
             double bound = contended ? part : 1;
             if (queueShares.isPresent()) {
                 placeByShares(
@@ -138,30 +138,30 @@
         int misses = 0;
         // Suspects that wait for a worker of their own don't keep those behind them waiting.
         for (Task task : waiting.first(service, TASKS_PER_PASS + crashes.suspects())) {
-            Choice choice = choices.decide(task, bound, part);
+            PlacementDecision choice = choices.decide(task, bound, part);
             if (choice.worker().isPresent()) {
                 runs.start(choice.worker().get(), task, choice.bySpeed());
-            } else if (!choice.heldBack() && !crashes.isSuspect(task) && ++misses >= MISSES_PER_PASS) {
+            } else if (!choice.deferred() && !crashes.isSuspect(task) && ++misses >= MISSES_PER_PASS) {
                 break;
             }
         }
     }
 
-    private void placeByShares(PlacementPolicy.Pass choices, Turns turns, double bound, double part, long now) {
+    private void placeByShares(PlacementPolicy.Pass choices, FairShareOrder turns, double bound, double part, long now) {
         List<Job> begun = new ArrayList<>();
         for (Optional<Task> turn = turns.next(); turn.isPresent(); turn = turns.next()) {
             Task task = turn.get();
-            Choice choice = choices.decide(task, bound, part);
+            PlacementDecision choice = choices.decide(task, bound, part);
             if (choice.worker().isPresent()) {
                 if (task.job().phase() == JobPhase.QUEUED) {
                     begun.add(task.job());
                 }
                 runs.start(choice.worker().get(), task, choice.bySpeed());
-                turns.placed();
-            } else if (choice.heldBack() || crashes.isSuspect(task)) {
-                turns.heldBack();
+                turns.taskPlaced();
+            } else if (choice.deferred() || crashes.isSuspect(task)) {
+                turns.taskDeferred();
             } else {
-                turns.missed();
+                turns.noWorkerFound();
             }
         }
         for (Job job : begun) {
--- a/library/src/main/java/org/chivetally/queue/entry/QueueDemands.java
+++ b/library/src/main/java/org/chivetally/queue/entry/QueueDemands.java
@@ -21,8 +21,8 @@
                 encoded.add(QueueDemand.newBuilder()
                         .setService(service.getKey())
                         .setQueue(queue)
-                        .setRunningMillis(load.runningMillis())
-                        .setWaitingMillis(load.waitingMillis())
+                        .setRunningMillis(load.runningMillicores())
+                        .setWaitingMillis(load.waitingMillicores())
                         .build());
             }
         }
@@ -39,7 +39,7 @@
             }
             // What makes no sense, as from another implementation, is bounded before it is added up.
             QueueLoad load = new QueueLoad(told.getRunningMillis(), told.getWaitingMillis());
-            loads.add(told.getQueue(), load.runningMillis(), load.waitingMillis());
+            loads.add(told.getQueue(), load.runningMillicores(), load.waitingMillicores());
         }
         return byService;
     }
--- a/library/src/main/java/org/chivetally/queue/entry/QueueShares.java
+++ b/library/src/main/java/org/chivetally/queue/entry/QueueShares.java
@@ -9,14 +9,14 @@
 import org.chivetally.logging.EventLine;
 import org.chivetally.queue.Job;
 import org.chivetally.queue.QueueTerms;
-import org.chivetally.queue.placement.Turns;
+import org.chivetally.queue.placement.FairShareOrder;
 import org.chivetally.queue.placement.WaitingTasks;
 import org.chivetally.queue.placement.Worker;
-import org.chivetally.queue.share.Division;
-import org.chivetally.queue.share.LoadsElsewhere;
+import org.chivetally.queue.share.FairShares;
+import org.chivetally.queue.share.PeerLoads;
 import org.chivetally.queue.share.QueueAdmission;
 import org.chivetally.queue.share.QueueLoads;
-import org.chivetally.queue.share.RefusedLately;
+import org.chivetally.queue.share.RecentlyRefusedJobs;
 import org.chivetally.time.Timers;
 
 /**
@@ -34,8 +34,8 @@
     private final Timers timers;
     private final WaitingTasks waiting;
     private final Collection<Worker> workers;
-    private final LoadsElsewhere elsewhere = new LoadsElsewhere();
-    private final RefusedLately refusedLately = new RefusedLately();
+    private final PeerLoads elsewhere = new PeerLoads();
+    private final RecentlyRefusedJobs refusedLately = new RecentlyRefusedJobs();
     private final Map<String, Long> contendedAtNanos = new HashMap<>();
     private int silentEntries;
 
@@ -54,7 +54,7 @@
     /** Returns what this entry's runs hold and its waiting tasks need, by service and queue. */
     Map<String, QueueLoads> own() {
         Map<String, QueueLoads> byService = new HashMap<>();
-        waiting.addTo(byService);
+        waiting.addWaitingTo(byService);
         for (Worker worker : workers) {
             worker.addRunsTo(byService);
         }
@@ -63,17 +63,17 @@
 
     /** Notes what another entry tells of its queues. */
     void told(String entry, Map<String, QueueLoads> byService, boolean leaving) {
-        elsewhere.told(entry, byService, leaving, timers.nanos());
+        elsewhere.recordReport(entry, byService, leaving, timers.nanos());
     }
 
     /** Returns how a service is divided now. */
-    Division division(String service) {
+    FairShares division(String service) {
         return division(service, own().getOrDefault(service, new QueueLoads()));
     }
 
-    private Division division(String service, QueueLoads own) {
-        LoadsElsewhere.Known known = elsewhere.of(service, timers.nanos());
-        return new Division(known.capacityOf(usableMillis(service)), own, known.loads());
+    private FairShares division(String service, QueueLoads own) {
+        PeerLoads.ServiceSnapshot known = elsewhere.of(service, timers.nanos());
+        return new FairShares(known.reachableCapacity(usableMillis(service)), own, known.loads());
     }
 
     /**
@@ -82,10 +82,10 @@
      * that want more larger than what they can get.
      */
     private long usableMillis(String service) {
-        long unit = waiting.smallestRoom(service);
+        long unit = waiting.smallestMeanMillicores(service);
         long usable = 0;
         for (Worker worker : workers) {
-            Worker.View view = worker.view();
+            Worker.Report view = worker.lastReport();
             if (view.service().equals(service) && view.accepting()) {
                 long capacity = view.capacity().processorMillis();
                 long free = Math.max(0, view.free().processorMillis());
@@ -105,10 +105,10 @@
             return Optional.empty();
         }
         String id = job.specification().id();
-        long reach = division(terms.service()).ownReach(terms.queue());
+        long reach = division(terms.service()).ownAvailableMillicores(terms.queue());
         Optional<Duration> refusal = QueueAdmission.refuse(job, now, ahead, reach, refusedLately.contains(id, now));
         if (refusal.isPresent()) {
-            refusedLately.refused(id, now);
+            refusedLately.add(id, now);
         }
         return refusal;
     }
@@ -117,8 +117,8 @@
     Duration givenBack(Job job) {
         QueueTerms terms = job.specification().terms();
         String id = job.specification().id();
-        refusedLately.refused(id, timers.nanos());
-        long reach = division(terms.service()).ownReach(terms.queue());
+        refusedLately.add(id, timers.nanos());
+        long reach = division(terms.service()).ownAvailableMillicores(terms.queue());
         return QueueAdmission.retryAfter(id, waiting.work(terms.service(), terms.queue()), reach);
     }
 
@@ -127,8 +127,8 @@
      *
      * @param own what this entry's runs hold and its waiting tasks need of the service
      */
-    Turns turns(String service, QueueLoads own, int most) {
-        return waiting.turns(service, division(service, own), own, most);
+    FairShareOrder turns(String service, QueueLoads own, int most) {
+        return waiting.fairShareOrder(service, division(service, own), own, most);
     }
 
     /** Returns the number of services whose queues have lately asked for more than there is. */
@@ -144,11 +144,11 @@
     /** Looks which services are contended, and forgets entries that are gone. */
     void look() {
         long now = timers.nanos();
-        elsewhere.forgetGone(now);
-        silentEntries = elsewhere.of("", now).silent();
+        elsewhere.removeExpired(now);
+        silentEntries = elsewhere.of("", now).unreachable();
         Map<String, QueueLoads> own = own();
         for (Map.Entry<String, QueueLoads> service : own.entrySet()) {
-            Division division = division(service.getKey(), service.getValue());
+            FairShares division = division(service.getKey(), service.getValue());
             if (division.isContended() && contendedAtNanos.put(service.getKey(), now) == null) {
                 log("service-contended", service.getKey(), division);
             }
@@ -164,11 +164,11 @@
         return calm;
     }
 
-    private static void log(String event, String service, Division division) {
+    private static void log(String event, String service, FairShares division) {
         EventLine.of(event)
                 .with("service", service)
-                .with("usable_millicores", division.capacityMillis())
-                .with("demand_millicores", division.demandMillis())
+                .with("usable_millicores", division.capacityMillicores())
+                .with("demand_millicores", division.demandMillicores())
                 .with("shares", division)
                 .log(LOGGER.atInfo());
     }
--- a/library/src/main/java/org/chivetally/queue/entry/RunCoordinator.java
+++ b/library/src/main/java/org/chivetally/queue/entry/RunCoordinator.java
@@ -25,14 +25,14 @@
 import org.chivetally.queue.agent.EndCodec;
 import org.chivetally.queue.agent.EndedRun;
 import org.chivetally.queue.agent.RunSupervisor;
-import org.chivetally.queue.crash.CrashWatch;
+import org.chivetally.queue.crash.CrashTracker;
 import org.chivetally.queue.link.PeerLink;
 import org.chivetally.queue.placement.AdmissionPolicy;
 import org.chivetally.queue.placement.PlacementPolicy;
-import org.chivetally.queue.placement.SharedProcessors;
+import org.chivetally.queue.placement.EntryCapacityShare;
 import org.chivetally.queue.placement.WaitingTasks;
 import org.chivetally.queue.placement.Worker;
-import org.chivetally.queue.share.Division;
+import org.chivetally.queue.share.FairShares;
 import org.chivetally.queue.speed.LearnedStretch;
 import org.chivetally.settings.SchedulingSettings;
 import org.chivetally.time.Timers;
@@ -85,7 +85,7 @@
     private final BooleanSupplier stoodStill;
     private final LongSupplier keptUpAtNanos;
     private final PlacementPolicy placement;
-    private final CrashWatch crashes;
+    private final CrashTracker crashes;
     private final long startedAtNanos;
     private final Map<String, Worker> workers = new LinkedHashMap<>();
     private final Map<String, PeerLink> links = new HashMap<>();
@@ -109,7 +109,7 @@
     RunCoordinator(
             Timers timers,
             PlacementPolicy placement,
-            CrashWatch crashes,
+            CrashTracker crashes,
             int partitionCount,
             Map<Integer, PartitionOwner> partitions,
             BooleanSupplier mayStart,
@@ -184,7 +184,7 @@
         QueueTerms terms = job.specification().terms();
         long ahead = waiting.workAhead(terms.service(), terms.priority());
         return AdmissionPolicy.refuse(
-                job, timers.nanos(), ahead, shares.of(terms.service()).forBacklog());
+                job, timers.nanos(), ahead, shares.of(terms.service()).backlogMillicores());
     }
 
     @Override
@@ -207,9 +207,9 @@
             return;
         }
         for (String service : waiting.services()) {
-            SharedProcessors processors = shares.of(service);
-            if (processors.capacityMillis() > 0) {
-                refuseOvertaken(service, waiting.withoutProspect(service, processors.spare(), now));
+            EntryCapacityShare processors = shares.of(service);
+            if (processors.capacityMillicores() > 0) {
+                refuseOvertaken(service, waiting.unservableJobs(service, processors.spareMillicores(), now));
             }
         }
     }
@@ -219,7 +219,7 @@
         if (overtaken.isEmpty()) {
             return;
         }
-        Optional<Division> division = queueShares.map(all -> all.division(service));
+        Optional<FairShares> division = queueShares.map(all -> all.division(service));
         for (Job job : overtaken) {
             boolean hasTurn = division.isPresent()
                     && division.get().isSatisfied(job.specification().terms().queue());
@@ -279,7 +279,7 @@
     /** Drops what waits of a job and stops what runs. */
     @Override
     public void ended(Job job) {
-        crashes.ended(job);
+        crashes.removeJob(job);
         for (Task task : job.tasks()) {
             waiting.remove(task);
             task.worker().ifPresent(name -> stop(name, task.key(), task.lastRun(), homeOf(task)));
@@ -289,7 +289,7 @@
     /** Forgets the tasks of a partition that another process owns now. */
     void partitionLost(PartitionOwner partition) {
         for (Job job : partition.jobs()) {
-            crashes.ended(job);
+            crashes.removeJob(job);
             for (Task task : job.tasks()) {
                 waiting.remove(task);
                 task.worker().map(workers::get).ifPresent(worker -> worker.remove(task.key()));
@@ -318,14 +318,14 @@
     void up(PeerLink link) {
         String process = link.peer().process();
         links.put(process, link);
-        worker(process).linked(link);
+        worker(process).linkOpened(link);
     }
 
     /** Notes that the link to an agent is gone. */
     void down(PeerLink link) {
         String process = link.peer().process();
         if (links.remove(process, link)) {
-            worker(process).unlinked();
+            worker(process).linkClosed();
         }
     }
 
@@ -336,8 +336,8 @@
     /** Notes what an agent tells about its worker. */
     void report(PeerLink link, WorkerReport report) {
         Worker worker = worker(link.peer().process());
-        worker.report(
-                new Worker.View(
+        worker.recordReport(
+                new Worker.Report(
                         report.getMinion(),
                         report.getService(),
                         JobCodec.decode(report.getCapacity()),
@@ -347,8 +347,8 @@
                         report.getFailureDomain(),
                         report.getStartsSeen()),
                 timers.nanos());
-        worker.learned(new LearnedStretch(report.getStretchPermille(), report.getStretchRuns()));
-        worker.reportSuspects(report.getSuspectedRuns());
+        worker.learnedStretch(new LearnedStretch(report.getStretchPermille(), report.getStretchRuns()));
+        worker.recordSuspectRuns(report.getSuspectedRuns());
         passes.arm();
     }
 
@@ -371,8 +371,8 @@
                     .ifPresent(ended -> listed.add(ended.run().task()));
         }
         ends(link, inventory.getEndsList());
-        for (Worker.Sent start : worker.sent()) {
-            if (!listed.contains(start.task().key()) && !worker.isUnseen(start)) {
+        for (Worker.SentStart start : worker.inProgress()) {
+            if (!listed.contains(start.task().key()) && !worker.isUnacknowledged(start)) {
                 finished(worker, start, RunOutcome.LOST, () -> {});
             }
         }
@@ -427,7 +427,7 @@
             return;
         }
         boolean ours = wanted
-                && worker.sent(key).map(start -> start.run() == run.getRun()).orElse(false);
+                && worker.inProgress(key).map(start -> start.run() == run.getRun()).orElse(false);
         if (!ours) {
             EventLine.of("run-unwanted")
                     .with("task", key)
@@ -449,12 +449,12 @@
     private void end(PeerLink link, Worker worker, EndedRun end) {
         TaskKey key = end.run().task();
         Runnable kept = () -> keep(link, end);
-        Optional<Worker.Sent> start =
-                worker.sent(key).filter(sent -> sent.run() == end.run().run());
+        Optional<Worker.SentStart> start =
+                worker.inProgress(key).filter(sent -> sent.run() == end.run().run());
         if (start.isPresent()) {
             if (end.outcome() == RunOutcome.NEVER_STARTED) {
                 // A worker that can't start has room all the time and would be chosen again at once, for every task.
-                worker.pause(timers.nanos() + REFUSAL_PAUSE.toNanos());
+                worker.pauseStarts(timers.nanos() + REFUSAL_PAUSE.toNanos());
             }
             finished(worker, start.get(), end.outcome(), kept);
             return;
@@ -508,17 +508,17 @@
                 .build());
     }
 
-    private void finished(Worker worker, Worker.Sent start, RunOutcome outcome, Runnable kept) {
+    private void finished(Worker worker, Worker.SentStart start, RunOutcome outcome, Runnable kept) {
         if (outcome == RunOutcome.DONE) {
-            placement.ended(worker, start, timers.nanos());
-            crashes.cleared(start.task());
+            placement.recordEnd(worker, start, timers.nanos());
+            crashes.removeTask(start.task());
         }
         worker.remove(start.task().key());
         settle(worker, start.task(), start.run(), outcome, kept);
     }
 
     private void settle(Worker worker, Task task, long run, RunOutcome outcome, Runnable kept) {
-        if (outcome == RunOutcome.FAILED && worker.health().failed(task.key().jobId(), timers.nanos())) {
+        if (outcome == RunOutcome.FAILED && worker.health().recordFailedRun(task.key().jobId(), timers.nanos())) {
             EventLine.of("worker-avoided").with("worker", worker.process()).log(LOGGER.atWarning());
         }
         EventLine.of("run-ended")
@@ -543,14 +543,14 @@
                     .filter(owner -> owner.epoch() < refused.getFencedBy())
                     .ifPresent(owner -> owner.replaced(refused.getFencedBy()));
         }
-        Optional<Worker.Sent> start =
-                TaskKey.parse(refused.getTask()).flatMap(worker::sent).filter(sent -> sent.run() == refused.getRun());
+        Optional<Worker.SentStart> start =
+                TaskKey.parse(refused.getTask()).flatMap(worker::inProgress).filter(sent -> sent.run() == refused.getRun());
         if (start.isEmpty()) {
             return;
         }
         String reason = refused.getReason();
         if (!RunSupervisor.NO_ROOM.equals(reason) && !RunSupervisor.SUSPECT_HELD.equals(reason)) {
-            worker.pause(timers.nanos() + REFUSAL_PAUSE.toNanos());
+            worker.pauseStarts(timers.nanos() + REFUSAL_PAUSE.toNanos());
         }
         finished(worker, start.get(), RunOutcome.NEVER_STARTED, () -> {});
     }
@@ -560,7 +560,7 @@
         long now = timers.nanos();
         for (Worker worker : List.copyOf(workers.values())) {
             if (!worker.isLinked()) {
-                giveUp(worker, worker.silentNanos(now));
+                giveUp(worker, worker.nanosSinceContact(now));
             }
         }
         for (PartitionOwner owner : partitions.values()) {
@@ -585,8 +585,8 @@
         List<Worker> slow = new ArrayList<>();
         int open = 0;
         for (Worker worker : workers.values()) {
-            open += worker.isOpen(now) ? 1 : 0;
-            boolean late = !worker.newlyOverdue(now).isEmpty();
+            open += worker.acceptsStarts(now) ? 1 : 0;
+            boolean late = !worker.markNewlyOverdue(now).isEmpty();
             if (worker.health().isSlow()) {
                 slow.add(worker);
                 if (late) {
@@ -597,11 +597,11 @@
                 }
             }
         }
-        if (PlacementPolicy.AVOIDED_PART * slow.size() > open) {
+        if (PlacementPolicy.MINIMUM_WORKERS_PER_AVOIDED * slow.size() > open) {
             return;
         }
         for (Worker worker : slow) {
-            for (Worker.Sent start : worker.overdue()) {
+            for (Worker.SentStart start : worker.overdue()) {
                 if (!start.task().job().isKept() && !start.task().job().phase().isFinal()) {
                     stop(worker.process(), start.task().key(), start.run(), homeOf(start.task()));
                 }
@@ -611,7 +611,7 @@
 
     private void giveUp(Worker worker, long silentNanos) {
         int count = 0;
-        for (Worker.Sent start : worker.sent()) {
+        for (Worker.SentStart start : worker.inProgress()) {
             Duration absence = start.task().job().isKept() ? ABSENCE : UNKEPT_ABSENCE;
             if (silentNanos > absence.toNanos()) {
                 finished(worker, start, RunOutcome.LOST, () -> {});
@@ -625,7 +625,7 @@
                     .with("silent_ms", silentNanos / 1_000_000)
                     .log(LOGGER.atWarning());
         }
-        if (silentNanos > ABSENCE.toNanos() && worker.sent().isEmpty()) {
+        if (silentNanos > ABSENCE.toNanos() && worker.inProgress().isEmpty()) {
             workers.remove(worker.process());
         }
     }
@@ -641,23 +641,23 @@
         long run = task.lastRun() + 1;
         long now = timers.nanos();
         double expectedMillis = placement.expectedMillis(task);
-        Worker.Sent sent = worker.send(task, run, now, expectedMillis);
+        Worker.SentStart sent = worker.send(task, run, now, expectedMillis);
         task.job().place(task, worker.process(), run);
         // One that shares the worker with another suspect would be refused, were it sent as one.
         boolean isolated = crashes.isSuspect(task) && !worker.holdsSuspect();
         if (isolated) {
-            worker.sentSuspect(task.key());
+            worker.addSuspect(task.key());
         } else if (crashes.isSuspect(task)) {
-            worker.sent().forEach(beside -> crashes.sent(beside.task(), false));
+            worker.inProgress().forEach(beside -> crashes.recordStart(beside.task(), false));
         }
-        crashes.sent(task, isolated);
+        crashes.recordStart(task, isolated);
         EventLine placed = EventLine.of("run-placed")
                 .with("task", task.key())
                 .with("run", run)
                 .with("worker", worker.process())
-                .with("free_millicores", worker.free().processorMillis())
+                .with("free_millicores", worker.freeRoom().processorMillis())
                 .with("waited_ms", (now - task.job().acceptedAtNanos()) / 1_000_000)
-                .with("report_age_ms", (now - worker.heardAtNanos()) / 1_000_000)
+                .with("report_age_ms", (now - worker.lastReportAtNanos()) / 1_000_000)
                 .with("waiting", waiting.size());
         if (bySpeed) {
             startsBySpeed++;
--- a/library/src/main/java/org/chivetally/queue/entry/ServiceShares.java
+++ b/library/src/main/java/org/chivetally/queue/entry/ServiceShares.java
@@ -7,7 +7,7 @@
 import org.chivetally.queue.JobSpecification;
 import org.chivetally.queue.placement.ArrivalRate;
 import org.chivetally.queue.placement.ServiceDemand;
-import org.chivetally.queue.placement.SharedProcessors;
+import org.chivetally.queue.placement.EntryCapacityShare;
 import org.chivetally.queue.placement.WaitingTasks;
 import org.chivetally.queue.placement.Worker;
 import org.chivetally.time.Timers;
@@ -37,22 +37,22 @@
     /** Notes that a job was taken on. */
     void arrived(JobSpecification job) {
         arrivals.computeIfAbsent(job.terms().service(), name -> new ArrivalRate())
-                .arrived(job, timers.nanos());
+                .recordArrival(job, timers.nanos());
     }
 
     /** Returns this entry's part of a service's processors. */
-    SharedProcessors of(String service) {
+    EntryCapacityShare of(String service) {
         Map<String, ServiceDemand> told = new HashMap<>();
         demandElsewhere.forEach((entry, demand) -> told.put(entry, demand.getOrDefault(service, ServiceDemand.NONE)));
-        return SharedProcessors.among(capacity(service), demand(service), told, entries);
+        return EntryCapacityShare.forEntry(capacity(service), demand(service), told, entries);
     }
 
     private long capacity(String service) {
         long processors = 0;
         for (Worker worker : workers) {
             boolean serves =
-                    worker.view().service().equals(service) && worker.view().accepting();
-            processors += serves ? worker.view().capacity().processorMillis() : 0;
+                    worker.lastReport().service().equals(service) && worker.lastReport().accepting();
+            processors += serves ? worker.lastReport().capacity().processorMillis() : 0;
         }
         return processors;
     }
@@ -68,7 +68,7 @@
 
     private ServiceDemand demand(String service) {
         ArrivalRate arriving = arrivals.get(service);
-        long arrivingMillis = arriving == null ? 0 : arriving.processorMillis(timers.nanos());
+        long arrivingMillis = arriving == null ? 0 : arriving.arrivingMillicores(timers.nanos());
         // A job that was stored before estimates were checked may have a negative one.
         return new ServiceDemand(Math.max(0, arrivingMillis), Math.max(0, waiting.work(service)));
     }
@@ -97,10 +97,10 @@
     boolean isEvacuated(String service) {
         boolean any = false;
         for (Worker worker : workers) {
-            if (!worker.view().service().equals(service)) {
+            if (!worker.lastReport().service().equals(service)) {
                 continue;
             }
-            if (!evacuations.cover(worker.view().failureDomain())) {
+            if (!evacuations.cover(worker.lastReport().failureDomain())) {
                 return false;
             }
             any = true;
--- a/library/src/main/java/org/chivetally/queue/entry/UnkeptJobs.java
+++ b/library/src/main/java/org/chivetally/queue/entry/UnkeptJobs.java
@@ -18,7 +18,7 @@
 import org.chivetally.queue.RunOutcome;
 import org.chivetally.queue.Task;
 import org.chivetally.queue.TaskKey;
-import org.chivetally.queue.crash.CrashWatch;
+import org.chivetally.queue.crash.CrashTracker;
 import org.chivetally.time.Timers;
 
 /**
@@ -38,12 +38,12 @@
     private static final FluentLogger LOGGER = FluentLogger.forEnclosingClass();
 
     private final Timers timers;
-    private final CrashWatch crashes;
+    private final CrashTracker crashes;
     private final Admission admission;
     private final Map<String, Open> open = new LinkedHashMap<>();
     private OptionalLong stopsAtNanos = OptionalLong.empty();
 
-    UnkeptJobs(Timers timers, CrashWatch crashes, Admission admission) {
+    UnkeptJobs(Timers timers, CrashTracker crashes, Admission admission) {
         this.crashes = crashes;
         this.timers = timers;
         this.admission = admission;
@@ -203,8 +203,8 @@
         if (known == null || known.job != task.job()) {
             return;
         }
-        if (outcome == RunOutcome.CRASHED && crashes.crashed(task, task.lastRun())) {
-            crashes.givenUp(task);
+        if (outcome == RunOutcome.CRASHED && crashes.recordCrash(task, task.lastRun())) {
+            crashes.recordGivenUp(task);
             task.job().finish(JobPhase.FAILED, timers.epochMillis());
         }
         if (task.job().phase().isFinal()) {
--- a/library/src/main/java/org/chivetally/queue/placement/AdmissionPolicy.java
+++ b/library/src/main/java/org/chivetally/queue/placement/AdmissionPolicy.java
@@ -13,10 +13,10 @@
      * Share of the late limit that the forecast may reach. Estimates are off by 40% (standard deviation, as given by
      * the callers' sheets), so a job at the limit itself would miss it half of the time.
      */
-    static final double SHARE_OF_LIMIT = 0.8;
+    static final double MAXIMUM_SHARE_OF_LIMIT = 0.8;
 
     /** Shortest wait that is worth telling; HTTP's Retry-After has whole seconds. */
-    static final Duration SHORTEST_RETRY = Duration.ofSeconds(1);
+    static final Duration MINIMUM_RETRY_DELAY = Duration.ofSeconds(1);
 
     private AdmissionPolicy() {}
 
@@ -28,17 +28,17 @@
      * @param processorMillis processors of the service's open workers in thousandths; 0 while none is known
      * @return when to come back, if the job is refused
      */
-    public static Optional<Duration> refuse(Job job, long nowNanos, long workAhead, long processorMillis) {
-        if (processorMillis <= 0) {
+    public static Optional<Duration> refuse(Job job, long nowNanos, long workAhead, long usableMillicores) {
+        if (usableMillicores <= 0) {
             // No worker is known, which is so for a moment after an entry's start. The job waits like any other.
             return Optional.empty();
         }
-        double waitMillis = 1000.0 * workAhead / processorMillis;
+        double waitMillis = 1000.0 * workAhead / usableMillicores;
         double leftMillis = (job.limitNanos() - nowNanos) / 1e6;
-        if (waitMillis + job.specification().chainMillis() <= SHARE_OF_LIMIT * leftMillis) {
+        if (waitMillis + job.specification().chainMillis() <= MAXIMUM_SHARE_OF_LIMIT * leftMillis) {
             return Optional.empty();
         }
-        Duration drain = Duration.ofMillis((long) waitMillis);
-        return Optional.of(drain.compareTo(SHORTEST_RETRY) < 0 ? SHORTEST_RETRY : drain);
+        Duration retryDelay = Duration.ofMillis((long) waitMillis);
+        return Optional.of(retryDelay.compareTo(MINIMUM_RETRY_DELAY) < 0 ? MINIMUM_RETRY_DELAY : retryDelay);
     }
 }
--- a/library/src/main/java/org/chivetally/queue/placement/PlacementPolicy.java
+++ b/library/src/main/java/org/chivetally/queue/placement/PlacementPolicy.java
@@ -10,7 +10,7 @@
 import org.chivetally.queue.StepTraits;
 import org.chivetally.queue.Task;
 import org.chivetally.queue.crash.CrashPolicy;
-import org.chivetally.queue.speed.QueueEstimates;
+import org.chivetally.queue.speed.EstimateCalibrator;
 import org.chivetally.queue.speed.SpeedClasses;
 
 /**
@@ -27,33 +27,33 @@
      * At most one worker in so many is passed over for its health, or gives up its runs. Where more look bad, it is the
      * tasks or the load, and the rest could not bear what comes.
      */
-    public static final int AVOIDED_PART = 3;
+    public static final int MINIMUM_WORKERS_PER_AVOIDED = 3;
 
     /** Part of the capacity under which a worker's free room is contended. */
-    static final int SCARCE_PART = 4;
+    static final int SCARCE_ROOM_DIVISOR = 4;
 
     /**
      * Part of the capacity by which a worker of the entry's own failure domain may be fuller than another and is still
      * chosen: frames to it are not priced, and the way is a fifth as long.
      */
-    static final int NEAR_PART = 8;
+    static final int SAME_DOMAIN_BONUS_DIVISOR = 8;
 
     /** Penalty that outweighs all free room, as rooms stay below a thousand cores. */
-    private static final long FAR_MILLIS = 1_000_000_000L;
+    private static final long OTHER_RACK_PENALTY_MILLICORES = 1_000_000_000L;
 
-    private static final long BAD_MILLIS = 2_000_000_000L;
+    private static final long UNHEALTHY_PENALTY_MILLICORES = 2_000_000_000L;
 
     /** Penalty of a worker that holds a suspect: it outweighs all free room, and less than a bad worker does. */
-    private static final long SUSPECT_MILLIS = 500_000_000L;
+    private static final long SUSPECT_PENALTY_MILLICORES = 500_000_000L;
 
     /** Weight of what a worker holds over what it has free, in the choice for a suspect. */
-    private static final long HELD_WEIGHT = 100;
+    private static final long USED_ROOM_WEIGHT = 100;
 
     private final String failureDomain;
     private final RandomGenerator random;
     private final boolean learnsSpeeds;
     private final WorkerSpeeds speeds = new WorkerSpeeds();
-    private final QueueEstimates estimates = new QueueEstimates();
+    private final EstimateCalibrator calibrator = new EstimateCalibrator();
     private final CrashPolicy crashes;
 
     /**
@@ -93,18 +93,18 @@
     public double expectedMillis(Task task) {
         int estimate = Math.max(0, task.step().estimatedMillis());
         return learnsSpeeds
-                ? estimates.expectedMillis(task.job().specification().terms().queue(), estimate)
+                ? calibrator.expectedMillis(task.job().specification().terms().queue(), estimate)
                 : estimate;
     }
 
     /** Notes that a run ended done, before it is removed from its worker. */
-    public void ended(Worker worker, Worker.Sent start, long nowNanos) {
-        worker.ended(start, nowNanos);
+    public void recordEnd(Worker worker, Worker.SentStart start, long nowNanos) {
+        worker.recordEnd(start, nowNanos);
         if (learnsSpeeds && start.number() > 0) {
             double millis = (nowNanos - start.atNanos()) / (1e6 * worker.stretch());
             Task task = start.task();
             String queue = task.job().specification().terms().queue();
-            estimates.ended(queue, task.step().estimatedMillis(), millis, nowNanos);
+            calibrator.recordRun(queue, task.step().estimatedMillis(), millis, nowNanos);
         }
     }
 
@@ -114,7 +114,7 @@
     }
 
     /** Returns the choices that the workers allow at a moment, for one pass over the waiting tasks. */
-    public Pass over(Collection<Worker> workers, long nowNanos) {
+    public Pass newPass(Collection<Worker> workers, long nowNanos) {
         return new Pass(workers, nowNanos);
     }
 
@@ -125,44 +125,44 @@
      * @param waitingMillis processors in thousandths that the waiting tasks need
      * @param part this entry's part of all that waits
      */
-    public static boolean isContended(Pass pass, String service, long waitingMillis, double part) {
-        return part < 1 && waitingMillis > part * pass.freeMillis(service);
+    public static boolean isContended(Pass pass, String service, long waitingMillicores, double backlogShare) {
+        return backlogShare < 1 && waitingMillicores > backlogShare * pass.freeMillicores(service);
     }
 
     /** Choices at one moment. */
     public final class Pass {
         private final long nowNanos;
-        private final List<Worker> open = new ArrayList<>();
-        private final boolean passesOver;
+        private final List<Worker> acceptingWorkers = new ArrayList<>();
+        private final boolean excludesUnhealthy;
         private SpeedCandidates candidates;
-        private ClassRelease release;
+        private ReleaseWaitEstimator waitEstimator;
 
         private Pass(Collection<Worker> workers, long nowNanos) {
             this.nowNanos = nowNanos;
-            int bad = 0;
+            int unhealthy = 0;
             for (Worker worker : workers) {
-                if (worker.isOpen(nowNanos)) {
-                    open.add(worker);
-                    bad += isPassedOver(worker) ? 1 : 0;
+                if (worker.acceptsStarts(nowNanos)) {
+                    acceptingWorkers.add(worker);
+                    unhealthy += isUnhealthy(worker) ? 1 : 0;
                 }
             }
-            passesOver = AVOIDED_PART * bad <= open.size();
+            excludesUnhealthy = MINIMUM_WORKERS_PER_AVOIDED * unhealthy <= acceptingWorkers.size();
             if (learnsSpeeds) {
-                speeds.refresh(open, nowNanos);
+                speeds.refresh(acceptingWorkers, nowNanos);
             }
         }
 
-        private long freeMillis(String service) {
+        private long freeMillicores(String service) {
             long free = 0;
-            for (Worker worker : open) {
-                boolean serves = worker.view().service().equals(service);
-                free += serves ? Math.max(0, worker.free().processorMillis()) : 0;
+            for (Worker worker : acceptingWorkers) {
+                boolean serves = worker.lastReport().service().equals(service);
+                free += serves ? Math.max(0, worker.freeRoom().processorMillis()) : 0;
             }
             return free;
         }
 
-        private boolean isPassedOver(Worker worker) {
-            return worker.health().isAvoided(nowNanos) || worker.health().isTried(nowNanos) && worker.isBusy();
+        private boolean isUnhealthy(Worker worker) {
+            return worker.health().isAvoided(nowNanos) || worker.health().isOnProbation(nowNanos) && worker.hasRunsNotOverdue();
         }
 
         /**
@@ -181,28 +181,28 @@
          *
          * @param part this entry's part of the room; 1 for no bound
          */
-        public Optional<Worker> choose(Task task, double part) {
+        public Optional<Worker> choose(Task task, double freeShare) {
             boolean suspect = isSuspect(task);
-            Optional<Worker> worker = choose(task, part, suspect);
-            boolean alone = worker.isPresent() || !suspect;
-            return alone || !crashes.isUrgent(nowNanos, task.job().lastStartNanos())
+            Optional<Worker> worker = choose(task, freeShare, suspect);
+            boolean decided = worker.isPresent() || !suspect;
+            return decided || !crashes.isUrgent(nowNanos, task.job().lastStartNanos())
                     ? worker
-                    : choose(task, part, false);
+                    : choose(task, freeShare, false);
         }
 
-        private Optional<Worker> choose(Task task, double part, boolean isolated) {
+        private Optional<Worker> choose(Task task, double freeShare, boolean isolated) {
             Worker best = null;
             long bestScore = Long.MIN_VALUE;
-            boolean elsewhere = isPossibleElsewhere(task);
-            for (Worker worker : open) {
-                if (isExcluded(task, worker, elsewhere) || isolated && worker.holdsSuspect()) {
+            boolean hasAlternative = hasHealthyAlternative(task);
+            for (Worker worker : acceptingWorkers) {
+                if (isExcluded(task, worker, hasAlternative) || isolated && worker.holdsSuspect()) {
                     continue;
                 }
-                Room free = worker.free();
-                if (!hasRoom(task, worker, free, part)) {
+                Room free = worker.freeRoom();
+                if (!hasRoom(task, worker, free, freeShare)) {
                     continue;
                 }
-                long score = score(task, worker, free.processorMillis()) + apart(worker, isolated);
+                long score = score(task, worker, free.processorMillis()) + suspectScore(worker, isolated);
                 if (score > bestScore) {
                     best = worker;
                     bestScore = score;
@@ -218,56 +218,56 @@
          * @param part this entry's part of the room; 1 for no bound
          * @param share this entry's part of the room that comes free
          */
-        public Choice decide(Task task, double part, double share) {
+        public PlacementDecision decide(Task task, double freeShare, double releaseShare) {
             double expectedMillis = expectedMillis(task);
             if (!learnsSpeeds || expectedMillis <= 0 || isSuspect(task)) {
-                return Choice.byRoom(choose(task, part));
+                return PlacementDecision.byRoom(choose(task, freeShare));
             }
             QueueTerms terms = task.job().specification().terms();
-            SpeedClasses classes = speeds.of(terms.service());
-            if (!classes.isSpreadOver(terms.slackFactor())) {
-                return Choice.byRoom(choose(task, part));
+            SpeedClasses classes = speeds.classesOf(terms.service());
+            if (!classes.spreadExceeds(terms.slackFactor())) {
+                return PlacementDecision.byRoom(choose(task, freeShare));
             }
-            collect(task, part, classes.count());
-            if (release == null || !release.isOf(terms.service())) {
-                release = new ClassRelease(open, terms.service(), classes.count());
+            collectCandidates(task, freeShare, classes.count());
+            if (waitEstimator == null || !waitEstimator.isForService(terms.service())) {
+                waitEstimator = new ReleaseWaitEstimator(acceptingWorkers, terms.service(), classes.count());
             }
-            release.ask(share, task.room().processorMillis(), expectedMillis);
-            return candidates.choose(TaskForecast.of(task, expectedMillis, nowNanos), classes, release);
+            waitEstimator.setTask(releaseShare, task.room().processorMillis(), expectedMillis);
+            return candidates.choose(TaskForecast.of(task, expectedMillis, nowNanos), classes, waitEstimator);
         }
 
-        private void collect(Task task, double part, int classes) {
+        private void collectCandidates(Task task, double freeShare, int classCount) {
             if (candidates == null) {
-                candidates = new SpeedCandidates(open.size());
+                candidates = new SpeedCandidates(acceptingWorkers.size());
             }
-            candidates.clear(classes);
-            boolean elsewhere = isPossibleElsewhere(task);
-            for (Worker worker : open) {
-                if (isExcluded(task, worker, elsewhere)) {
+            candidates.reset(classCount);
+            boolean hasAlternative = hasHealthyAlternative(task);
+            for (Worker worker : acceptingWorkers) {
+                if (isExcluded(task, worker, hasAlternative)) {
                     continue;
                 }
-                Room free = worker.free();
-                if (task.room().fitsInto(worker.view().capacity())) {
-                    candidates.usable(worker, free.processorMillis());
+                Room free = worker.freeRoom();
+                if (task.room().fitsInto(worker.lastReport().capacity())) {
+                    candidates.addCapacity(worker, free.processorMillis());
                 }
-                if (hasRoom(task, worker, free, part)) {
-                    candidates.add(worker, scoreInClass(task, worker, free.processorMillis()) + apart(worker, false));
+                if (hasRoom(task, worker, free, freeShare)) {
+                    candidates.addCandidate(worker, scoreInClass(task, worker, free.processorMillis()) + suspectScore(worker, false));
                 }
             }
         }
 
-        private boolean isExcluded(Task task, Worker worker, boolean elsewhere) {
-            return elsewhere && failedAt(task, worker) || passesOver && isPassedOver(worker) || !mayRun(task, worker);
+        private boolean isExcluded(Task task, Worker worker, boolean hasAlternative) {
+            return hasAlternative && failedOn(task, worker) || excludesUnhealthy && isUnhealthy(worker) || !mayRun(task, worker);
         }
 
-        private static boolean hasRoom(Task task, Worker worker, Room free, double part) {
-            boolean overPart = part < 1 && worker.isOverPart(task.room(), part);
-            return !overPart && task.room().fitsInto(free);
+        private static boolean hasRoom(Task task, Worker worker, Room free, double freeShare) {
+            boolean exceedsShare = freeShare < 1 && worker.exceedsShare(task.room(), freeShare);
+            return !exceedsShare && task.room().fitsInto(free);
         }
 
         /** Tells whether a worker's free room is contended. */
-        private static boolean isScarce(Worker worker, long free) {
-            return SCARCE_PART * free < worker.view().capacity().processorMillis();
+        private static boolean isScarce(Worker worker, long freeMillicores) {
+            return SCARCE_ROOM_DIVISOR * freeMillicores < worker.lastReport().capacity().processorMillis();
         }
 
         /** Tells whether a task is kept apart from others that may be the cause of a crash. */
@@ -279,24 +279,24 @@
          * Returns what counts for or against a worker while suspects are kept apart: a suspect goes where little runs,
          * and others keep away from suspects while there is room elsewhere, as they would crash together.
          */
-        private long apart(Worker worker, boolean isolated) {
+        private long suspectScore(Worker worker, boolean isolated) {
             if (crashes.limit() == 0) {
                 return 0;
             }
             if (!isolated) {
-                return worker.holdsSuspect() ? -SUSPECT_MILLIS : 0;
+                return worker.holdsSuspect() ? -SUSPECT_PENALTY_MILLICORES : 0;
             }
-            Room capacity = worker.view().capacity();
-            return -(capacity.processorMillis() - worker.free().processorMillis()) * HELD_WEIGHT;
+            Room capacity = worker.lastReport().capacity();
+            return -(capacity.processorMillis() - worker.freeRoom().processorMillis()) * USED_ROOM_WEIGHT;
         }
 
         /** Tells whether there is a sound worker for the task where it has not just failed, with room or without. */
-        private boolean isPossibleElsewhere(Task task) {
+        private boolean hasHealthyAlternative(Task task) {
             if (task.failedAt().isEmpty()) {
                 return false;
             }
-            for (Worker worker : open) {
-                if (!failedAt(task, worker) && !isPassedOver(worker) && mayRun(task, worker)) {
+            for (Worker worker : acceptingWorkers) {
+                if (!failedOn(task, worker) && !isUnhealthy(worker) && mayRun(task, worker)) {
                     return true;
                 }
             }
@@ -307,34 +307,34 @@
          * Returns a score in which room counts by chance. All entries prefer the same few fast workers, and know their
          * room as it was up to a heartbeat ago: all would send to the emptiest until the next one comes.
          */
-        private long scoreInClass(Task task, Worker worker, long free) {
-            long score = score(task, worker, free);
-            return isScarce(worker, free) ? score : score - random.nextLong(free + 1);
+        private long scoreInClass(Task task, Worker worker, long freeMillicores) {
+            long score = score(task, worker, freeMillicores);
+            return isScarce(worker, freeMillicores) ? score : score - random.nextLong(freeMillicores + 1);
         }
 
-        private long score(Task task, Worker worker, long free) {
-            boolean far = !task.step().traits().preferredRack().isEmpty()
-                    && !worker.view().labels().contains(task.step().traits().preferredRack());
-            long capacity = worker.view().capacity().processorMillis();
-            long score = isScarce(worker, free) ? random.nextLong(free + 1) : free;
-            score += worker.view().failureDomain().equals(failureDomain) ? capacity / NEAR_PART : 0;
-            score -= isPassedOver(worker) ? BAD_MILLIS : 0;
-            score -= far ? FAR_MILLIS : 0;
+        private long score(Task task, Worker worker, long freeMillicores) {
+            boolean otherRack = !task.step().traits().preferredRack().isEmpty()
+                    && !worker.lastReport().labels().contains(task.step().traits().preferredRack());
+            long capacity = worker.lastReport().capacity().processorMillis();
+            long score = isScarce(worker, freeMillicores) ? random.nextLong(freeMillicores + 1) : freeMillicores;
+            score += worker.lastReport().failureDomain().equals(failureDomain) ? capacity / SAME_DOMAIN_BONUS_DIVISOR : 0;
+            score -= isUnhealthy(worker) ? UNHEALTHY_PENALTY_MILLICORES : 0;
+            score -= otherRack ? OTHER_RACK_PENALTY_MILLICORES : 0;
             return score;
         }
     }
 
-    private static boolean failedAt(Task task, Worker worker) {
+    private static boolean failedOn(Task task, Worker worker) {
         return task.failedAt().isPresent() && task.failedAt().get().equals(worker.process());
     }
 
     /** Tells whether a worker is allowed to run the task, whether it has room or not. */
     private static boolean mayRun(Task task, Worker worker) {
-        if (!worker.view().service().equals(task.job().specification().terms().service())) {
+        if (!worker.lastReport().service().equals(task.job().specification().terms().service())) {
             return false;
         }
         StepTraits traits = task.step().traits();
-        if (!traits.requiredLabel().isEmpty() && !worker.view().labels().contains(traits.requiredLabel())) {
+        if (!traits.requiredLabel().isEmpty() && !worker.lastReport().labels().contains(traits.requiredLabel())) {
             return false;
         }
         return traits.maximumPerWorker() == 0 || tasksOfStep(task, worker) < traits.maximumPerWorker();
@@ -342,7 +342,7 @@
 
     private static int tasksOfStep(Task task, Worker worker) {
         int count = 0;
-        for (Worker.Sent start : worker.sent()) {
+        for (Worker.SentStart start : worker.inProgress()) {
             boolean sameStep = start.task().job() == task.job()
                     && start.task().key().step() == task.key().step();
             count += sameStep ? 1 : 0;
--- a/library/src/main/java/org/chivetally/queue/placement/SpeedCandidates.java
+++ b/library/src/main/java/org/chivetally/queue/placement/SpeedCandidates.java
@@ -17,45 +17,45 @@
 
     private static final int NONE = -1;
 
-    private final Worker[] best;
-    private final long[] scores;
-    private final long[] freeMillis;
-    private final long[] capacityMillis;
-    private int count;
+    private final Worker[] bestWorkers;
+    private final long[] bestScores;
+    private final long[] freeMillicores;
+    private final long[] capacityMillicores;
+    private int classCount;
 
     /**
      * Creates candidates for one pass.
      *
      * @param most greatest number of classes
      */
-    SpeedCandidates(int most) {
-        this.best = new Worker[most];
-        this.scores = new long[most];
-        this.freeMillis = new long[most];
-        this.capacityMillis = new long[most];
+    SpeedCandidates(int maximumClasses) {
+        this.bestWorkers = new Worker[maximumClasses];
+        this.bestScores = new long[maximumClasses];
+        this.freeMillicores = new long[maximumClasses];
+        this.capacityMillicores = new long[maximumClasses];
     }
 
     /** Begins with a new task. */
-    void clear(int classes) {
-        count = classes;
-        Arrays.fill(best, 0, classes, null);
-        Arrays.fill(freeMillis, 0, classes, 0);
-        Arrays.fill(capacityMillis, 0, classes, 0);
+    void reset(int classCount) {
+        classCount = classCount;
+        Arrays.fill(bestWorkers, 0, classCount, null);
+        Arrays.fill(freeMillicores, 0, classCount, 0);
+        Arrays.fill(capacityMillicores, 0, classCount, 0);
     }
 
     /** Notes a worker that may run the task, with room or without; what is free there in thousandths of a processor. */
-    void usable(Worker worker, long free) {
+    void addCapacity(Worker worker, long workerFreeMillicores) {
         int rank = worker.speed().rank();
-        freeMillis[rank] += Math.max(0, free);
-        capacityMillis[rank] += worker.view().capacity().processorMillis();
+        freeMillicores[rank] += Math.max(0, workerFreeMillicores);
+        capacityMillicores[rank] += worker.lastReport().capacity().processorMillis();
     }
 
     /** Adds a worker that has room. */
-    void add(Worker worker, long score) {
+    void addCandidate(Worker worker, long score) {
         int rank = worker.speed().rank();
-        if (best[rank] == null || score > scores[rank]) {
-            best[rank] = worker;
-            scores[rank] = score;
+        if (bestWorkers[rank] == null || score > bestScores[rank]) {
+            bestWorkers[rank] = worker;
+            bestScores[rank] = score;
         }
     }
 
@@ -64,30 +64,30 @@
      *
      * @param waits tells how long it takes until a class has room
      */
-    Choice choose(TaskForecast task, SpeedClasses classes, Waits waits) {
+    PlacementDecision choose(TaskForecast task, SpeedClasses classes, WaitEstimator waitEstimator) {
         dropPenalized();
-        int rank = preferred();
+        int rank = preferredRank();
         if (rank == NONE) {
-            return Choice.noRoom();
+            return PlacementDecision.noRoom();
         }
         if (!task.isInTime(classes.stretch(rank))) {
-            rank = faster(rank, task, classes);
-            if (isWorthWaiting(rank, task, classes, waits)) {
-                return Choice.waitForFaster();
+            rank = fasterRank(rank, task, classes);
+            if (isWorthWaiting(rank, task, classes, waitEstimator)) {
+                return PlacementDecision.waitForFaster();
             }
         }
-        return Choice.bySpeed(best[rank]);
+        return PlacementDecision.bySpeed(bestWorkers[rank]);
     }
 
     /** Leaves out classes with only workers that nothing should go to while others have room. */
     private void dropPenalized() {
         long highest = Long.MIN_VALUE;
-        for (int rank = 0; rank < count; rank++) {
-            highest = best[rank] == null ? highest : Math.max(highest, scores[rank]);
+        for (int rank = 0; rank < classCount; rank++) {
+            highest = bestWorkers[rank] == null ? highest : Math.max(highest, bestScores[rank]);
         }
-        for (int rank = 0; rank < count; rank++) {
-            if (best[rank] != null && highest - scores[rank] > PENALTY_GAP) {
-                best[rank] = null;
+        for (int rank = 0; rank < classCount; rank++) {
+            if (bestWorkers[rank] != null && highest - bestScores[rank] > PENALTY_GAP) {
+                bestWorkers[rank] = null;
             }
         }
     }
@@ -96,13 +96,13 @@
      * Returns the fastest class with room to spare; without one the fastest with any room: whoever comes first then has
      * the right to it, as under overload every queue would lose more on slow workers than the last one gains.
      */
-    private int preferred() {
+    private int preferredRank() {
         int fastest = NONE;
-        for (int rank = 0; rank < count; rank++) {
-            if (best[rank] == null) {
+        for (int rank = 0; rank < classCount; rank++) {
+            if (bestWorkers[rank] == null) {
                 continue;
             }
-            if (isRoomy(rank)) {
+            if (hasSpareRoom(rank)) {
                 return rank;
             }
             fastest = fastest == NONE ? rank : fastest;
@@ -114,21 +114,21 @@
      * Tells whether a class has more room than all entries compete for. By the class, not by the worker: while only one
      * worker of it had room to spare, all entries would send to that one.
      */
-    private boolean isRoomy(int rank) {
-        return PlacementPolicy.SCARCE_PART * freeMillis[rank] >= capacityMillis[rank];
+    private boolean hasSpareRoom(int rank) {
+        return PlacementPolicy.SCARCE_ROOM_DIVISOR * freeMillicores[rank] >= capacityMillicores[rank];
     }
 
     /** Returns the slowest of the faster classes with room where the task is in time; without one the fastest. */
-    private int faster(int rank, TaskForecast task, SpeedClasses classes) {
+    private int fasterRank(int rank, TaskForecast task, SpeedClasses classes) {
         int fastest = rank;
-        for (int other = rank - 1; other >= 0; other--) {
-            if (best[other] == null) {
+        for (int fasterRank = rank - 1; fasterRank >= 0; fasterRank--) {
+            if (bestWorkers[fasterRank] == null) {
                 continue;
             }
-            if (task.isInTime(classes.stretch(other))) {
-                return other;
+            if (task.isInTime(classes.stretch(fasterRank))) {
+                return fasterRank;
             }
-            fastest = other;
+            fastest = fasterRank;
         }
         return fastest;
     }
@@ -138,20 +138,20 @@
      * without the margin, and early enough with it: others may take the room that comes free, and under overload most
      * of the tasks that waited at the mere risk of being late were later for it.
      */
-    private boolean isWorthWaiting(int rank, TaskForecast task, SpeedClasses classes, Waits waits) {
-        long endHere = task.expectedEndNanos(classes.stretch(rank));
-        if (endHere <= task.objectiveNanos()) {
+    private boolean isWorthWaiting(int rank, TaskForecast task, SpeedClasses classes, WaitEstimator waitEstimator) {
+        long endNowNanos = task.expectedEndNanos(classes.stretch(rank));
+        if (endNowNanos <= task.objectiveNanos()) {
             return false;
         }
-        for (int other = 0; other < rank; other++) {
-            if (capacityMillis[other] == 0) {
+        for (int fasterRank = 0; fasterRank < rank; fasterRank++) {
+            if (capacityMillicores[fasterRank] == 0) {
                 continue;
             }
-            long endThere = task.endNanos(classes.stretch(other), waits.millis(other));
-            boolean saves =
-                    endThere <= task.objectiveNanos() || endHere > task.limitNanos() && endThere <= task.limitNanos();
-            if (endThere < endHere && saves) {
-                waits.hold(other);
+            long endAfterWaitNanos = task.endNanos(classes.stretch(fasterRank), waitEstimator.waitMillis(fasterRank));
+            boolean meetsMore =
+                    endAfterWaitNanos <= task.objectiveNanos() || endNowNanos > task.limitNanos() && endAfterWaitNanos <= task.limitNanos();
+            if (endAfterWaitNanos < endNowNanos && meetsMore) {
+                waitEstimator.reserve(fasterRank);
                 return true;
             }
         }
@@ -159,11 +159,11 @@
     }
 
     /** Tells how long a task waits for room in a class. */
-    interface Waits {
+    interface WaitEstimator {
         /** Returns the expected wait in milliseconds. */
-        double millis(int rank);
+        double waitMillis(int rank);
 
         /** Notes that the task waits for that class, before those that come after it. */
-        void hold(int rank);
+        void reserve(int rank);
     }
 }
--- a/library/src/main/java/org/chivetally/queue/placement/WaitingLine.java
+++ b/library/src/main/java/org/chivetally/queue/placement/TaskBacklog.java
@@ -11,27 +11,27 @@
  * Waiting tasks of one service, or of one queue of it, in order and with their sums. The sums are asked for with each
  * job that comes and each pass over the workers; added up anew each time, they would cost most when most tasks wait.
  */
-final class WaitingLine {
+final class TaskBacklog {
     private final NavigableSet<WaitingTask> inOrder = new TreeSet<>(WaitingTask.ORDER);
     /** Estimated processor milliseconds of the tasks that can end in time, by priority. */
     private final NavigableMap<Integer, Long> inTimeWork = new TreeMap<>();
 
     private long work;
-    private long processorMillis;
+    private long waitingMillicores;
 
     void add(WaitingTask entry) {
         inOrder.add(entry);
-        count(entry, 1);
+        addToSums(entry, 1);
     }
 
     void remove(WaitingTask entry) {
         inOrder.remove(entry);
-        count(entry, -1);
+        addToSums(entry, -1);
     }
 
-    private void count(WaitingTask entry, int sign) {
+    private void addToSums(WaitingTask entry, int sign) {
         work += sign * entry.work();
-        processorMillis += (long) sign * entry.task().room().processorMillis();
+        waitingMillicores += (long) sign * entry.task().room().processorMillis();
         if (entry.reach() == Outlook.Reach.IN_TIME) {
             inTimeWork.merge(entry.priority(), sign * entry.work(), Long::sum);
         }
@@ -56,7 +56,7 @@
     }
 
     /** Returns the task after another one, which may have been removed, or null. */
-    WaitingTask after(WaitingTask entry) {
+    WaitingTask next(WaitingTask entry) {
         return inOrder.higher(entry);
     }
 
@@ -75,7 +75,7 @@
     }
 
     /** Returns the processors, in thousandths, that all tasks need. */
-    long processorMillis() {
-        return processorMillis;
+    long waitingMillicores() {
+        return waitingMillicores;
     }
 }
--- a/library/src/main/java/org/chivetally/queue/placement/WaitingTask.java
+++ b/library/src/main/java/org/chivetally/queue/placement/WaitingTask.java
@@ -10,17 +10,17 @@
  * @param task the task
  * @param priority priority of its queue
  * @param reach what its job can still reach
- * @param untilNanos last moment at which that is so
- * @param begun whether it goes before tasks of jobs of which nothing runs yet
+ * @param reachUntilNanos last moment at which that is so
+ * @param jobStarted whether it goes before tasks of jobs of which nothing runs yet
  */
-record WaitingTask(Task task, int priority, Outlook.Reach reach, long untilNanos, boolean begun) {
+record WaitingTask(Task task, int priority, Outlook.Reach reach, long reachUntilNanos, boolean jobStarted) {
     // Written out: comparators that are put together are serializable lambdas, which the JVM generates at each start.
     /** Order in which tasks are placed. */
     static final Comparator<WaitingTask> ORDER = WaitingTask::compare;
 
     /** Order in which tasks have to be looked at again. */
-    static final Comparator<WaitingTask> BY_END_OF_OUTLOOK = (left, right) -> {
-        int order = Long.compare(left.untilNanos, right.untilNanos);
+    static final Comparator<WaitingTask> BY_REACH_EXPIRY = (left, right) -> {
+        int order = Long.compare(left.reachUntilNanos, right.reachUntilNanos);
         return order != 0 ? order : compare(left, right);
     };
 
@@ -30,7 +30,7 @@
             order = Integer.compare(left.priority, right.priority);
         }
         if (order == 0) {
-            order = Boolean.compare(right.begun, left.begun);
+            order = Boolean.compare(right.jobStarted, left.jobStarted);
         }
         return order != 0 ? order : compareAge(left.task, right.task);
     }
--- a/library/src/main/java/org/chivetally/queue/placement/WaitingTasks.java
+++ b/library/src/main/java/org/chivetally/queue/placement/WaitingTasks.java
@@ -16,7 +16,7 @@
 import org.chivetally.queue.Outlook;
 import org.chivetally.queue.QueueTerms;
 import org.chivetally.queue.Task;
-import org.chivetally.queue.share.Division;
+import org.chivetally.queue.share.FairShares;
 import org.chivetally.queue.share.QueueLoads;
 
 /**
@@ -32,15 +32,15 @@
  * queues below their shares first without sorting anything, and jobs of which a part runs go before those not begun.
  */
 public final class WaitingTasks {
-    private static final WaitingLine EMPTY = new WaitingLine();
+    private static final TaskBacklog EMPTY = new TaskBacklog();
 
     /** Name of the only line of a service whose queues share nothing. */
     private static final String ALL_QUEUES = "";
 
-    private final boolean byQueue;
-    private final Map<String, Map<String, WaitingLine>> lines = new HashMap<>();
-    private final NavigableSet<WaitingTask> byEndOfOutlook = new TreeSet<>(WaitingTask.BY_END_OF_OUTLOOK);
-    private final Map<Task, WaitingTask> entries = new HashMap<>();
+    private final boolean fairShares;
+    private final Map<String, Map<String, TaskBacklog>> backlogs = new HashMap<>();
+    private final NavigableSet<WaitingTask> byReachExpiry = new TreeSet<>(WaitingTask.BY_REACH_EXPIRY);
+    private final Map<Task, WaitingTask> waitingTasks = new HashMap<>();
 
     /** Creates an empty set of tasks whose queues have no shares. */
     public WaitingTasks() {
@@ -52,8 +52,8 @@
      *
      * @param byQueue whether queues share room by weight
      */
-    public WaitingTasks(boolean byQueue) {
-        this.byQueue = byQueue;
+    public WaitingTasks(boolean fairShares) {
+        this.fairShares = fairShares;
     }
 
     /** Adds a task that may be placed. */
@@ -62,33 +62,33 @@
         Outlook outlook = task.job().outlook(nowNanos);
         QueueTerms terms = task.job().specification().terms();
         WaitingTask entry =
-                new WaitingTask(task, terms.priority(), outlook.reach(), outlook.untilNanos(), hasBegun(task.job()));
-        entries.put(task, entry);
-        byEndOfOutlook.add(entry);
-        lines.computeIfAbsent(terms.service(), name -> new TreeMap<>())
-                .computeIfAbsent(lineOf(terms), name -> new WaitingLine())
+                new WaitingTask(task, terms.priority(), outlook.reach(), outlook.untilNanos(), hasStarted(task.job()));
+        waitingTasks.put(task, entry);
+        byReachExpiry.add(entry);
+        backlogs.computeIfAbsent(terms.service(), name -> new TreeMap<>())
+                .computeIfAbsent(backlogName(terms), name -> new TaskBacklog())
                 .add(entry);
     }
 
-    private String lineOf(QueueTerms terms) {
-        return byQueue ? terms.queue() : ALL_QUEUES;
+    private String backlogName(QueueTerms terms) {
+        return fairShares ? terms.queue() : ALL_QUEUES;
     }
 
     /** Removes a task; nothing happens when it doesn't wait. */
     public void remove(Task task) {
-        WaitingTask entry = entries.remove(task);
+        WaitingTask entry = waitingTasks.remove(task);
         if (entry == null) {
             return;
         }
-        byEndOfOutlook.remove(entry);
+        byReachExpiry.remove(entry);
         QueueTerms terms = task.job().specification().terms();
-        Map<String, WaitingLine> ofService = lines.get(terms.service());
-        WaitingLine line = ofService.get(lineOf(terms));
-        line.remove(entry);
-        if (line.isEmpty()) {
-            ofService.remove(lineOf(terms));
+        Map<String, TaskBacklog> ofService = backlogs.get(terms.service());
+        TaskBacklog backlog = ofService.get(backlogName(terms));
+        backlog.remove(entry);
+        if (backlog.isEmpty()) {
+            ofService.remove(backlogName(terms));
             if (ofService.isEmpty()) {
-                lines.remove(terms.service());
+                backlogs.remove(terms.service());
             }
         }
     }
@@ -98,26 +98,26 @@
      * again when all its starts were turned down.
      */
     public void reorder(Job job, long nowNanos) {
-        if (!byQueue) {
+        if (!fairShares) {
             return;
         }
         for (Task task : job.tasksIn(Task.Status.WAITING)) {
-            WaitingTask entry = entries.get(task);
-            if (entry != null && entry.begun() != hasBegun(job)) {
+            WaitingTask entry = waitingTasks.get(task);
+            if (entry != null && entry.jobStarted() != hasStarted(job)) {
                 add(task, nowNanos);
             }
         }
     }
 
-    private boolean hasBegun(Job job) {
-        return byQueue && job.phase() == JobPhase.RUNNING;
+    private boolean hasStarted(Job job) {
+        return fairShares && job.phase() == JobPhase.RUNNING;
     }
 
     /** Moves the tasks whose jobs can reach less than when they were added; tells whether there were any. */
     public boolean refresh(long nowNanos) {
         boolean moved = false;
-        while (!byEndOfOutlook.isEmpty() && byEndOfOutlook.first().untilNanos() < nowNanos) {
-            add(byEndOfOutlook.first().task(), nowNanos);
+        while (!byReachExpiry.isEmpty() && byReachExpiry.first().reachUntilNanos() < nowNanos) {
+            add(byReachExpiry.first().task(), nowNanos);
             moved = true;
         }
         return moved;
@@ -129,17 +129,17 @@
      *
      * @param spareMillis processors in thousandths that what comes leaves over
      */
-    public List<Job> withoutProspect(String service, long spareMillis, long nowNanos) {
-        return withoutProspect(inOrder(service), spareMillis, nowNanos);
+    public List<Job> unservableJobs(String service, long spareMillicores, long nowNanos) {
+        return unservableJobs(inOrder(service), spareMillicores, nowNanos);
     }
 
-    private static List<Job> withoutProspect(Collection<WaitingTask> inOrder, long spareMillis, long nowNanos) {
+    private static List<Job> unservableJobs(Collection<WaitingTask> inOrder, long spareMillicores, long nowNanos) {
         Set<Job> jobs = new LinkedHashSet<>();
         long work = 0;
         for (WaitingTask entry : inOrder) {
             Job job = entry.task().job();
-            long waitNanos = spareMillis <= 0 ? Long.MAX_VALUE : 1_000_000_000L * work / spareMillis;
-            boolean overtaken = entry.reach() == Outlook.Reach.LATE && entry.untilNanos() - nowNanos < waitNanos;
+            long waitNanos = spareMillicores <= 0 ? Long.MAX_VALUE : 1_000_000_000L * work / spareMillicores;
+            boolean overtaken = entry.reach() == Outlook.Reach.LATE && entry.reachUntilNanos() - nowNanos < waitNanos;
             if (overtaken && job.phase() == JobPhase.QUEUED) {
                 jobs.add(job);
             } else {
@@ -151,14 +151,14 @@
 
     /** Returns the services that have waiting tasks. */
     public Collection<String> services() {
-        return List.copyOf(lines.keySet());
+        return List.copyOf(backlogs.keySet());
     }
 
     /** Returns the first tasks of a service, in order. */
-    public List<Task> first(String service, int most) {
+    public List<Task> first(String service, int maximumTasks) {
         List<Task> tasks = new ArrayList<>();
         for (WaitingTask entry : inOrder(service)) {
-            if (tasks.size() == most) {
+            if (tasks.size() == maximumTasks) {
                 break;
             }
             tasks.add(entry.task());
@@ -172,25 +172,25 @@
      * @param own what the entry's runs of each queue hold
      * @param most tasks that the pass looks at
      */
-    public Turns turns(String service, Division division, QueueLoads own, int most) {
-        return new Turns(lines(service), division, own, most);
+    public FairShareOrder fairShareOrder(String service, FairShares shares, QueueLoads ownLoads, int maximumTasks) {
+        return new FairShareOrder(backlogs(service), shares, ownLoads, maximumTasks);
     }
 
     /** Adds what the waiting tasks need to a tally for each service. */
-    public void addTo(Map<String, QueueLoads> byService) {
-        for (Map.Entry<String, Map<String, WaitingLine>> service : lines.entrySet()) {
+    public void addWaitingTo(Map<String, QueueLoads> byService) {
+        for (Map.Entry<String, Map<String, TaskBacklog>> service : backlogs.entrySet()) {
             QueueLoads loads = byService.computeIfAbsent(service.getKey(), name -> new QueueLoads());
-            for (Map.Entry<String, WaitingLine> line : service.getValue().entrySet()) {
-                loads.add(line.getKey(), 0, line.getValue().processorMillis());
+            for (Map.Entry<String, TaskBacklog> backlog : service.getValue().entrySet()) {
+                loads.add(backlog.getKey(), 0, backlog.getValue().waitingMillicores());
             }
         }
     }
 
     /** Returns the mean processors, in thousandths, of the waiting tasks of the queue with the smallest; 0 for none. */
-    public long smallestRoom(String service) {
+    public long smallestMeanMillicores(String service) {
         long smallest = 0;
-        for (WaitingLine line : lines(service).values()) {
-            long mean = line.processorMillis() / line.size();
+        for (TaskBacklog backlog : backlogs(service).values()) {
+            long mean = backlog.waitingMillicores() / backlog.size();
             smallest = smallest == 0 ? mean : Math.min(smallest, mean);
         }
         return smallest;
@@ -198,90 +198,90 @@
 
     /** Returns the number of waiting tasks. */
     public int size() {
-        return entries.size();
+        return waitingTasks.size();
     }
 
     /** Tells whether nothing waits. */
     public boolean isEmpty() {
-        return entries.isEmpty();
+        return waitingTasks.isEmpty();
     }
 
     /** Returns the estimated processor milliseconds that are placed before a new job of the given priority. */
     public long workAhead(String service, int priority) {
         long work = 0;
-        for (WaitingLine line : lines(service).values()) {
-            work += line.inTimeWork(priority);
+        for (TaskBacklog backlog : backlogs(service).values()) {
+            work += backlog.inTimeWork(priority);
         }
         return work;
     }
 
     /** Returns the processors, in thousandths, that all waiting tasks of a service need. */
-    public long processorMillis(String service) {
-        long millis = 0;
-        for (WaitingLine line : lines(service).values()) {
-            millis += line.processorMillis();
+    public long waitingMillicores(String service) {
+        long sum = 0;
+        for (TaskBacklog backlog : backlogs(service).values()) {
+            sum += backlog.waitingMillicores();
         }
-        return millis;
+        return sum;
     }
 
     /** Returns the estimated processor milliseconds of all waiting tasks of a service. */
     public long work(String service) {
         long work = 0;
-        for (WaitingLine line : lines(service).values()) {
-            work += line.work();
+        for (TaskBacklog backlog : backlogs(service).values()) {
+            work += backlog.work();
         }
         return work;
     }
 
     /** Returns the estimated processor milliseconds of a queue that are placed before a new job of it. */
     public long workAhead(String service, String queue, int priority) {
-        return line(service, queue).inTimeWork(priority);
+        return backlog(service, queue).inTimeWork(priority);
     }
 
     /** Returns the estimated processor milliseconds of all waiting tasks of a queue. */
     public long work(String service, String queue) {
-        return line(service, queue).work();
+        return backlog(service, queue).work();
     }
 
-    private WaitingLine line(String service, String queue) {
-        return lines(service).getOrDefault(queue, EMPTY);
+    private TaskBacklog backlog(String service, String queue) {
+        return backlogs(service).getOrDefault(queue, EMPTY);
     }
 
-    private Map<String, WaitingLine> lines(String service) {
-        return lines.getOrDefault(service, Map.of());
+    private Map<String, TaskBacklog> backlogs(String service) {
+        return backlogs.getOrDefault(service, Map.of());
     }
 
     private Collection<WaitingTask> inOrder(String service) {
-        Map<String, WaitingLine> ofService = lines(service);
+        Map<String, TaskBacklog> ofService = backlogs(service);
         if (ofService.size() <= 1) {
             return ofService.isEmpty()
                     ? EMPTY.inOrder()
                     : ofService.values().iterator().next().inOrder();
         }
-        return merged(ofService.values());
+        return merge(ofService.values());
     }
 
     /** Merges lines that are each in order, which costs less than to sort them anew. */
-    private static List<WaitingTask> merged(Collection<WaitingLine> lines) {
+    private static List<WaitingTask> merge(Collection<TaskBacklog> backlogs) {
         List<WaitingTask> merged = new ArrayList<>();
-        List<Iterator<WaitingTask>> rests = new ArrayList<>();
+        List<Iterator<WaitingTask>> remaining = new ArrayList<>();
         List<WaitingTask> heads = new ArrayList<>();
-        for (WaitingLine line : lines) {
-            Iterator<WaitingTask> rest = line.inOrder().iterator();
-            rests.add(rest);
-            heads.add(rest.next());
+        for (TaskBacklog backlog : backlogs) {
+            Iterator<WaitingTask> iterator = backlog.inOrder().iterator();
+            remaining.add(iterator);
+            heads.add(iterator.next());
         }
         while (!heads.isEmpty()) {
             int first = 0;
-            for (int place = 1; place < heads.size(); place++) {
-                first = WaitingTask.ORDER.compare(heads.get(place), heads.get(first)) < 0 ? place : first;
+            for (int index = 1; index < heads.size(); index++) {
+                first = WaitingTask.ORDER.compare(heads.get(index), heads.get(first)) < 0 ? index : first;
             }
             merged.add(heads.get(first));
-            if (rests.get(first).hasNext()) {
-                heads.set(first, rests.get(first).next());
+            if (remaining.get(first).hasNext()) {
+                heads.set(first, remaining.get(first).next());
             } else {
                 heads.remove(first);
-                rests.remove(first);
+                remaining.remove(first);
             }
         }
         return merged;
--- a/library/src/main/java/org/chivetally/queue/placement/Worker.java
+++ b/library/src/main/java/org/chivetally/queue/placement/Worker.java
@@ -18,26 +18,26 @@
 /** A worker as one owner sees it: what its agent last told, and the owner's own starts on top. */
 public final class Worker {
     private final String process;
-    private final Map<TaskKey, Sent> sent = new LinkedHashMap<>();
-    private final Set<TaskKey> suspects = new LinkedHashSet<>();
-    private final Set<TaskKey> overdue = new LinkedHashSet<>();
+    private final Map<TaskKey, SentStart> startsInProgress = new LinkedHashMap<>();
+    private final Set<TaskKey> sentSuspects = new LinkedHashSet<>();
+    private final Set<TaskKey> overdueTasks = new LinkedHashSet<>();
     private final WorkerHealth health = new WorkerHealth();
-    private View view = View.NONE;
-    private LearnedStretch learned = LearnedStretch.UNKNOWN;
+    private Report lastReport = Report.NONE;
+    private LearnedStretch learnedStretch = LearnedStretch.UNKNOWN;
     private WorkerSpeed speed = WorkerSpeed.UNKNOWN;
     private Object link;
-    private Room pending = Room.NONE;
-    private long numbers;
-    private long heardAtNanos;
-    private long startedAtNanos;
+    private Room unacknowledgedRoom = Room.NONE;
+    private long lastNumber;
+    private long lastReportAtNanos;
+    private long lastStartAtNanos;
     private long pausedUntilNanos;
-    private int suspectedRuns;
+    private int reportedSuspectRuns;
 
     /** Creates a worker of which nothing is known yet. */
     public Worker(String process, long nowNanos) {
         this.process = process;
-        this.heardAtNanos = nowNanos;
-        this.startedAtNanos = nowNanos;
+        this.lastReportAtNanos = nowNanos;
+        this.lastStartAtNanos = nowNanos;
         this.pausedUntilNanos = nowNanos;
     }
 
@@ -53,7 +53,7 @@
      * @param failureDomain failure domain
      * @param startsSeen number of the newest start that this reflects
      */
-    public record View(
+    public record Report(
             String minion,
             String service,
             Room capacity,
@@ -63,10 +63,10 @@
             String failureDomain,
             long startsSeen) {
         /** Nothing known. */
-        public static final View NONE = new View("", "", Room.NONE, Room.NONE, false, List.of(), "", 0);
+        public static final Report NONE = new Report("", "", Room.NONE, Room.NONE, false, List.of(), "", 0);
 
         /** Copies the labels. */
-        public View {
+        public Report {
             labels = List.copyOf(labels);
         }
     }
@@ -81,9 +81,9 @@
      * @param atNanos when, by the steady clock
      * @param expectedMillis duration to expect in milliseconds, where runs last as estimated; 0 without an estimate
      */
-    public record Sent(Task task, long run, Object link, long number, long atNanos, double expectedMillis) {
+    public record SentStart(Task task, long run, Object link, long number, long atNanos, double expectedMillis) {
         /** Lasting this many times the estimate is no chance: estimates are off by 40% (standard deviation). */
-        private static final int OVERDUE_ESTIMATES = 3;
+        private static final int OVERDUE_FACTOR = 3;
 
         /** What start and end may take on top, in milliseconds. */
         private static final int OVERDUE_MARGIN_MILLIS = 80;
@@ -96,7 +96,7 @@
         public boolean isOverdue(long nowNanos, double stretch) {
             double expected = expectedMillis * stretch;
             long ageMillis = (nowNanos - atNanos) / 1_000_000;
-            return expected > 0 && ageMillis > OVERDUE_ESTIMATES * expected + OVERDUE_MARGIN_MILLIS;
+            return expected > 0 && ageMillis > OVERDUE_FACTOR * expected + OVERDUE_MARGIN_MILLIS;
         }
     }
 
@@ -106,23 +106,23 @@
     }
 
     /** Returns what the agent last told. */
-    public View view() {
-        return view;
+    public Report lastReport() {
+        return lastReport;
     }
 
     /** Returns the kind of the worker; empty when it has none. */
     String kind() {
-        return view.labels().isEmpty() ? "" : view.labels().getFirst();
+        return lastReport.labels().isEmpty() ? "" : lastReport.labels().getFirst();
     }
 
     /** Notes what the agent tells about its worker's speed. */
-    public void learned(LearnedStretch told) {
-        learned = told;
+    public void learnedStretch(LearnedStretch reported) {
+        learnedStretch = reported;
     }
 
     /** Returns what the agent last told about its worker's speed. */
-    LearnedStretch learned() {
-        return learned;
+    LearnedStretch learnedStretch() {
+        return learnedStretch;
     }
 
     /** Returns how fast the worker is among the others. */
@@ -141,18 +141,18 @@
     }
 
     /** Returns the processors, in thousandths, of this owner's runs here that have an estimate. */
-    double sentRoomMillis() {
-        double room = 0;
-        for (Sent start : sent.values()) {
-            room += start.expectedMillis() > 0 ? start.task().room().processorMillis() : 0;
+    double estimatedRunMillicores() {
+        double millicores = 0;
+        for (SentStart start : startsInProgress.values()) {
+            millicores += start.expectedMillis() > 0 ? start.task().room().processorMillis() : 0;
         }
-        return room;
+        return millicores;
     }
 
     /** Returns the processors, in thousandths, that these runs free in a millisecond. */
-    double sentReleaseRate() {
+    double releaseRate() {
         double rate = 0;
-        for (Sent start : sent.values()) {
+        for (SentStart start : startsInProgress.values()) {
             double millis = start.expectedMillis() * speed.stretch();
             rate += millis > 0 ? start.task().room().processorMillis() / millis : 0;
         }
@@ -165,16 +165,16 @@
     }
 
     /** Returns when the agent was last heard, by the steady clock. */
-    public long heardAtNanos() {
-        return heardAtNanos;
+    public long lastReportAtNanos() {
+        return lastReportAtNanos;
     }
 
     /**
      * Returns the time since the agent was last heard or last sent a start. A start tells the agent that this owner
      * relied on it when the start was sent, and the agent keeps all of this owner's runs going from then on.
      */
-    public long silentNanos(long nowNanos) {
-        return nowNanos - Math.max(heardAtNanos, startedAtNanos);
+    public long nanosSinceContact(long nowNanos) {
+        return nowNanos - Math.max(lastReportAtNanos, lastStartAtNanos);
     }
 
     /** Tells whether there is a link to the agent. */
@@ -183,81 +183,81 @@
     }
 
     /** Notes a new link; starts on it are numbered from 1. */
-    public void linked(Object newLink) {
+    public void linkOpened(Object newLink) {
         link = newLink;
-        numbers = 0;
-        pending = Room.NONE;
-        suspectedRuns = 0;
-        view = View.NONE;
+        lastNumber = 0;
+        unacknowledgedRoom = Room.NONE;
+        reportedSuspectRuns = 0;
+        lastReport = Report.NONE;
     }
 
     /** Notes that the link is gone. */
-    public void unlinked() {
+    public void linkClosed() {
         link = null;
-        pending = Room.NONE;
-        suspectedRuns = 0;
-        view = View.NONE;
+        unacknowledgedRoom = Room.NONE;
+        reportedSuspectRuns = 0;
+        lastReport = Report.NONE;
     }
 
     /** Notes a report. */
-    public void report(View report, long nowNanos) {
-        heardAtNanos = nowNanos;
-        view = report;
-        pending = Room.NONE;
-        for (Sent start : sent.values()) {
-            if (isUnseen(start)) {
-                pending = pending.plus(start.task().room());
+    public void recordReport(Report report, long nowNanos) {
+        lastReportAtNanos = nowNanos;
+        lastReport = report;
+        unacknowledgedRoom = Room.NONE;
+        for (SentStart start : startsInProgress.values()) {
+            if (isUnacknowledged(start)) {
+                unacknowledgedRoom = unacknowledgedRoom.plus(start.task().room());
             }
         }
     }
 
     /** Notes how many runs of suspects the agent holds, for whichever entry. */
-    public void reportSuspects(int runs) {
-        suspectedRuns = runs;
+    public void recordSuspectRuns(int runs) {
+        reportedSuspectRuns = runs;
     }
 
     /** Notes that a start that was sent is one of a suspect. */
-    public void sentSuspect(TaskKey task) {
-        suspects.add(task);
+    public void addSuspect(TaskKey task) {
+        sentSuspects.add(task);
     }
 
     /** Tells whether a suspect runs here or is on its way. */
     public boolean holdsSuspect() {
-        return suspectedRuns > 0 || !suspects.isEmpty();
+        return reportedSuspectRuns > 0 || !sentSuspects.isEmpty();
     }
 
     /** Tells whether the agent may not have had a start yet when it last reported. */
-    public boolean isUnseen(Sent start) {
-        return start.link() == link && start.number() > view.startsSeen();
+    public boolean isUnacknowledged(SentStart start) {
+        return start.link() == link && start.number() > lastReport.startsSeen();
     }
 
     /** Returns the room that is free as far as known, with the owner's starts on their way taken off. */
-    public Room free() {
-        return view.free().minus(pending);
+    public Room freeRoom() {
+        return lastReport.free().minus(unacknowledgedRoom);
     }
 
     /**
      * Tells whether this owner's starts on their way and one more would take over a part of the room that the agent
      * last told. One start is never over it.
      */
-    boolean isOverPart(Room next, double part) {
-        long onTheirWay = pending.processorMillis();
-        return onTheirWay > 0
-                && onTheirWay + next.processorMillis() > part * view.free().processorMillis();
+    boolean exceedsShare(Room next, double share) {
+        long unacknowledgedMillicores = unacknowledgedRoom.processorMillis();
+        return unacknowledgedMillicores > 0
+                && unacknowledgedMillicores + next.processorMillis() > share * lastReport.free().processorMillis();
     }
 
     /** Takes no starts until a moment, after the agent has refused one for a reason that takes time to go. */
-    public void pause(long untilNanos) {
+    public void pauseStarts(long untilNanos) {
         pausedUntilNanos = untilNanos;
     }
 
     /** Tells whether a start may be sent now. */
-    public boolean isOpen(long nowNanos) {
-        return link != null && view.accepting() && nowNanos - pausedUntilNanos >= 0;
+    public boolean acceptsStarts(long nowNanos) {
+        return link != null && lastReport.accepting() && nowNanos - pausedUntilNanos >= 0;
     }
 
     /** Notes that a start goes out; returns it with its number. */
-    public Sent send(Task task, long run, long nowNanos) {
+    public SentStart send(Task task, long run, long nowNanos) {
         return send(task, run, nowNanos, task.step().estimatedMillis());
     }
 
@@ -266,38 +266,38 @@
      *
      * @param expectedMillis duration to expect in milliseconds, where runs last as estimated; 0 without an estimate
      */
-    public Sent send(Task task, long run, long nowNanos, double expectedMillis) {
-        numbers++;
-        startedAtNanos = nowNanos;
-        Sent start = new Sent(task, run, link, numbers, nowNanos, expectedMillis);
-        sent.put(task.key(), start);
-        pending = pending.plus(task.room());
+    public SentStart send(Task task, long run, long nowNanos, double expectedMillis) {
+        lastNumber++;
+        lastStartAtNanos = nowNanos;
+        SentStart start = new SentStart(task, run, link, lastNumber, nowNanos, expectedMillis);
+        startsInProgress.put(task.key(), start);
+        unacknowledgedRoom = unacknowledgedRoom.plus(task.room());
         return start;
     }
 
     /** Notes a run that the agent holds and that somebody else sent. */
     public void adopt(Task task, long run, long nowNanos) {
-        sent.put(task.key(), new Sent(task, run, link, 0, nowNanos, task.step().estimatedMillis()));
+        startsInProgress.put(task.key(), new SentStart(task, run, link, 0, nowNanos, task.step().estimatedMillis()));
     }
 
     /** Returns the start of a task that is in progress here. */
-    public Optional<Sent> sent(TaskKey task) {
-        return Optional.ofNullable(sent.get(task));
+    public Optional<SentStart> inProgress(TaskKey task) {
+        return Optional.ofNullable(startsInProgress.get(task));
     }
 
     /** Tells whether any start is in progress here. */
     public boolean hasRuns() {
-        return !sent.isEmpty();
+        return !startsInProgress.isEmpty();
     }
 
     /** Returns all starts in progress here. */
-    public Collection<Sent> sent() {
-        return List.copyOf(sent.values());
+    public Collection<SentStart> inProgress() {
+        return List.copyOf(startsInProgress.values());
     }
 
     /** Adds what this owner's runs here hold to a tally for each service. */
     public void addRunsTo(Map<String, QueueLoads> byService) {
-        for (Sent start : sent.values()) {
+        for (SentStart start : startsInProgress.values()) {
             QueueTerms terms = start.task().job().specification().terms();
             QueueLoads loads = byService.get(terms.service());
             if (loads == null) {
@@ -309,54 +309,54 @@
     }
 
     /** Tells whether a run is in progress here that may still end in time. */
-    public boolean isBusy() {
-        return sent.size() > overdue.size();
+    public boolean hasRunsNotOverdue() {
+        return startsInProgress.size() > overdueTasks.size();
     }
 
     /** Returns the runs that have become overdue since the last look, and notes them. */
-    public List<Sent> newlyOverdue(long nowNanos) {
-        List<Sent> late = new ArrayList<>();
-        for (Sent start : sent.values()) {
-            if (isOverdue(start, nowNanos) && overdue.add(start.task().key())) {
-                health.isOverdue(nowNanos);
-                late.add(start);
+    public List<SentStart> markNewlyOverdue(long nowNanos) {
+        List<SentStart> newlyOverdue = new ArrayList<>();
+        for (SentStart start : startsInProgress.values()) {
+            if (isOverdue(start, nowNanos) && overdueTasks.add(start.task().key())) {
+                health.recordOverdueRun(nowNanos);
+                newlyOverdue.add(start);
             }
         }
-        return late;
+        return newlyOverdue;
     }
 
-    private boolean isOverdue(Sent start, long nowNanos) {
+    private boolean isOverdue(SentStart start, long nowNanos) {
         // By its kind, not by the worker itself: one that has become slow is to be found out.
         return start.isOverdue(nowNanos, speed.kindStretch());
     }
 
     /** Returns all runs that are overdue. */
-    public List<Sent> overdue() {
-        List<Sent> late = new ArrayList<>();
-        for (TaskKey key : overdue) {
-            late.add(sent.get(key));
+    public List<SentStart> overdue() {
+        List<SentStart> overdue = new ArrayList<>();
+        for (TaskKey key : overdueTasks) {
+            overdue.add(startsInProgress.get(key));
         }
-        return late;
+        return overdue;
     }
 
     /** Notes that a run ended by itself. */
-    public void ended(Sent start, long nowNanos) {
+    public void recordEnd(SentStart start, long nowNanos) {
         if (isOverdue(start, nowNanos)) {
-            if (overdue.add(start.task().key())) {
-                health.isOverdue(nowNanos);
+            if (overdueTasks.add(start.task().key())) {
+                health.recordOverdueRun(nowNanos);
             }
         } else {
-            health.endedInTime(nowNanos);
+            health.recordInTimeRun(nowNanos);
         }
     }
 
     /** Notes that a start is no longer in progress here. */
     public void remove(TaskKey task) {
-        overdue.remove(task);
-        suspects.remove(task);
-        Sent start = sent.remove(task);
-        if (start != null && isUnseen(start)) {
-            pending = pending.minus(start.task().room());
+        overdueTasks.remove(task);
+        sentSuspects.remove(task);
+        SentStart start = startsInProgress.remove(task);
+        if (start != null && isUnacknowledged(start)) {
+            unacknowledgedRoom = unacknowledgedRoom.minus(start.task().room());
         }
     }
 }
--- a/library/src/main/java/org/chivetally/queue/placement/WorkerHealth.java
+++ b/library/src/main/java/org/chivetally/queue/placement/WorkerHealth.java
@@ -17,73 +17,73 @@
  */
 public final class WorkerHealth {
     /** Runs that fail or last too long, weighted by age, that count; fewer come by chance, as estimates are off. */
-    static final double BAD_RUNS = 2.5;
+    static final double MINIMUM_BAD_RUNS = 2.5;
 
     /**
      * Share of failed runs that makes a worker failing. Callers' own tasks fail in 0.2% of runs, and at the height of a
      * flood of jobs that can't be done about 20% of the runs fail on every worker.
      */
-    static final double FAILED_SHARE = 0.4;
+    static final double MAXIMUM_FAILED_SHARE = 0.4;
 
     /**
      * Time in which the weight of a run falls to about a third: a bad spell lasts 5 to 7 s and has to be seen early.
      */
-    static final Duration MEMORY = Duration.ofMillis(1_500);
+    static final Duration TIME_CONSTANT = Duration.ofMillis(1_500);
 
     /** How long a bad worker gets nothing: such spells last 5 to 7 s, and a probe costs one attempt of a task. */
-    static final Duration AVOIDANCE = Duration.ofSeconds(3);
+    static final Duration AVOIDANCE_TIME = Duration.ofSeconds(3);
 
     private enum State {
-        GOOD,
+        HEALTHY,
         FAILING,
         SLOW
     }
 
-    private State state = State.GOOD;
+    private State state = State.HEALTHY;
     private long avoidedUntilNanos;
-    private final DecayingSum inTime = new DecayingSum(MEMORY);
-    private final DecayingSum overdue = new DecayingSum(MEMORY);
-    private final DecayingSum failed = new DecayingSum(MEMORY);
+    private final DecayingSum inTimeRuns = new DecayingSum(TIME_CONSTANT);
+    private final DecayingSum overdueRuns = new DecayingSum(TIME_CONSTANT);
+    private final DecayingSum failedRuns = new DecayingSum(TIME_CONSTANT);
     private String lastFailedJob = "";
 
     /** Notes that a run ended done, no later than can be expected. */
-    public void endedInTime(long nowNanos) {
-        if (isTried(nowNanos)) {
-            state = State.GOOD;
-            inTime.clear();
-            overdue.clear();
-            failed.clear();
+    public void recordInTimeRun(long nowNanos) {
+        if (isOnProbation(nowNanos)) {
+            state = State.HEALTHY;
+            inTimeRuns.clear();
+            overdueRuns.clear();
+            failedRuns.clear();
         }
-        inTime.add(1, nowNanos);
+        inTimeRuns.add(1, nowNanos);
     }
 
     /** Notes that a run of a job ended failed; tells whether the worker is avoided because of it. */
-    public boolean failed(String jobId, long nowNanos) {
+    public boolean recordFailedRun(String jobId, long nowNanos) {
         if (jobId.equals(lastFailedJob)) {
             return false;
         }
         lastFailedJob = jobId;
-        failed.add(1, nowNanos);
-        double runs = failed.at(nowNanos) + overdue.at(nowNanos) + inTime.at(nowNanos);
-        boolean bad = failed.at(nowNanos) >= BAD_RUNS && failed.at(nowNanos) > FAILED_SHARE * runs;
-        return judge(bad, State.FAILING, nowNanos);
+        failedRuns.add(1, nowNanos);
+        double runs = failedRuns.at(nowNanos) + overdueRuns.at(nowNanos) + inTimeRuns.at(nowNanos);
+        boolean bad = failedRuns.at(nowNanos) >= MINIMUM_BAD_RUNS && failedRuns.at(nowNanos) > MAXIMUM_FAILED_SHARE * runs;
+        return updateState(bad, State.FAILING, nowNanos);
     }
 
     /** Notes that a run lasts longer than can be expected. */
-    public void isOverdue(long nowNanos) {
-        overdue.add(1, nowNanos);
-        boolean bad = overdue.at(nowNanos) >= BAD_RUNS && overdue.at(nowNanos) > inTime.at(nowNanos);
-        judge(bad, State.SLOW, nowNanos);
+    public void recordOverdueRun(long nowNanos) {
+        overdueRuns.add(1, nowNanos);
+        boolean bad = overdueRuns.at(nowNanos) >= MINIMUM_BAD_RUNS && overdueRuns.at(nowNanos) > inTimeRuns.at(nowNanos);
+        updateState(bad, State.SLOW, nowNanos);
     }
 
     /** Avoids the worker from now on if it turns out bad, or did not stand its trial; tells whether it does. */
-    private boolean judge(boolean bad, State next, long nowNanos) {
-        boolean avoids = state == State.GOOD ? bad : isTried(nowNanos);
-        if (avoids) {
-            state = next;
-            avoidedUntilNanos = nowNanos + AVOIDANCE.toNanos();
+    private boolean updateState(boolean bad, State badState, long nowNanos) {
+        boolean startsAvoidance = state == State.HEALTHY ? bad : isOnProbation(nowNanos);
+        if (startsAvoidance) {
+            state = badState;
+            avoidedUntilNanos = nowNanos + AVOIDANCE_TIME.toNanos();
         }
-        return avoids;
+        return startsAvoidance;
     }
 
     /** Tells whether runs last too long here, as far as known. */
@@ -93,11 +93,11 @@
 
     /** Tells whether the worker is to get nothing now. */
     public boolean isAvoided(long nowNanos) {
-        return state != State.GOOD && nowNanos - avoidedUntilNanos < 0;
+        return state != State.HEALTHY && nowNanos - avoidedUntilNanos < 0;
     }
 
     /** Tells whether the worker is to get one run at a time, to show itself. */
-    public boolean isTried(long nowNanos) {
-        return state != State.GOOD && nowNanos - avoidedUntilNanos >= 0;
+    public boolean isOnProbation(long nowNanos) {
+        return state != State.HEALTHY && nowNanos - avoidedUntilNanos >= 0;
     }
 }
--- a/library/src/main/java/org/chivetally/queue/placement/WorkerSpeeds.java
+++ b/library/src/main/java/org/chivetally/queue/placement/WorkerSpeeds.java
@@ -16,49 +16,49 @@
  */
 final class WorkerSpeeds {
     /** Age from which the speeds are computed anew: a worker that turns slow shows after about a second. */
-    static final Duration INTERVAL = Duration.ofMillis(50);
+    static final Duration REFRESH_INTERVAL = Duration.ofMillis(50);
 
-    private final Map<String, Service> services = new HashMap<>();
-    private long epoch;
-    private long computedAtNanos;
-    private int computedWorkers;
+    private final Map<String, ServiceSpeeds> services = new HashMap<>();
+    private long version;
+    private long refreshedAtNanos;
+    private int refreshedWorkers;
     private double spread = 1;
 
     /** Brings the speeds of the open workers up to date, unless they are. */
-    void refresh(List<Worker> open, long nowNanos) {
-        boolean fresh = epoch > 0
-                && nowNanos - computedAtNanos < INTERVAL.toNanos()
-                && open.size() == computedWorkers
-                && !hasOther(open);
-        if (fresh) {
+    void refresh(List<Worker> workers, long nowNanos) {
+        boolean current = version > 0
+                && nowNanos - refreshedAtNanos < REFRESH_INTERVAL.toNanos()
+                && workers.size() == refreshedWorkers
+                && !hasUncoveredWorker(workers);
+        if (current) {
             return;
         }
-        epoch++;
-        computedAtNanos = nowNanos;
-        computedWorkers = open.size();
-        for (Service service : services.values()) {
+        version++;
+        refreshedAtNanos = nowNanos;
+        refreshedWorkers = workers.size();
+        for (ServiceSpeeds service : services.values()) {
             service.workers.clear();
         }
-        for (Worker worker : open) {
-            Service service = services.get(worker.view().service());
+        for (Worker worker : workers) {
+            ServiceSpeeds service = services.get(worker.lastReport().service());
             if (service == null) {
-                service = new Service();
-                services.put(worker.view().service(), service);
+                service = new ServiceSpeeds();
+                services.put(worker.lastReport().service(), service);
             }
             service.workers.add(worker);
         }
-        double greatest = 1;
-        for (Service service : services.values()) {
-            service.compute(nowNanos, epoch);
-            greatest = Math.max(greatest, service.classes.spread());
+        double greatestSpread = 1;
+        for (ServiceSpeeds service : services.values()) {
+            service.compute(nowNanos, version);
+            greatestSpread = Math.max(greatestSpread, service.classes.spread());
         }
-        spread = greatest;
+        spread = greatestSpread;
     }
 
     /** Tells whether there is a worker that the last computation did not cover. */
-    private boolean hasOther(List<Worker> open) {
-        for (Worker worker : open) {
-            if (worker.speed().epoch() != epoch) {
+    private boolean hasUncoveredWorker(List<Worker> workers) {
+        for (Worker worker : workers) {
+            if (worker.speed().version() != version) {
                 return true;
             }
         }
@@ -66,9 +66,9 @@
     }
 
     /** Returns the classes of a service's open workers. */
-    SpeedClasses of(String service) {
-        Service known = services.get(service);
-        return known == null ? Service.NO_CLASSES : known.classes;
+    SpeedClasses classesOf(String service) {
+        ServiceSpeeds known = services.get(service);
+        return known == null ? ServiceSpeeds.NO_CLASSES : known.classes;
     }
 
     /** Returns the greatest spread of any service at the last computation; 1 where all workers are equally fast. */
@@ -77,28 +77,28 @@
     }
 
     /** The workers of one service. */
-    private static final class Service {
+    private static final class ServiceSpeeds {
         private static final SpeedClasses NO_CLASSES = SpeedClasses.of(new double[0]);
 
         private final List<Worker> workers = new ArrayList<>();
         private final KindStretches kinds = new KindStretches();
         private SpeedClasses classes = NO_CLASSES;
 
-        private void compute(long nowNanos, long epoch) {
+        private void compute(long nowNanos, long version) {
             kinds.begin(nowNanos);
             for (Worker worker : workers) {
-                kinds.add(worker.kind(), worker.learned());
+                kinds.add(worker.kind(), worker.learnedStretch());
             }
             kinds.finish();
             double[] stretches = new double[workers.size()];
-            for (int place = 0; place < stretches.length; place++) {
-                Worker worker = workers.get(place);
-                stretches[place] = kinds.of(worker.kind(), worker.learned());
+            for (int index = 0; index < stretches.length; index++) {
+                Worker worker = workers.get(index);
+                stretches[index] = kinds.stretch(worker.kind(), worker.learnedStretch());
             }
             classes = SpeedClasses.of(stretches);
-            for (int place = 0; place < stretches.length; place++) {
-                Worker worker = workers.get(place);
-                worker.speed(new WorkerSpeed(stretches[place], kinds.of(worker.kind()), classes.rank(place), epoch));
+            for (int index = 0; index < stretches.length; index++) {
+                Worker worker = workers.get(index);
+                worker.speed(new WorkerSpeed(stretches[index], kinds.stretch(worker.kind()), classes.rank(index), version));
             }
         }
     }
--- a/library/src/main/java/org/chivetally/queue/share/QueueAdmission.java
+++ b/library/src/main/java/org/chivetally/queue/share/QueueAdmission.java
@@ -16,16 +16,16 @@
      * Share of a new job's time that the forecast may reach. Estimates are off by 40% (standard deviation), so a job at
      * the limit itself would miss it half of the time.
      */
-    static final double SHARE_OF_LIMIT = 0.8;
+    static final double MAXIMUM_SHARE_OF_LIMIT = 0.8;
 
     /**
      * The same for a job that comes back after a refusal: more than for a new one, so that whenever it is refused, a
      * new one of its queue would be refused too.
      */
-    static final double SHARE_OF_LIMIT_RETURNING = 1.0;
+    static final double MAXIMUM_SHARE_OF_LIMIT_ON_RETRY = 1.0;
 
     /** Fewest different values that are told to callers refused at one moment. */
-    private static final int LEAST_SPREAD = 2;
+    private static final int MINIMUM_SPREAD_SECONDS = 2;
 
     private QueueAdmission() {}
 
@@ -38,18 +38,18 @@
      * @return when to come back, if the job is refused
      */
     public static Optional<Duration> refuse(
-            Job job, long nowNanos, long workAhead, long reachMillis, boolean returning) {
-        if (reachMillis <= 0) {
+            Job job, long nowNanos, long workAhead, long availableMillicores, boolean retried) {
+        if (availableMillicores <= 0) {
             // No worker is known, which is so for a moment after an entry's start. The job waits like any other.
             return Optional.empty();
         }
-        double waitMillis = 1000.0 * workAhead / reachMillis;
+        double waitMillis = 1000.0 * workAhead / availableMillicores;
         double leftMillis = (job.limitNanos() - nowNanos) / 1e6;
-        double share = returning ? SHARE_OF_LIMIT_RETURNING : SHARE_OF_LIMIT;
+        double share = retried ? MAXIMUM_SHARE_OF_LIMIT_ON_RETRY : MAXIMUM_SHARE_OF_LIMIT;
         if (waitMillis + job.specification().chainMillis() <= share * leftMillis) {
             return Optional.empty();
         }
-        return Optional.of(retryAfter(job.specification().id(), workAhead, reachMillis));
+        return Optional.of(retryAfter(job.specification().id(), workAhead, availableMillicores));
     }
 
     /**
@@ -60,11 +60,11 @@
      * @param waitingWork processor milliseconds that wait in the job's queue
      * @param reachMillis processors in thousandths that work them off
      */
-    public static Duration retryAfter(String jobId, long waitingWork, long reachMillis) {
-        long drainSeconds = reachMillis <= 0 ? 1 : Math.ceilDiv(waitingWork, reachMillis);
-        long base = Math.clamp(drainSeconds, 1, 30);
-        long spread = Math.max(LEAST_SPREAD, base / 2);
+    public static Duration retryAfter(String jobId, long waitingWork, long availableMillicores) {
+        long drainSeconds = availableMillicores <= 0 ? 1 : Math.ceilDiv(waitingWork, availableMillicores);
+        long baseSeconds = Math.clamp(drainSeconds, 1, 30);
+        long spreadSeconds = Math.max(MINIMUM_SPREAD_SECONDS, baseSeconds / 2);
         int hash = jobId.hashCode();
-        return Duration.ofSeconds(base + Math.floorMod(hash ^ hash >>> 16, spread));
+        return Duration.ofSeconds(baseSeconds + Math.floorMod(hash ^ hash >>> 16, spreadSeconds));
     }
 }
--- a/library/src/main/java/org/chivetally/queue/share/QueueLoads.java
+++ b/library/src/main/java/org/chivetally/queue/share/QueueLoads.java
@@ -12,27 +12,27 @@
     private final Map<String, Sums> byQueue = new HashMap<>();
 
     /** Adds to what a queue uses and needs, in thousandths of a processor. */
-    public void add(String queue, long runningMillis, long waitingMillis) {
+    public void add(String queue, long runningMillicores, long waitingMillicores) {
         Sums sums = byQueue.get(queue);
         if (sums == null) {
             sums = new Sums();
             byQueue.put(queue, sums);
         }
-        sums.runningMillis += runningMillis;
-        sums.waitingMillis += waitingMillis;
+        sums.runningMillicores += runningMillicores;
+        sums.waitingMillicores += waitingMillicores;
     }
 
     /** Adds all of another tally. */
     public void add(QueueLoads other) {
         for (Map.Entry<String, Sums> load : other.byQueue.entrySet()) {
-            add(load.getKey(), load.getValue().runningMillis, load.getValue().waitingMillis);
+            add(load.getKey(), load.getValue().runningMillicores, load.getValue().waitingMillicores);
         }
     }
 
     /** Returns what a queue uses and needs. */
     public QueueLoad of(String queue) {
         Sums sums = byQueue.get(queue);
-        return sums == null ? QueueLoad.NONE : new QueueLoad(sums.runningMillis, sums.waitingMillis);
+        return sums == null ? QueueLoad.NONE : new QueueLoad(sums.runningMillicores, sums.waitingMillicores);
     }
 
     /** Returns the queues that use or need something. */
@@ -41,7 +41,7 @@
     }
 
     private static final class Sums {
-        private long runningMillis;
-        private long waitingMillis;
+        private long runningMillicores;
+        private long waitingMillicores;
     }
 }
--- a/library/src/main/java/org/chivetally/queue/speed/QueueEstimates.java
+++ b/library/src/main/java/org/chivetally/queue/speed/EstimateCalibrator.java
@@ -13,9 +13,9 @@
  * these, seem ever slower by the ratio of duration to estimate, and get only worse ones: in a replay, workers of
  * stretch 1.5 were taken for 3 to 4.
  */
-public final class QueueEstimates {
+public final class EstimateCalibrator {
     /** Time in which the weight of a run falls to about a third; what a queue's callers know changes slowly. */
-    static final Duration MEMORY = Duration.ofSeconds(60);
+    static final Duration TIME_CONSTANT = Duration.ofSeconds(60);
 
     /** Runs' worth of trust in the estimates as they are, before anything is learned. */
     static final double PRIOR_RUNS = 30;
@@ -24,9 +24,9 @@
     static final double PRIOR_VARIANCE = 0.16;
 
     /** Most queues that are learned of; the configuration has a handful. */
-    private static final int MOST_QUEUES = 1_000;
+    private static final int MAXIMUM_QUEUES = 1_000;
 
-    private final Map<String, Line> lines = new HashMap<>();
+    private final Map<String, Regression> regressions = new HashMap<>();
 
     /**
      * Notes a run that ended done.
@@ -34,58 +34,58 @@
      * @param estimatedMillis its caller's estimate, in milliseconds
      * @param durationMillis its duration on a worker of average speed, in milliseconds
      */
-    public void ended(String queue, int estimatedMillis, double durationMillis, long nowNanos) {
+    public void recordRun(String queue, int estimatedMillis, double durationMillis, long nowNanos) {
         if (estimatedMillis <= 0 || durationMillis <= 0) {
             return;
         }
-        Line line = lines.get(queue);
-        if (line == null) {
-            if (lines.size() >= MOST_QUEUES) {
+        Regression regression = regressions.get(queue);
+        if (regression == null) {
+            if (regressions.size() >= MAXIMUM_QUEUES) {
                 return;
             }
-            line = new Line();
-            lines.put(queue, line);
+            regression = new Regression();
+            regressions.put(queue, regression);
         }
-        line.add(Math.log(estimatedMillis), Math.log(durationMillis), nowNanos);
+        regression.add(Math.log(estimatedMillis), Math.log(durationMillis), nowNanos);
     }
 
     /** Returns the duration to expect of a task, in milliseconds, on a worker whose runs last as estimated. */
     public double expectedMillis(String queue, int estimatedMillis) {
-        Line line = lines.get(queue);
-        if (line == null || estimatedMillis <= 0) {
+        Regression regression = regressions.get(queue);
+        if (regression == null || estimatedMillis <= 0) {
             return Math.max(0, estimatedMillis);
         }
-        return line.expected(estimatedMillis);
+        return regression.expectedMillis(estimatedMillis);
     }
 
     /** A line through the logarithms of estimates and durations, by least squares, in which old runs lose weight. */
-    private static final class Line {
+    private static final class Regression {
         private double runs;
         private double meanEstimate;
         private double meanDuration;
         private double variance;
         private double covariance;
-        private long weighedAtNanos;
+        private long decayedAtNanos;
 
         private void add(double estimate, double duration, long nowNanos) {
-            double left = runs == 0 ? 0 : Math.exp(-(double) (nowNanos - weighedAtNanos) / MEMORY.toNanos());
-            weighedAtNanos = nowNanos;
-            runs = runs * left + 1;
-            double estimateOff = estimate - meanEstimate;
-            double durationOff = duration - meanDuration;
-            meanEstimate += estimateOff / runs;
-            meanDuration += durationOff / runs;
-            variance = variance * left + estimateOff * (estimate - meanEstimate);
-            covariance = covariance * left + estimateOff * (duration - meanDuration);
+            double decay = runs == 0 ? 0 : Math.exp(-(double) (nowNanos - decayedAtNanos) / TIME_CONSTANT.toNanos());
+            decayedAtNanos = nowNanos;
+            runs = runs * decay + 1;
+            double estimateDeviation = estimate - meanEstimate;
+            double durationDeviation = duration - meanDuration;
+            meanEstimate += estimateDeviation / runs;
+            meanDuration += durationDeviation / runs;
+            variance = variance * decay + estimateDeviation * (estimate - meanEstimate);
+            covariance = covariance * decay + estimateDeviation * (duration - meanDuration);
         }
 
         /**
          * Corrects only deviations from the usual estimate: how long runs last on the whole is the workers' stretch.
          */
-        private double expected(int estimatedMillis) {
+        private double expectedMillis(int estimatedMillis) {
             double prior = PRIOR_RUNS * PRIOR_VARIANCE;
-            double reliance = Math.clamp((covariance + prior) / (variance + prior), 0, 1);
-            return Math.exp(meanEstimate + reliance * (Math.log(estimatedMillis) - meanEstimate));
+            double slope = Math.clamp((covariance + prior) / (variance + prior), 0, 1);
+            return Math.exp(meanEstimate + slope * (Math.log(estimatedMillis) - meanEstimate));
         }
     }
 }
--- a/library/src/main/java/org/chivetally/queue/speed/KindStretches.java
+++ b/library/src/main/java/org/chivetally/queue/speed/KindStretches.java
@@ -30,35 +30,35 @@
      * Factor by which a worker differs from its kind before that counts. It is five times the error, so that none of
      * seventy equal workers stands out by chance.
      */
-    static final double DISTINCT = 1.3;
+    static final double DISTINCT_FACTOR = 1.3;
 
-    private static final double DISTINCT_LOGARITHM = Math.log(DISTINCT);
+    private static final double DISTINCT_LOGARITHM = Math.log(DISTINCT_FACTOR);
 
     /** Weight of a worker's mean whose runs all ended long ago, in runs: it still tells something of its kind. */
-    static final double OLD_RUNS = 1;
+    static final double EXPIRED_MEAN_WEIGHT = 1;
 
     /** Greatest weight at which a kind is remembered, in runs, so that a kind that has changed is learned again. */
-    static final double KEPT_RUNS = 100;
+    static final double MAXIMUM_RETAINED_RUNS = 100;
 
     /** Time in which the weight of a remembered kind falls to about a third. */
-    static final Duration KIND_MEMORY = Duration.ofMinutes(10);
+    static final Duration KIND_TIME_CONSTANT = Duration.ofMinutes(10);
 
     /** Weight under which a kind is forgotten, as workers of a kind may be gone for good. */
-    private static final double LEAST_RUNS = 0.1;
+    private static final double MINIMUM_RETAINED_RUNS = 0.1;
 
     private final Map<String, Kind> kinds = new HashMap<>();
-    private double overall;
-    private double slowest;
-    private long keptAtNanos;
+    private double overallLogarithm;
+    private double slowestLogarithm;
+    private long decayedAtNanos;
 
     /** Begins to take reports of all workers. */
     public void begin(long nowNanos) {
-        double left = Math.exp(-Math.max(0, (double) (nowNanos - keptAtNanos)) / KIND_MEMORY.toNanos());
-        keptAtNanos = nowNanos;
+        double decay = Math.exp(-Math.max(0, (double) (nowNanos - decayedAtNanos)) / KIND_TIME_CONSTANT.toNanos());
+        decayedAtNanos = nowNanos;
         for (Kind kind : kinds.values()) {
-            kind.keptRuns *= left;
-            kind.toldRuns = 0;
-            kind.toldLogarithms = 0;
+            kind.retainedRuns *= decay;
+            kind.reportedRuns = 0;
+            kind.reportedLogarithmSum = 0;
         }
     }
 
@@ -72,35 +72,35 @@
             known = new Kind();
             kinds.put(kind, known);
         }
-        double runs = Math.max(OLD_RUNS, worker.runs());
-        known.toldRuns += runs;
-        known.toldLogarithms += runs * worker.logarithm();
+        double runs = Math.max(EXPIRED_MEAN_WEIGHT, worker.runs());
+        known.reportedRuns += runs;
+        known.reportedLogarithmSum += runs * worker.logarithm();
     }
 
     /** Ends the reports; the stretches are those of them from now on. */
     public void finish() {
         double runs = 0;
-        double logarithms = 0;
-        Iterator<Kind> all = kinds.values().iterator();
-        while (all.hasNext()) {
-            Kind kind = all.next();
-            kind.settle();
-            if (kind.keptRuns < LEAST_RUNS) {
-                all.remove();
+        double logarithmSum = 0;
+        Iterator<Kind> iterator = kinds.values().iterator();
+        while (iterator.hasNext()) {
+            Kind kind = iterator.next();
+            kind.mergeReports();
+            if (kind.retainedRuns < MINIMUM_RETAINED_RUNS) {
+                iterator.remove();
                 continue;
             }
-            runs += kind.keptRuns;
-            logarithms += kind.keptRuns * kind.logarithm;
+            runs += kind.retainedRuns;
+            logarithmSum += kind.retainedRuns * kind.retainedLogarithm;
         }
-        overall = runs == 0 ? 0 : logarithms / runs;
-        slowest = overall;
+        overallLogarithm = runs == 0 ? 0 : logarithmSum / runs;
+        slowestLogarithm = overallLogarithm;
         for (Kind kind : kinds.values()) {
-            slowest = Math.max(slowest, drawn(kind.logarithm, kind.keptRuns, overall, KIND_PRIOR_RUNS));
+            slowestLogarithm = Math.max(slowestLogarithm, shrink(kind.retainedLogarithm, kind.retainedRuns, overallLogarithm, KIND_PRIOR_RUNS));
         }
     }
 
     /** Returns the stretch of a kind; that of all kinds for one that is unknown, and 1 while nothing is known. */
-    public double of(String kind) {
+    public double stretch(String kind) {
         return Math.exp(logarithm(kind));
     }
 
@@ -109,45 +109,45 @@
      * behind its kind counts as slower than the slowest kind: what its runs tell lags behind what it has become, and it
      * would be taken for the best after those of its kind, and get all that these leave.
      */
-    public double of(String kind, LearnedStretch worker) {
+    public double stretch(String kind, LearnedStretch worker) {
         double expected = logarithm(kind);
         if (!worker.isKnown()) {
             return Math.exp(expected);
         }
-        double own = drawn(worker.logarithm(), worker.runs(), expected, WORKER_PRIOR_RUNS);
+        double own = shrink(worker.logarithm(), worker.runs(), expected, WORKER_PRIOR_RUNS);
         if (own - expected > DISTINCT_LOGARITHM) {
-            return Math.exp(Math.max(own, slowest + DISTINCT_LOGARITHM));
+            return Math.exp(Math.max(own, slowestLogarithm + DISTINCT_LOGARITHM));
         }
         return Math.exp(expected - own > DISTINCT_LOGARITHM ? own : expected);
     }
 
     private double logarithm(String kind) {
         Kind known = kinds.get(kind);
-        return known == null ? overall : drawn(known.logarithm, known.keptRuns, overall, KIND_PRIOR_RUNS);
+        return known == null ? overallLogarithm : shrink(known.retainedLogarithm, known.retainedRuns, overallLogarithm, KIND_PRIOR_RUNS);
     }
 
-    private static double drawn(double own, double runs, double expected, double priorRuns) {
-        return (own * runs + expected * priorRuns) / (runs + priorRuns);
+    private static double shrink(double own, double runs, double prior, double priorRuns) {
+        return (own * runs + prior * priorRuns) / (runs + priorRuns);
     }
 
     /** What is known of a kind: what its workers have told, and what is remembered. */
     private static final class Kind {
-        private double toldRuns;
-        private double toldLogarithms;
-        private double keptRuns;
-        private double logarithm;
+        private double reportedRuns;
+        private double reportedLogarithmSum;
+        private double retainedRuns;
+        private double retainedLogarithm;
 
         /** Replaces what is remembered as far as what was told outweighs it. */
-        private void settle() {
-            if (toldRuns == 0) {
+        private void mergeReports() {
+            if (reportedRuns == 0) {
                 return;
             }
-            double mean = toldLogarithms / toldRuns;
-            if (toldRuns >= keptRuns) {
-                logarithm = mean;
-                keptRuns = Math.min(KEPT_RUNS, toldRuns);
+            double mean = reportedLogarithmSum / reportedRuns;
+            if (reportedRuns >= retainedRuns) {
+                retainedLogarithm = mean;
+                retainedRuns = Math.min(MAXIMUM_RETAINED_RUNS, reportedRuns);
             } else {
-                logarithm += (mean - logarithm) * toldRuns / keptRuns;
+                retainedLogarithm += (mean - retainedLogarithm) * reportedRuns / retainedRuns;
             }
         }
     }
--- a/library/src/main/java/org/chivetally/queue/speed/LearnedStretch.java
+++ b/library/src/main/java/org/chivetally/queue/speed/LearnedStretch.java
@@ -11,16 +11,16 @@
     public static final LearnedStretch UNKNOWN = new LearnedStretch(0, 0);
 
     /** Least and greatest mean that is believed; what lies outside comes from a mistake or a damaged report. */
-    private static final int LEAST_PERMILLE = 20;
+    private static final int MINIMUM_PERMILLE = 20;
 
-    private static final int MOST_PERMILLE = 50_000;
+    private static final int MAXIMUM_PERMILLE = 50_000;
 
-    private static final int MOST_RUNS = 1_000_000;
+    private static final int MAXIMUM_RUNS = 1_000_000;
 
     /** Limits what another process may have told, so that one damaged report can't outweigh all others. */
     public LearnedStretch {
-        permille = permille <= 0 ? 0 : Math.clamp(permille, LEAST_PERMILLE, MOST_PERMILLE);
-        runs = permille == 0 ? 0 : Math.clamp(runs, 0, MOST_RUNS);
+        permille = permille <= 0 ? 0 : Math.clamp(permille, MINIMUM_PERMILLE, MAXIMUM_PERMILLE);
+        runs = permille == 0 ? 0 : Math.clamp(runs, 0, MAXIMUM_RUNS);
     }
 
     /** Tells whether any run has told something. */
--- a/library/src/main/java/org/chivetally/queue/speed/RunStretch.java
+++ b/library/src/main/java/org/chivetally/queue/speed/RunStretch.java
@@ -15,45 +15,45 @@
      * Time in which the weight of a run falls to about a third. A loaded worker ends about 36 runs a second, so the
      * mean is good to 6%, and a worker that turns slow shows after little more than a second.
      */
-    static final Duration MEMORY = Duration.ofMillis(1_500);
+    static final Duration TIME_CONSTANT = Duration.ofMillis(1_500);
 
-    private double runs;
-    private double logarithms;
-    private long weighedAtNanos;
+    private double runWeight;
+    private double logarithmSum;
+    private long decayedAtNanos;
 
     /**
      * Notes a run that ended done.
      *
      * @param estimatedMillis its caller's estimate in milliseconds; without one it tells nothing
      */
-    public void ended(long durationNanos, int estimatedMillis, long nowNanos) {
+    public void recordRun(long durationNanos, int estimatedMillis, long nowNanos) {
         if (estimatedMillis <= 0 || durationNanos <= 0) {
             return;
         }
-        double left = runs == 0 ? 0 : left(nowNanos);
-        runs = runs * left + 1;
-        logarithms = logarithms * left + Math.log(durationNanos / (1e6 * estimatedMillis));
-        weighedAtNanos = nowNanos;
+        double decay = runWeight == 0 ? 0 : decay(nowNanos);
+        runWeight = runWeight * decay + 1;
+        logarithmSum = logarithmSum * decay + Math.log(durationNanos / (1e6 * estimatedMillis));
+        decayedAtNanos = nowNanos;
     }
 
     /** Returns the mean with its weight at a moment, which is not before the last end. */
     public LearnedStretch at(long nowNanos) {
-        if (runs == 0) {
+        if (runWeight == 0) {
             return LearnedStretch.UNKNOWN;
         }
         // Both sums decay alike, so the mean stays as it is and only its weight falls.
-        long permille = Math.round(1000 * Math.exp(logarithms / runs));
+        long permille = Math.round(1000 * Math.exp(logarithmSum / runWeight));
         return new LearnedStretch(
-                (int) Math.clamp(permille, 1, Integer.MAX_VALUE), (int) Math.round(runs * left(nowNanos)));
+                (int) Math.clamp(permille, 1, Integer.MAX_VALUE), (int) Math.round(runWeight * decay(nowNanos)));
     }
 
     /** Forgets all runs, as they were those of another minion. */
     public void clear() {
-        runs = 0;
-        logarithms = 0;
+        runWeight = 0;
+        logarithmSum = 0;
     }
 
-    private double left(long nowNanos) {
-        return Math.exp(-(double) (nowNanos - weighedAtNanos) / MEMORY.toNanos());
+    private double decay(long nowNanos) {
+        return Math.exp(-(double) (nowNanos - decayedAtNanos) / TIME_CONSTANT.toNanos());
     }
 }
--- a/library/src/main/java/org/chivetally/queue/speed/SpeedClasses.java
+++ b/library/src/main/java/org/chivetally/queue/speed/SpeedClasses.java
@@ -8,16 +8,16 @@
  */
 public final class SpeedClasses {
     /** Stretches that lie closer together than this factor are of one class. */
-    static final double SIMILAR = 1.15;
+    static final double MAXIMUM_NEIGHBOR_RATIO = 1.15;
 
     /** Greatest factor within a class: many workers of slightly different speed must not chain all into one. */
-    static final double WIDEST = SIMILAR * SIMILAR;
+    static final double MAXIMUM_CLASS_RATIO = MAXIMUM_NEIGHBOR_RATIO * MAXIMUM_NEIGHBOR_RATIO;
 
     /** Factor by which the spread has to exceed a bound, as it is learned with an error of some percent itself. */
-    static final double CERTAIN = 1.1;
+    static final double SPREAD_ERROR_MARGIN = 1.1;
 
     /** Low bits of a stretch that make room for the place of its worker; its other 36 bits are precise enough. */
-    private static final long PLACE_BITS = 0xFFFF;
+    private static final long INDEX_MASK = 0xFFFF;
 
     private final int[] ranks;
     private final double[] means;
@@ -35,32 +35,32 @@
     public static SpeedClasses of(double[] stretches) {
         int count = stretches.length;
         long[] order = new long[count];
-        for (int place = 0; place < count; place++) {
+        for (int index = 0; index < count; index++) {
             // Positive numbers are ordered as their bits are.
-            order[place] = Double.doubleToLongBits(stretches[place]) & ~PLACE_BITS | place;
+            order[index] = Double.doubleToLongBits(stretches[index]) & ~INDEX_MASK | index;
         }
         Arrays.sort(order);
         int[] ranks = new int[count];
         double[] sums = new double[count];
         int[] members = new int[count];
         int rank = -1;
-        double first = 0;
+        double fastestInClass = 0;
         double previous = 0;
-        for (long entry : order) {
-            int place = (int) (entry & PLACE_BITS);
-            double stretch = stretches[place];
-            if (rank < 0 || stretch > SIMILAR * previous || stretch > WIDEST * first) {
+        for (long stretchAndIndex : order) {
+            int index = (int) (stretchAndIndex & INDEX_MASK);
+            double stretch = stretches[index];
+            if (rank < 0 || stretch > MAXIMUM_NEIGHBOR_RATIO * previous || stretch > MAXIMUM_CLASS_RATIO * fastestInClass) {
                 rank++;
-                first = stretch;
+                fastestInClass = stretch;
             }
             previous = stretch;
-            ranks[place] = rank;
+            ranks[index] = rank;
             sums[rank] += stretch;
             members[rank]++;
         }
         double[] means = new double[rank + 1];
-        for (int place = 0; place <= rank; place++) {
-            means[place] = sums[place] / members[place];
+        for (int index = 0; index <= rank; index++) {
+            means[index] = sums[index] / members[index];
         }
         return new SpeedClasses(ranks, means);
     }
@@ -71,8 +71,8 @@
     }
 
     /** Returns the class of a worker, by its place; 0 is the fastest. */
-    public int rank(int place) {
-        return ranks[place];
+    public int rank(int index) {
+        return ranks[index];
     }
 
     /** Returns the mean stretch of a class. */
@@ -89,7 +89,7 @@
     }
 
     /** Tells whether the slowest class takes certainly more than so many times as long as the fastest. */
-    public boolean isSpreadOver(double factor) {
-        return spread() > CERTAIN * factor;
+    public boolean spreadExceeds(double factor) {
+        return spread() > SPREAD_ERROR_MARGIN * factor;
     }
 }
--- a/library/src/test/java/org/chivetally/queue/crash/CrashPolicyTest.java
+++ b/library/src/test/java/org/chivetally/queue/crash/CrashPolicyTest.java
@@ -50,19 +50,19 @@
     @Test
     void boundsTheStartsAfterTheThirdCrash() {
         assertThat(CrashPolicy.isBounded(2), is(false));
-        assertThat(CrashPolicy.isUsedUp(2, 9), is(false));
+        assertThat(CrashPolicy.hasUsedUpStarts(2, 9), is(false));
         assertThat(CrashPolicy.isBounded(3), is(true));
-        assertThat(CrashPolicy.isUsedUp(3, 2), is(false));
-        assertThat(CrashPolicy.isUsedUp(3, 3), is(true));
+        assertThat(CrashPolicy.hasUsedUpStarts(3, 2), is(false));
+        assertThat(CrashPolicy.hasUsedUpStarts(3, 3), is(true));
     }
 
     /** An agent tells a crash until it is stored, also to the next owner: it is one crash. */
     @Test
     void aCrashThatIsToldAgainCountsOnce() {
-        CrashCount once = CrashCount.NONE.plus(65);
-        assertThat(once.plus(65), is(once));
-        assertThat(once.plus(64), is(once));
-        assertThat(once.plus(66).crashes(), is(2));
+        CrashCount once = CrashCount.NONE.withCrash(65);
+        assertThat(once.withCrash(65), is(once));
+        assertThat(once.withCrash(64), is(once));
+        assertThat(once.withCrash(66).crashes(), is(2));
         assertThat(once.withStarts(-1).boundedStarts(), is(0));
     }
 }
--- a/library/src/test/java/org/chivetally/queue/entry/FleetCostTest.java
+++ b/library/src/test/java/org/chivetally/queue/entry/FleetCostTest.java
@@ -18,7 +18,7 @@
 import org.chivetally.queue.RunOutcome;
 import org.chivetally.queue.Task;
 import org.chivetally.queue.crash.CrashPolicy;
-import org.chivetally.queue.crash.CrashWatch;
+import org.chivetally.queue.crash.CrashTracker;
 import org.chivetally.queue.placement.PlacementPolicy;
 import org.chivetally.settings.SchedulingSettings;
 import org.chivetally.wire.v1.Frame;
@@ -82,7 +82,7 @@
         RunCoordinator runs = new RunCoordinator(
                 timers,
                 new PlacementPolicy("north", new SplittableRandom(1)),
-                new CrashWatch(CrashPolicy.NONE),
+                new CrashTracker(CrashPolicy.NONE),
                 Cluster.PARTITIONS,
                 Map.of(),
                 () -> passes.add(timers.nanos()),
--- a/library/src/test/java/org/chivetally/queue/entry/QueueSharesTest.java
+++ b/library/src/test/java/org/chivetally/queue/entry/QueueSharesTest.java
@@ -10,7 +10,7 @@
 import org.chivetally.queue.RefusalReason;
 import org.chivetally.queue.Room;
 import org.chivetally.queue.RunOutcome;
-import org.chivetally.queue.share.Division;
+import org.chivetally.queue.share.FairShares;
 import org.chivetally.wire.v1.EntryBeat;
 import org.chivetally.wire.v1.QueueDemand;
 import org.junit.jupiter.api.Test;
@@ -34,7 +34,7 @@
         cluster.advance(600);
     }
 
-    private static Division division(EntryNode entry) {
+    private static FairShares division(EntryNode entry) {
         return entry.queueShares().orElseThrow().division(SERVICE);
     }
 
@@ -63,7 +63,7 @@
         cluster.advance(1_700);
         assertThat(division(first).share("queue-0"), is(6 * TASK));
         cluster.advance(600);
-        assertThat(division(first).capacityMillis(), is(4 * TASK));
+        assertThat(division(first).capacityMillicores(), is(4 * TASK));
         assertThat(first.silentEntries(), is(1));
         assertThat(division(first).share("queue-0"), is(4 * TASK));
         cluster.network.cut("entry-1", "entry-2", false);
@@ -79,7 +79,7 @@
         cluster.advance(100);
         cluster.kill("entry-2");
         cluster.advance(2_600);
-        assertThat(division(first).capacityMillis(), is(8 * TASK));
+        assertThat(division(first).capacityMillicores(), is(8 * TASK));
     }
 
     /** The service is told as contended only while it is, or operators would look for a cause that is gone. */
@@ -136,6 +136,6 @@
                         .setRunningMillis(-5)
                         .setWaitingMillis(7))
                 .build();
-        assertThat(QueueDemands.decode(beat).get(SERVICE).of("queue-0").demandMillis(), is(7L));
+        assertThat(QueueDemands.decode(beat).get(SERVICE).of("queue-0").demandMillicores(), is(7L));
     }
 }
--- a/library/src/test/java/org/chivetally/queue/placement/TurnsTest.java
+++ b/library/src/test/java/org/chivetally/queue/placement/FairShareOrderTest.java
@@ -16,11 +16,11 @@
 import org.chivetally.queue.StepSpecification;
 import org.chivetally.queue.StepTraits;
 import org.chivetally.queue.Task;
-import org.chivetally.queue.share.Division;
+import org.chivetally.queue.share.FairShares;
 import org.chivetally.queue.share.QueueLoads;
 import org.junit.jupiter.api.Test;
 
-class TurnsTest {
+class FairShareOrderTest {
     private static final long SECOND = Duration.ofSeconds(1).toNanos();
     private static final long TASK = Jobs.SIX_CORES.processorMillis();
 
@@ -39,16 +39,16 @@
         return job;
     }
 
-    private Turns turns(long capacityMillis) {
-        return waiting.turns("reports", new Division(capacityMillis, own, new QueueLoads()), own, 64);
+    private FairShareOrder turns(long capacityMillis) {
+        return waiting.fairShareOrder("reports", new FairShares(capacityMillis, own, new QueueLoads()), own, 64);
     }
 
     /** Returns the jobs of the tasks that a pass with room for all of them places, in order. */
-    private static List<String> placed(Turns turns, int most) {
+    private static List<String> placed(FairShareOrder turns, int most) {
         List<String> order = new ArrayList<>();
         for (Optional<Task> next = turns.next(); next.isPresent() && order.size() < most; next = turns.next()) {
             order.add(next.get().job().specification().id());
-            turns.placed();
+            turns.taskPlaced();
         }
         return order;
     }
@@ -100,10 +100,10 @@
         StepSpecification step = new StepSpecification(20, Jobs.SIX_CORES, 100, List.of(), traits);
         waits(new Job(new JobSpecification("nowhere", terms, "", 0, List.of(step)), 0, 60 * SECOND));
         job("fits", 1, 1, 0);
-        Turns turns = turns(60 * TASK);
-        for (int miss = 0; miss < Turns.MISSES_PER_QUEUE; miss++) {
+        FairShareOrder turns = turns(60 * TASK);
+        for (int miss = 0; miss < FairShareOrder.MAXIMUM_MISSES_PER_QUEUE; miss++) {
             assertThat(turns.next().orElseThrow().job().specification().id(), is("nowhere"));
-            turns.missed();
+            turns.noWorkerFound();
         }
         assertThat(turns.next().orElseThrow().job().specification().id(), is("fits"));
     }
@@ -113,9 +113,9 @@
     void tasksThatNeedAsMuchAsOneWithoutRoomAreNotLookedAt() {
         job("large", 0, 20, 0);
         job("as-large", 1, 20, 0);
-        Turns turns = turns(60 * TASK);
+        FairShareOrder turns = turns(60 * TASK);
         assertThat(turns.next().isPresent(), is(true));
-        turns.missed();
+        turns.noWorkerFound();
         assertThat(turns.next(), is(Optional.empty()));
     }
 
--- a/library/src/test/java/org/chivetally/queue/placement/FleetReplay.java
+++ b/library/src/test/java/org/chivetally/queue/placement/FleetSimulation.java
@@ -28,7 +28,7 @@
  * workers by their reports alone, agents that refuse what does not fit, three queues, estimates off by 40%, and one run
  * in 33 that takes seven times as long.
  */
-final class FleetReplay {
+final class FleetSimulation {
     static final String SERVICE = "reports";
     static final int ENTRIES = 8;
     static final int DOMAINS = 4;
@@ -54,13 +54,13 @@
     private static final long PASS_PAUSE = 5 * MILLISECOND;
 
     /** A queue of equal jobs. */
-    record Load(int priority, int tasks, int millis, int processorMillis, double perSecond) {}
+    record Workload(int priority, int tasks, int millis, int processorMillis, double perSecond) {}
 
-    static final List<Load> LOADS = List.of(
-            new Load(0, 8, 73, 4_800, 127), new Load(1, 2, 243, 4_800, 369), new Load(2, 4, 1_086, 4_800, 23.1));
+    static final List<Workload> LOADS = List.of(
+            new Workload(0, 8, 73, 4_800, 127), new Workload(1, 2, 243, 4_800, 369), new Workload(2, 4, 1_086, 4_800, 23.1));
 
     /** What became of the jobs of a queue. */
-    static final class Tally {
+    static final class JobCounts {
         int jobs;
         int inTime;
         int inTimeByWork;
@@ -80,7 +80,7 @@
 
     private record Event(long atNanos, long order, Runnable action) {}
 
-    final List<Tally> tallies = new ArrayList<>();
+    final List<JobCounts> tallies = new ArrayList<>();
     final List<Placement> placements = new ArrayList<>();
     final List<Entry> entries = new ArrayList<>();
     final List<Agent> agents = new ArrayList<>();
@@ -111,7 +111,7 @@
      * @param seed callers and tasks are the same for the same seed
      * @param speeds relative speed of the workers by kind
      */
-    FleetReplay(boolean learnsSpeeds, long seed, double... speeds) {
+    FleetSimulation(boolean learnsSpeeds, long seed, double... speeds) {
         this.learnsSpeeds = learnsSpeeds;
         this.arrivals = new Random(seed);
         this.durations = new Random(seed + 1);
@@ -122,8 +122,8 @@
         for (int number = 0; number < ENTRIES; number++) {
             addEntry();
         }
-        for (Load load : LOADS) {
-            tallies.add(new Tally());
+        for (Workload load : LOADS) {
+            tallies.add(new JobCounts());
             for (int domain = 0; domain < DOMAINS; domain++) {
                 arriveLater(load, domain);
             }
@@ -154,7 +154,7 @@
         events.add(new Event(nowNanos + nanos, order, action));
     }
 
-    private void arriveLater(Load load, int domain) {
+    private void arriveLater(Workload load, int domain) {
         double seconds = nowNanos / 1e9;
         double swing = 1 + SWING * Math.sin(2 * Math.PI * (seconds / SWING_SECONDS + (double) domain / DOMAINS));
         double rate = demand * load.perSecond() / DOMAINS * swing * (load.priority() == burstQueue ? burst : 1);
@@ -164,7 +164,7 @@
         });
     }
 
-    private void arrive(Load load, int domain) {
+    private void arrive(Workload load, int domain) {
         int estimate = (int) Math.max(1, load.millis() * Math.exp(ESTIMATE_ERROR * arrivals.nextGaussian()));
         QueueTerms terms = new QueueTerms("queue-" + load.priority(), SERVICE, 2, load.priority(), 1.6, 60);
         Room room = new Room(load.processorMillis(), 1_000, 0);
@@ -184,11 +184,11 @@
     }
 
     private void ended(Job job) {
-        Load load = LOADS.get(job.specification().terms().priority());
+        Workload load = LOADS.get(job.specification().terms().priority());
         if (!counted.remove(job)) {
             return;
         }
-        Tally tally = tallies.get(load.priority());
+        JobCounts tally = tallies.get(load.priority());
         double tookNanos = nowNanos - job.acceptedAtNanos() + CALLERS_WAY;
         double allowed = job.objectiveNanos() - job.acceptedAtNanos();
         tally.inTime += tookNanos <= allowed ? 1 : 0;
@@ -214,7 +214,7 @@
                     new PlacementPolicy(domain(number), new SplittableRandom(number), learnsSpeeds, CrashPolicy.NONE);
             for (Agent agent : agents) {
                 Worker worker = new Worker("worker-" + agent.number, nowNanos);
-                worker.linked(this);
+                worker.linkOpened(this);
                 workers.add(worker);
                 agent.seen.add(0L);
             }
@@ -235,8 +235,8 @@
                 all += entry.waiting.work(SERVICE);
             }
             double part = all == 0 ? 1 : (double) Math.max(1, waiting.work(SERVICE)) / all;
-            PlacementPolicy.Pass choices = policy.over(workers, nowNanos);
-            boolean contended = PlacementPolicy.isContended(choices, SERVICE, waiting.processorMillis(SERVICE), part);
+            PlacementPolicy.Pass choices = policy.newPass(workers, nowNanos);
+            boolean contended = PlacementPolicy.isContended(choices, SERVICE, waiting.waitingMillicores(SERVICE), part);
             int misses = 0;
             for (Task task : waiting.first(SERVICE, TASKS_PER_PASS)) {
                 if (task.job().phase() == JobPhase.CANCELLED) {
@@ -247,10 +247,10 @@
                     refuse(task.job());
                     continue;
                 }
-                Choice choice = choices.decide(task, contended ? part : 1, part);
+                PlacementDecision choice = choices.decide(task, contended ? part : 1, part);
                 if (choice.worker().isPresent()) {
                     start(choice.worker().get(), task);
-                } else if (!choice.heldBack() && ++misses >= MISSES_PER_PASS) {
+                } else if (!choice.deferred() && ++misses >= MISSES_PER_PASS) {
                     break;
                 }
             }
@@ -265,23 +265,23 @@
         private void start(Worker worker, Task task) {
             waiting.remove(task);
             long run = task.lastRun() + 1;
-            Worker.Sent sent = worker.send(task, run, nowNanos, policy.expectedMillis(task));
+            Worker.SentStart sent = worker.send(task, run, nowNanos, policy.expectedMillis(task));
             task.job().place(task, worker.process(), run);
             Agent agent = agents.get(workers.indexOf(worker));
             placements.add(new Placement(nowNanos, number, agent.number));
             after(FRAME, () -> agent.start(this, sent));
         }
 
-        private void report(int worker, Worker.View view, LearnedStretch stretch) {
-            workers.get(worker).report(view, nowNanos);
-            workers.get(worker).learned(stretch);
+        private void report(int worker, Worker.Report view, LearnedStretch stretch) {
+            workers.get(worker).recordReport(view, nowNanos);
+            workers.get(worker).learnedStretch(stretch);
             armPass();
         }
 
-        private void ended(int number, Worker.Sent sent, RunOutcome outcome) {
+        private void ended(int number, Worker.SentStart sent, RunOutcome outcome) {
             Worker worker = workers.get(number);
             if (outcome == RunOutcome.DONE) {
-                policy.ended(worker, sent, nowNanos);
+                policy.recordEnd(worker, sent, nowNanos);
             }
             worker.remove(sent.task().key());
             Job job = sent.task().job();
@@ -289,28 +289,28 @@
                 waiting.add(ready, nowNanos);
             }
             if (job.phase().isFinal()) {
-                FleetReplay.this.ended(job);
+                FleetSimulation.this.ended(job);
             }
             armPass();
         }
 
         /** Returns how far the speeds of the workers lie apart, as the entry knows them now. */
         double lookAtSpeeds() {
-            policy.over(workers, nowNanos);
+            policy.newPass(workers, nowNanos);
             return policy.speedSpread();
         }
 
         /** Looks for overdue runs, as an entry does with each of its heartbeats. */
         private void sweep() {
             for (Worker worker : workers) {
-                worker.newlyOverdue(nowNanos);
+                worker.markNewlyOverdue(nowNanos);
             }
             armPass();
         }
     }
 
     /** A start that waits for room at its agent. */
-    private record Held(Entry entry, Worker.Sent sent) {}
+    private record HeldStart(Entry entry, Worker.SentStart sent) {}
 
     /** One worker and its agent. */
     final class Agent {
@@ -320,7 +320,7 @@
         boolean silent;
         private final List<Long> seen = new ArrayList<>();
         private final RunStretch stretch = new RunStretch();
-        private final List<Held> waitingStarts = new ArrayList<>();
+        private final List<HeldStart> waitingStarts = new ArrayList<>();
         private Room free;
         private boolean armed;
 
@@ -331,14 +331,14 @@
             this.free = capacity;
         }
 
-        private void start(Entry entry, Worker.Sent sent) {
+        private void start(Entry entry, Worker.SentStart sent) {
             seen.set(entry.number, Math.max(seen.get(entry.number), sent.number()));
             if (!sent.task().room().fitsInto(free)) {
                 if (waitingStarts.size() >= MOST_WAITING) {
                     refuse(entry, sent);
                     return;
                 }
-                Held held = new Held(entry, sent);
+                HeldStart held = new HeldStart(entry, sent);
                 waitingStarts.add(held);
                 after(PATIENCE, () -> {
                     if (waitingStarts.remove(held)) {
@@ -350,14 +350,14 @@
             begin(entry, sent);
         }
 
-        private void refuse(Entry entry, Worker.Sent sent) {
+        private void refuse(Entry entry, Worker.SentStart sent) {
             refused++;
             tell(entry, () -> entry.ended(number, sent, RunOutcome.NEVER_STARTED));
         }
 
-        private void begin(Entry entry, Worker.Sent sent) {
+        private void begin(Entry entry, Worker.SentStart sent) {
             free = free.minus(sent.task().room());
-            Load load = LOADS.get(sent.task().job().specification().terms().priority());
+            Workload load = LOADS.get(sent.task().job().specification().terms().priority());
             double tail = durations.nextDouble() < LONG_SHARE ? LONG_FACTOR : 1;
             long started = nowNanos;
             long lasts = (long) (load.millis() * MILLISECOND * tail / speed);
@@ -365,13 +365,13 @@
             after(lasts + listed, () -> end(entry, sent, started));
         }
 
-        private void end(Entry entry, Worker.Sent sent, long started) {
+        private void end(Entry entry, Worker.SentStart sent, long started) {
             free = free.plus(sent.task().room());
-            stretch.ended(nowNanos - started, (int) Math.ceil(sent.expectedMillis()), nowNanos);
+            stretch.recordRun(nowNanos - started, (int) Math.ceil(sent.expectedMillis()), nowNanos);
             tell(entry, () -> entry.ended(number, sent, RunOutcome.DONE));
             while (!waitingStarts.isEmpty()
                     && waitingStarts.getFirst().sent().task().room().fitsInto(free)) {
-                Held next = waitingStarts.removeFirst();
+                HeldStart next = waitingStarts.removeFirst();
                 begin(next.entry(), next.sent());
             }
             boolean scarce = 4 * free.processorMillis() < capacity.processorMillis();
@@ -385,7 +385,7 @@
         }
 
         private void tell(Entry entry, Runnable news) {
-            Worker.View view = new Worker.View(
+            Worker.Report view = new Worker.Report(
                     "boot",
                     SERVICE,
                     capacity,
--- a/library/src/test/java/org/chivetally/queue/placement/LearnedSpeedsTest.java
+++ b/library/src/test/java/org/chivetally/queue/placement/LearnedSpeedsSimulationTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** Replays the load that learned speeds answer: workers that differ by 2.4 and look alike by their room. */
-class LearnedSpeedsTest {
+class LearnedSpeedsSimulationTest {
     private static final double[] UNEVEN = {0.7, 0.7, 1.7};
 
     private static final long SEED = 11;
@@ -29,8 +29,8 @@
     /** Deviation of a share that chance explains: three times the standard error of 2,500 jobs. */
     private static final double CHANCE = 0.025;
 
-    private static FleetReplay replay(boolean learnsSpeeds, long seed) {
-        FleetReplay replay = new FleetReplay(learnsSpeeds, seed, UNEVEN);
+    private static FleetSimulation replay(boolean learnsSpeeds, long seed) {
+        FleetSimulation replay = new FleetSimulation(learnsSpeeds, seed, UNEVEN);
         replay.runTo(4);
         replay.counts = true;
         for (int burst = 0; burst < 3; burst++) {
@@ -45,8 +45,8 @@
         return replay;
     }
 
-    private static FleetReplay overload(boolean learnsSpeeds) {
-        FleetReplay replay = new FleetReplay(learnsSpeeds, SEED, UNEVEN);
+    private static FleetSimulation overload(boolean learnsSpeeds) {
+        FleetSimulation replay = new FleetSimulation(learnsSpeeds, SEED, UNEVEN);
         replay.demand = 2;
         replay.runTo(4);
         replay.counts = true;
@@ -66,10 +66,10 @@
         assertBetter(overload(true), overload(false));
     }
 
-    private static void assertBetter(FleetReplay on, FleetReplay off) {
+    private static void assertBetter(FleetSimulation on, FleetSimulation off) {
         for (int queue = 0; queue < off.tallies.size(); queue++) {
-            FleetReplay.Tally with = on.tallies.get(queue);
-            FleetReplay.Tally without = off.tallies.get(queue);
+            FleetSimulation.JobCounts with = on.tallies.get(queue);
+            FleetSimulation.JobCounts without = off.tallies.get(queue);
             assertThat(with.share(), is(greaterThanOrEqualTo(without.share())));
             assertThat(with.shareByWork(), is(greaterThan(without.shareByWork() - CHANCE)));
         }
@@ -82,8 +82,8 @@
     @ParameterizedTest
     @ValueSource(longs = {SEED, 31})
     void moreOfTheLongestJobsAreInTimeAndNoQueueIsWorseOff(long seed) {
-        FleetReplay off = replay(false, seed);
-        FleetReplay on = replay(true, seed);
+        FleetSimulation off = replay(false, seed);
+        FleetSimulation on = replay(true, seed);
         assertThat(on.tallies.get(2).share(), is(greaterThan(off.tallies.get(2).share() + 0.1)));
         assertBetter(on, off);
         assertThat((double) on.refused / on.placements.size(), is(lessThan(0.04)));
@@ -92,14 +92,14 @@
     /** Nothing changes where all workers are fast enough: each task goes where it would have gone. */
     @Test
     void placesAsBeforeWhereSpeedsAreSimilar() {
-        FleetReplay off = new FleetReplay(false, SEED, SIMILAR);
+        FleetSimulation off = new FleetSimulation(false, SEED, SIMILAR);
         off.runTo(4);
-        FleetReplay on = new FleetReplay(true, SEED, SIMILAR);
+        FleetSimulation on = new FleetSimulation(true, SEED, SIMILAR);
         on.runTo(4);
         assertThat(on.placements.equals(off.placements), is(true));
     }
 
-    private static double meanOfOthers(FleetReplay replay, int worker, double from, double to) {
+    private static double meanOfOthers(FleetSimulation replay, int worker, double from, double to) {
         int starts = 0;
         for (int other = FAST; other < KINDS * FAST_WORKERS; other += KINDS) {
             starts += other == worker ? 0 : replay.starts(other, from, to);
@@ -113,7 +113,7 @@
      */
     @Test
     void leavesAWorkerThatTurnsSlowAndComesBackToIt() {
-        FleetReplay replay = new FleetReplay(true, SEED, UNEVEN);
+        FleetSimulation replay = new FleetSimulation(true, SEED, UNEVEN);
         replay.runTo(6);
         replay.agents.get(FAST).speed /= 5;
         replay.runTo(12);
@@ -129,7 +129,7 @@
      */
     @Test
     void givesAWorkerThatTellsNothingItsPart() {
-        FleetReplay replay = new FleetReplay(true, SEED, UNEVEN);
+        FleetSimulation replay = new FleetSimulation(true, SEED, UNEVEN);
         replay.agents.get(FAST).silent = true;
         replay.runTo(8);
         assertThat(
@@ -140,9 +140,9 @@
     /** An entry that has just started places by what agents have learned with others, not by what it learns itself. */
     @Test
     void anEntryThatHasJustStartedKnowsSpeedsFromTheFirstReports() {
-        FleetReplay replay = new FleetReplay(true, SEED, UNEVEN);
+        FleetSimulation replay = new FleetSimulation(true, SEED, UNEVEN);
         replay.runTo(4);
-        FleetReplay.Entry fresh = replay.addEntry();
+        FleetSimulation.Entry fresh = replay.addEntry();
         replay.runTo(4.3);
         assertThat(fresh.lookAtSpeeds(), is(greaterThan(2.0)));
     }
--- a/library/src/test/java/org/chivetally/queue/placement/WorstLoadTest.java
+++ b/library/src/test/java/org/chivetally/queue/placement/OverloadSimulationTest.java
@@ -26,7 +26,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Replays of the loads that the decisions answer, with a service that has nothing to spare. */
-class WorstLoadTest {
+class OverloadSimulationTest {
     private static final long MILLISECOND = Duration.ofMillis(1).toNanos();
 
     /** Objective of {@link Jobs}: 1.6 times the work of 100 ms, and 60 ms more. */
@@ -51,12 +51,12 @@
     private int failedJobs;
     private int inTime;
 
-    private record Run(Task task, Worker worker, Worker.Sent sent, boolean fails, long endNanos) {}
+    private record Run(Task task, Worker worker, Worker.SentStart sent, boolean fails, long endNanos) {}
 
-    WorstLoadTest() {
+    OverloadSimulationTest() {
         for (int number = 0; number < WORKERS; number++) {
             Worker worker = new Worker("worker-" + number, 0);
-            worker.linked("link");
+            worker.linkOpened("link");
             workers.add(worker);
         }
     }
@@ -112,9 +112,9 @@
             advanceTo(Duration.ofSeconds(1).toNanos() * number / perSecond);
             Job fresh = arrive(number);
             untold.add(fresh);
-            arrivals.arrived(fresh.specification(), nowNanos);
-            long spare = WORKERS * CAPACITY.processorMillis() - arrivals.processorMillis(nowNanos);
-            for (Job job : waiting.withoutProspect("reports", spare, nowNanos)) {
+            arrivals.recordArrival(fresh.specification(), nowNanos);
+            long spare = WORKERS * CAPACITY.processorMillis() - arrivals.arrivingMillicores(nowNanos);
+            for (Job job : waiting.unservableJobs("reports", spare, nowNanos)) {
                 long waited = nowNanos - job.acceptedAtNanos();
                 assertThat(waited, lessThan(number < perSecond ? LATE : OBJECTIVE));
                 job.tasks().forEach(waiting::remove);
@@ -160,9 +160,9 @@
         boolean open = !job.phase().isFinal();
         if (run.fails()) {
             failingRuns++;
-            run.worker().health().failed(job.specification().id(), nowNanos);
+            run.worker().health().recordFailedRun(job.specification().id(), nowNanos);
         } else {
-            run.worker().ended(run.sent(), nowNanos);
+            run.worker().recordEnd(run.sent(), nowNanos);
         }
         run.worker().remove(run.task().key());
         RunOutcome outcome = run.fails() ? RunOutcome.FAILED : RunOutcome.DONE;
@@ -180,7 +180,7 @@
         for (Worker worker : workers) {
             report(worker);
         }
-        PlacementPolicy.Pass placement = policy.over(workers, nowNanos);
+        PlacementPolicy.Pass placement = policy.newPass(workers, nowNanos);
         for (Task task : waiting.first("reports", SLOTS)) {
             if (task.job().phase().isFinal() || task.job().outlook(nowNanos).reach() == Outlook.Reach.HOPELESS) {
                 waiting.remove(task);
@@ -196,17 +196,17 @@
 
     private void report(Worker worker) {
         Room free = CAPACITY;
-        for (Worker.Sent sent : worker.sent()) {
+        for (Worker.SentStart sent : worker.inProgress()) {
             free = free.minus(sent.task().room());
         }
-        worker.report(
-                new Worker.View("boot", "reports", CAPACITY, free, true, List.of(), "north", Long.MAX_VALUE), nowNanos);
+        worker.recordReport(
+                new Worker.Report("boot", "reports", CAPACITY, free, true, List.of(), "north", Long.MAX_VALUE), nowNanos);
     }
 
     private void start(Task task, Worker worker) {
         waiting.remove(task);
         long run = task.lastRun() + 1;
-        Worker.Sent sent = worker.send(task, run, nowNanos);
+        Worker.SentStart sent = worker.send(task, run, nowNanos);
         task.job().place(task, worker.process(), run);
         boolean fails = worker.process().equals(failingWorker);
         long work = fails ? MILLISECOND : 90 * MILLISECOND + random.nextInt((int) (20 * MILLISECOND));
--- a/library/src/test/java/org/chivetally/queue/placement/DecisionsTest.java
+++ b/library/src/test/java/org/chivetally/queue/placement/PlacementDecisionsTest.java
@@ -21,7 +21,7 @@
 import org.chivetally.queue.Task;
 import org.junit.jupiter.api.Test;
 
-class DecisionsTest {
+class PlacementDecisionsTest {
     private static final Room CAPACITY = new Room(64_000, 131_072, 0);
     private static final PlacementPolicy POLICY = new PlacementPolicy("south", new SplittableRandom(1));
     private static final long SECOND = Duration.ofSeconds(1).toNanos();
@@ -32,9 +32,9 @@
 
     private static Worker worker(String name, String failureDomain, long freeMillis) {
         Worker worker = new Worker(name, 0);
-        worker.linked(name);
-        worker.report(
-                new Worker.View(
+        worker.linkOpened(name);
+        worker.recordReport(
+                new Worker.Report(
                         "boot",
                         "reports",
                         CAPACITY,
@@ -54,7 +54,7 @@
     @Test
     void placesOnTheWorkerWithTheMostRoom() {
         List<Worker> workers = List.of(worker("a", 20_000), worker("b", 30_000), worker("c", 5_000));
-        assertThat(POLICY.over(workers, 1).choose(task("j")).map(Worker::process), is(Optional.of("b")));
+        assertThat(POLICY.newPass(workers, 1).choose(task("j")).map(Worker::process), is(Optional.of("b")));
     }
 
     private static Task task(String job, StepTraits traits) {
@@ -72,8 +72,8 @@
     @Test
     void placesOnlyWhereTheRequiredLabelIs() {
         List<Worker> workers = List.of(worker("a", 60_000));
-        assertThat(POLICY.over(workers, 1).choose(task("j", traits("a", "", 0))).isPresent(), is(true));
-        assertThat(POLICY.over(workers, 1).choose(task("j", traits("b", "", 0))), is(Optional.empty()));
+        assertThat(POLICY.newPass(workers, 1).choose(task("j", traits("a", "", 0))).isPresent(), is(true));
+        assertThat(POLICY.newPass(workers, 1).choose(task("j", traits("b", "", 0))), is(Optional.empty()));
     }
 
     @Test
@@ -82,16 +82,16 @@
         Task first = task("j", traits("", "", 1));
         worker.send(first, 1, 1);
         Task second = first.job().tasks().getLast();
-        assertThat(POLICY.over(List.of(worker), 1).choose(second), is(Optional.empty()));
+        assertThat(POLICY.newPass(List.of(worker), 1).choose(second), is(Optional.empty()));
     }
 
     /** The data of the task is on one rack. A worker there is chosen before a freer one elsewhere. */
     @Test
     void prefersTheRackOfTheData() {
         Worker near = new Worker("near", 0);
-        near.linked("near");
-        near.report(
-                new Worker.View(
+        near.linkOpened("near");
+        near.recordReport(
+                new Worker.Report(
                         "boot",
                         "reports",
                         CAPACITY,
@@ -102,14 +102,14 @@
                         0),
                 0);
         List<Worker> workers = List.of(worker("far", 60_000), near);
-        assertThat(POLICY.over(workers, 1).choose(task("j", traits("", "rack-2", 0))), is(Optional.of(near)));
+        assertThat(POLICY.newPass(workers, 1).choose(task("j", traits("", "rack-2", 0))), is(Optional.of(near)));
     }
 
     @Test
     void countsItsOwnStartsThatTheAgentHasNotReportedYet() {
         Worker worker = worker("a", 11_000);
         worker.send(task("j"), 1, 1);
-        assertThat(POLICY.over(List.of(worker), 1).choose(task("k")), is(Optional.empty()));
+        assertThat(POLICY.newPass(List.of(worker), 1).choose(task("k")), is(Optional.empty()));
     }
 
     /**
@@ -130,7 +130,7 @@
         for (int round = 0; round < 1_000; round++) {
             Set<Worker> chosen = new HashSet<>();
             for (PlacementPolicy entry : entries) {
-                chosen.add(entry.over(workers, 1).choose(task("j")).orElseThrow());
+                chosen.add(entry.newPass(workers, 1).choose(task("j")).orElseThrow());
             }
             refused += entries.size() - chosen.size();
         }
@@ -145,12 +145,12 @@
         PlacementPolicy near = new PlacementPolicy("north", new SplittableRandom(1));
         Worker far = worker("far", "south", 33_000);
         assertThat(
-                near.over(List.of(far, worker("near", 30_000)), 1)
+                near.newPass(List.of(far, worker("near", 30_000)), 1)
                         .choose(task("j"))
                         .map(Worker::process),
                 is(Optional.of("near")));
         assertThat(
-                near.over(List.of(far, worker("near", 20_000)), 1)
+                near.newPass(List.of(far, worker("near", 20_000)), 1)
                         .choose(task("j"))
                         .map(Worker::process),
                 is(Optional.of("far")));
@@ -165,12 +165,12 @@
         Worker bad = worker("bad", 60_000);
         Worker good = worker("good", 7_000);
         for (String job : List.of("j1", "j2", "j3")) {
-            assertThat(POLICY.over(List.of(bad, good), 1).choose(task("k")), is(Optional.of(bad)));
-            bad.health().failed(job, 1);
+            assertThat(POLICY.newPass(List.of(bad, good), 1).choose(task("k")), is(Optional.of(bad)));
+            bad.health().recordFailedRun(job, 1);
         }
-        assertThat(POLICY.over(List.of(bad, good), 1).choose(task("k")), is(Optional.of(good)));
-        long later = WorkerHealth.AVOIDANCE.toNanos() + 2;
-        assertThat(POLICY.over(List.of(bad, good), later).choose(task("k")), is(Optional.of(bad)));
+        assertThat(POLICY.newPass(List.of(bad, good), 1).choose(task("k")), is(Optional.of(good)));
+        long later = WorkerHealth.AVOIDANCE_TIME.toNanos() + 2;
+        assertThat(POLICY.newPass(List.of(bad, good), later).choose(task("k")), is(Optional.of(bad)));
     }
 
     /**
@@ -185,13 +185,13 @@
             slow.send(task(job), 1, 0);
         }
         long now = Duration.ofMillis(300).toNanos();
-        assertThat(slow.newlyOverdue(now).size(), is(0));
+        assertThat(slow.markNewlyOverdue(now).size(), is(0));
         now = Duration.ofMillis(400).toNanos();
-        assertThat(slow.newlyOverdue(now).size(), is(3));
-        assertThat(slow.newlyOverdue(now).size(), is(0));
-        assertThat(POLICY.over(List.of(slow, good), now).choose(task("k")), is(Optional.of(good)));
-        long later = now + 2 * WorkerHealth.MEMORY.toNanos();
-        assertThat(POLICY.over(List.of(slow, good), later).choose(task("k")), is(Optional.of(slow)));
+        assertThat(slow.markNewlyOverdue(now).size(), is(3));
+        assertThat(slow.markNewlyOverdue(now).size(), is(0));
+        assertThat(POLICY.newPass(List.of(slow, good), now).choose(task("k")), is(Optional.of(good)));
+        long later = now + 2 * WorkerHealth.TIME_CONSTANT.toNanos();
+        assertThat(POLICY.newPass(List.of(slow, good), later).choose(task("k")), is(Optional.of(slow)));
     }
 
     /** Estimates are rough, so a run now and then lasts three times as long. That says nothing about its worker. */
@@ -199,10 +199,10 @@
     void doesNotBlameAWorkerForAFewLongRuns() {
         Worker worker = worker("a", 60_000);
         for (int run = 0; run < 20; run++) {
-            worker.health().endedInTime(run);
+            worker.health().recordInTimeRun(run);
         }
         for (int run = 0; run < 5; run++) {
-            worker.health().isOverdue(20 + run);
+            worker.health().recordOverdueRun(20 + run);
         }
         assertThat(worker.health().isSlow(), is(false));
     }
@@ -212,7 +212,7 @@
     void doesNotBlameAWorkerForOneJobThatFailsAgainAndAgain() {
         Worker worker = worker("a", 60_000);
         for (int run = 0; run < 10; run++) {
-            worker.health().failed("hopeless", run);
+            worker.health().recordFailedRun("hopeless", run);
         }
         assertThat(worker.health().isAvoided(11), is(false));
     }
--- a/library/src/test/java/org/chivetally/queue/placement/SpeedChoiceTest.java
+++ b/library/src/test/java/org/chivetally/queue/placement/SpeedPlacementTest.java
@@ -19,7 +19,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Single decisions by learned speeds: workers of stretch 0.6 and 1.5, tasks of six cores. */
-class SpeedChoiceTest {
+class SpeedPlacementTest {
     private static final Room CAPACITY = new Room(60_000, 131_072, 0);
     private static final long MILLISECOND = 1_000_000;
 
@@ -38,13 +38,13 @@
 
     private Worker worker(String kind, int freeMillis, String... labels) {
         Worker worker = new Worker(kind + workers.size(), 0);
-        worker.linked(worker.process());
+        worker.linkOpened(worker.process());
         List<String> all = new ArrayList<>(List.of(kind));
         all.addAll(List.of(labels));
-        worker.report(
-                new Worker.View("boot", "reports", CAPACITY, new Room(freeMillis, 99_999, 0), true, all, "north", 0),
+        worker.recordReport(
+                new Worker.Report("boot", "reports", CAPACITY, new Room(freeMillis, 99_999, 0), true, all, "north", 0),
                 0);
-        worker.learned(new LearnedStretch(kind.equals("fast") ? 600 : 1_500, 60));
+        worker.learnedStretch(new LearnedStretch(kind.equals("fast") ? 600 : 1_500, 60));
         workers.add(worker);
         return worker;
     }
@@ -53,13 +53,13 @@
         return new Job(Jobs.of("job", 1, 0, estimatedMillis), 0).tasks().getFirst();
     }
 
-    private Choice decide(Task task, long afterMillis) {
-        return policy.over(workers, afterMillis * MILLISECOND).decide(task, 1, 1);
+    private PlacementDecision decide(Task task, long afterMillis) {
+        return policy.newPass(workers, afterMillis * MILLISECOND).decide(task, 1, 1);
     }
 
     private String kindFor(Task task, long afterMillis) {
-        Choice choice = decide(task, afterMillis);
-        return choice.heldBack() ? "waits" : choice.worker().map(Worker::kind).orElse("no room");
+        PlacementDecision choice = decide(task, afterMillis);
+        return choice.deferred() ? "waits" : choice.worker().map(Worker::kind).orElse("no room");
     }
 
     @Test
@@ -158,9 +158,9 @@
     void countsTheTasksThatAlreadyWaitForAFastWorker() {
         worker("slow", 60_000);
         busyFast(2_000);
-        PlacementPolicy.Pass pass = policy.over(workers, 400 * MILLISECOND);
+        PlacementPolicy.Pass pass = policy.newPass(workers, 400 * MILLISECOND);
         int held = 0;
-        while (held < 100 && pass.decide(task(2_000), 1, 1).heldBack()) {
+        while (held < 100 && pass.decide(task(2_000), 1, 1).deferred()) {
             held++;
         }
         assertThat(held > 1 && held < 20, is(true));
@@ -220,9 +220,9 @@
     void doesNotTakeASlowKindForSick() {
         Worker slow = worker("slow", ROOMY);
         worker("fast", ROOMY);
-        policy.over(workers, 0);
+        policy.newPass(workers, 0);
         slow.send(task(1_000), 1, 0);
-        assertThat(slow.newlyOverdue(3_500 * MILLISECOND).size(), is(0));
-        assertThat(slow.newlyOverdue(4_900 * MILLISECOND).size(), is(1));
+        assertThat(slow.markNewlyOverdue(3_500 * MILLISECOND).size(), is(0));
+        assertThat(slow.markNewlyOverdue(4_900 * MILLISECOND).size(), is(1));
     }
 }
--- a/library/src/test/java/org/chivetally/queue/share/DivisionTest.java
+++ b/library/src/test/java/org/chivetally/queue/share/FairSharesTest.java
@@ -7,11 +7,11 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-class DivisionTest {
+class FairSharesTest {
     private static final String SERVICE = "reports";
     private static final long SECOND = Duration.ofSeconds(1).toNanos();
 
-    private final LoadsElsewhere elsewhere = new LoadsElsewhere();
+    private final PeerLoads elsewhere = new PeerLoads();
 
     private static QueueLoads loads(long quickMillis, long longMillis) {
         QueueLoads loads = new QueueLoads();
@@ -20,13 +20,13 @@
         return loads;
     }
 
-    private Division division(long capacityMillis, QueueLoads own, long nowNanos) {
-        LoadsElsewhere.Known known = elsewhere.of(SERVICE, nowNanos);
-        return new Division(known.capacityOf(capacityMillis), own, known.loads());
+    private FairShares division(long capacityMillis, QueueLoads own, long nowNanos) {
+        PeerLoads.ServiceSnapshot known = elsewhere.of(SERVICE, nowNanos);
+        return new FairShares(known.reachableCapacity(capacityMillis), own, known.loads());
     }
 
     private void told(String entry, QueueLoads loads, long nowNanos) {
-        elsewhere.told(entry, Map.of(SERVICE, loads), false, nowNanos);
+        elsewhere.recordReport(entry, Map.of(SERVICE, loads), false, nowNanos);
     }
 
     /** Entries that are told the same must come to the same shares, or each would take a queue for the poorer one. */
@@ -35,10 +35,10 @@
         QueueLoads first = loads(10_000, 60_000);
         QueueLoads second = loads(20_000, 20_000);
         told("second", second, 0);
-        Division one = division(90_000, first, 0);
-        LoadsElsewhere atSecond = new LoadsElsewhere();
-        atSecond.told("first", Map.of(SERVICE, first), false, 0);
-        Division other = new Division(90_000, second, atSecond.of(SERVICE, 0).loads());
+        FairShares one = division(90_000, first, 0);
+        PeerLoads atSecond = new PeerLoads();
+        atSecond.recordReport("first", Map.of(SERVICE, first), false, 0);
+        FairShares other = new FairShares(90_000, second, atSecond.of(SERVICE, 0).loads());
         assertThat(one.share("quick"), is(30_000L));
         assertThat(one.share("long"), is(60_000L));
         assertThat(other.share("long"), is(60_000L));
@@ -49,11 +49,11 @@
 
     @Test
     void aQueueCanUseWhatTheOthersLeave() {
-        Division division = division(90_000, loads(30_000, 20_000), 0);
+        FairShares division = division(90_000, loads(30_000, 20_000), 0);
         assertThat(division.isContended(), is(false));
         assertThat(division.share("long"), is(20_000L));
-        assertThat(division.ownReach("long"), is(60_000L));
-        assertThat(division.ownReach("unknown"), is(90_000L));
+        assertThat(division.ownAvailableMillicores("long"), is(60_000L));
+        assertThat(division.ownAvailableMillicores("unknown"), is(90_000L));
     }
 
     /**
@@ -67,7 +67,7 @@
         told("third", loads(0, 0), 0);
         assertThat(division(90_000, own, 2 * SECOND).ownShare("long"), is(45_000L));
         assertThat(division(90_000, own, 2 * SECOND + 1).ownShare("long"), is(30_000L));
-        elsewhere.forgetGone(31 * SECOND);
+        elsewhere.removeExpired(31 * SECOND);
         assertThat(division(90_000, own, 31 * SECOND).ownShare("long"), is(90_000L));
     }
 
@@ -82,7 +82,7 @@
 
     @Test
     void nothingIsLeftForAnEntryThatHasTakenItsLeave() {
-        elsewhere.told("second", Map.of(SERVICE, loads(0, 60_000)), true, 0);
+        elsewhere.recordReport("second", Map.of(SERVICE, loads(0, 60_000)), true, 0);
         assertThat(division(90_000, loads(0, 90_000), 3 * SECOND).share("long"), is(90_000L));
     }
 }
--- a/library/src/test/java/org/chivetally/queue/share/FairDivisionTest.java
+++ b/library/src/test/java/org/chivetally/queue/share/MaxMinFairnessTest.java
@@ -13,13 +13,13 @@
 import net.jqwik.api.constraints.Size;
 import org.junit.jupiter.api.Test;
 
-class FairDivisionTest {
+class MaxMinFairnessTest {
     private static final long MOST = 100_000_000L;
 
     private static long[] divide(long capacity, long... demands) {
         long[] weights = new long[demands.length];
         Arrays.fill(weights, 1);
-        return FairDivision.divide(capacity, demands, weights);
+        return MaxMinFairness.allocate(capacity, demands, weights);
     }
 
     /** The longest work asks for 2.3 times its normal demand; the other queues must not lose any of theirs. */
@@ -36,7 +36,7 @@
     @Test
     void weightsDecideAmongQueuesThatWantMore() {
         assertThat(
-                FairDivision.divide(900, new long[] {1_000, 1_000, 90}, new long[] {2, 1, 1}),
+                MaxMinFairness.allocate(900, new long[] {1_000, 1_000, 90}, new long[] {2, 1, 1}),
                 is(new long[] {540, 270, 90}));
     }
 
@@ -44,7 +44,7 @@
     @Test
     void theRestOfTheRoundingTakesNoneOverItsDemand() {
         assertThat(
-                FairDivision.divide(6, new long[] {0, 0, 1, 1, 5}, new long[] {1, 1, 1, 1, 6}),
+                MaxMinFairness.allocate(6, new long[] {0, 0, 1, 1, 5}, new long[] {1, 1, 1, 1, 6}),
                 is(new long[] {0, 0, 1, 1, 4}));
     }
 
@@ -67,7 +67,7 @@
             demands[claimant] = demanding.get(claimant);
             weights[claimant] = weighing.get(claimant);
         }
-        long[] shares = FairDivision.divide(capacity, demands, weights);
+        long[] shares = MaxMinFairness.allocate(capacity, demands, weights);
         long demanded = 0;
         long given = 0;
         for (int claimant = 0; claimant < demands.length; claimant++) {
--- a/library/src/test/java/org/chivetally/queue/speed/QueueEstimatesTest.java
+++ b/library/src/test/java/org/chivetally/queue/speed/EstimateCalibratorTest.java
@@ -7,10 +7,10 @@
 import java.util.Random;
 import org.junit.jupiter.api.Test;
 
-class QueueEstimatesTest {
+class EstimateCalibratorTest {
     private static final double ESTIMATE_ERROR = 0.4;
 
-    private final QueueEstimates estimates = new QueueEstimates();
+    private final EstimateCalibrator estimates = new EstimateCalibrator();
     private final Random random = new Random(7);
 
     private void learn(String queue, int runs, double spread) {
@@ -18,7 +18,7 @@
             double millis = 243 * Math.exp(spread * random.nextGaussian());
             int estimate = (int) (millis * Math.exp(ESTIMATE_ERROR * random.nextGaussian()));
             double tail = random.nextDouble() < 0.03 ? 7 : 1;
-            estimates.ended(queue, estimate, millis * tail, 27_000_000L * run);
+            estimates.recordRun(queue, estimate, millis * tail, 27_000_000L * run);
         }
     }
 
--- a/library/src/test/java/org/chivetally/queue/speed/KindStretchesTest.java
+++ b/library/src/test/java/org/chivetally/queue/speed/KindStretchesTest.java
@@ -28,8 +28,8 @@
     @Test
     void takesEveryWorkerForAverageWhileNothingIsKnown() {
         learn(0, LearnedStretch.UNKNOWN, LearnedStretch.UNKNOWN);
-        assertThat(kinds.of("slow", LearnedStretch.UNKNOWN), is(1.0));
-        assertThat(kinds.of("never seen"), is(1.0));
+        assertThat(kinds.stretch("slow", LearnedStretch.UNKNOWN), is(1.0));
+        assertThat(kinds.stretch("never seen"), is(1.0));
     }
 
     /**
@@ -39,26 +39,26 @@
     @Test
     void takesASilentWorkerForOneOfItsKind() {
         learn(0, SLOW, FAST);
-        assertThat(kinds.of("slow", LearnedStretch.UNKNOWN), is(closeTo(1.4, 0.05)));
-        assertThat(kinds.of("fast", LearnedStretch.UNKNOWN), is(closeTo(0.6, 0.03)));
-        assertThat(kinds.of("never seen", LearnedStretch.UNKNOWN), is(closeTo(0.92, 0.05)));
+        assertThat(kinds.stretch("slow", LearnedStretch.UNKNOWN), is(closeTo(1.4, 0.05)));
+        assertThat(kinds.stretch("fast", LearnedStretch.UNKNOWN), is(closeTo(0.6, 0.03)));
+        assertThat(kinds.stretch("never seen", LearnedStretch.UNKNOWN), is(closeTo(0.92, 0.05)));
     }
 
     /** Two runs that last three times as long come by chance; sixty don't. */
     @Test
     void believesAWorkerByTheNumberOfItsRuns() {
         learn(0, SLOW, FAST);
-        assertThat(kinds.of("fast", new LearnedStretch(1_800, 2)), is(lessThan(0.72)));
-        assertThat(kinds.of("fast", new LearnedStretch(1_800, 60)), is(greaterThan(1.3)));
+        assertThat(kinds.stretch("fast", new LearnedStretch(1_800, 2)), is(lessThan(0.72)));
+        assertThat(kinds.stretch("fast", new LearnedStretch(1_800, 60)), is(greaterThan(1.3)));
     }
 
     /** A fast worker has just turned slow. It must not be the next best while its mean passes that of the slow kind. */
     @Test
     void takesAWorkerThatFallsBehindItsKindForSlowerThanTheSlowestKind() {
         learn(0, SLOW, FAST);
-        assertThat(kinds.of("fast", new LearnedStretch(900, 60)), is(greaterThan(1.2 * kinds.of("slow"))));
-        assertThat(kinds.of("fast", new LearnedStretch(3_000, 60)), is(greaterThan(1.5 * kinds.of("slow"))));
-        assertThat(kinds.of("slow", new LearnedStretch(700, 60)), is(lessThan(0.9)));
+        assertThat(kinds.stretch("fast", new LearnedStretch(900, 60)), is(greaterThan(1.2 * kinds.stretch("slow"))));
+        assertThat(kinds.stretch("fast", new LearnedStretch(3_000, 60)), is(greaterThan(1.5 * kinds.stretch("slow"))));
+        assertThat(kinds.stretch("slow", new LearnedStretch(700, 60)), is(lessThan(0.9)));
     }
 
     /**
@@ -70,14 +70,14 @@
         learn(0, SLOW, FAST);
         long later = Duration.ofMinutes(3).toNanos();
         learn(later, new LearnedStretch(1_430, 0), FAST);
-        assertThat(kinds.of("slow"), is(closeTo(1.4, 0.1)));
+        assertThat(kinds.stretch("slow"), is(closeTo(1.4, 0.1)));
     }
 
     /** An entry that has just started hears of workers whose runs ended long ago. */
     @Test
     void learnsFromTheFirstReportsAlsoOfIdleWorkers() {
         learn(0, new LearnedStretch(1_430, 0), FAST);
-        assertThat(kinds.of("slow") / kinds.of("fast"), is(greaterThan(1.8)));
+        assertThat(kinds.stretch("slow") / kinds.stretch("fast"), is(greaterThan(1.8)));
     }
 
     /** A damaged report must not make all workers of a kind look useless. */
@@ -90,7 +90,7 @@
             kinds.add("fast", FAST);
         }
         kinds.finish();
-        assertThat(kinds.of("fast"), is(closeTo(0.6, 0.03)));
+        assertThat(kinds.stretch("fast"), is(closeTo(0.6, 0.03)));
     }
 
     /**
@@ -112,9 +112,9 @@
             kinds.finish();
             double[] stretches = new double[told.length];
             for (int place = 0; place < told.length; place++) {
-                stretches[place] = kinds.of("kind-" + place % 3, told[place]);
+                stretches[place] = kinds.stretch("kind-" + place % 3, told[place]);
             }
-            assertThat(SpeedClasses.of(stretches).isSpreadOver(1.6), is(false));
+            assertThat(SpeedClasses.of(stretches).spreadExceeds(1.6), is(false));
         }
     }
 }
--- a/library/src/test/java/org/chivetally/queue/speed/RunStretchTest.java
+++ b/library/src/test/java/org/chivetally/queue/speed/RunStretchTest.java
@@ -25,7 +25,7 @@
             nowNanos += PAUSE_MILLIS * MILLISECOND;
             double error = Math.exp(0.4 * random.nextGaussian());
             double tail = random.nextDouble() < 0.03 ? 7 : 1;
-            stretch.ended((long) (243 * MILLISECOND * slowness * error * tail), 243, nowNanos);
+            stretch.recordRun((long) (243 * MILLISECOND * slowness * error * tail), 243, nowNanos);
         }
     }
 
@@ -55,15 +55,15 @@
     void losesWeightWithTime() {
         work(4_000, 1);
         int permille = stretch.at(nowNanos).permille();
-        nowNanos += 20 * RunStretch.MEMORY.toNanos();
+        nowNanos += 20 * RunStretch.TIME_CONSTANT.toNanos();
         assertThat(stretch.at(nowNanos), is(new LearnedStretch(permille, 0)));
     }
 
     /** Without an estimate, or with a clock that has not moved, a run tells nothing. */
     @Test
     void ignoresRunsThatTellNothing() {
-        stretch.ended(MILLISECOND, 0, nowNanos);
-        stretch.ended(0, 100, nowNanos);
+        stretch.recordRun(MILLISECOND, 0, nowNanos);
+        stretch.recordRun(0, 100, nowNanos);
         assertThat(stretch.at(nowNanos), is(LearnedStretch.UNKNOWN));
     }
 }
