--- a/library/src/main/java/org/chivetally/queue/entry/PartitionOwner.java
+++ b/library/src/main/java/org/chivetally/queue/entry/PartitionOwner.java
@@ -472,7 +472,8 @@
 
     private static boolean isUsedUp(Task task) {
         return task.status() != Task.Status.DONE
-                && CrashPolicy.hasUsedUpStarts(task.crashes().crashes(), task.crashes().boundedStarts());
+                && CrashPolicy.hasUsedUpStarts(
+                        task.crashes().crashes(), task.crashes().boundedStarts());
     }
 
     private void giveUp(Task task) {
--- a/library/src/main/java/org/chivetally/queue/entry/PlacementPasses.java
+++ b/library/src/main/java/org/chivetally/queue/entry/PlacementPasses.java
@@ -11,9 +11,9 @@
 import org.chivetally.queue.JobPhase;
 import org.chivetally.queue.Task;
 import org.chivetally.queue.crash.CrashTracker;
+import org.chivetally.queue.placement.FairShareOrder;
 import org.chivetally.queue.placement.PlacementDecision;
 import org.chivetally.queue.placement.PlacementPolicy;
-import org.chivetally.queue.placement.FairShareOrder;
 import org.chivetally.queue.placement.WaitingTasks;
 import org.chivetally.queue.placement.Worker;
 import org.chivetally.queue.share.QueueLoads;
@@ -147,7 +147,8 @@
         }
     }
 
-    private void placeByShares(PlacementPolicy.Pass choices, FairShareOrder turns, double bound, double part, long now) {
+    private void placeByShares(
+            PlacementPolicy.Pass choices, FairShareOrder turns, double bound, double part, long now) {
         List<Job> begun = new ArrayList<>();
         for (Optional<Task> turn = turns.next(); turn.isPresent(); turn = turns.next()) {
             Task task = turn.get();
--- a/library/src/main/java/org/chivetally/queue/entry/RunCoordinator.java
+++ b/library/src/main/java/org/chivetally/queue/entry/RunCoordinator.java
@@ -28,8 +28,8 @@
 import org.chivetally.queue.crash.CrashTracker;
 import org.chivetally.queue.link.PeerLink;
 import org.chivetally.queue.placement.AdmissionPolicy;
-import org.chivetally.queue.placement.PlacementPolicy;
 import org.chivetally.queue.placement.EntryCapacityShare;
+import org.chivetally.queue.placement.PlacementPolicy;
 import org.chivetally.queue.placement.WaitingTasks;
 import org.chivetally.queue.placement.Worker;
 import org.chivetally.queue.share.FairShares;
@@ -427,7 +427,9 @@
             return;
         }
         boolean ours = wanted
-                && worker.inProgress(key).map(start -> start.run() == run.getRun()).orElse(false);
+                && worker.inProgress(key)
+                        .map(start -> start.run() == run.getRun())
+                        .orElse(false);
         if (!ours) {
             EventLine.of("run-unwanted")
                     .with("task", key)
@@ -518,7 +520,8 @@
     }
 
     private void settle(Worker worker, Task task, long run, RunOutcome outcome, Runnable kept) {
-        if (outcome == RunOutcome.FAILED && worker.health().recordFailedRun(task.key().jobId(), timers.nanos())) {
+        if (outcome == RunOutcome.FAILED
+                && worker.health().recordFailedRun(task.key().jobId(), timers.nanos())) {
             EventLine.of("worker-avoided").with("worker", worker.process()).log(LOGGER.atWarning());
         }
         EventLine.of("run-ended")
@@ -543,8 +546,9 @@
                     .filter(owner -> owner.epoch() < refused.getFencedBy())
                     .ifPresent(owner -> owner.replaced(refused.getFencedBy()));
         }
-        Optional<Worker.SentStart> start =
-                TaskKey.parse(refused.getTask()).flatMap(worker::inProgress).filter(sent -> sent.run() == refused.getRun());
+        Optional<Worker.SentStart> start = TaskKey.parse(refused.getTask())
+                .flatMap(worker::inProgress)
+                .filter(sent -> sent.run() == refused.getRun());
         if (start.isEmpty()) {
             return;
         }
--- a/library/src/main/java/org/chivetally/queue/entry/ServiceShares.java
+++ b/library/src/main/java/org/chivetally/queue/entry/ServiceShares.java
@@ -6,8 +6,8 @@
 import org.chivetally.queue.Evacuations;
 import org.chivetally.queue.JobSpecification;
 import org.chivetally.queue.placement.ArrivalRate;
-import org.chivetally.queue.placement.ServiceDemand;
 import org.chivetally.queue.placement.EntryCapacityShare;
+import org.chivetally.queue.placement.ServiceDemand;
 import org.chivetally.queue.placement.WaitingTasks;
 import org.chivetally.queue.placement.Worker;
 import org.chivetally.time.Timers;
@@ -50,8 +50,8 @@
     private long capacity(String service) {
         long processors = 0;
         for (Worker worker : workers) {
-            boolean serves =
-                    worker.lastReport().service().equals(service) && worker.lastReport().accepting();
+            boolean serves = worker.lastReport().service().equals(service)
+                    && worker.lastReport().accepting();
             processors += serves ? worker.lastReport().capacity().processorMillis() : 0;
         }
         return processors;
--- a/library/src/main/java/org/chivetally/queue/placement/FairShareOrder.java
+++ b/library/src/main/java/org/chivetally/queue/placement/FairShareOrder.java
@@ -33,7 +33,9 @@
         for (Map.Entry<String, TaskBacklog> backlog : backlogs.entrySet()) {
             String queue = backlog.getKey();
             queues.add(new QueueCursor(
-                    backlog.getValue(), shares.ownShare(queue), ownLoads.of(queue).runningMillicores()));
+                    backlog.getValue(),
+                    shares.ownShare(queue),
+                    ownLoads.of(queue).runningMillicores()));
         }
     }
 
--- a/library/src/main/java/org/chivetally/queue/placement/PlacementPolicy.java
+++ b/library/src/main/java/org/chivetally/queue/placement/PlacementPolicy.java
@@ -162,7 +162,8 @@
         }
 
         private boolean isUnhealthy(Worker worker) {
-            return worker.health().isAvoided(nowNanos) || worker.health().isOnProbation(nowNanos) && worker.hasRunsNotOverdue();
+            return worker.health().isAvoided(nowNanos)
+                    || worker.health().isOnProbation(nowNanos) && worker.hasRunsNotOverdue();
         }
 
         /**
@@ -251,13 +252,16 @@
                     candidates.addCapacity(worker, free.processorMillis());
                 }
                 if (hasRoom(task, worker, free, freeShare)) {
-                    candidates.addCandidate(worker, scoreInClass(task, worker, free.processorMillis()) + suspectScore(worker, false));
+                    candidates.addCandidate(
+                            worker, scoreInClass(task, worker, free.processorMillis()) + suspectScore(worker, false));
                 }
             }
         }
 
         private boolean isExcluded(Task task, Worker worker, boolean hasAlternative) {
-            return hasAlternative && failedOn(task, worker) || excludesUnhealthy && isUnhealthy(worker) || !mayRun(task, worker);
+            return hasAlternative && failedOn(task, worker)
+                    || excludesUnhealthy && isUnhealthy(worker)
+                    || !mayRun(task, worker);
         }
 
         private static boolean hasRoom(Task task, Worker worker, Room free, double freeShare) {
@@ -267,7 +271,8 @@
 
         /** Tells whether a worker's free room is contended. */
         private static boolean isScarce(Worker worker, long freeMillicores) {
-            return SCARCE_ROOM_DIVISOR * freeMillicores < worker.lastReport().capacity().processorMillis();
+            return SCARCE_ROOM_DIVISOR * freeMillicores
+                    < worker.lastReport().capacity().processorMillis();
         }
 
         /** Tells whether a task is kept apart from others that may be the cause of a crash. */
@@ -314,10 +319,14 @@
 
         private long score(Task task, Worker worker, long freeMillicores) {
             boolean otherRack = !task.step().traits().preferredRack().isEmpty()
-                    && !worker.lastReport().labels().contains(task.step().traits().preferredRack());
+                    && !worker.lastReport()
+                            .labels()
+                            .contains(task.step().traits().preferredRack());
             long capacity = worker.lastReport().capacity().processorMillis();
             long score = isScarce(worker, freeMillicores) ? random.nextLong(freeMillicores + 1) : freeMillicores;
-            score += worker.lastReport().failureDomain().equals(failureDomain) ? capacity / SAME_DOMAIN_BONUS_DIVISOR : 0;
+            score += worker.lastReport().failureDomain().equals(failureDomain)
+                    ? capacity / SAME_DOMAIN_BONUS_DIVISOR
+                    : 0;
             score -= isUnhealthy(worker) ? UNHEALTHY_PENALTY_MILLICORES : 0;
             score -= otherRack ? OTHER_RACK_PENALTY_MILLICORES : 0;
             return score;
@@ -330,7 +339,9 @@
 
     /** Tells whether a worker is allowed to run the task, whether it has room or not. */
     private static boolean mayRun(Task task, Worker worker) {
-        if (!worker.lastReport().service().equals(task.job().specification().terms().service())) {
+        if (!worker.lastReport()
+                .service()
+                .equals(task.job().specification().terms().service())) {
             return false;
         }
         StepTraits traits = task.step().traits();
--- a/library/src/main/java/org/chivetally/queue/placement/ReleaseWaitEstimator.java
+++ b/library/src/main/java/org/chivetally/queue/placement/ReleaseWaitEstimator.java
@@ -65,11 +65,13 @@
                 continue;
             }
             stretch = worker.stretch();
-            usedMillicores += worker.lastReport().capacity().processorMillis() - worker.freeRoom().processorMillis();
+            usedMillicores += worker.lastReport().capacity().processorMillis()
+                    - worker.freeRoom().processorMillis();
             ownMillicores += worker.estimatedRunMillicores();
             ownReleaseRate += worker.releaseRate();
         }
-        double endsPerMillisecond = ownReleaseRate > 0 ? ownReleaseRate / ownMillicores : 1 / Math.max(1, expectedMillis * stretch);
+        double endsPerMillisecond =
+                ownReleaseRate > 0 ? ownReleaseRate / ownMillicores : 1 / Math.max(1, expectedMillis * stretch);
         return Math.max(1, usedMillicores) * endsPerMillisecond;
     }
 }
--- a/library/src/main/java/org/chivetally/queue/placement/SpeedCandidates.java
+++ b/library/src/main/java/org/chivetally/queue/placement/SpeedCandidates.java
@@ -148,8 +148,8 @@
                 continue;
             }
             long endAfterWaitNanos = task.endNanos(classes.stretch(fasterRank), waitEstimator.waitMillis(fasterRank));
-            boolean meetsMore =
-                    endAfterWaitNanos <= task.objectiveNanos() || endNowNanos > task.limitNanos() && endAfterWaitNanos <= task.limitNanos();
+            boolean meetsMore = endAfterWaitNanos <= task.objectiveNanos()
+                    || endNowNanos > task.limitNanos() && endAfterWaitNanos <= task.limitNanos();
             if (endAfterWaitNanos < endNowNanos && meetsMore) {
                 waitEstimator.reserve(fasterRank);
                 return true;
--- a/library/src/main/java/org/chivetally/queue/placement/Worker.java
+++ b/library/src/main/java/org/chivetally/queue/placement/Worker.java
@@ -243,7 +243,8 @@
     boolean exceedsShare(Room next, double share) {
         long unacknowledgedMillicores = unacknowledgedRoom.processorMillis();
         return unacknowledgedMillicores > 0
-                && unacknowledgedMillicores + next.processorMillis() > share * lastReport.free().processorMillis();
+                && unacknowledgedMillicores + next.processorMillis()
+                        > share * lastReport.free().processorMillis();
     }
 
     /** Takes no starts until a moment, after the agent has refused one for a reason that takes time to go. */
@@ -277,7 +278,9 @@
 
     /** Notes a run that the agent holds and that somebody else sent. */
     public void adopt(Task task, long run, long nowNanos) {
-        startsInProgress.put(task.key(), new SentStart(task, run, link, 0, nowNanos, task.step().estimatedMillis()));
+        startsInProgress.put(
+                task.key(),
+                new SentStart(task, run, link, 0, nowNanos, task.step().estimatedMillis()));
     }
 
     /** Returns the start of a task that is in progress here. */
--- a/library/src/main/java/org/chivetally/queue/placement/WorkerHealth.java
+++ b/library/src/main/java/org/chivetally/queue/placement/WorkerHealth.java
@@ -65,14 +65,16 @@
         lastFailedJob = jobId;
         failedRuns.add(1, nowNanos);
         double runs = failedRuns.at(nowNanos) + overdueRuns.at(nowNanos) + inTimeRuns.at(nowNanos);
-        boolean bad = failedRuns.at(nowNanos) >= MINIMUM_BAD_RUNS && failedRuns.at(nowNanos) > MAXIMUM_FAILED_SHARE * runs;
+        boolean bad =
+                failedRuns.at(nowNanos) >= MINIMUM_BAD_RUNS && failedRuns.at(nowNanos) > MAXIMUM_FAILED_SHARE * runs;
         return updateState(bad, State.FAILING, nowNanos);
     }
 
     /** Notes that a run lasts longer than can be expected. */
     public void recordOverdueRun(long nowNanos) {
         overdueRuns.add(1, nowNanos);
-        boolean bad = overdueRuns.at(nowNanos) >= MINIMUM_BAD_RUNS && overdueRuns.at(nowNanos) > inTimeRuns.at(nowNanos);
+        boolean bad =
+                overdueRuns.at(nowNanos) >= MINIMUM_BAD_RUNS && overdueRuns.at(nowNanos) > inTimeRuns.at(nowNanos);
         updateState(bad, State.SLOW, nowNanos);
     }
 
--- a/library/src/main/java/org/chivetally/queue/placement/WorkerSpeeds.java
+++ b/library/src/main/java/org/chivetally/queue/placement/WorkerSpeeds.java
@@ -98,7 +98,8 @@
             classes = SpeedClasses.of(stretches);
             for (int index = 0; index < stretches.length; index++) {
                 Worker worker = workers.get(index);
-                worker.speed(new WorkerSpeed(stretches[index], kinds.stretch(worker.kind()), classes.rank(index), version));
+                worker.speed(
+                        new WorkerSpeed(stretches[index], kinds.stretch(worker.kind()), classes.rank(index), version));
             }
         }
     }
--- a/library/src/main/java/org/chivetally/queue/share/PeerLoads.java
+++ b/library/src/main/java/org/chivetally/queue/share/PeerLoads.java
@@ -75,7 +75,8 @@
         for (LoadReport report : reports.values()) {
             if (nowNanos - report.receivedAtNanos() <= REPORT_VALIDITY.toNanos()) {
                 reachable++;
-                snapshotsValidUntilNanos = Math.min(snapshotsValidUntilNanos, report.receivedAtNanos() + REPORT_VALIDITY.toNanos());
+                snapshotsValidUntilNanos =
+                        Math.min(snapshotsValidUntilNanos, report.receivedAtNanos() + REPORT_VALIDITY.toNanos());
                 QueueLoads ofService = report.byService().get(service);
                 if (ofService != null) {
                     loads.add(ofService);
--- a/library/src/main/java/org/chivetally/queue/share/RecentlyRefusedJobs.java
+++ b/library/src/main/java/org/chivetally/queue/share/RecentlyRefusedJobs.java
@@ -20,7 +20,8 @@
         refusedAtNanos.remove(jobId);
         refusedAtNanos.put(jobId, nowNanos);
         Iterator<Long> oldest = refusedAtNanos.values().iterator();
-        while (oldest.hasNext() && (nowNanos - oldest.next() > RETENTION.toNanos() || refusedAtNanos.size() > MAXIMUM_JOBS)) {
+        while (oldest.hasNext()
+                && (nowNanos - oldest.next() > RETENTION.toNanos() || refusedAtNanos.size() > MAXIMUM_JOBS)) {
             oldest.remove();
         }
     }
--- a/library/src/main/java/org/chivetally/queue/speed/KindStretches.java
+++ b/library/src/main/java/org/chivetally/queue/speed/KindStretches.java
@@ -95,7 +95,9 @@
         overallLogarithm = runs == 0 ? 0 : logarithmSum / runs;
         slowestLogarithm = overallLogarithm;
         for (Kind kind : kinds.values()) {
-            slowestLogarithm = Math.max(slowestLogarithm, shrink(kind.retainedLogarithm, kind.retainedRuns, overallLogarithm, KIND_PRIOR_RUNS));
+            slowestLogarithm = Math.max(
+                    slowestLogarithm,
+                    shrink(kind.retainedLogarithm, kind.retainedRuns, overallLogarithm, KIND_PRIOR_RUNS));
         }
     }
 
@@ -123,7 +125,9 @@
 
     private double logarithm(String kind) {
         Kind known = kinds.get(kind);
-        return known == null ? overallLogarithm : shrink(known.retainedLogarithm, known.retainedRuns, overallLogarithm, KIND_PRIOR_RUNS);
+        return known == null
+                ? overallLogarithm
+                : shrink(known.retainedLogarithm, known.retainedRuns, overallLogarithm, KIND_PRIOR_RUNS);
     }
 
     private static double shrink(double own, double runs, double prior, double priorRuns) {
--- a/library/src/main/java/org/chivetally/queue/speed/SpeedClasses.java
+++ b/library/src/main/java/org/chivetally/queue/speed/SpeedClasses.java
@@ -49,7 +49,9 @@
         for (long stretchAndIndex : order) {
             int index = (int) (stretchAndIndex & INDEX_MASK);
             double stretch = stretches[index];
-            if (rank < 0 || stretch > MAXIMUM_NEIGHBOR_RATIO * previous || stretch > MAXIMUM_CLASS_RATIO * fastestInClass) {
+            if (rank < 0
+                    || stretch > MAXIMUM_NEIGHBOR_RATIO * previous
+                    || stretch > MAXIMUM_CLASS_RATIO * fastestInClass) {
                 rank++;
                 fastestInClass = stretch;
             }
