--- a/linkage/src/main/java/org/chivetally/linkage/CallSite.java
+++ b/linkage/src/main/java/org/chivetally/linkage/CallSite.java
@@ -8,7 +8,7 @@
 /** A call site that can be replaced by a call of a static method with the same parameters and result. */
 sealed interface CallSite permits TypeSwitchSite, RecordMethodSite {
     /** Returns the stem of the method's name. */
-    String stem();
+    String operation();
 
     /** Returns the method's parameters and result. */
     MethodTypeDesc type();
--- a/linkage/src/main/java/org/chivetally/linkage/ClassLinker.java
+++ b/linkage/src/main/java/org/chivetally/linkage/ClassLinker.java
@@ -21,7 +21,7 @@
  * that it adds to the class. The JVM would generate a hidden class for each of them at its first call.
  */
 final class ClassLinker {
-    private static final int FLAGS = ClassFile.ACC_PRIVATE | ClassFile.ACC_STATIC | ClassFile.ACC_SYNTHETIC;
+    private static final int METHOD_FLAGS = ClassFile.ACC_PRIVATE | ClassFile.ACC_STATIC | ClassFile.ACC_SYNTHETIC;
 
     private final ClassFile classFile;
 
@@ -30,16 +30,16 @@
      *
      * @param classes finds the classes that the linked ones refer to, for their stack maps
      */
-    ClassLinker(ClassLoader classes) {
+    ClassLinker(ClassLoader classLoader) {
         // A class file that was read once may be asked for again, so the answers are kept.
-        ClassHierarchyResolver hierarchy = ClassHierarchyResolver.ofResourceParsing(classes)
+        ClassHierarchyResolver hierarchy = ClassHierarchyResolver.ofResourceParsing(classLoader)
                 .orElse(ClassHierarchyResolver.defaultResolver())
                 .cached();
         this.classFile = ClassFile.of(ClassFile.ClassHierarchyResolverOption.of(hierarchy));
     }
 
     /** A class after the step; the number of call sites that were replaced in it. */
-    record Linked(byte[] bytes, int replaced) {}
+    record LinkedClass(byte[] bytes, int replacedCallSites) {}
 
     /**
      * Returns the class without such call sites.
@@ -47,47 +47,47 @@
      * @throws IllegalArgumentException when the result would not be a valid class
      * @throws UnsupportedCallSiteException when a call site has a form that isn't known
      */
-    Linked link(byte[] bytes) {
+    LinkedClass link(byte[] bytes) {
         ClassModel model = classFile.parse(bytes);
         List<CallSite> sites = new ArrayList<>();
         String simpleName = simpleName(model);
-        CodeTransform calls = (code, element) -> {
-            Optional<CallSite> site = siteOf(element, simpleName);
+        CodeTransform replaceCalls = (code, element) -> {
+            Optional<CallSite> site = callSiteOf(element, simpleName);
             if (site.isEmpty()) {
                 code.with(element);
                 return;
             }
-            CallSite found = site.get();
+            CallSite callSite = site.get();
             code.invokestatic(
                     model.thisClass().asSymbol(),
-                    methodName(found, sites.size()),
-                    found.type(),
+                    methodName(callSite, sites.size()),
+                    callSite.type(),
                     model.flags().has(AccessFlag.INTERFACE));
-            sites.add(found);
+            sites.add(callSite);
         };
-        if (!containsSites(model, simpleName)) {
-            return new Linked(bytes, 0);
+        if (!containsCallSites(model, simpleName)) {
+            return new LinkedClass(bytes, 0);
         }
-        ClassTransform methods = ClassTransform.transformingMethodBodies(calls)
-                .andThen(ClassTransform.endHandler(added -> {
+        ClassTransform transform = ClassTransform.transformingMethodBodies(replaceCalls)
+                .andThen(ClassTransform.endHandler(builder -> {
                     for (int number = 0; number < sites.size(); number++) {
                         CallSite site = sites.get(number);
-                        added.withMethodBody(methodName(site, number), site.type(), FLAGS, site::write);
+                        builder.withMethodBody(methodName(site, number), site.type(), METHOD_FLAGS, site::write);
                     }
                 }));
-        byte[] linked = classFile.transformClass(model, methods);
+        byte[] linked = classFile.transformClass(model, transform);
         List<VerifyError> errors = classFile.verify(linked);
         if (!errors.isEmpty()) {
             throw new IllegalArgumentException(errors.getFirst().getMessage());
         }
-        return new Linked(linked, sites.size());
+        return new LinkedClass(linked, sites.size());
     }
 
-    private static boolean containsSites(ClassModel model, String simpleName) {
+    private static boolean containsCallSites(ClassModel model, String simpleName) {
         for (MethodModel method : model.methods()) {
             if (method.code().isPresent()) {
                 for (CodeElement element : method.code().get()) {
-                    if (siteOf(element, simpleName).isPresent()) {
+                    if (callSiteOf(element, simpleName).isPresent()) {
                         return true;
                     }
                 }
@@ -96,23 +96,23 @@
         return false;
     }
 
-    private static Optional<CallSite> siteOf(CodeElement element, String simpleName) {
+    private static Optional<CallSite> callSiteOf(CodeElement element, String simpleName) {
         return element instanceof InvokeDynamicInstruction call ? CallSite.of(call, simpleName) : Optional.empty();
     }
 
     private static String methodName(CallSite site, int number) {
-        return "linked$" + site.stem() + '$' + number;
+        return "linked$" + site.operation() + '$' + number;
     }
 
     /** Returns the name as {@link Class#getSimpleName} gives it. */
     private static String simpleName(ClassModel model) {
-        ClassDesc self = model.thisClass().asSymbol();
+        ClassDesc thisClass = model.thisClass().asSymbol();
         return model.findAttribute(Attributes.innerClasses()).stream()
                 .flatMap(attribute -> attribute.classes().stream())
-                .filter(inner -> inner.innerClass().asSymbol().equals(self))
+                .filter(inner -> inner.innerClass().asSymbol().equals(thisClass))
                 .findFirst()
                 .map(ClassLinker::innerName)
-                .orElseGet(self::displayName);
+                .orElseGet(thisClass::displayName);
     }
 
     private static String innerName(InnerClassInfo inner) {
--- a/linkage/src/main/java/org/chivetally/linkage/LinkageStep.java
+++ b/linkage/src/main/java/org/chivetally/linkage/LinkageStep.java
@@ -20,20 +20,20 @@
  * reported.
  */
 public final class LinkageStep {
-    private static final String CLASS = ".class";
+    private static final String CLASS_SUFFIX = ".class";
 
     private final ClassLinker linker;
     private final List<String> failures = new ArrayList<>();
-    private int classes;
-    private int replaced;
+    private int linkedClasses;
+    private int replacedCallSites;
 
     /**
      * Creates a step.
      *
      * @param classes finds the classes that the linked ones refer to
      */
-    public LinkageStep(ClassLoader classes) {
-        linker = new ClassLinker(classes);
+    public LinkageStep(ClassLoader classLoader) {
+        linker = new ClassLinker(classLoader);
     }
 
     /** Links the jars and class directories that are named; their classes have to be on the class path too. */
@@ -41,8 +41,8 @@
         LinkageStep step = new LinkageStep(ClassLoader.getSystemClassLoader());
         Arrays.stream(arguments).map(Path::of).forEach(step::link);
         step.failures.forEach(System.err::println);
-        System.out.println("event=linked classes=" + step.classes + " call_sites=" + step.replaced + " failures="
-                + step.failures.size());
+        System.out.println("event=linked classes=" + step.linkedClasses + " call_sites=" + step.replacedCallSites
+                + " failures=" + step.failures.size());
     }
 
     /** Returns a line for each class that could not be linked. */
@@ -51,8 +51,8 @@
     }
 
     /** Returns the number of call sites that were replaced. */
-    public int replaced() {
-        return replaced;
+    public int replacedCallSites() {
+        return replacedCallSites;
     }
 
     /** Links the classes of a jar or of a directory. */
@@ -70,12 +70,12 @@
 
     private void linkDirectory(Path directory) throws IOException {
         List<Path> files;
-        try (Stream<Path> all = Files.walk(directory)) {
-            files = all.filter(file -> file.toString().endsWith(CLASS)).toList();
+        try (Stream<Path> paths = Files.walk(directory)) {
+            files = paths.filter(file -> file.toString().endsWith(CLASS_SUFFIX)).toList();
         }
         for (Path file : files) {
             byte[] bytes = Files.readAllBytes(file);
-            byte[] linked = linked(directory.relativize(file).toString(), bytes);
+            byte[] linked = linkClass(directory.relativize(file).toString(), bytes);
             if (linked != bytes) {
                 Files.write(file, linked);
             }
@@ -93,25 +93,25 @@
                 ZipEntry copy = new ZipEntry(entry.getName());
                 copy.setLastModifiedTime(entry.getLastModifiedTime());
                 target.putNextEntry(copy);
-                target.write(content(source, entry));
+                target.write(linkedContent(source, entry));
                 target.closeEntry();
             }
         }
         Files.move(result, jar, StandardCopyOption.REPLACE_EXISTING);
     }
 
-    private byte[] content(ZipFile source, ZipEntry entry) throws IOException {
+    private byte[] linkedContent(ZipFile source, ZipEntry entry) throws IOException {
         try (InputStream stream = source.getInputStream(entry)) {
             byte[] bytes = stream.readAllBytes();
-            return entry.getName().endsWith(CLASS) ? linked(entry.getName(), bytes) : bytes;
+            return entry.getName().endsWith(CLASS_SUFFIX) ? linkClass(entry.getName(), bytes) : bytes;
         }
     }
 
-    private byte[] linked(String name, byte[] bytes) {
+    private byte[] linkClass(String name, byte[] bytes) {
         try {
-            ClassLinker.Linked linked = linker.link(bytes);
-            classes += linked.replaced() > 0 ? 1 : 0;
-            replaced += linked.replaced();
+            ClassLinker.LinkedClass linked = linker.link(bytes);
+            linkedClasses += linked.replacedCallSites() > 0 ? 1 : 0;
+            replacedCallSites += linked.replacedCallSites();
             return linked.bytes();
         } catch (IllegalArgumentException | UnsupportedCallSiteException e) {
             failures.add("event=class-not-linked class=" + name + " reason=\"" + e.getMessage() + '"');
--- a/linkage/src/main/java/org/chivetally/linkage/RecordMethodSite.java
+++ b/linkage/src/main/java/org/chivetally/linkage/RecordMethodSite.java
@@ -21,13 +21,13 @@
  * @param simpleName of the record's class
  * @param components fields of the record
  */
-record RecordMethodSite(String stem, MethodTypeDesc type, String simpleName, List<Component> components)
+record RecordMethodSite(String operation, MethodTypeDesc type, String simpleName, List<Component> components)
         implements CallSite {
     private static final ClassDesc OBJECTS = ClassDesc.of("java.util.Objects");
-    private static final ClassDesc BUILDER = ClassDesc.of("java.lang.StringBuilder");
-    private static final int SELF = 0;
-    private static final int OTHER = 1;
-    private static final int HASH_FACTOR = 31;
+    private static final ClassDesc STRING_BUILDER = ClassDesc.of("java.lang.StringBuilder");
+    private static final int THIS_SLOT = 0;
+    private static final int OTHER_SLOT = 1;
+    private static final int HASH_MULTIPLIER = 31;
 
     /** A component: its name and the type of the field that holds it. */
     record Component(String name, ClassDesc type) {}
@@ -35,11 +35,11 @@
     static RecordMethodSite of(InvokeDynamicInstruction instruction, String simpleName) {
         List<ConstantDesc> arguments = instruction.bootstrapArgs();
         List<Component> components = new ArrayList<>();
-        for (ConstantDesc getter : arguments.subList(2, arguments.size())) {
-            if (!(getter instanceof DirectMethodHandleDesc field)
+        for (ConstantDesc argument : arguments.subList(2, arguments.size())) {
+            if (!(argument instanceof DirectMethodHandleDesc field)
                     || field.kind() != DirectMethodHandleDesc.Kind.GETTER
                     || !field.owner().equals(arguments.getFirst())) {
-                throw new UnsupportedCallSiteException("component " + getter);
+                throw new UnsupportedCallSiteException("component " + argument);
             }
             components.add(
                     new Component(field.methodName(), field.invocationType().returnType()));
@@ -52,34 +52,39 @@
     }
 
     private ClassDesc owner() {
-        return type.parameterType(SELF);
+        return type.parameterType(THIS_SLOT);
     }
 
     @Override
     public void write(CodeBuilder code) {
-        switch (stem) {
+        switch (operation) {
             case "equals" -> writeEquals(code);
             case "hashCode" -> writeHashCode(code);
             default -> writeToString(code);
         }
     }
 
-    private void load(CodeBuilder code, Component component) {
-        code.aload(SELF).getfield(owner(), component.name(), component.type());
+    private void loadThis(CodeBuilder code, Component component) {
+        code.aload(THIS_SLOT).getfield(owner(), component.name(), component.type());
     }
 
-    private void loadOfOther(CodeBuilder code, Component component) {
-        code.aload(OTHER).checkcast(owner()).getfield(owner(), component.name(), component.type());
+    private void loadOther(CodeBuilder code, Component component) {
+        code.aload(OTHER_SLOT).checkcast(owner()).getfield(owner(), component.name(), component.type());
     }
 
     private void writeEquals(CodeBuilder code) {
         Label different = code.newLabel();
-        Label another = code.newLabel();
-        code.aload(SELF).aload(OTHER).if_acmpne(another).iconst_1().ireturn().labelBinding(another);
-        code.aload(OTHER).instanceOf(owner()).ifeq(different);
+        Label notSame = code.newLabel();
+        code.aload(THIS_SLOT)
+                .aload(OTHER_SLOT)
+                .if_acmpne(notSame)
+                .iconst_1()
+                .ireturn()
+                .labelBinding(notSame);
+        code.aload(OTHER_SLOT).instanceOf(owner()).ifeq(different);
         for (Component component : components) {
-            load(code, component);
-            loadOfOther(code, component);
+            loadThis(code, component);
+            loadOther(code, component);
             writeComparison(code, component.type(), different);
         }
         code.iconst_1().ireturn();
@@ -97,7 +102,7 @@
                         .ifeq(different);
             case LONG -> code.lcmp().ifne(different);
             case FLOAT, DOUBLE ->
-                code.invokestatic(wrapper(type), "compare", MethodTypeDesc.of(ConstantDescs.CD_int, type, type))
+                code.invokestatic(wrapperOf(type), "compare", MethodTypeDesc.of(ConstantDescs.CD_int, type, type))
                         .ifne(different);
             default -> code.if_icmpne(different);
         }
@@ -106,11 +111,11 @@
     private void writeHashCode(CodeBuilder code) {
         code.iconst_0();
         for (Component component : components) {
-            code.loadConstant(HASH_FACTOR).imul();
-            load(code, component);
+            code.loadConstant(HASH_MULTIPLIER).imul();
+            loadThis(code, component);
             if (component.type().isPrimitive()) {
                 code.invokestatic(
-                        wrapper(component.type()),
+                        wrapperOf(component.type()),
                         "hashCode",
                         MethodTypeDesc.of(ConstantDescs.CD_int, component.type()));
             } else {
@@ -123,35 +128,35 @@
     }
 
     private void writeToString(CodeBuilder code) {
-        code.new_(BUILDER)
+        code.new_(STRING_BUILDER)
                 .dup()
-                .invokespecial(BUILDER, ConstantDescs.INIT_NAME, MethodTypeDesc.of(ConstantDescs.CD_void));
-        String before = simpleName + '[';
+                .invokespecial(STRING_BUILDER, ConstantDescs.INIT_NAME, MethodTypeDesc.of(ConstantDescs.CD_void));
+        String separator = simpleName + '[';
         for (Component component : components) {
-            append(code.loadConstant(before + component.name() + '='), ConstantDescs.CD_String);
-            load(code, component);
-            append(code, shown(component.type()));
-            before = ", ";
+            append(code.loadConstant(separator + component.name() + '='), ConstantDescs.CD_String);
+            loadThis(code, component);
+            append(code, appendType(component.type()));
+            separator = ", ";
         }
-        append(code.loadConstant(components.isEmpty() ? before + ']' : "]"), ConstantDescs.CD_String);
-        code.invokevirtual(BUILDER, "toString", MethodTypeDesc.of(ConstantDescs.CD_String))
+        append(code.loadConstant(components.isEmpty() ? separator + ']' : "]"), ConstantDescs.CD_String);
+        code.invokevirtual(STRING_BUILDER, "toString", MethodTypeDesc.of(ConstantDescs.CD_String))
                 .areturn();
     }
 
     private static void append(CodeBuilder code, ClassDesc type) {
-        code.invokevirtual(BUILDER, "append", MethodTypeDesc.of(BUILDER, type));
+        code.invokevirtual(STRING_BUILDER, "append", MethodTypeDesc.of(STRING_BUILDER, type));
     }
 
     /** Returns the parameter of the method of {@link StringBuilder} that appends a value as {@code String.valueOf}. */
-    private static ClassDesc shown(ClassDesc type) {
+    private static ClassDesc appendType(ClassDesc type) {
         if (!type.isPrimitive()) {
             return ConstantDescs.CD_Object;
         }
-        boolean small = type.equals(ConstantDescs.CD_byte) || type.equals(ConstantDescs.CD_short);
-        return small ? ConstantDescs.CD_int : type;
+        boolean narrow = type.equals(ConstantDescs.CD_byte) || type.equals(ConstantDescs.CD_short);
+        return narrow ? ConstantDescs.CD_int : type;
     }
 
-    private static ClassDesc wrapper(ClassDesc primitive) {
+    private static ClassDesc wrapperOf(ClassDesc primitive) {
         return switch (primitive.descriptorString()) {
             case "I" -> ConstantDescs.CD_Integer;
             case "J" -> ConstantDescs.CD_Long;
--- a/linkage/src/main/java/org/chivetally/linkage/TypeSwitchSite.java
+++ b/linkage/src/main/java/org/chivetally/linkage/TypeSwitchSite.java
@@ -19,12 +19,12 @@
  * @param type the selector and the restart index to an index
  * @param labels classes, and for {@code enumSwitch} also names of constants
  */
-record TypeSwitchSite(String stem, MethodTypeDesc type, List<ConstantDesc> labels) implements CallSite {
+record TypeSwitchSite(String operation, MethodTypeDesc type, List<ConstantDesc> labels) implements CallSite {
     private static final ClassDesc OBJECTS = ClassDesc.of("java.util.Objects");
     private static final MethodTypeDesc CHECK_INDEX =
             MethodTypeDesc.of(ConstantDescs.CD_int, ConstantDescs.CD_int, ConstantDescs.CD_int);
-    private static final int SELECTOR = 0;
-    private static final int RESTART = 1;
+    private static final int SELECTOR_SLOT = 0;
+    private static final int RESTART_SLOT = 1;
 
     static TypeSwitchSite of(InvokeDynamicInstruction instruction) {
         String method = instruction.bootstrapMethod().methodName();
@@ -32,11 +32,11 @@
         if (type.parameterCount() != 2 || type.parameterType(0).isPrimitive()) {
             throw new UnsupportedCallSiteException(method + " of type " + type.displayDescriptor());
         }
-        boolean named = method.equals("enumSwitch");
+        boolean acceptsNames = method.equals("enumSwitch");
         for (ConstantDesc label : instruction.bootstrapArgs()) {
-            boolean known =
-                    label instanceof ClassDesc wanted && !wanted.isPrimitive() || named && label instanceof String;
-            if (!known) {
+            boolean supported = label instanceof ClassDesc labelType && !labelType.isPrimitive()
+                    || acceptsNames && label instanceof String;
+            if (!supported) {
                 throw new UnsupportedCallSiteException(method + " with label " + label);
             }
         }
@@ -45,35 +45,35 @@
 
     @Override
     public void write(CodeBuilder code) {
-        code.iload(RESTART)
+        code.iload(RESTART_SLOT)
                 .loadConstant(labels.size() + 1)
                 .invokestatic(OBJECTS, "checkIndex", CHECK_INDEX)
                 .pop();
-        Label present = code.newLabel();
-        code.aload(SELECTOR).ifnonnull(present).iconst_m1().ireturn().labelBinding(present);
-        List<SwitchCase> tests = new ArrayList<>();
+        Label nonNull = code.newLabel();
+        code.aload(SELECTOR_SLOT).ifnonnull(nonNull).iconst_m1().ireturn().labelBinding(nonNull);
+        List<SwitchCase> cases = new ArrayList<>();
         for (int index = 0; index < labels.size(); index++) {
-            tests.add(SwitchCase.of(index, code.newLabel()));
+            cases.add(SwitchCase.of(index, code.newLabel()));
         }
-        Label none = code.newLabel();
-        if (!tests.isEmpty()) {
-            code.iload(RESTART).tableswitch(none, tests);
+        Label noMatch = code.newLabel();
+        if (!cases.isEmpty()) {
+            code.iload(RESTART_SLOT).tableswitch(noMatch, cases);
         }
         for (int index = 0; index < labels.size(); index++) {
-            code.labelBinding(tests.get(index).target());
+            code.labelBinding(cases.get(index).target());
             writeTest(code, index);
         }
-        code.labelBinding(none).loadConstant(labels.size()).ireturn();
+        code.labelBinding(noMatch).loadConstant(labels.size()).ireturn();
     }
 
     /** Returns the index if its label matches, and else goes on to what follows. */
     private void writeTest(CodeBuilder code, int index) {
         Label next = code.newLabel();
-        if (labels.get(index) instanceof ClassDesc wanted) {
-            code.aload(SELECTOR).instanceOf(wanted);
+        if (labels.get(index) instanceof ClassDesc type) {
+            code.aload(SELECTOR_SLOT).instanceOf(type);
         } else {
             code.loadConstant(labels.get(index))
-                    .aload(SELECTOR)
+                    .aload(SELECTOR_SLOT)
                     .invokevirtual(ConstantDescs.CD_Enum, "name", MethodTypeDesc.of(ConstantDescs.CD_String))
                     .invokevirtual(
                             ConstantDescs.CD_String,
--- a/linkage/src/test/java/org/chivetally/linkage/ClassLinkerTest.java
+++ b/linkage/src/test/java/org/chivetally/linkage/ClassLinkerTest.java
@@ -32,7 +32,7 @@
     private final ClassLinker linker = new ClassLinker(ClassLinkerTest.class.getClassLoader());
 
     /** Defines the samples from their linked bytes; everything else comes from the usual loader. */
-    private final ClassLoader linkedSamples = new ClassLoader(ClassLinkerTest.class.getClassLoader()) {
+    private final ClassLoader linkingLoader = new ClassLoader(ClassLinkerTest.class.getClassLoader()) {
         @Override
         protected Class<?> loadClass(String name, boolean resolve) throws ClassNotFoundException {
             if (!name.startsWith(Samples.class.getName())) {
@@ -57,19 +57,19 @@
 
     /** Guards against a record or a pattern switch that gives another result once it was linked. */
     @Test
-    void resultsAreThoseOfTheJvm() throws ReflectiveOperationException {
-        Method results = linkedSamples.loadClass(Samples.class.getName()).getDeclaredMethod("results");
+    void linkedClassesReturnTheSameResults() throws ReflectiveOperationException {
+        Method results = linkingLoader.loadClass(Samples.class.getName()).getDeclaredMethod("results");
         results.setAccessible(true);
         assertThat(results.invoke(null), equalTo(Samples.results()));
     }
 
     /** Guards against a call site that is left, and would generate a class. */
     @Test
-    void noSuchCallSiteIsLeft() {
-        ClassLinker.Linked linked = linker.link(bytes(Samples.class.getName()));
-        assertThat(linked.replaced(), greaterThan(4));
+    void replacesAllCallSites() {
+        ClassLinker.LinkedClass linked = linker.link(bytes(Samples.class.getName()));
+        assertThat(linked.replacedCallSites(), greaterThan(4));
         assertThat(bootstraps(linked.bytes()), not(contains(containsString("java.lang.runtime"))));
-        assertThat(linker.link(linked.bytes()).replaced(), is(0));
+        assertThat(linker.link(linked.bytes()).replacedCallSites(), is(0));
     }
 
     private static List<String> bootstraps(byte[] bytes) {
@@ -87,29 +87,29 @@
 
     /** Guards against a restart index that is not looked at, which would try the same guard for ever. */
     @Test
-    void theRestartIndexIsWhereTheSearchBegins() throws ReflectiveOperationException {
-        Method choice = kindChoice();
-        assertThat(choice.invoke(null, null, 0), is(-1));
-        assertThat(choice.invoke(null, 1, 0), is(1));
-        assertThat(choice.invoke(null, 1, 2), is(2));
-        assertThat(choice.invoke(null, 1, 3), is(6));
-        assertThat(choice.invoke(null, 1, 6), is(6));
+    void searchesFromTheRestartIndex() throws ReflectiveOperationException {
+        Method typeSwitch = typeSwitchMethod();
+        assertThat(typeSwitch.invoke(null, null, 0), is(-1));
+        assertThat(typeSwitch.invoke(null, 1, 0), is(1));
+        assertThat(typeSwitch.invoke(null, 1, 2), is(2));
+        assertThat(typeSwitch.invoke(null, 1, 3), is(6));
+        assertThat(typeSwitch.invoke(null, 1, 6), is(6));
     }
 
     /** Guards against an index out of range that is taken for no match. */
     @Test
-    void aRestartIndexOutOfRangeIsRefused() throws ReflectiveOperationException {
-        Method choice = kindChoice();
+    void rejectsARestartIndexOutOfRange() throws ReflectiveOperationException {
+        Method typeSwitch = typeSwitchMethod();
         for (int index : new int[] {-1, 7}) {
             InvocationTargetException thrown =
-                    assertThrows(InvocationTargetException.class, () -> choice.invoke(null, "text", index));
+                    assertThrows(InvocationTargetException.class, () -> typeSwitch.invoke(null, "text", index));
             assertThat(thrown.getCause(), instanceOf(IndexOutOfBoundsException.class));
         }
     }
 
     /** Returns the choice of the first switch of the samples, which has six labels. */
-    private Method kindChoice() throws ReflectiveOperationException {
-        Class<?> samples = linkedSamples.loadClass(Samples.class.getName());
+    private Method typeSwitchMethod() throws ReflectiveOperationException {
+        Class<?> samples = linkingLoader.loadClass(Samples.class.getName());
         for (Method method : samples.getDeclaredMethods()) {
             if (method.getName().startsWith("linked$typeSwitch$0")) {
                 method.setAccessible(true);
@@ -121,22 +121,22 @@
 
     /** Guards against a build that fails, or a class that is half changed, because of one unknown form. */
     @Test
-    void aClassWithAnUnknownFormStaysAsItIs(@TempDir Path folder) throws IOException {
-        byte[] unknown = bytes(UnknownForm.class.getName());
+    void leavesAClassWithAnUnsupportedCallSiteUnchanged(@TempDir Path folder) throws IOException {
+        byte[] unsupported = bytes(UnsupportedSwitch.class.getName());
         Path file = folder.resolve("UnknownForm.class");
-        Files.write(file, unknown);
-        Path known = folder.resolve("Pair.class");
-        Files.write(known, bytes(Samples.Pair.class.getName()));
+        Files.write(file, unsupported);
+        Path supported = folder.resolve("Pair.class");
+        Files.write(supported, bytes(Samples.Pair.class.getName()));
         LinkageStep step = new LinkageStep(ClassLinkerTest.class.getClassLoader());
         step.link(folder);
         assertThat(step.failures(), contains(containsString("class=UnknownForm.class")));
-        assertThat(step.replaced(), is(3));
-        assertThat(Files.readAllBytes(file), is(unknown));
+        assertThat(step.replacedCallSites(), is(3));
+        assertThat(Files.readAllBytes(file), is(unsupported));
     }
 
     /** Guards against a jar that loses an entry or the place of its manifest, which has to come first. */
     @Test
-    void aJarKeepsItsOtherEntries(@TempDir Path folder) throws IOException {
+    void keepsAllEntriesOfAJarInOrder(@TempDir Path folder) throws IOException {
         Path jar = folder.resolve("samples.jar");
         try (ZipOutputStream zip = new ZipOutputStream(Files.newOutputStream(jar))) {
             zip.putNextEntry(new ZipEntry("META-INF/MANIFEST.MF"));
--- a/linkage/src/test/java/org/chivetally/linkage/UnknownForm.java
+++ b/linkage/src/test/java/org/chivetally/linkage/UnsupportedSwitch.java
@@ -1,8 +1,8 @@
 package org.chivetally.linkage;
 
 /** A pattern switch with a label that the step doesn't know. */
-final class UnknownForm {
-    private UnknownForm() {}
+final class UnsupportedSwitch {
+    private UnsupportedSwitch() {}
 
     static String of(Object value) {
         return switch (value) {
--- a/scripts/class-archives.sh
+++ b/scripts/class-archives.sh
@@ -17,17 +17,17 @@
 
 # Runs a process of a role, with everything around it in a second one, and leaves the list of its classes.
 train() {
-    local role=$1 settings=$folder/$1.yaml rehearsal process result=0
+    local role=$1 settings=$folder/$1.yaml training_run process result=0
     rm -f "$settings"
-    "$java" "${options[@]}" -cp "$folder/chivetally.jar" org.chivetally.platform.Rehearsal "$role" "$settings" &
-    rehearsal=$!
-    while [[ ! -e "$settings" ]] && kill -0 "$rehearsal"; do
+    "$java" "${options[@]}" -cp "$folder/chivetally.jar" org.chivetally.platform.TrainingRun "$role" "$settings" &
+    training_run=$!
+    while [[ ! -e "$settings" ]] && kill -0 "$training_run"; do
         sleep 0.1
     done
     CHIVETALLY_SETTINGS=$settings "$java" "${options[@]}" "-XX:DumpLoadedClassList=$folder/$role.classes" \
         -Xshare:off -Xlog:disable -jar "$folder/chivetally.jar" "$role" &
     process=$!
-    wait "$rehearsal" || result=$?
+    wait "$training_run" || result=$?
     kill -TERM "$process" || true
     wait "$process" || true
     return "$result"
@@ -36,7 +36,7 @@
     "$java" "${options[@]}" -Xshare:dump "-XX:SharedClassListFile=$folder/$1.classes" \
         "-XX:SharedArchiveFile=$folder/$1.jsa" -XX:+AOTClassLinking -jar "$folder/chivetally.jar"
 }
-# A port that was free can be taken until the process listens, so a rehearsal that fails is held again.
+# A port that was free can be taken until the process listens, so a training run that fails is repeated.
 prepare() {
     local attempt
     for ((attempt = 1; attempt <= ATTEMPTS; attempt++)); do
