--- a/library/src/main/java/org/chivetally/queue/Evacuations.java
+++ b/library/src/main/java/org/chivetally/queue/Evacuations.java
@@ -28,28 +28,28 @@
      * @param read offset up to which records were read with it
      * @param evacuated whether the domain is to be left alone from now on
      */
-    public Evacuations with(long read, String failureDomain, boolean evacuated) {
+    public Evacuations with(long offset, String failureDomain, boolean evacuated) {
         Set<String> next = new HashSet<>(failureDomains);
         if (evacuated) {
             next.add(failureDomain);
         } else {
             next.remove(failureDomain);
         }
-        return new Evacuations(Math.max(version, read), next);
+        return new Evacuations(Math.max(version, offset), next);
     }
 
     /** Returns the same domains, after further records that did not concern them. */
-    public Evacuations readTo(long offset) {
+    public Evacuations withVersion(long offset) {
         return new Evacuations(Math.max(version, offset), failureDomains);
     }
 
     /** Returns the newer of two readings; the one told later if they are of one version. */
-    public Evacuations newest(Evacuations told) {
-        return told.version >= version ? told : this;
+    public Evacuations newerOf(Evacuations received) {
+        return received.version >= version ? received : this;
     }
 
     /** Tells whether nothing may start in a failure domain. */
-    public boolean cover(String failureDomain) {
+    public boolean includes(String failureDomain) {
         return failureDomains.contains(failureDomain);
     }
 }
--- a/library/src/main/java/org/chivetally/queue/Job.java
+++ b/library/src/main/java/org/chivetally/queue/Job.java
@@ -12,30 +12,30 @@
 /** An accepted job and its tasks. Its phase is final from the moment an end is decided, before that is stored. */
 public final class Job {
     /** An end after this many objectives counts as not served, by the callers' own reckoning. */
-    static final int LATE_OBJECTIVES = 3;
+    static final int USEFUL_OBJECTIVES = 3;
 
     /**
      * Share of the wait allowed by its objective after which a job that has not started gives way to fresher ones.
      * Under a standing backlog all jobs wait about that long, and estimates are off by 40% (standard deviation): of
      * jobs that start after half of the wait, 98% end within their objective, after the whole wait only half.
      */
-    static final double SHARE_OF_WAIT = 0.5;
+    static final double ON_TIME_WAIT_SHARE = 0.5;
 
     /** Objective of a job without estimates: longer than any caller waits. */
-    static final Duration UNKNOWN_OBJECTIVE = Duration.ofHours(1);
+    static final Duration DEFAULT_OBJECTIVE = Duration.ofHours(1);
 
     private final JobSpecification specification;
     private final long acceptedAtNanos;
     private final long objectiveNanos;
-    private final long limitNanos;
+    private final long usefulUntilNanos;
     private final long deadlineNanos;
-    private final boolean kept;
+    private final boolean durable;
     private final List<Task> tasks = new ArrayList<>();
-    private final int[] openInStep;
-    private int open;
-    private boolean begun;
+    private final int[] unfinishedInStep;
+    private int unfinished;
+    private boolean anyRunStarted;
     private JobPhase phase = JobPhase.QUEUED;
-    private JobPhase shown = JobPhase.QUEUED;
+    private JobPhase reportedPhase = JobPhase.QUEUED;
     private long endedAtMillis;
 
     /**
@@ -44,7 +44,7 @@
      * @param acceptedAtNanos when this process took the job on, by its steady clock
      */
     public Job(JobSpecification specification, long acceptedAtNanos) {
-        this(specification, acceptedAtNanos, acceptedAtNanos + lateLimitNanos(specification), Long.MAX_VALUE, true);
+        this(specification, acceptedAtNanos, acceptedAtNanos + usefulDurationNanos(specification), Long.MAX_VALUE, true);
     }
 
     /**
@@ -57,48 +57,48 @@
         this(
                 specification,
                 acceptedAtNanos,
-                Math.min(deadlineNanos, acceptedAtNanos + lateLimitNanos(specification)),
+                Math.min(deadlineNanos, acceptedAtNanos + usefulDurationNanos(specification)),
                 deadlineNanos,
                 false);
     }
 
     private Job(
-            JobSpecification specification, long acceptedAtNanos, long limitNanos, long deadlineNanos, boolean kept) {
+            JobSpecification specification, long acceptedAtNanos, long usefulUntilNanos, long deadlineNanos, boolean durable) {
         this.deadlineNanos = deadlineNanos;
-        this.kept = kept;
+        this.durable = durable;
         this.specification = specification;
         this.acceptedAtNanos = acceptedAtNanos;
-        this.objectiveNanos = Math.min(limitNanos, acceptedAtNanos + objectiveNanos(specification));
-        this.limitNanos = limitNanos;
-        this.openInStep = new int[specification.steps().size()];
+        this.objectiveNanos = Math.min(usefulUntilNanos, acceptedAtNanos + objectiveNanos(specification));
+        this.usefulUntilNanos = usefulUntilNanos;
+        this.unfinishedInStep = new int[specification.steps().size()];
         createTasks();
     }
 
     private static long objectiveNanos(JobSpecification specification) {
-        if (specification.chainMillis() == 0) {
+        if (specification.criticalPathMillis() == 0) {
             // Nothing is known of the work, so nothing can be said of its end.
-            return UNKNOWN_OBJECTIVE.toNanos();
+            return DEFAULT_OBJECTIVE.toNanos();
         }
-        double millis = specification.terms().slackFactor() * specification.chainMillis()
+        double millis = specification.terms().slackFactor() * specification.criticalPathMillis()
                 + specification.terms().targetLatencyMillis();
         return (long) (millis * 1_000_000);
     }
 
-    private static long lateLimitNanos(JobSpecification specification) {
-        return LATE_OBJECTIVES * objectiveNanos(specification);
+    private static long usefulDurationNanos(JobSpecification specification) {
+        return USEFUL_OBJECTIVES * objectiveNanos(specification);
     }
 
     private void createTasks() {
-        for (int step = 0; step < openInStep.length; step++) {
-            StepSpecification shape = specification.steps().get(step);
-            openInStep[step] = shape.count();
-            Task.Status status = shape.after().isEmpty() ? Task.Status.WAITING : Task.Status.BLOCKED;
-            for (int index = 0; index < shape.count(); index++) {
+        for (int step = 0; step < unfinishedInStep.length; step++) {
+            StepSpecification specified = specification.steps().get(step);
+            unfinishedInStep[step] = specified.count();
+            Task.Status status = specified.after().isEmpty() ? Task.Status.WAITING : Task.Status.BLOCKED;
+            for (int index = 0; index < specified.count(); index++) {
                 TaskKey key = new TaskKey(specification.id(), 0, step, index);
                 tasks.add(new Task(this, key, tasks.size(), status));
             }
         }
-        open = tasks.size();
+        unfinished = tasks.size();
     }
 
     /** Returns what was accepted. */
@@ -112,13 +112,13 @@
     }
 
     /** Tells whether the job is kept in the log, and so outlives this process. */
-    public boolean isKept() {
-        return kept;
+    public boolean isDurable() {
+        return durable;
     }
 
     /** Returns when the job's end is worth nothing any more, by this process's steady clock. */
-    public long limitNanos() {
-        return limitNanos;
+    public long usefulUntilNanos() {
+        return usefulUntilNanos;
     }
 
     /** Returns when the job's end is no longer in time, by this process's steady clock. */
@@ -127,44 +127,44 @@
     }
 
     /** Returns the estimated milliseconds of the steps that are open after a task's own. */
-    public long restMillis(Task task) {
-        if (openInStep.length == 1) {
+    public long remainingMillisAfter(Task task) {
+        if (unfinishedInStep.length == 1) {
             return 0;
         }
-        long chain = specification.chainMillis(place -> openInStep[place] > 0);
-        return Math.max(0, chain - task.step().estimatedMillis());
+        long remaining = specification.criticalPathMillis(place -> unfinishedInStep[place] > 0);
+        return Math.max(0, remaining - task.step().estimatedMillis());
     }
 
     /** Returns what the job can still reach if its next task starts now. */
-    public Outlook outlook(long nowNanos) {
-        long remaining = Duration.ofMillis(specification.chainMillis(place -> openInStep[place] > 0))
+    public CompletionForecast completionForecast(long nowNanos) {
+        long remaining = Duration.ofMillis(specification.criticalPathMillis(place -> unfinishedInStep[place] > 0))
                 .toNanos();
-        long lastInTime = objectiveNanos - remaining;
+        long latestOnTimeStart = objectiveNanos - remaining;
         if (phase == JobPhase.QUEUED) {
-            lastInTime = acceptedAtNanos + (long) (SHARE_OF_WAIT * (lastInTime - acceptedAtNanos));
+            latestOnTimeStart = acceptedAtNanos + (long) (ON_TIME_WAIT_SHARE * (latestOnTimeStart - acceptedAtNanos));
         }
-        if (nowNanos <= lastInTime) {
-            return new Outlook(Outlook.Reach.IN_TIME, lastInTime);
+        if (nowNanos <= latestOnTimeStart) {
+            return new CompletionForecast(CompletionForecast.Timeliness.ON_TIME, latestOnTimeStart);
         }
-        long lastLate = limitNanos - remaining;
-        return nowNanos <= lastLate
-                ? new Outlook(Outlook.Reach.LATE, lastLate)
-                : new Outlook(Outlook.Reach.HOPELESS, Long.MAX_VALUE);
+        long latestUsefulStart = usefulUntilNanos - remaining;
+        return nowNanos <= latestUsefulStart
+                ? new CompletionForecast(CompletionForecast.Timeliness.LATE, latestUsefulStart)
+                : new CompletionForecast(CompletionForecast.Timeliness.TOO_LATE, Long.MAX_VALUE);
     }
 
     /**
      * Returns the last moment at which a task may start for the job to end before its caller gives up, by the
      * estimates; never for a job that is kept.
      */
-    public long lastStartNanos() {
-        long remaining = Duration.ofMillis(specification.chainMillis(place -> openInStep[place] > 0))
+    public long latestStartNanos() {
+        long remaining = Duration.ofMillis(specification.criticalPathMillis(place -> unfinishedInStep[place] > 0))
                 .toNanos();
         return deadlineNanos - remaining;
     }
 
     /** Tells whether a job that goes on now can't end before its limit, going by the estimates. */
-    public boolean isHopeless(long nowNanos) {
-        return outlook(nowNanos).reach() == Outlook.Reach.HOPELESS;
+    public boolean isTooLate(long nowNanos) {
+        return completionForecast(nowNanos).timeliness() == CompletionForecast.Timeliness.TOO_LATE;
     }
 
     /** Returns all tasks, in the order of steps and indexes. */
@@ -178,8 +178,8 @@
     }
 
     /** Returns the phase that callers may be told: an end only after it is stored. */
-    public JobPhase shownPhase() {
-        return shown;
+    public JobPhase reportedPhase() {
+        return reportedPhase;
     }
 
     /** Returns when the job ended, in milliseconds since 1970; 0 while it hasn't. */
@@ -209,22 +209,22 @@
     }
 
     /** Notes that a start of a task was sent to a worker, or that a worker has told of one. */
-    public void place(Task task, String worker, long run) {
-        task.placed(worker, run);
+    public void recordPlacement(Task task, String worker, long run) {
+        task.recordPlacement(worker, run);
         if (phase == JobPhase.QUEUED) {
             phase = JobPhase.RUNNING;
-            shown = JobPhase.RUNNING;
+            reportedPhase = JobPhase.RUNNING;
         }
     }
 
     /** Notes that an earlier owner may have started the task. */
-    public void doubt(Task task) {
-        task.become(Task.Status.UNCERTAIN);
+    public void markUncertain(Task task) {
+        task.changeStatus(Task.Status.UNCERTAIN);
     }
 
     /** Notes that no run of the task is in progress, so that it may be placed again. */
-    public void release(Task task) {
-        task.become(Task.Status.WAITING);
+    public void markWaiting(Task task) {
+        task.changeStatus(Task.Status.WAITING);
     }
 
     /**
@@ -232,60 +232,60 @@
      *
      * @return tasks that have become ready to be placed by it
      */
-    public List<Task> end(Task task, RunOutcome outcome, long nowMillis) {
+    public List<Task> recordRunEnd(Task task, RunOutcome outcome, long nowMillis) {
         if (task.status() == Task.Status.DONE) {
             return List.of();
         }
-        begun |= outcome != RunOutcome.NEVER_STARTED;
+        anyRunStarted |= outcome != RunOutcome.NEVER_STARTED;
         if (outcome == RunOutcome.DONE) {
-            return done(task, nowMillis);
+            return completeTask(task, nowMillis);
         }
         if (outcome == RunOutcome.CRASHED) {
-            task.crashed(task.lastRun());
+            task.recordCrash(task.lastRun());
         }
         if (outcome == RunOutcome.FAILED) {
-            task.failed();
+            task.recordFailure();
             if (!phase.isFinal() && task.failures() >= specification.terms().maximumAttempts()) {
                 finish(JobPhase.FAILED, nowMillis);
             }
         }
-        release(task);
-        if (!kept
-                && !begun
+        markWaiting(task);
+        if (!durable
+                && !anyRunStarted
                 && phase == JobPhase.RUNNING
                 && tasksIn(Task.Status.PLACED).isEmpty()) {
             // Its starts were all turned down, so that it can still be refused as not run when its turn doesn't come.
             phase = JobPhase.QUEUED;
-            shown = JobPhase.QUEUED;
+            reportedPhase = JobPhase.QUEUED;
         }
         return phase.isFinal() ? List.of() : List.of(task);
     }
 
-    private List<Task> done(Task task, long nowMillis) {
-        task.become(Task.Status.DONE);
-        open--;
+    private List<Task> completeTask(Task task, long nowMillis) {
+        task.changeStatus(Task.Status.DONE);
+        unfinished--;
         int step = task.key().step();
-        openInStep[step]--;
-        if (open == 0 && !phase.isFinal()) {
+        unfinishedInStep[step]--;
+        if (unfinished == 0 && !phase.isFinal()) {
             finish(JobPhase.COMPLETED, nowMillis);
         }
-        return openInStep[step] == 0 ? unblock() : List.of();
+        return unfinishedInStep[step] == 0 ? unblockTasks() : List.of();
     }
 
-    private List<Task> unblock() {
+    private List<Task> unblockTasks() {
         List<Task> ready = new ArrayList<>();
         for (Task task : tasks) {
-            if (task.status() == Task.Status.BLOCKED && isDone(task.step().after())) {
-                task.become(Task.Status.WAITING);
+            if (task.status() == Task.Status.BLOCKED && areDone(task.step().after())) {
+                task.changeStatus(Task.Status.WAITING);
                 ready.add(task);
             }
         }
         return ready;
     }
 
-    private boolean isDone(List<Integer> steps) {
+    private boolean areDone(List<Integer> steps) {
         for (int step : steps) {
-            if (openInStep[step] > 0) {
+            if (unfinishedInStep[step] > 0) {
                 return false;
             }
         }
@@ -299,8 +299,8 @@
     }
 
     /** Notes that the end is stored, so that callers may be told. */
-    public void endStored() {
-        shown = phase;
+    public void markEndStored() {
+        reportedPhase = phase;
     }
 
     /** Returns what the log has to keep of the job's course so far. */
@@ -310,13 +310,13 @@
         Map<Integer, CrashCount> crashes = new TreeMap<>();
         for (Task task : tasks) {
             if (task.status() == Task.Status.DONE) {
-                done.set(task.place());
+                done.set(task.position());
             }
             if (task.failures() > 0) {
-                failures.put(task.place(), task.failures());
+                failures.put(task.position(), task.failures());
             }
             if (task.crashes() != CrashCount.NONE) {
-                crashes.put(task.place(), task.crashes());
+                crashes.put(task.position(), task.crashes());
             }
         }
         return new JobProgress(phase, done, failures, crashes, endedAtMillis);
@@ -328,25 +328,25 @@
      *
      * @param firstRun lowest number that no run of an earlier owner can have
      */
-    public void restore(JobProgress kept, long firstRun) {
+    public void restore(JobProgress stored, long firstRun) {
         for (Task task : tasks) {
             task.restore(
-                    kept.failures().getOrDefault(task.place(), 0),
-                    kept.crashes().getOrDefault(task.place(), CrashCount.NONE),
+                    stored.failures().getOrDefault(task.position(), 0),
+                    stored.crashes().getOrDefault(task.position(), CrashCount.NONE),
                     firstRun - 1);
-            if (kept.done().get(task.place())) {
-                done(task, kept.endedAtMillis());
+            if (stored.done().get(task.position())) {
+                completeTask(task, stored.endedAtMillis());
             }
         }
-        if (kept.phase().isFinal()) {
-            finish(kept.phase(), kept.endedAtMillis());
-            shown = phase;
+        if (stored.phase().isFinal()) {
+            finish(stored.phase(), stored.endedAtMillis());
+            reportedPhase = phase;
             return;
         }
-        phase = kept.phase();
-        shown = phase;
+        phase = stored.phase();
+        reportedPhase = phase;
         for (Task task : tasksIn(Task.Status.WAITING)) {
-            doubt(task);
+            markUncertain(task);
         }
     }
 }
--- a/library/src/main/java/org/chivetally/queue/JobCodec.java
+++ b/library/src/main/java/org/chivetally/queue/JobCodec.java
@@ -52,9 +52,9 @@
                 .setPreferredRack(traits.preferredRack())
                 .setMaximumPerWorker(traits.maximumPerWorker())
                 .setDuplicatesAllowed(traits.duplicatesAllowed())
-                .setFillsUnused(traits.fillsUnused())
+                .setFillsUnused(traits.usesIdleCapacity())
                 .setImage(traits.image())
-                .setTargetMillis(traits.targetMillis())
+                .setTargetMillis(traits.tailLatencyTargetMillis())
                 .build();
     }
 
@@ -130,9 +130,9 @@
     public static byte[] encode(JobProgress progress) {
         StoredProgress.Builder stored = StoredProgress.newBuilder();
         progress.crashes()
-                .forEach((place, count) -> stored.putCrashes(place, count.crashes())
-                        .putCrashedRuns(place, count.newestRun())
-                        .putBoundedStarts(place, count.boundedStarts()));
+                .forEach((position, count) -> stored.putCrashes(position, count.crashes())
+                        .putCrashedRuns(position, count.newestRun())
+                        .putBoundedStarts(position, count.boundedStarts()));
         return stored.setPhase(encode(progress.phase()))
                 .setDone(ByteString.copyFrom(progress.done().toByteArray()))
                 .putAllFailures(progress.failures())
@@ -159,12 +159,12 @@
     private static Map<Integer, CrashCount> crashes(StoredProgress stored) {
         Map<Integer, CrashCount> crashes = new HashMap<>();
         stored.getCrashesMap()
-                .forEach((place, count) -> crashes.put(
-                        place,
+                .forEach((position, count) -> crashes.put(
+                        position,
                         new CrashCount(
                                 count,
-                                stored.getCrashedRunsOrDefault(place, 0),
-                                stored.getBoundedStartsOrDefault(place, 0))));
+                                stored.getCrashedRunsOrDefault(position, 0),
+                                stored.getBoundedStartsOrDefault(position, 0))));
         return crashes;
     }
 
--- a/library/src/main/java/org/chivetally/queue/JobSpecification.java
+++ b/library/src/main/java/org/chivetally/queue/JobSpecification.java
@@ -36,8 +36,8 @@
     }
 
     /** Returns the estimated milliseconds of the longest chain of steps. */
-    public long chainMillis() {
-        return chainMillis(place -> true);
+    public long criticalPathMillis() {
+        return criticalPathMillis(position -> true);
     }
 
     /**
@@ -45,26 +45,26 @@
      *
      * @param counts whether the step at a place counts; the others take no time
      */
-    public long chainMillis(IntPredicate counts) {
+    public long criticalPathMillis(IntPredicate included) {
         long[] ends = new long[steps.size()];
         long longest = 0;
-        for (int place = 0; place < steps.size(); place++) {
-            StepSpecification step = steps.get(place);
+        for (int position = 0; position < steps.size(); position++) {
+            StepSpecification step = steps.get(position);
             for (int earlier : step.after()) {
-                ends[place] = Math.max(ends[place], ends[earlier]);
+                ends[position] = Math.max(ends[position], ends[earlier]);
             }
-            ends[place] += counts.test(place) ? step.estimatedMillis() : 0;
-            longest = Math.max(longest, ends[place]);
+            ends[position] += included.test(position) ? step.estimatedMillis() : 0;
+            longest = Math.max(longest, ends[position]);
         }
         return longest;
     }
 
     /** Returns the processor milliseconds of all tasks, by their estimates. */
-    public long estimatedWork() {
-        long work = 0;
+    public long estimatedCoreMillis() {
+        long coreMillis = 0;
         for (StepSpecification step : steps) {
-            work += step.count() * step.room().processorMillis() * step.estimatedMillis() / 1000;
+            coreMillis += step.count() * step.room().processorMillis() * step.estimatedMillis() / 1000;
         }
-        return work;
+        return coreMillis;
     }
 }
--- a/library/src/main/java/org/chivetally/queue/QueueConfiguration.java
+++ b/library/src/main/java/org/chivetally/queue/QueueConfiguration.java
@@ -29,10 +29,10 @@
 
     /** Returns the route of a request: the longest prefix that its path begins with. */
     public Optional<QueueRoute> route(String host, String path) {
-        Map<String, QueueRoute> prefixes = byHost.getOrDefault(host, Map.of());
+        Map<String, QueueRoute> byPrefix = byHost.getOrDefault(host, Map.of());
         // Looked up by each beginning of the path that ends in a slash, as there may be hundreds of routes.
         for (int end = path.lastIndexOf('/'); end >= 0; end = path.lastIndexOf('/', end - 1)) {
-            QueueRoute route = prefixes.get(path.substring(0, end + 1));
+            QueueRoute route = byPrefix.get(path.substring(0, end + 1));
             if (route != null) {
                 return Optional.of(route);
             }
@@ -46,8 +46,8 @@
     /** Returns the number of routes. */
     public int size() {
         int count = 0;
-        for (Map<String, QueueRoute> prefixes : byHost.values()) {
-            count += prefixes.size();
+        for (Map<String, QueueRoute> byPrefix : byHost.values()) {
+            count += byPrefix.size();
         }
         return count;
     }
--- a/library/src/main/java/org/chivetally/queue/RefusalReason.java
+++ b/library/src/main/java/org/chivetally/queue/RefusalReason.java
@@ -7,13 +7,13 @@
     /** What waits already takes longer than the caller allows. */
     BACKLOG("backlog", true),
     /** All room goes to jobs that can still end within their objective. */
-    OVERTAKEN("overtaken", true),
+    DEPRIORITIZED("overtaken", true),
     /** There was no room until it was too late. */
     NOT_STARTED_IN_TIME("not started in time", true),
     /** The process stops before the job could end. */
     STOPPING("stopping", false),
     /** The process stood still, and the caller may have sent the job again elsewhere meanwhile. */
-    STOOD_STILL("stood still", false),
+    STALLED("stood still", false),
     /** Operators have evacuated all failure domains that have workers for the job. */
     EVACUATED("evacuated", false),
     /** The log takes no writes now, so the job can't be kept. */
--- a/library/src/main/java/org/chivetally/queue/StepTraits.java
+++ b/library/src/main/java/org/chivetally/queue/StepTraits.java
@@ -12,9 +12,9 @@
  * @param preferredRack rack that holds its data; empty for none
  * @param maximumPerWorker most tasks of the step on one worker; 0 for no limit
  * @param duplicatesAllowed whether copies of a task may run at the same time
- * @param fillsUnused whether it runs on what other tasks leave unused
+ * @param usesIdleCapacity whether it runs on what other tasks leave unused
  * @param image what its tasks run
- * @param targetMillis bound of its users' response time tail in milliseconds; 0 for none
+ * @param tailLatencyTargetMillis bound of its users' response time tail in milliseconds; 0 for none
  */
 public record StepTraits(
         boolean checkpointing,
@@ -24,9 +24,9 @@
         String preferredRack,
         int maximumPerWorker,
         boolean duplicatesAllowed,
-        boolean fillsUnused,
+        boolean usesIdleCapacity,
         String image,
-        int targetMillis) {
+        int tailLatencyTargetMillis) {
     /** No wishes. */
     public static final StepTraits NONE = new StepTraits(false, false, false, "", "", 0, false, false, "", 0);
 
--- a/library/src/main/java/org/chivetally/queue/Task.java
+++ b/library/src/main/java/org/chivetally/queue/Task.java
@@ -21,18 +21,18 @@
 
     private final Job job;
     private final TaskKey key;
-    private final int place;
+    private final int position;
     private Status status;
     private long lastRun;
     private String worker = "";
-    private String failedAt = "";
+    private String lastFailedWorker = "";
     private int failures;
     private CrashCount crashes = CrashCount.NONE;
 
-    Task(Job job, TaskKey key, int place, Status status) {
+    Task(Job job, TaskKey key, int position, Status status) {
         this.job = job;
         this.key = key;
-        this.place = place;
+        this.position = position;
         this.status = status;
     }
 
@@ -47,8 +47,8 @@
     }
 
     /** Returns the place among all tasks of the job, in the order of steps and indexes. */
-    public int place() {
-        return place;
+    public int position() {
+        return position;
     }
 
     /** Returns where the task stands. */
@@ -72,8 +72,8 @@
     }
 
     /** Returns the worker where the last failed run was, so that the next one may go elsewhere; empty for none. */
-    public Optional<String> failedAt() {
-        return failedAt.isEmpty() ? Optional.empty() : Optional.of(failedAt);
+    public Optional<String> lastFailedWorker() {
+        return lastFailedWorker.isEmpty() ? Optional.empty() : Optional.of(lastFailedWorker);
     }
 
     /** Returns the number of the newest run. */
@@ -92,32 +92,32 @@
     }
 
     /** Notes that a minion crashed under a run; tells whether that was not known. */
-    public boolean crashed(long run) {
+    public boolean recordCrash(long run) {
         CrashCount before = crashes;
         crashes = crashes.plus(run);
         return crashes != before;
     }
 
     /** Counts starts after the third crash, or takes back what was counted and not carried out. */
-    public void countStarts(int more) {
-        crashes = crashes.withStarts(more);
+    public void adjustBoundedStarts(int change) {
+        crashes = crashes.withStarts(change);
     }
 
-    void become(Status next) {
+    void changeStatus(Status next) {
         status = next;
         if (next != Status.PLACED) {
             worker = "";
         }
     }
 
-    void placed(String at, long run) {
+    void recordPlacement(String placedOn, long run) {
         status = Status.PLACED;
-        worker = at;
+        worker = placedOn;
         lastRun = Math.max(lastRun, run);
     }
 
-    void failed() {
-        failedAt = worker;
+    void recordFailure() {
+        lastFailedWorker = worker;
         failures++;
     }
 
--- a/library/src/main/java/org/chivetally/queue/agent/AgentNode.java
+++ b/library/src/main/java/org/chivetally/queue/agent/AgentNode.java
@@ -221,7 +221,7 @@
     /** Goes by the newest evacuations that any entry has read; what runs here ends by itself. */
     private void evacuations(Evacuations told) {
         boolean before = isEvacuated();
-        evacuations = evacuations.newest(told);
+        evacuations = evacuations.newerOf(told);
         boolean evacuated = isEvacuated();
         if (evacuated == before) {
             return;
@@ -237,7 +237,7 @@
     }
 
     private boolean isEvacuated() {
-        return evacuations.cover(self.failureDomain());
+        return evacuations.includes(self.failureDomain());
     }
 
     private boolean isAccepting() {
--- a/library/src/main/java/org/chivetally/queue/entry/EntryNode.java
+++ b/library/src/main/java/org/chivetally/queue/entry/EntryNode.java
@@ -231,7 +231,7 @@
      */
     public void evacuations(Evacuations read) {
         Evacuations before = evacuations;
-        evacuations = evacuations.newest(read);
+        evacuations = evacuations.newerOf(read);
         runs.shares().evacuations(evacuations);
         if (!evacuations.failureDomains().equals(before.failureDomains())) {
             EventLine.of("evacuations-read")
--- a/library/src/main/java/org/chivetally/queue/entry/PartitionOwner.java
+++ b/library/src/main/java/org/chivetally/queue/entry/PartitionOwner.java
@@ -237,7 +237,7 @@
         for (Job job : jobs.values()) {
             for (Task task : job.tasksIn(Task.Status.UNCERTAIN)) {
                 if (!uncounted.contains(task)) {
-                    job.release(task);
+                    job.markWaiting(task);
                     released.add(task);
                 }
             }
@@ -329,7 +329,7 @@
         }
         Job job = jobs.get(id);
         if (job != null) {
-            return new JobAnswer.State(job.shownPhase());
+            return new JobAnswer.State(job.reportedPhase());
         }
         Ended end = ended.get(id);
         if (end != null) {
@@ -365,7 +365,7 @@
     public void ended(Task task, RunOutcome outcome, Runnable kept) {
         Job job = task.job();
         boolean wasFinal = job.phase().isFinal();
-        List<Task> ready = job.end(task, outcome, timers.epochMillis());
+        List<Task> ready = job.recordRunEnd(task, outcome, timers.epochMillis());
         if (!wasFinal) {
             judge(task, outcome);
         }
@@ -403,14 +403,14 @@
             return;
         }
         for (Task task : tasks) {
-            task.job().doubt(task);
+            task.job().markUncertain(task);
         }
     }
 
     @Override
     public void crashedBefore(Task task, long run, Runnable kept) {
         Job job = task.job();
-        if (job.phase().isFinal() || task.status() == Task.Status.DONE || !task.crashed(run)) {
+        if (job.phase().isFinal() || task.status() == Task.Status.DONE || !task.recordCrash(run)) {
             toldAgain(task, kept);
             return;
         }
@@ -418,7 +418,7 @@
         if (task.status() == Task.Status.PLACED
                 && CrashPolicy.isBounded(task.crashes().crashes())) {
             // It was started before anybody here knew of this crash.
-            task.countStarts(1);
+            task.adjustBoundedStarts(1);
         }
         if (overLimit) {
             giveUp(task);
@@ -456,7 +456,7 @@
     private void judge(Task task, RunOutcome outcome) {
         if (outcome == RunOutcome.NEVER_STARTED
                 && CrashPolicy.isBounded(task.crashes().crashes())) {
-            task.countStarts(-1);
+            task.adjustBoundedStarts(-1);
         }
         boolean overLimit = outcome == RunOutcome.CRASHED && crashes.crashed(task, task.lastRun());
         if (!task.job().phase().isFinal() && (overLimit || isUsedUp(task))) {
@@ -506,7 +506,7 @@
             writeEnd(job, stored -> {});
             return;
         }
-        task.countStarts(1);
+        task.adjustBoundedStarts(1);
         write(job, List.of(progressOf(job)), stored -> {
             boolean waits = task.status() == Task.Status.WAITING && !job.phase().isFinal();
             if (stored && waits && isReady()) {
@@ -549,7 +549,7 @@
     }
 
     private void endStored(Job job) {
-        job.endStored();
+        job.markEndStored();
         String id = job.specification().id();
         if (jobs.remove(id) == null) {
             return;
--- a/library/src/main/java/org/chivetally/queue/entry/QueueShares.java
+++ b/library/src/main/java/org/chivetally/queue/entry/QueueShares.java
@@ -100,7 +100,7 @@
         QueueTerms terms = job.specification().terms();
         long ahead = waiting.workAhead(terms.service(), terms.queue(), terms.priority());
         long now = timers.nanos();
-        if (ahead == 0 && !job.isHopeless(now)) {
+        if (ahead == 0 && !job.isTooLate(now)) {
             // Nothing waits before it, as is usual: no division is needed to tell that it has its turn at once.
             return Optional.empty();
         }
--- a/library/src/main/java/org/chivetally/queue/entry/RunCoordinator.java
+++ b/library/src/main/java/org/chivetally/queue/entry/RunCoordinator.java
@@ -404,7 +404,7 @@
 
     /** Returns where the job of a task is known; empty when its partition isn't this entry's any more. */
     private Optional<RunHome> homeOf(Task task) {
-        return task.job().isKept() ? ownerOf(task.key()).map(RunHome.class::cast) : Optional.of(unkept);
+        return task.job().isDurable() ? ownerOf(task.key()).map(RunHome.class::cast) : Optional.of(unkept);
     }
 
     private Optional<Task> task(TaskKey key) {
@@ -422,7 +422,7 @@
         boolean wanted = known.isPresent() && !known.get().job().phase().isFinal();
         if (wanted && known.get().status() == Task.Status.UNCERTAIN) {
             Task task = known.get();
-            task.job().place(task, worker.process(), run.getRun());
+            task.job().recordPlacement(task, worker.process(), run.getRun());
             worker.adopt(task, run.getRun(), timers.nanos());
             return;
         }
@@ -495,7 +495,7 @@
             return;
         }
         waiting.remove(task);
-        task.job().place(task, worker.process(), end.run().run());
+        task.job().recordPlacement(task, worker.process(), end.run().run());
         settle(worker, task, end.run().run(), end.outcome(), kept);
     }
 
@@ -602,7 +602,7 @@
         }
         for (Worker worker : slow) {
             for (Worker.Sent start : worker.overdue()) {
-                if (!start.task().job().isKept() && !start.task().job().phase().isFinal()) {
+                if (!start.task().job().isDurable() && !start.task().job().phase().isFinal()) {
                     stop(worker.process(), start.task().key(), start.run(), homeOf(start.task()));
                 }
             }
@@ -612,7 +612,7 @@
     private void giveUp(Worker worker, long silentNanos) {
         int count = 0;
         for (Worker.Sent start : worker.sent()) {
-            Duration absence = start.task().job().isKept() ? ABSENCE : UNKEPT_ABSENCE;
+            Duration absence = start.task().job().isDurable() ? ABSENCE : UNKEPT_ABSENCE;
             if (silentNanos > absence.toNanos()) {
                 finished(worker, start, RunOutcome.LOST, () -> {});
                 count++;
@@ -642,7 +642,7 @@
         long now = timers.nanos();
         double expectedMillis = placement.expectedMillis(task);
         Worker.Sent sent = worker.send(task, run, now, expectedMillis);
-        task.job().place(task, worker.process(), run);
+        task.job().recordPlacement(task, worker.process(), run);
         // One that shares the worker with another suspect would be refused, were it sent as one.
         boolean isolated = crashes.isSuspect(task) && !worker.holdsSuspect();
         if (isolated) {
--- a/library/src/main/java/org/chivetally/queue/entry/ServiceShares.java
+++ b/library/src/main/java/org/chivetally/queue/entry/ServiceShares.java
@@ -100,7 +100,7 @@
             if (!worker.view().service().equals(service)) {
                 continue;
             }
-            if (!evacuations.cover(worker.view().failureDomain())) {
+            if (!evacuations.includes(worker.view().failureDomain())) {
                 return false;
             }
             any = true;
--- a/library/src/main/java/org/chivetally/queue/entry/UnkeptJobs.java
+++ b/library/src/main/java/org/chivetally/queue/entry/UnkeptJobs.java
@@ -97,7 +97,7 @@
 
     private Optional<JobAnswer.Refused> refusal(Job job) {
         if (admission.hasStoodStill()) {
-            return Optional.of(new JobAnswer.Refused(RefusalReason.STOOD_STILL, RETRY));
+            return Optional.of(new JobAnswer.Refused(RefusalReason.STALLED, RETRY));
         }
         if (stopsAtNanos.isPresent() && endsAfter(job, stopsAtNanos.getAsLong())) {
             return Optional.of(new JobAnswer.Refused(RefusalReason.STOPPING, RETRY));
@@ -107,7 +107,7 @@
 
     private boolean endsAfter(Job job, long limitNanos) {
         long estimate = Duration.ofMillis(
-                        STOPPING_ESTIMATES * job.specification().chainMillis())
+                        STOPPING_ESTIMATES * job.specification().criticalPathMillis())
                 .toNanos();
         return timers.nanos() + estimate > limitNanos;
     }
@@ -138,7 +138,7 @@
     void refuseHopeless() {
         long now = timers.nanos();
         for (Open candidate : new ArrayList<>(open.values())) {
-            if (candidate.job.phase() == JobPhase.QUEUED && candidate.job.isHopeless(now)) {
+            if (candidate.job.phase() == JobPhase.QUEUED && candidate.job.isTooLate(now)) {
                 refuse(candidate, RefusalReason.NOT_STARTED_IN_TIME);
             }
         }
@@ -148,7 +148,7 @@
     void refuseOvertaken(Job job) {
         Open candidate = open.get(job.specification().id());
         if (candidate != null && candidate.job == job) {
-            refuse(candidate, RefusalReason.OVERTAKEN);
+            refuse(candidate, RefusalReason.DEPRIORITIZED);
         }
     }
 
@@ -186,7 +186,7 @@
                 .with("reason", reason)
                 .with("tasks", job.specification().taskCount())
                 .with("age_ms", (timers.nanos() - job.acceptedAtNanos()) / 1_000_000)
-                .with("left_ms", (job.limitNanos() - timers.nanos()) / 1_000_000)
+                .with("left_ms", (job.usefulUntilNanos() - timers.nanos()) / 1_000_000)
                 .log(LOGGER.atInfo());
     }
 
@@ -199,7 +199,7 @@
     public void ended(Task task, RunOutcome outcome, Runnable kept) {
         kept.run();
         Open known = open.get(task.key().jobId());
-        List<Task> ready = task.job().end(task, outcome, timers.epochMillis());
+        List<Task> ready = task.job().recordRunEnd(task, outcome, timers.epochMillis());
         if (known == null || known.job != task.job()) {
             return;
         }
--- a/library/src/main/java/org/chivetally/queue/placement/AdmissionPolicy.java
+++ b/library/src/main/java/org/chivetally/queue/placement/AdmissionPolicy.java
@@ -34,8 +34,8 @@
             return Optional.empty();
         }
         double waitMillis = 1000.0 * workAhead / processorMillis;
-        double leftMillis = (job.limitNanos() - nowNanos) / 1e6;
-        if (waitMillis + job.specification().chainMillis() <= SHARE_OF_LIMIT * leftMillis) {
+        double leftMillis = (job.usefulUntilNanos() - nowNanos) / 1e6;
+        if (waitMillis + job.specification().criticalPathMillis() <= SHARE_OF_LIMIT * leftMillis) {
             return Optional.empty();
         }
         Duration drain = Duration.ofMillis((long) waitMillis);
--- a/library/src/main/java/org/chivetally/queue/placement/ArrivalRate.java
+++ b/library/src/main/java/org/chivetally/queue/placement/ArrivalRate.java
@@ -12,8 +12,8 @@
 
     /** Notes a job. One that lasts longer than the memory counts with what it takes in that time. */
     public void arrived(JobSpecification job, long nowNanos) {
-        double part = Math.min(1, (double) MEMORY.toMillis() / Math.max(1, job.chainMillis()));
-        work.add(part * job.estimatedWork(), nowNanos);
+        double part = Math.min(1, (double) MEMORY.toMillis() / Math.max(1, job.criticalPathMillis()));
+        work.add(part * job.estimatedCoreMillis(), nowNanos);
     }
 
     /** Returns the processors, in thousandths, that what comes keeps busy. */
--- a/library/src/main/java/org/chivetally/queue/placement/PlacementPolicy.java
+++ b/library/src/main/java/org/chivetally/queue/placement/PlacementPolicy.java
@@ -185,7 +185,7 @@
             boolean suspect = isSuspect(task);
             Optional<Worker> worker = choose(task, part, suspect);
             boolean alone = worker.isPresent() || !suspect;
-            return alone || !crashes.isUrgent(nowNanos, task.job().lastStartNanos())
+            return alone || !crashes.isUrgent(nowNanos, task.job().latestStartNanos())
                     ? worker
                     : choose(task, part, false);
         }
@@ -292,7 +292,7 @@
 
         /** Tells whether there is a sound worker for the task where it has not just failed, with room or without. */
         private boolean isPossibleElsewhere(Task task) {
-            if (task.failedAt().isEmpty()) {
+            if (task.lastFailedWorker().isEmpty()) {
                 return false;
             }
             for (Worker worker : open) {
@@ -325,7 +325,7 @@
     }
 
     private static boolean failedAt(Task task, Worker worker) {
-        return task.failedAt().isPresent() && task.failedAt().get().equals(worker.process());
+        return task.lastFailedWorker().isPresent() && task.lastFailedWorker().get().equals(worker.process());
     }
 
     /** Tells whether a worker is allowed to run the task, whether it has room or not. */
--- a/library/src/main/java/org/chivetally/queue/placement/Turns.java
+++ b/library/src/main/java/org/chivetally/queue/placement/Turns.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Optional;
-import org.chivetally.queue.Outlook;
+import org.chivetally.queue.CompletionForecast;
 import org.chivetally.queue.Room;
 import org.chivetally.queue.Task;
 import org.chivetally.queue.share.Division;
@@ -77,7 +77,7 @@
         Task task = current.entry.task();
         boolean anywhere = task.step().traits().requiredLabel().isEmpty()
                 && task.step().traits().maximumPerWorker() == 0
-                && task.failedAt().isEmpty();
+                && task.lastFailedWorker().isEmpty();
         if (anywhere) {
             lacking = task.room();
         }
@@ -105,8 +105,8 @@
         }
 
         private boolean isBefore(Head other) {
-            boolean hopeless = entry.reach() == Outlook.Reach.HOPELESS;
-            if (hopeless != (other.entry.reach() == Outlook.Reach.HOPELESS)) {
+            boolean hopeless = entry.reach() == CompletionForecast.Timeliness.TOO_LATE;
+            if (hopeless != (other.entry.reach() == CompletionForecast.Timeliness.TOO_LATE)) {
                 return !hopeless;
             }
             if (isBelowShare() != other.isBelowShare()) {
--- a/library/src/main/java/org/chivetally/queue/placement/WaitingLine.java
+++ b/library/src/main/java/org/chivetally/queue/placement/WaitingLine.java
@@ -5,7 +5,7 @@
 import java.util.NavigableSet;
 import java.util.TreeMap;
 import java.util.TreeSet;
-import org.chivetally.queue.Outlook;
+import org.chivetally.queue.CompletionForecast;
 
 /**
  * Waiting tasks of one service, or of one queue of it, in order and with their sums. The sums are asked for with each
@@ -32,7 +32,7 @@
     private void count(WaitingTask entry, int sign) {
         work += sign * entry.work();
         processorMillis += (long) sign * entry.task().room().processorMillis();
-        if (entry.reach() == Outlook.Reach.IN_TIME) {
+        if (entry.reach() == CompletionForecast.Timeliness.ON_TIME) {
             inTimeWork.merge(entry.priority(), sign * entry.work(), Long::sum);
         }
     }
--- a/library/src/main/java/org/chivetally/queue/placement/WaitingTask.java
+++ b/library/src/main/java/org/chivetally/queue/placement/WaitingTask.java
@@ -1,7 +1,7 @@
 package org.chivetally.queue.placement;
 
 import java.util.Comparator;
-import org.chivetally.queue.Outlook;
+import org.chivetally.queue.CompletionForecast;
 import org.chivetally.queue.Task;
 
 /**
@@ -13,7 +13,7 @@
  * @param untilNanos last moment at which that is so
  * @param begun whether it goes before tasks of jobs of which nothing runs yet
  */
-record WaitingTask(Task task, int priority, Outlook.Reach reach, long untilNanos, boolean begun) {
+record WaitingTask(Task task, int priority, CompletionForecast.Timeliness reach, long untilNanos, boolean begun) {
     // Written out: comparators that are put together are serializable lambdas, which the JVM generates at each start.
     /** Order in which tasks are placed. */
     static final Comparator<WaitingTask> ORDER = WaitingTask::compare;
@@ -41,7 +41,7 @@
             String leftId = left.job().specification().id();
             order = leftId.compareTo(right.job().specification().id());
         }
-        return order != 0 ? order : Integer.compare(left.place(), right.place());
+        return order != 0 ? order : Integer.compare(left.position(), right.position());
     }
 
     /** Returns the estimated processor milliseconds. */
--- a/library/src/main/java/org/chivetally/queue/placement/WaitingTasks.java
+++ b/library/src/main/java/org/chivetally/queue/placement/WaitingTasks.java
@@ -13,7 +13,7 @@
 import java.util.TreeSet;
 import org.chivetally.queue.Job;
 import org.chivetally.queue.JobPhase;
-import org.chivetally.queue.Outlook;
+import org.chivetally.queue.CompletionForecast;
 import org.chivetally.queue.QueueTerms;
 import org.chivetally.queue.Task;
 import org.chivetally.queue.share.Division;
@@ -59,10 +59,10 @@
     /** Adds a task that may be placed. */
     public void add(Task task, long nowNanos) {
         remove(task);
-        Outlook outlook = task.job().outlook(nowNanos);
+        CompletionForecast outlook = task.job().completionForecast(nowNanos);
         QueueTerms terms = task.job().specification().terms();
         WaitingTask entry =
-                new WaitingTask(task, terms.priority(), outlook.reach(), outlook.untilNanos(), hasBegun(task.job()));
+                new WaitingTask(task, terms.priority(), outlook.timeliness(), outlook.validUntilNanos(), hasBegun(task.job()));
         entries.put(task, entry);
         byEndOfOutlook.add(entry);
         lines.computeIfAbsent(terms.service(), name -> new TreeMap<>())
@@ -139,7 +139,7 @@
         for (WaitingTask entry : inOrder) {
             Job job = entry.task().job();
             long waitNanos = spareMillis <= 0 ? Long.MAX_VALUE : 1_000_000_000L * work / spareMillis;
-            boolean overtaken = entry.reach() == Outlook.Reach.LATE && entry.untilNanos() - nowNanos < waitNanos;
+            boolean overtaken = entry.reach() == CompletionForecast.Timeliness.LATE && entry.untilNanos() - nowNanos < waitNanos;
             if (overtaken && job.phase() == JobPhase.QUEUED) {
                 jobs.add(job);
             } else {
--- a/library/src/main/java/org/chivetally/queue/share/QueueAdmission.java
+++ b/library/src/main/java/org/chivetally/queue/share/QueueAdmission.java
@@ -44,9 +44,9 @@
             return Optional.empty();
         }
         double waitMillis = 1000.0 * workAhead / reachMillis;
-        double leftMillis = (job.limitNanos() - nowNanos) / 1e6;
+        double leftMillis = (job.usefulUntilNanos() - nowNanos) / 1e6;
         double share = returning ? SHARE_OF_LIMIT_RETURNING : SHARE_OF_LIMIT;
-        if (waitMillis + job.specification().chainMillis() <= share * leftMillis) {
+        if (waitMillis + job.specification().criticalPathMillis() <= share * leftMillis) {
             return Optional.empty();
         }
         return Optional.of(retryAfter(job.specification().id(), workAhead, reachMillis));
--- a/library/src/test/java/org/chivetally/queue/JobTest.java
+++ b/library/src/test/java/org/chivetally/queue/JobTest.java
@@ -15,23 +15,23 @@
     void isCompletedWhenItsLastTaskIsDoneAndShownSoOnlyOnceStored() {
         Job job = new Job(Jobs.of(ID, 2), 0);
         for (Task task : job.tasks()) {
-            job.place(task, "agent", 1);
-            job.end(task, RunOutcome.DONE, 5);
+            job.recordPlacement(task, "agent", 1);
+            job.recordRunEnd(task, RunOutcome.DONE, 5);
         }
         assertThat(job.phase(), is(JobPhase.COMPLETED));
-        assertThat(job.shownPhase(), is(JobPhase.RUNNING));
-        job.endStored();
-        assertThat(job.shownPhase(), is(JobPhase.COMPLETED));
+        assertThat(job.reportedPhase(), is(JobPhase.RUNNING));
+        job.markEndStored();
+        assertThat(job.reportedPhase(), is(JobPhase.COMPLETED));
     }
 
     @Test
     void failsWhenOneTaskHasUsedUpItsAttempts() {
         Job job = new Job(Jobs.of(ID, 2), 0);
         Task task = job.tasks().getFirst();
-        job.place(task, "agent", 1);
-        assertThat(job.end(task, RunOutcome.FAILED, 5), is(List.of(task)));
-        job.place(task, "agent", 2);
-        assertThat(job.end(task, RunOutcome.FAILED, 6), is(empty()));
+        job.recordPlacement(task, "agent", 1);
+        assertThat(job.recordRunEnd(task, RunOutcome.FAILED, 5), is(List.of(task)));
+        job.recordPlacement(task, "agent", 2);
+        assertThat(job.recordRunEnd(task, RunOutcome.FAILED, 6), is(empty()));
         assertThat(job.phase(), is(JobPhase.FAILED));
     }
 
@@ -41,8 +41,8 @@
         Task task = job.tasks().getFirst();
         for (RunOutcome outcome :
                 List.of(RunOutcome.STOPPED, RunOutcome.LAPSED, RunOutcome.LOST, RunOutcome.NEVER_STARTED)) {
-            job.place(task, "agent", task.lastRun() + 1);
-            assertThat(job.end(task, outcome, 5), is(List.of(task)));
+            job.recordPlacement(task, "agent", task.lastRun() + 1);
+            assertThat(job.recordRunEnd(task, outcome, 5), is(List.of(task)));
         }
         assertThat(task.failures(), is(0));
         assertThat(job.phase(), is(JobPhase.RUNNING));
@@ -57,14 +57,14 @@
         Job job = new Job(Jobs.of(ID, 2), 0, 9_000_000_000L);
         Task first = job.tasks().getFirst();
         Task second = job.tasks().getLast();
-        job.place(first, "agent", 1);
-        job.place(second, "agent", 1);
-        job.end(first, RunOutcome.NEVER_STARTED, 5);
+        job.recordPlacement(first, "agent", 1);
+        job.recordPlacement(second, "agent", 1);
+        job.recordRunEnd(first, RunOutcome.NEVER_STARTED, 5);
         assertThat(job.phase(), is(JobPhase.RUNNING));
-        job.end(second, RunOutcome.NEVER_STARTED, 5);
+        job.recordRunEnd(second, RunOutcome.NEVER_STARTED, 5);
         assertThat(job.phase(), is(JobPhase.QUEUED));
-        job.place(first, "agent", 2);
-        job.end(first, RunOutcome.LOST, 6);
+        job.recordPlacement(first, "agent", 2);
+        job.recordRunEnd(first, RunOutcome.LOST, 6);
         assertThat(job.phase(), is(JobPhase.RUNNING));
     }
 
@@ -73,10 +73,10 @@
         Job job = new Job(Jobs.chain(ID, 2, 3), 0);
         assertThat(job.tasksIn(Task.Status.WAITING), hasSize(2));
         List<Task> first = job.tasksIn(Task.Status.WAITING);
-        job.place(first.get(0), "agent", 1);
-        assertThat(job.end(first.get(0), RunOutcome.DONE, 5), is(empty()));
-        job.place(first.get(1), "agent", 1);
-        assertThat(job.end(first.get(1), RunOutcome.DONE, 6), hasSize(3));
+        job.recordPlacement(first.get(0), "agent", 1);
+        assertThat(job.recordRunEnd(first.get(0), RunOutcome.DONE, 5), is(empty()));
+        job.recordPlacement(first.get(1), "agent", 1);
+        assertThat(job.recordRunEnd(first.get(1), RunOutcome.DONE, 6), hasSize(3));
     }
 
     /**
@@ -87,8 +87,8 @@
     void isUncertainAboutUnfinishedTasksAfterARestore() {
         Job before = new Job(Jobs.chain(ID, 2, 1), 0);
         Task done = before.tasks().getFirst();
-        before.place(done, "agent", 1);
-        before.end(done, RunOutcome.DONE, 5);
+        before.recordPlacement(done, "agent", 1);
+        before.recordRunEnd(done, RunOutcome.DONE, 5);
 
         Job after = new Job(Jobs.chain(ID, 2, 1), 0);
         after.restore(JobCodec.decodeProgress(JobCodec.encode(before.progress())), 129);
--- a/library/src/test/java/org/chivetally/queue/placement/FleetReplay.java
+++ b/library/src/test/java/org/chivetally/queue/placement/FleetReplay.java
@@ -12,7 +12,7 @@
 import org.chivetally.queue.Job;
 import org.chivetally.queue.JobPhase;
 import org.chivetally.queue.JobSpecification;
-import org.chivetally.queue.Outlook;
+import org.chivetally.queue.CompletionForecast;
 import org.chivetally.queue.QueueTerms;
 import org.chivetally.queue.Room;
 import org.chivetally.queue.RunOutcome;
@@ -242,7 +242,7 @@
                 if (task.job().phase() == JobPhase.CANCELLED) {
                     continue;
                 }
-                if (task.job().outlook(nowNanos).reach() == Outlook.Reach.HOPELESS
+                if (task.job().completionForecast(nowNanos).timeliness() == CompletionForecast.Timeliness.TOO_LATE
                         && task.job().phase() == JobPhase.QUEUED) {
                     refuse(task.job());
                     continue;
@@ -266,7 +266,7 @@
             waiting.remove(task);
             long run = task.lastRun() + 1;
             Worker.Sent sent = worker.send(task, run, nowNanos, policy.expectedMillis(task));
-            task.job().place(task, worker.process(), run);
+            task.job().recordPlacement(task, worker.process(), run);
             Agent agent = agents.get(workers.indexOf(worker));
             placements.add(new Placement(nowNanos, number, agent.number));
             after(FRAME, () -> agent.start(this, sent));
@@ -285,7 +285,7 @@
             }
             worker.remove(sent.task().key());
             Job job = sent.task().job();
-            for (Task ready : job.end(sent.task(), outcome, 0)) {
+            for (Task ready : job.recordRunEnd(sent.task(), outcome, 0)) {
                 waiting.add(ready, nowNanos);
             }
             if (job.phase().isFinal()) {
--- a/library/src/test/java/org/chivetally/queue/placement/TurnsTest.java
+++ b/library/src/test/java/org/chivetally/queue/placement/TurnsTest.java
@@ -124,7 +124,7 @@
     void aJobThatHasBegunIsEndedBeforeAnotherBegins() {
         Job older = job("older", 0, 2, 0);
         Job begun = job("begun", 0, 2, 1);
-        begun.place(begun.tasks().getFirst(), "worker", 1);
+        begun.recordPlacement(begun.tasks().getFirst(), "worker", 1);
         waiting.remove(begun.tasks().getFirst());
         waiting.reorder(begun, 2);
         assertThat(placed(turns(60 * TASK), 9), contains("begun", "older", "older"));
@@ -140,10 +140,10 @@
         Job older = job("older", 0, 1, 0);
         Job turnedDown = job("turned-down", 0, 2, 1);
         Task first = turnedDown.tasks().getFirst();
-        turnedDown.place(first, "worker", 1);
+        turnedDown.recordPlacement(first, "worker", 1);
         waiting.remove(first);
         waiting.reorder(turnedDown, 2);
-        turnedDown.end(first, RunOutcome.NEVER_STARTED, 3);
+        turnedDown.recordRunEnd(first, RunOutcome.NEVER_STARTED, 3);
         waiting.add(first, 3);
         waiting.reorder(turnedDown, 3);
         assertThat(placed(turns(60 * TASK), 9), contains("older", "turned-down", "turned-down"));
@@ -156,7 +156,7 @@
         WaitingTasks plain = new WaitingTasks();
         Job older = new Job(Jobs.of("older", 1, 0, 100), 0, 60 * SECOND);
         Job begun = new Job(Jobs.of("begun", 2, 0, 100), 1, 60 * SECOND);
-        begun.place(begun.tasks().getFirst(), "worker", 1);
+        begun.recordPlacement(begun.tasks().getFirst(), "worker", 1);
         plain.add(begun.tasks().getLast(), 2);
         plain.add(older.tasks().getFirst(), 2);
         plain.reorder(begun, 2);
--- a/library/src/test/java/org/chivetally/queue/placement/WorstLoadTest.java
+++ b/library/src/test/java/org/chivetally/queue/placement/WorstLoadTest.java
@@ -19,7 +19,7 @@
 import org.chivetally.queue.Job;
 import org.chivetally.queue.JobPhase;
 import org.chivetally.queue.Jobs;
-import org.chivetally.queue.Outlook;
+import org.chivetally.queue.CompletionForecast;
 import org.chivetally.queue.Room;
 import org.chivetally.queue.RunOutcome;
 import org.chivetally.queue.Task;
@@ -121,7 +121,7 @@
                 untold.remove(job);
             }
         }
-        untold.removeIf(job -> job.phase() != JobPhase.QUEUED || !job.isHopeless(nowNanos));
+        untold.removeIf(job -> job.phase() != JobPhase.QUEUED || !job.isTooLate(nowNanos));
         assertThat((double) inTime / (3 * perSecond), greaterThan(0.55));
         assertThat(untold, is(empty()));
     }
@@ -166,7 +166,7 @@
         }
         run.worker().remove(run.task().key());
         RunOutcome outcome = run.fails() ? RunOutcome.FAILED : RunOutcome.DONE;
-        for (Task ready : job.end(run.task(), outcome, 0)) {
+        for (Task ready : job.recordRunEnd(run.task(), outcome, 0)) {
             waiting.add(ready, nowNanos);
         }
         if (open && job.phase().isFinal()) {
@@ -182,7 +182,7 @@
         }
         PlacementPolicy.Pass placement = policy.over(workers, nowNanos);
         for (Task task : waiting.first("reports", SLOTS)) {
-            if (task.job().phase().isFinal() || task.job().outlook(nowNanos).reach() == Outlook.Reach.HOPELESS) {
+            if (task.job().phase().isFinal() || task.job().completionForecast(nowNanos).timeliness() == CompletionForecast.Timeliness.TOO_LATE) {
                 waiting.remove(task);
                 continue;
             }
@@ -207,7 +207,7 @@
         waiting.remove(task);
         long run = task.lastRun() + 1;
         Worker.Sent sent = worker.send(task, run, nowNanos);
-        task.job().place(task, worker.process(), run);
+        task.job().recordPlacement(task, worker.process(), run);
         boolean fails = worker.process().equals(failingWorker);
         long work = fails ? MILLISECOND : 90 * MILLISECOND + random.nextInt((int) (20 * MILLISECOND));
         running.add(new Run(task, worker, sent, fails, nowNanos + work));
