--- a/library/src/main/java/org/chivetally/queue/agent/AgentNode.java
+++ b/library/src/main/java/org/chivetally/queue/agent/AgentNode.java
@@ -188,7 +188,7 @@
         switch (frame.getBodyCase()) {
             case ENTRY_BEAT -> entryBeat(link, frame.getEntryBeat());
             case BEAT_ECHO ->
-                link.stamps(link.peerStampNanos(), frame.getBeatEcho().getEchoNanos());
+                link.recordStamps(link.peerStampNanos(), frame.getBeatEcho().getEchoNanos());
             case RUN_START -> runStart(link, frame.getRunStart());
             case RUN_STOP -> runStop(frame.getRunStop());
             case ENDS_KEPT -> endsKept(frame.getEndsKept());
@@ -201,7 +201,7 @@
     }
 
     private void entryBeat(PeerLink link, EntryBeat beat) {
-        link.stamps(beat.getStampNanos(), beat.getEchoNanos());
+        link.recordStamps(beat.getStampNanos(), beat.getEchoNanos());
         agents = beat.getAgents();
         evacuations(JobCodec.decode(beat.getEvacuations()));
         boolean raised = false;
@@ -329,7 +329,7 @@
         }
         // A start proves that its owner has heard the agent, also before the first echo has come.
         // Without that, the lease is held back, and the first starts after a loss of all power are refused.
-        link.echoed(sentNanos);
+        link.recordEcho(sentNanos);
         if (!start.getUnkept()) {
             owners.raise(start.getPartition(), start.getEpoch(), link);
         }
@@ -478,7 +478,7 @@
         if (now - busyAtNanos < IDLE_AFTER.toNanos() || links.size() == 0) {
             return BEAT_INTERVAL;
         }
-        Duration silent = links.untilSilent();
+        Duration silent = links.untilNextSilenceTimeout();
         return silent.compareTo(IDLE_BEAT_INTERVAL) < 0 ? silent : IDLE_BEAT_INTERVAL;
     }
 
@@ -500,7 +500,7 @@
             aloneSinceNanos = now;
             search.run();
         }
-        links.closeSilent();
+        links.closeSilentLinks();
         owners.silent(supervisor.owners()).forEach(supervisor::stopAll);
         if (beats % BEATS_PER_REPEAT == 0) {
             tellOwners(supervisor.openEnds());
--- a/library/src/main/java/org/chivetally/queue/agent/DepartureCheck.java
+++ b/library/src/main/java/org/chivetally/queue/agent/DepartureCheck.java
@@ -53,7 +53,7 @@
     }
 
     /** Looks at the minion until it is gone or has been there long enough. */
-    void look() {
+    void check() {
         looks++;
         LookOrder order = new LookOrder(token.value(), 0, OptionalLong.empty(), Duration.ZERO);
         port.look(minion.id(), order, this::answered);
@@ -69,7 +69,7 @@
         if (isGone) {
             whenDeparted.run();
         } else if (looks < MOST_LOOKS) {
-            timers.after(PAUSE, this::look);
+            timers.after(PAUSE, this::check);
         } else {
             EventLine.of("departure-unfounded").with("minion", minion.name()).log(LOGGER.atWarning());
             whenPresent.run();
--- a/library/src/main/java/org/chivetally/queue/agent/RunCalls.java
+++ b/library/src/main/java/org/chivetally/queue/agent/RunCalls.java
@@ -50,7 +50,7 @@
         void unreachable();
 
         /** The minion is to be looked at soon. */
-        void look();
+        void check();
     }
 
     /** Sends a start. */
@@ -70,7 +70,7 @@
                 if (run.isStopWanted()) {
                     stop(at, run);
                 }
-                supervision.look();
+                supervision.check();
             }
             case StartAnswer.Rejected rejected -> {
                 logRejected(at, run, rejected.reason());
@@ -83,7 +83,7 @@
                 logRejected(at, run, unreachable.reason());
                 supervision.unreachable();
                 supervision.neverStarted(at, run);
-                supervision.look();
+                supervision.check();
             }
             case StartAnswer.Unknown unknown -> doubt(at, run, unknown.reason());
         }
@@ -108,7 +108,7 @@
                 .log(LOGGER.atWarning());
         run.become(HeldRun.Stage.DOUBTFUL, timers.nanos());
         timers.after(DOUBT_PAUSE, () -> resolve(at, run));
-        supervision.look();
+        supervision.check();
     }
 
     /**
@@ -133,7 +133,7 @@
         }
         if (taken) {
             run.stopAnswered(timers.nanos());
-            supervision.look();
+            supervision.check();
             return;
         }
         timers.after(STOP_RETRY, () -> {
@@ -150,7 +150,7 @@
                     .with("run", run)
                     .with("minion", at.name())
                     .log(LOGGER.atWarning());
-            port.stop(at.id(), run, token.value(), taken -> supervision.look());
+            port.stop(at.id(), run, token.value(), taken -> supervision.check());
         }
     }
 }
--- a/library/src/main/java/org/chivetally/queue/agent/RunOwners.java
+++ b/library/src/main/java/org/chivetally/queue/agent/RunOwners.java
@@ -105,7 +105,7 @@
      * @param ageNanos least time by which this agent's clock had gone on since, when the start was sent
      */
     boolean isValid(long stampNanos, long ageNanos) {
-        if (stampNanos < stampFloorNanos || ageNanos < 0 || ageNanos > LinkTable.SILENCE.toNanos()) {
+        if (stampNanos < stampFloorNanos || ageNanos < 0 || ageNanos > LinkTable.SILENCE_TIMEOUT.toNanos()) {
             return false;
         }
         long heldUpNanos = timers.nanos() - stampNanos - ageNanos;
@@ -168,7 +168,7 @@
 
     /** Takes what came before a suspension for old: it was meant for an agent that may have been given up since. */
     void lookForSuspension() {
-        long gap = suspension.look();
+        long gap = suspension.check();
         if (gap > 0) {
             stampFloorNanos = timers.nanos();
             EventLine.of("suspended").with("gap_ms", gap).log(LOGGER.atWarning());
--- a/library/src/main/java/org/chivetally/queue/agent/RunSupervisor.java
+++ b/library/src/main/java/org/chivetally/queue/agent/RunSupervisor.java
@@ -275,7 +275,7 @@
         if (same && !before.get().capacity().equals(now.capacity())) {
             capacityChanged(before.get().capacity(), now.capacity());
         }
-        look();
+        check();
     }
 
     private static MinionState update(MinionState before, MinionState reported) {
@@ -324,7 +324,7 @@
                         token,
                         () -> departureChecked(asked, true),
                         () -> departureChecked(asked, false))
-                .look();
+                .check();
         listener.roomChanged();
     }
 
@@ -432,7 +432,7 @@
         held.add(fresh);
         StartOrder order = new StartOrder(run, payload, until, token.value(), checkpoint);
         calls.start(minion.orElseThrow().incarnation(), fresh, order);
-        look();
+        check();
         return Optional.empty();
     }
 
@@ -467,11 +467,11 @@
             ends.keep(sequence);
         }
         if (ends.keptThrough() > keptSent) {
-            look();
+            check();
         }
     }
 
-    private void look() {
+    private void check() {
         if (lookInFlight || lookArmed || minion.isEmpty() || !isLookNeeded()) {
             return;
         }
@@ -492,7 +492,7 @@
                     && minion.get().incarnation().isSame(at)) {
                 looked(at, answer, now, order.keptThrough());
             } else {
-                look();
+                check();
             }
         });
     }
@@ -626,14 +626,14 @@
 
     private void lookAfter(Duration pause) {
         if (pause.isZero()) {
-            look();
+            check();
             return;
         }
         if (!lookArmed) {
             lookArmed = true;
             timers.after(pause, () -> {
                 lookArmed = false;
-                look();
+                check();
             });
         }
     }
@@ -688,8 +688,8 @@
         }
 
         @Override
-        public void look() {
-            RunSupervisor.this.look();
+        public void check() {
+            RunSupervisor.this.check();
         }
     }
 }
--- a/library/src/main/java/org/chivetally/queue/entry/EntryNode.java
+++ b/library/src/main/java/org/chivetally/queue/entry/EntryNode.java
@@ -144,7 +144,7 @@
                 partitions,
                 this::mayStart,
                 this::hasStoodStill,
-                stall::keptUpAtNanos,
+                stall::lastResponsiveNanos,
                 options.scheduling());
         this.startedAtNanos = timers.nanos();
         this.busyAtNanos = startedAtNanos;
@@ -160,7 +160,7 @@
 
     /** Notes that callers can reach the entry from now on. */
     public void opened() {
-        stall.opened();
+        stall.markListening();
     }
 
     /** Returns where callers are answered. */
@@ -267,13 +267,13 @@
     }
 
     private boolean hasStoodStill() {
-        long gap = suspension.look();
+        long gap = suspension.check();
         if (gap > 0) {
             EventLine.of("suspended").with("gap_ms", gap).log(LOGGER.atWarning());
             ownership.distrust();
-            stall.doubt();
+            stall.markStalled();
         }
-        return stall.look();
+        return stall.check();
     }
 
     // ---- links ----
@@ -293,7 +293,7 @@
     private void outdateAgentBeats() {
         for (PeerLink other : links.links()) {
             if (other.peer().agent()) {
-                other.outdateBeat();
+                other.makeHeartbeatDue();
             }
         }
     }
@@ -315,14 +315,14 @@
         switch (frame.getBodyCase()) {
             case ENTRY_BEAT -> entryBeat(link, frame.getEntryBeat());
             case AGENT_BEAT -> {
-                link.stamps(
+                link.recordStamps(
                         frame.getAgentBeat().getStampNanos(),
                         frame.getAgentBeat().getEchoNanos());
                 answerBeat(link);
                 runs.report(link, frame.getAgentBeat().getReport());
             }
             case RUN_INVENTORY -> {
-                link.stamps(frame.getRunInventory().getStampNanos(), link.echoNanos());
+                link.recordStamps(frame.getRunInventory().getStampNanos(), link.echoNanos());
                 runs.inventory(link, frame.getRunInventory());
             }
             case RUN_ENDS -> {
@@ -346,13 +346,13 @@
      */
     private void answerBeat(PeerLink link) {
         long now = timers.nanos();
-        if (link.isBeatDue(now, AGENT_BEAT_INTERVAL)) {
+        if (link.isHeartbeatDue(now, AGENT_BEAT_INTERVAL)) {
             sendBeat(link, link.peer().agent() ? List.of() : queueDemand());
             return;
         }
         Duration interval = runs.hasRunsAt(link.peer().process()) ? ECHO_INTERVAL : IDLE_ECHO_INTERVAL;
         if (link.isEchoDue(now, interval)) {
-            link.echoSent(now);
+            link.recordEchoSent(now);
             link.send(Frame.newBuilder()
                     .setBeatEcho(BeatEcho.newBuilder().setEchoNanos(link.peerStampNanos()))
                     .build());
@@ -360,7 +360,7 @@
     }
 
     private void entryBeat(PeerLink link, EntryBeat beat) {
-        link.stamps(beat.getStampNanos(), beat.getEchoNanos());
+        link.recordStamps(beat.getStampNanos(), beat.getEchoNanos());
         String process = link.peer().process();
         remoteOwners.values().removeIf(owner -> owner.process().equals(process));
         for (OwnedPartition owned : beat.getOwnedList()) {
@@ -412,7 +412,7 @@
         }
         runs.shares().entries(entries);
         runs.sweep();
-        links.closeSilent();
+        links.closeSilentLinks();
         beats++;
         if (beats % BEATS_PER_FORGETTING == 0) {
             forget();
@@ -440,7 +440,7 @@
     }
 
     private void sendBeat(PeerLink link, List<QueueDemand> queueDemand) {
-        link.beatSent(timers.nanos());
+        link.recordHeartbeatSent(timers.nanos());
         link.send(beatFor(link, queueDemand));
     }
 
--- a/library/src/main/java/org/chivetally/queue/entry/MemberDirectory.java
+++ b/library/src/main/java/org/chivetally/queue/entry/MemberDirectory.java
@@ -19,7 +19,7 @@
 import org.chivetally.queue.log.KeyedLog;
 import org.chivetally.queue.log.KeyedRecord;
 import org.chivetally.queue.log.LogStream;
-import org.chivetally.queue.log.NewestValues;
+import org.chivetally.queue.log.NewestValuesReader;
 import org.chivetally.queue.log.StreamTail;
 import org.chivetally.time.Timers;
 import org.chivetally.wire.v1.StoredMember;
@@ -114,7 +114,7 @@
 
     /** Reads the announcements once, tries on until the log has answered, and then tells that all were read. */
     public void readOnce(Consumer<Peer> listener, Runnable done) {
-        new NewestValues(log, timers, stream, RETRY_PAUSE, () -> true, entry -> take(entry, listener), done).start();
+        new NewestValuesReader(log, timers, stream, RETRY_PAUSE, () -> true, entry -> take(entry, listener), done).start();
     }
 
     /** Returns the minion with which a process was announced, as last read. */
@@ -128,7 +128,7 @@
     }
 
     private void take(KeyedRecord entry, Consumer<Peer> listener) {
-        if (entry.drops()) {
+        if (entry.isTombstone()) {
             members.remove(entry.key());
             minions.remove(entry.key());
             return;
--- a/library/src/main/java/org/chivetally/queue/entry/PartitionOwner.java
+++ b/library/src/main/java/org/chivetally/queue/entry/PartitionOwner.java
@@ -28,7 +28,7 @@
 import org.chivetally.queue.log.KeyedLog;
 import org.chivetally.queue.log.KeyedRecord;
 import org.chivetally.queue.log.LogStream;
-import org.chivetally.queue.log.NewestValues;
+import org.chivetally.queue.log.NewestValuesReader;
 import org.chivetally.queue.log.PartitionWriter;
 import org.chivetally.time.Timers;
 
@@ -163,7 +163,7 @@
 
     private void load() {
         Map<String, byte[]> records = new HashMap<>();
-        new NewestValues(
+        new NewestValuesReader(
                         log,
                         timers,
                         stream,
@@ -539,7 +539,7 @@
 
     private void writeEnd(Job job, Consumer<Boolean> answer) {
         String id = job.specification().id();
-        List<KeyedRecord> records = List.of(progressOf(job), KeyedRecord.dropping(JOB_PREFIX + id));
+        List<KeyedRecord> records = List.of(progressOf(job), KeyedRecord.tombstone(JOB_PREFIX + id));
         write(job, records, stored -> {
             if (stored) {
                 endStored(job);
@@ -573,7 +573,7 @@
         ended.entrySet().removeIf(entry -> {
             boolean old = entry.getValue().atMillis() < millis;
             if (old) {
-                drops.add(KeyedRecord.dropping(PROGRESS_PREFIX + entry.getKey()));
+                drops.add(KeyedRecord.tombstone(PROGRESS_PREFIX + entry.getKey()));
             }
             return old;
         });
--- a/library/src/main/java/org/chivetally/queue/entry/QueueShares.java
+++ b/library/src/main/java/org/chivetally/queue/entry/QueueShares.java
@@ -142,7 +142,7 @@
     }
 
     /** Looks which services are contended, and forgets entries that are gone. */
-    void look() {
+    void check() {
         long now = timers.nanos();
         elsewhere.forgetGone(now);
         silentEntries = elsewhere.of("", now).silent();
--- a/library/src/main/java/org/chivetally/queue/entry/RunCoordinator.java
+++ b/library/src/main/java/org/chivetally/queue/entry/RunCoordinator.java
@@ -573,7 +573,7 @@
         }
         moveFromSlowWorkers(now);
         refuseWithoutProspect(now);
-        queueShares.ifPresent(QueueShares::look);
+        queueShares.ifPresent(QueueShares::check);
         passes.arm();
     }
 
@@ -664,7 +664,7 @@
             placed = placed.with("stretch", Math.round(100 * worker.stretch()) / 100.0);
         }
         placed.log(LOGGER.atInfo());
-        link.echoSent(now);
+        link.recordEchoSent(now);
         link.send(Frame.newBuilder()
                 .setRunStart(RunStart.newBuilder()
                         .setNumber(sent.number())
--- a/library/src/main/java/org/chivetally/queue/link/LinkTable.java
+++ b/library/src/main/java/org/chivetally/queue/link/LinkTable.java
@@ -26,13 +26,13 @@
      * Silence after which a link is closed. Heartbeats come every 250 ms, and every 750 ms at most where there is no
      * work; a machine that is slowed five times over still gets one through in this time.
      */
-    public static final Duration SILENCE = Duration.ofMillis(1_500);
+    public static final Duration SILENCE_TIMEOUT = Duration.ofMillis(1_500);
 
     /** Pause before the first redial: a process that restarts takes about two seconds, so sooner is in vain. */
-    static final Duration FIRST_PAUSE = Duration.ofMillis(200);
+    static final Duration FIRST_REDIAL_DELAY = Duration.ofMillis(200);
 
     /** Longest pause between redials: bounds how long a peer that is back stays unseen. */
-    static final Duration LONGEST_PAUSE = Duration.ofMillis(1_000);
+    static final Duration LONGEST_REDIAL_DELAY = Duration.ofMillis(1_000);
 
     private final Peer self;
     private final Timers timers;
@@ -72,8 +72,8 @@
 
     /** Dials a peer whenever there is no link to it. A known peer's address is replaced by a newer incarnation's. */
     public void dial(Peer peer) {
-        Target known = targets.get(peer.process());
-        if (known != null && known.peer.incarnation() >= peer.incarnation()) {
+        Target existing = targets.get(peer.process());
+        if (existing != null && existing.peer.incarnation() >= peer.incarnation()) {
             return;
         }
         Target target = new Target(peer);
@@ -82,26 +82,26 @@
     }
 
     /** Returns the time after which the next link counts as silent unless it is heard before. */
-    public Duration untilSilent() {
+    public Duration untilNextSilenceTimeout() {
         long now = timers.nanos();
-        long least = SILENCE.toNanos();
+        long remaining = SILENCE_TIMEOUT.toNanos();
         for (PeerLink link : links.values()) {
-            least = Math.min(least, link.heardAtNanos() + SILENCE.toNanos() - now);
+            remaining = Math.min(remaining, link.lastReceivedNanos() + SILENCE_TIMEOUT.toNanos() - now);
         }
-        return Duration.ofNanos(Math.max(0, least));
+        return Duration.ofNanos(Math.max(0, remaining));
     }
 
     /** Closes links that have gone silent; to be called with each heartbeat, so that one wake-up serves both. */
-    public void closeSilent() {
+    public void closeSilentLinks() {
         long now = timers.nanos();
         for (PeerLink link : links()) {
-            if (now - link.heardAtNanos() >= SILENCE.toNanos()) {
-                drop(link, "silent");
+            if (now - link.lastReceivedNanos() >= SILENCE_TIMEOUT.toNanos()) {
+                closeLink(link, "silent");
             }
         }
     }
 
-    private void drop(PeerLink link, String reason) {
+    private void closeLink(PeerLink link, String reason) {
         link.connection().close();
         byConnection.remove(link.connection());
         if (!links.remove(link.peer().process(), link)) {
@@ -110,24 +110,24 @@
         EventLine.of("link-lost")
                 .with("peer", link.peer().process())
                 .with("incarnation", link.peer().incarnation())
-                .with("silent_ms", (timers.nanos() - link.heardAtNanos()) / 1_000_000)
+                .with("silent_ms", (timers.nanos() - link.lastReceivedNanos()) / 1_000_000)
                 .with("reason", reason)
                 .log(LOGGER.atWarning());
         listener.down(link, reason);
         Target target = targets.get(link.peer().process());
         if (target != null) {
-            target.redialLater();
+            target.scheduleRedial();
         }
     }
 
-    private void introduced(FrameConnection connection, Peer peer) {
-        PeerLink known = links.get(peer.process());
-        if (known != null && known.peer().incarnation() > peer.incarnation()) {
+    private void openLink(FrameConnection connection, Peer peer) {
+        PeerLink existing = links.get(peer.process());
+        if (existing != null && existing.peer().incarnation() > peer.incarnation()) {
             connection.close();
             return;
         }
-        if (known != null) {
-            drop(known, "replaced");
+        if (existing != null) {
+            closeLink(existing, "replaced");
         }
         PeerLink link = new PeerLink(peer, connection, timers.nanos());
         links.put(peer.process(), link);
@@ -138,7 +138,7 @@
                 .log(LOGGER.atInfo());
         Target target = targets.get(peer.process());
         if (target != null) {
-            target.pause = FIRST_PAUSE;
+            target.redialDelay = FIRST_REDIAL_DELAY;
         }
         listener.up(link);
     }
@@ -146,7 +146,7 @@
     /** A peer that is to be dialled. */
     private final class Target {
         private final Peer peer;
-        private Duration pause = FIRST_PAUSE;
+        private Duration redialDelay = FIRST_REDIAL_DELAY;
 
         private Target(Peer peer) {
             this.peer = peer;
@@ -158,14 +158,14 @@
             }
             Handshake handshake = new Handshake(Optional.of(this));
             // A connection can open and then stay silent for good, without a hello and without an error.
-            timers.after(SILENCE, handshake::abandonUnlessIntroduced);
+            timers.after(SILENCE_TIMEOUT, handshake::abandonWithoutHello);
             dialer.dial(peer.host(), peer.port(), handshake);
         }
 
-        private void redialLater() {
-            timers.after(pause, this::dial);
-            Duration longer = pause.multipliedBy(2);
-            pause = longer.compareTo(LONGEST_PAUSE) > 0 ? LONGEST_PAUSE : longer;
+        private void scheduleRedial() {
+            timers.after(redialDelay, this::dial);
+            Duration doubled = redialDelay.multipliedBy(2);
+            redialDelay = doubled.compareTo(LONGEST_REDIAL_DELAY) > 0 ? LONGEST_REDIAL_DELAY : doubled;
         }
     }
 
@@ -173,7 +173,7 @@
     private final class Handshake implements FrameListener {
         private final Optional<Target> target;
         private FrameConnection opened;
-        private boolean introduced;
+        private boolean helloReceived;
         private boolean ended;
 
         private Handshake(Optional<Target> target) {
@@ -190,35 +190,35 @@
         public void received(FrameConnection connection, Frame frame) {
             if (frame.getBodyCase() == Frame.BodyCase.LINK_HELLO) {
                 if (!ended) {
-                    introduced = true;
-                    introduced(connection, Peer.of(frame.getLinkHello()));
+                    helloReceived = true;
+                    openLink(connection, Peer.of(frame.getLinkHello()));
                 }
                 return;
             }
             linkOf(connection).ifPresent(newest -> {
-                newest.heard(timers.nanos());
+                newest.recordReceived(timers.nanos());
                 listener.received(newest, frame);
             });
         }
 
         @Override
         public void disconnected(FrameConnection connection, String reason) {
-            linkOf(connection).ifPresent(newest -> drop(newest, reason));
-            if (!introduced && !ended) {
+            linkOf(connection).ifPresent(newest -> closeLink(newest, reason));
+            if (!helloReceived && !ended) {
                 ended = true;
-                target.ifPresent(Target::redialLater);
+                target.ifPresent(Target::scheduleRedial);
             }
         }
 
-        private void abandonUnlessIntroduced() {
-            if (introduced || ended) {
+        private void abandonWithoutHello() {
+            if (helloReceived || ended) {
                 return;
             }
             ended = true;
             if (opened != null) {
                 opened.close();
             }
-            target.ifPresent(Target::redialLater);
+            target.ifPresent(Target::scheduleRedial);
         }
 
         /** Returns the link of a connection while it is the newest one to its peer. */
--- a/library/src/main/java/org/chivetally/queue/link/PeerLink.java
+++ b/library/src/main/java/org/chivetally/queue/link/PeerLink.java
@@ -11,22 +11,22 @@
      * Part of the time since a stamp came that isn't counted as its age. Clocks may differ by 2% in rate, and an age
      * that is too high would make a start that was held up look fresh.
      */
-    static final int AGE_MARGIN_PART = 16;
+    static final int AGE_MARGIN_DIVISOR = 16;
 
     private final Peer peer;
     private final FrameConnection connection;
-    private long heardAtNanos;
+    private long lastReceivedNanos;
     private long peerStampNanos;
-    private long stampHeardAtNanos;
+    private long stampReceivedNanos;
     private long echoNanos;
-    private OptionalLong echoSentAtNanos = OptionalLong.empty();
-    private OptionalLong beatSentAtNanos = OptionalLong.empty();
+    private OptionalLong lastEchoSentNanos = OptionalLong.empty();
+    private OptionalLong lastHeartbeatSentNanos = OptionalLong.empty();
 
     PeerLink(Peer peer, FrameConnection connection, long nowNanos) {
         this.peer = peer;
         this.connection = connection;
-        this.heardAtNanos = nowNanos;
-        this.stampHeardAtNanos = nowNanos;
+        this.lastReceivedNanos = nowNanos;
+        this.stampReceivedNanos = nowNanos;
     }
 
     /** Returns the far end. */
@@ -40,8 +40,8 @@
     }
 
     /** Returns when the last frame came, by the steady clock. */
-    public long heardAtNanos() {
-        return heardAtNanos;
+    public long lastReceivedNanos() {
+        return lastReceivedNanos;
     }
 
     /** Returns the newest stamp that the peer sent; 0 before the first one. */
@@ -55,8 +55,8 @@
      * however long the stamp was on its way.
      */
     public long stampAgeNanos(long atNanos) {
-        long age = Math.max(0, atNanos - stampHeardAtNanos);
-        return age - age / AGE_MARGIN_PART;
+        long age = Math.max(0, atNanos - stampReceivedNanos);
+        return age - age / AGE_MARGIN_DIVISOR;
     }
 
     /** Returns the newest stamp of this process that the peer has; 0 before the first one. */
@@ -68,47 +68,47 @@
      * Notes the stamps of a heartbeat that has just come. A heartbeat that was written before a start reports an older
      * echo than the start, which doesn't take the newer one back.
      */
-    public void stamps(long stampNanos, long echoedNanos) {
+    public void recordStamps(long stampNanos, long echoedNanos) {
         if (stampNanos != peerStampNanos) {
             peerStampNanos = stampNanos;
-            stampHeardAtNanos = heardAtNanos;
+            stampReceivedNanos = lastReceivedNanos;
         }
-        echoed(echoedNanos);
+        recordEcho(echoedNanos);
     }
 
     /** Notes that the peer has had a stamp of this process. */
-    public void echoed(long stampNanos) {
+    public void recordEcho(long stampNanos) {
         echoNanos = Math.max(echoNanos, stampNanos);
     }
 
     /** Notes that a frame with the peer's newest stamp goes out. */
-    public void echoSent(long nowNanos) {
-        echoSentAtNanos = OptionalLong.of(nowNanos);
+    public void recordEchoSent(long nowNanos) {
+        lastEchoSentNanos = OptionalLong.of(nowNanos);
     }
 
     /** Tells whether no frame with the peer's newest stamp has gone out for a time. */
     public boolean isEchoDue(long nowNanos, Duration interval) {
-        return echoSentAtNanos.isEmpty() || nowNanos - echoSentAtNanos.getAsLong() >= interval.toNanos();
+        return lastEchoSentNanos.isEmpty() || nowNanos - lastEchoSentNanos.getAsLong() >= interval.toNanos();
     }
 
     /** Notes that a full heartbeat goes out, which carries the peer's newest stamp too. */
-    public void beatSent(long nowNanos) {
-        beatSentAtNanos = OptionalLong.of(nowNanos);
-        echoSent(nowNanos);
+    public void recordHeartbeatSent(long nowNanos) {
+        lastHeartbeatSentNanos = OptionalLong.of(nowNanos);
+        recordEchoSent(nowNanos);
     }
 
     /** Makes a full heartbeat due, as the last one is no longer true. */
-    public void outdateBeat() {
-        beatSentAtNanos = OptionalLong.empty();
+    public void makeHeartbeatDue() {
+        lastHeartbeatSentNanos = OptionalLong.empty();
     }
 
     /** Tells whether no full heartbeat has gone out for a time. */
-    public boolean isBeatDue(long nowNanos, Duration interval) {
-        return beatSentAtNanos.isEmpty() || nowNanos - beatSentAtNanos.getAsLong() >= interval.toNanos();
+    public boolean isHeartbeatDue(long nowNanos, Duration interval) {
+        return lastHeartbeatSentNanos.isEmpty() || nowNanos - lastHeartbeatSentNanos.getAsLong() >= interval.toNanos();
     }
 
-    void heard(long nowNanos) {
-        heardAtNanos = nowNanos;
+    void recordReceived(long nowNanos) {
+        lastReceivedNanos = nowNanos;
     }
 
     FrameConnection connection() {
--- a/library/src/main/java/org/chivetally/queue/link/StallDetector.java
+++ b/library/src/main/java/org/chivetally/queue/link/StallDetector.java
@@ -17,48 +17,48 @@
      * Least time between two looks that counts. Looks come every 250 ms; a caller whose connection broke comes again
      * after 1.3 s, and a start is refused by its agent 0.6 s after the entry last kept up.
      */
-    static final Duration STALL = Duration.ofMillis(700);
+    static final Duration STALL_THRESHOLD = Duration.ofMillis(700);
 
     /**
      * Interval in which the process shows that it keeps up. While it reads what has waited, its timers fire late: a
      * request that had waited for three seconds was read 0.4 s after the process went on, and the end of its caller's
      * connection 0.6 s later still.
      */
-    static final Duration PROBE = Duration.ofMillis(50);
+    static final Duration PROBE_INTERVAL = Duration.ofMillis(50);
 
     /** Lateness of a timer up to which the process keeps up: a few requests are read in between. */
-    static final Duration PUNCTUAL = Duration.ofMillis(20);
+    static final Duration PROBE_LATENESS_LIMIT = Duration.ofMillis(20);
 
     /** Timers in a row that must be punctual, so that requests are doubtful for a quarter of a second at least. */
-    static final int PUNCTUAL_PROBES = 5;
+    static final int REQUIRED_PUNCTUAL_PROBES = 5;
 
     /**
      * Time between two looks up to which the process kept up in between: the interval of looks, and some lateness of a
      * small machine.
      */
-    static final Duration KEPT_UP = Duration.ofMillis(400);
+    static final Duration RESPONSIVE_GAP = Duration.ofMillis(400);
 
     /** Time from a late look in which what has waited in the sockets is read. */
-    static final Duration CATCHING_UP = Duration.ofMillis(200);
+    static final Duration CATCH_UP_TIME = Duration.ofMillis(200);
 
     /** Longest time for which requests are doubtful: a machine that stays slow must serve again. */
-    static final Duration LONGEST_DOUBT = Duration.ofSeconds(2);
+    static final Duration LONGEST_STALE_PERIOD = Duration.ofSeconds(2);
 
     private static final FluentLogger LOGGER = FluentLogger.forEnclosingClass();
 
     private final Timers timers;
-    private long lookedAtNanos;
-    private long doubtfulUntilNanos;
-    private long keptUpAtNanos;
+    private long lastCheckNanos;
+    private long staleUntilNanos;
+    private long lastResponsiveNanos;
     private long caughtUpAtNanos;
-    private int punctualProbes = PUNCTUAL_PROBES;
+    private int punctualProbes = REQUIRED_PUNCTUAL_PROBES;
 
     /** Creates a detector that compares from now on. */
     public StallDetector(Timers timers) {
         this.timers = timers;
-        this.lookedAtNanos = timers.nanos();
-        this.doubtfulUntilNanos = timers.nanos();
-        this.keptUpAtNanos = timers.nanos();
+        this.lastCheckNanos = timers.nanos();
+        this.staleUntilNanos = timers.nanos();
+        this.lastResponsiveNanos = timers.nanos();
         this.caughtUpAtNanos = timers.nanos();
     }
 
@@ -66,55 +66,55 @@
      * Notes that callers can reach the process from now on, so that nothing which is read can be older. A small entry
      * takes more than a second from its start to here, and would refuse everybody for two more.
      */
-    public void opened() {
-        lookedAtNanos = timers.nanos();
+    public void markListening() {
+        lastCheckNanos = timers.nanos();
     }
 
     /** Tells whether what is read now may be old; to be called regularly, and before anything new is taken on. */
-    public boolean look() {
+    public boolean check() {
         long now = timers.nanos();
-        long gap = now - lookedAtNanos;
-        lookedAtNanos = now;
-        if (gap > KEPT_UP.toNanos()) {
-            caughtUpAtNanos = now + CATCHING_UP.toNanos();
+        long gap = now - lastCheckNanos;
+        lastCheckNanos = now;
+        if (gap > RESPONSIVE_GAP.toNanos()) {
+            caughtUpAtNanos = now + CATCH_UP_TIME.toNanos();
         }
         if (now - caughtUpAtNanos >= 0) {
-            keptUpAtNanos = now;
+            lastResponsiveNanos = now;
         }
-        if (gap > STALL.toNanos()) {
+        if (gap > STALL_THRESHOLD.toNanos()) {
             EventLine.of("stood-still").with("gap_ms", gap / 1_000_000).log(LOGGER.atWarning());
-            doubt();
+            markStalled();
         }
-        return punctualProbes < PUNCTUAL_PROBES && now - doubtfulUntilNanos < 0;
+        return punctualProbes < REQUIRED_PUNCTUAL_PROBES && now - staleUntilNanos < 0;
     }
 
     /**
      * Returns the last look at which the process kept up. What it does now may be due to something that it should have
      * read soon after that look.
      */
-    public long keptUpAtNanos() {
-        return keptUpAtNanos;
+    public long lastResponsiveNanos() {
+        return lastResponsiveNanos;
     }
 
     /** Makes what is read doubtful, as somebody else has noticed that the process stood still. */
-    public void doubt() {
-        boolean watching = punctualProbes < PUNCTUAL_PROBES;
+    public void markStalled() {
+        boolean probing = punctualProbes < REQUIRED_PUNCTUAL_PROBES;
         punctualProbes = 0;
-        doubtfulUntilNanos = timers.nanos() + LONGEST_DOUBT.toNanos();
-        if (!watching) {
-            watch();
+        staleUntilNanos = timers.nanos() + LONGEST_STALE_PERIOD.toNanos();
+        if (!probing) {
+            scheduleProbe();
         }
     }
 
-    private void watch() {
-        long due = timers.nanos() + PROBE.toNanos();
-        timers.after(PROBE, () -> {
-            boolean punctual = timers.nanos() - due <= PUNCTUAL.toNanos();
+    private void scheduleProbe() {
+        long due = timers.nanos() + PROBE_INTERVAL.toNanos();
+        timers.after(PROBE_INTERVAL, () -> {
+            boolean punctual = timers.nanos() - due <= PROBE_LATENESS_LIMIT.toNanos();
             punctualProbes = punctual ? punctualProbes + 1 : 0;
-            if (punctualProbes < PUNCTUAL_PROBES && timers.nanos() - doubtfulUntilNanos < 0) {
-                watch();
+            if (punctualProbes < REQUIRED_PUNCTUAL_PROBES && timers.nanos() - staleUntilNanos < 0) {
+                scheduleProbe();
             } else {
-                punctualProbes = PUNCTUAL_PROBES;
+                punctualProbes = REQUIRED_PUNCTUAL_PROBES;
             }
         });
     }
--- a/library/src/main/java/org/chivetally/queue/link/SuspensionDetector.java
+++ b/library/src/main/java/org/chivetally/queue/link/SuspensionDetector.java
@@ -13,7 +13,7 @@
  */
 public final class SuspensionDetector {
     /** Least gap that counts: over the noise between both clocks, under the shortest lease of 1 s. */
-    static final long LEAST_GAP_MILLIS = Duration.ofMillis(500).toMillis();
+    static final long SHORTEST_SUSPENSION_MILLIS = Duration.ofMillis(500).toMillis();
 
     private final Timers timers;
     private long steadyNanos;
@@ -27,12 +27,12 @@
     }
 
     /** Returns the milliseconds that the machine seems to have stood still since the last look; 0 for none. */
-    public long look() {
+    public long check() {
         long steady = timers.nanos();
         long wall = timers.epochMillis();
         long gap = wall - wallMillis - (steady - steadyNanos) / 1_000_000;
         steadyNanos = steady;
         wallMillis = wall;
-        return gap >= LEAST_GAP_MILLIS ? gap : 0;
+        return gap >= SHORTEST_SUSPENSION_MILLIS ? gap : 0;
     }
 }
--- a/library/src/main/java/org/chivetally/queue/log/WriterStamp.java
+++ b/library/src/main/java/org/chivetally/queue/log/AppendId.java
@@ -9,9 +9,9 @@
  * @param epoch grows with each change of the writer; the log refuses lower ones
  * @param sequence number of the append in its epoch, without gaps
  */
-public record WriterStamp(String writer, long epoch, long sequence) {
+public record AppendId(String writer, long epoch, long sequence) {
     /** Refuses a missing name. */
-    public WriterStamp {
+    public AppendId {
         Objects.requireNonNull(writer, "writer");
     }
 }
--- a/library/src/main/java/org/chivetally/queue/log/KeyedLog.java
+++ b/library/src/main/java/org/chivetally/queue/log/KeyedLog.java
@@ -9,14 +9,14 @@
 public interface KeyedLog {
     /** Appends records, all or none. No records with a stamp only fence writers of lower epochs. */
     void append(
-            LogStream stream, Optional<WriterStamp> stamp, List<KeyedRecord> records, Consumer<AppendOutcome> answer);
+            LogStream stream, Optional<AppendId> id, List<KeyedRecord> records, Consumer<AppendOutcome> callback);
 
     /**
      * Looks at the newest values.
      *
      * @param afterKey last key of the page before; empty for the first page
      */
-    void newest(LogStream stream, String afterKey, Consumer<NewestOutcome> answer);
+    void readNewest(LogStream stream, String afterKey, Consumer<NewestOutcome> callback);
 
     /**
      * Reads records.
@@ -24,5 +24,5 @@
      * @param from offset of the first one
      * @param wait how long the log may wait for one
      */
-    void read(LogStream stream, long from, Duration wait, Consumer<ReadOutcome> answer);
+    void read(LogStream stream, long from, Duration maximumWait, Consumer<ReadOutcome> callback);
 }
--- a/library/src/main/java/org/chivetally/queue/log/KeyedRecord.java
+++ b/library/src/main/java/org/chivetally/queue/log/KeyedRecord.java
@@ -10,7 +10,7 @@
  */
 @SuppressWarnings("ArrayRecordComponent")
 public record KeyedRecord(String key, byte[] value) {
-    private static final byte[] NOTHING = new byte[0];
+    private static final byte[] EMPTY = new byte[0];
 
     /** Refuses missing parts. */
     public KeyedRecord {
@@ -19,17 +19,17 @@
     }
 
     /** Returns the record that drops a key. */
-    public static KeyedRecord dropping(String key) {
-        return new KeyedRecord(key, NOTHING);
+    public static KeyedRecord tombstone(String key) {
+        return new KeyedRecord(key, EMPTY);
     }
 
     /** Tells whether the record drops its key. */
-    public boolean drops() {
+    public boolean isTombstone() {
         return value.length == 0;
     }
 
     /** Returns the bytes that the record takes, about. */
-    public int bytes() {
+    public int approximateBytes() {
         return key.length() + value.length;
     }
 }
--- a/library/src/main/java/org/chivetally/queue/log/NewestValues.java
+++ b/library/src/main/java/org/chivetally/queue/log/NewestValuesReader.java
@@ -9,14 +9,14 @@
  * Reads the newest value of each key of a stream once, page by page. A page that the log does not give is asked for
  * again until it does; nothing more is told once the reader has lost interest.
  */
-public final class NewestValues {
+public final class NewestValuesReader {
     private final KeyedLog log;
     private final Timers timers;
     private final LogStream stream;
-    private final Duration retry;
-    private final BooleanSupplier wanted;
+    private final Duration retryDelay;
+    private final BooleanSupplier stillNeeded;
     private final Consumer<KeyedRecord> listener;
-    private final Runnable done;
+    private final Runnable completion;
 
     /**
      * Creates a reading that has yet to be started.
@@ -26,21 +26,21 @@
      * @param listener told about each value, in the order of the keys
      * @param done run after the last one
      */
-    public NewestValues(
+    public NewestValuesReader(
             KeyedLog log,
             Timers timers,
             LogStream stream,
-            Duration retry,
-            BooleanSupplier wanted,
+            Duration retryDelay,
+            BooleanSupplier stillNeeded,
             Consumer<KeyedRecord> listener,
-            Runnable done) {
+            Runnable completion) {
         this.log = log;
         this.timers = timers;
         this.stream = stream;
-        this.retry = retry;
-        this.wanted = wanted;
+        this.retryDelay = retryDelay;
+        this.stillNeeded = stillNeeded;
         this.listener = listener;
-        this.done = done;
+        this.completion = completion;
     }
 
     /** Begins to read. */
@@ -48,24 +48,24 @@
         readAfter("");
     }
 
-    private void readAfter(String key) {
-        log.newest(stream, key, outcome -> {
-            if (!wanted.getAsBoolean()) {
+    private void readAfter(String afterKey) {
+        log.readNewest(stream, afterKey, outcome -> {
+            if (!stillNeeded.getAsBoolean()) {
                 return;
             }
             switch (outcome) {
-                case NewestOutcome.Page page -> took(page);
-                case NewestOutcome.Unavailable unavailable -> timers.after(retry, () -> readAfter(key));
+                case NewestOutcome.Page page -> deliver(page);
+                case NewestOutcome.Unavailable unavailable -> timers.after(retryDelay, () -> readAfter(afterKey));
             }
         });
     }
 
-    private void took(NewestOutcome.Page page) {
+    private void deliver(NewestOutcome.Page page) {
         page.items().forEach(listener);
         if (page.hasMore() && !page.items().isEmpty()) {
             readAfter(page.items().getLast().key());
         } else {
-            done.run();
+            completion.run();
         }
     }
 }
--- a/library/src/main/java/org/chivetally/queue/log/OwnershipGroup.java
+++ b/library/src/main/java/org/chivetally/queue/log/OwnershipGroup.java
@@ -13,7 +13,7 @@
      * @param generation last generation that the member learned; 0 at first
      * @param timeToLive how long the member counts without another call
      */
-    void join(String member, long generation, Duration timeToLive, Consumer<JoinOutcome> answer);
+    void join(String member, long generation, Duration timeToLive, Consumer<JoinOutcome> callback);
 
     /** Leaves the group, so that its partitions are dealt to others at once. */
     void leave(String member, Runnable done);
--- a/library/src/main/java/org/chivetally/queue/log/PartitionWriter.java
+++ b/library/src/main/java/org/chivetally/queue/log/PartitionWriter.java
@@ -21,32 +21,32 @@
     private static final FluentLogger LOGGER = FluentLogger.forEnclosingClass();
 
     /** Pause before an append that failed is repeated: ten answers of the log, so that it isn't pressed while down. */
-    static final Duration RETRY_PAUSE = Duration.ofMillis(40);
+    static final Duration RETRY_DELAY = Duration.ofMillis(40);
 
     /**
      * Age from which writes that may be given up are, in nanoseconds. A refusal is due well inside the callers' time
      * limit of 1.5 s, and an outage of the log lasts seconds.
      */
-    static final long PATIENCE_NANOS = Duration.ofMillis(300).toNanos();
+    static final long REFUSE_AFTER_NANOS = Duration.ofMillis(300).toNanos();
 
     /**
      * How long writes may fail before new work is refused at once, in nanoseconds. A single refusal, such as one over
      * the log's rate, is over after one pause and would cost callers more than the short wait.
      */
-    static final long STALL_NANOS = Duration.ofMillis(120).toNanos();
+    static final long STALL_THRESHOLD_NANOS = Duration.ofMillis(120).toNanos();
 
     /** Most bytes in one append: half of what the log takes, as sizes are counted without framing. */
-    static final int BATCH_BYTES = 1 << 20;
+    static final int MAXIMUM_BATCH_BYTES = 1 << 20;
 
     private final KeyedLog log;
     private final Timers timers;
     private final LogStream stream;
     private final String writer;
     private final long epoch;
-    private final Deque<Write> waiting = new ArrayDeque<>();
+    private final Deque<Write> queued = new ArrayDeque<>();
     private List<Write> batch = List.of();
     private long sequence;
-    private boolean storedBefore;
+    private boolean anyStored;
     private boolean ambiguous;
     private boolean inFlight;
     private boolean closed;
@@ -74,19 +74,19 @@
     }
 
     /** Fences earlier writers; tells STORED or FENCED, and tries on while the log can't be reached. */
-    public void open(Consumer<Result> answer) {
+    public void open(Consumer<Result> callback) {
         if (closed) {
-            answer.accept(Result.FENCED);
+            callback.accept(Result.FENCED);
             return;
         }
-        log.append(stream, Optional.of(new WriterStamp(writer, epoch, 0)), List.of(), outcome -> {
+        log.append(stream, Optional.of(new AppendId(writer, epoch, 0)), List.of(), outcome -> {
             switch (outcome) {
-                case AppendOutcome.Appended appended -> answer.accept(Result.STORED);
-                case AppendOutcome.Fenced fenced -> answer.accept(Result.FENCED);
+                case AppendOutcome.Appended appended -> callback.accept(Result.STORED);
+                case AppendOutcome.Fenced fenced -> callback.accept(Result.FENCED);
                 // The epoch is in force: only then does the log look at sequences.
-                case AppendOutcome.OutOfSequence other -> answer.accept(Result.STORED);
-                case AppendOutcome.Refused refused -> timers.after(RETRY_PAUSE, () -> open(answer));
-                case AppendOutcome.Unknown unknown -> timers.after(RETRY_PAUSE, () -> open(answer));
+                case AppendOutcome.OutOfSequence other -> callback.accept(Result.STORED);
+                case AppendOutcome.Refused refused -> timers.after(RETRY_DELAY, () -> open(callback));
+                case AppendOutcome.Unknown unknown -> timers.after(RETRY_DELAY, () -> open(callback));
             }
         });
     }
@@ -96,19 +96,19 @@
      *
      * @param refusable whether the write may be given up with {@link Result#REFUSED} while the log takes nothing
      */
-    public void write(List<KeyedRecord> records, boolean refusable, Consumer<Result> answer) {
+    public void write(List<KeyedRecord> records, boolean refusable, Consumer<Result> callback) {
         if (closed) {
-            answer.accept(Result.FENCED);
+            callback.accept(Result.FENCED);
             return;
         }
-        waiting.add(new Write(records, refusable, timers.nanos(), answer));
+        queued.add(new Write(records, refusable, timers.nanos(), callback));
         sendNext();
     }
 
     /** Tells whether the log seems to take no writes now, so that new work should be refused at once. */
     public boolean isStalled() {
         long now = timers.nanos();
-        return failing && now - failingSinceNanos > STALL_NANOS || inFlight && now - sentAtNanos > PATIENCE_NANOS;
+        return failing && now - failingSinceNanos > STALL_THRESHOLD_NANOS || inFlight && now - sentAtNanos > REFUSE_AFTER_NANOS;
     }
 
     /** Gives up; every write without an outcome is told FENCED. */
@@ -117,12 +117,12 @@
             return;
         }
         closed = true;
-        List<Write> open = new ArrayList<>(batch);
-        open.addAll(waiting);
+        List<Write> unfinished = new ArrayList<>(batch);
+        unfinished.addAll(queued);
         batch = List.of();
-        waiting.clear();
-        for (Write write : open) {
-            write.answer().accept(Result.FENCED);
+        queued.clear();
+        for (Write write : unfinished) {
+            write.callback().accept(Result.FENCED);
         }
     }
 
@@ -146,12 +146,12 @@
     private List<Write> nextBatch() {
         List<Write> next = new ArrayList<>();
         int bytes = 0;
-        while (!waiting.isEmpty()) {
-            bytes += waiting.peek().bytes();
-            if (!next.isEmpty() && bytes > BATCH_BYTES) {
+        while (!queued.isEmpty()) {
+            bytes += queued.peek().bytes();
+            if (!next.isEmpty() && bytes > MAXIMUM_BATCH_BYTES) {
                 break;
             }
-            next.add(waiting.poll());
+            next.add(queued.poll());
         }
         return next;
     }
@@ -163,47 +163,47 @@
         }
         inFlight = true;
         sentAtNanos = timers.nanos();
-        Optional<WriterStamp> stamp = Optional.of(new WriterStamp(writer, epoch, sequence + 1));
-        log.append(stream, stamp, records, this::answered);
+        Optional<AppendId> stamp = Optional.of(new AppendId(writer, epoch, sequence + 1));
+        log.append(stream, stamp, records, this::handleOutcome);
     }
 
-    private void answered(AppendOutcome outcome) {
+    private void handleOutcome(AppendOutcome outcome) {
         inFlight = false;
         if (closed) {
             return;
         }
         switch (outcome) {
-            case AppendOutcome.Appended appended -> stored();
-            case AppendOutcome.Fenced fenced -> fenced();
-            case AppendOutcome.OutOfSequence other -> outOfSequence(other.expected());
-            case AppendOutcome.Refused refused -> failed(refused.reason());
+            case AppendOutcome.Appended appended -> completeBatch();
+            case AppendOutcome.Fenced fenced -> handleFencing();
+            case AppendOutcome.OutOfSequence other -> handleOutOfSequence(other.expected());
+            case AppendOutcome.Refused refused -> handleFailure(refused.reason());
             case AppendOutcome.Unknown unknown -> {
                 ambiguous = true;
-                failed(unknown.reason());
+                handleFailure(unknown.reason());
             }
         }
     }
 
-    private void stored() {
+    private void completeBatch() {
         sequence++;
-        storedBefore = true;
-        recovered();
-        List<Write> done = batch;
+        anyStored = true;
+        endFailure();
+        List<Write> written = batch;
         batch = List.of();
-        for (Write write : done) {
-            write.answer().accept(Result.STORED);
+        for (Write write : written) {
+            write.callback().accept(Result.STORED);
         }
         sendNext();
     }
 
-    private void recovered() {
+    private void endFailure() {
         if (failing) {
             failing = false;
             EventLine.of("log-writes-regained").with("stream", stream).log(LOGGER.atInfo());
         }
     }
 
-    private void fenced() {
+    private void handleFencing() {
         EventLine.of("writer-fenced")
                 .with("stream", stream)
                 .with("epoch", epoch)
@@ -211,13 +211,13 @@
         close();
     }
 
-    private void outOfSequence(long expected) {
+    private void handleOutOfSequence(long expected) {
         if (ambiguous && expected == sequence + 2) {
             // The append whose answer was lost is in the log.
-            stored();
+            completeBatch();
             return;
         }
-        if (!storedBefore && !ambiguous) {
+        if (!anyStored && !ambiguous) {
             // Nothing of this epoch is in the log yet, so any beginning is as good.
             sequence = expected - 1;
             send();
@@ -232,7 +232,7 @@
         close();
     }
 
-    private void failed(String reason) {
+    private void handleFailure(String reason) {
         if (!failing) {
             failing = true;
             failingSinceNanos = timers.nanos();
@@ -243,25 +243,25 @@
                     .log(LOGGER.atWarning());
         }
         if (!ambiguous) {
-            batch = refuseOld(batch);
+            batch = refuseExpired(batch);
         }
-        List<Write> kept = refuseOld(new ArrayList<>(waiting));
-        waiting.clear();
-        waiting.addAll(kept);
-        timers.after(RETRY_PAUSE, this::retry);
+        List<Write> remaining = refuseExpired(new ArrayList<>(queued));
+        queued.clear();
+        queued.addAll(remaining);
+        timers.after(RETRY_DELAY, this::retry);
     }
 
-    private List<Write> refuseOld(List<Write> writes) {
-        List<Write> kept = new ArrayList<>();
+    private List<Write> refuseExpired(List<Write> writes) {
+        List<Write> remaining = new ArrayList<>();
         List<Write> refused = new ArrayList<>();
         for (Write write : writes) {
-            boolean old = timers.nanos() - write.sinceNanos() > PATIENCE_NANOS;
-            (write.refusable() && old ? refused : kept).add(write);
+            boolean expired = timers.nanos() - write.queuedAtNanos() > REFUSE_AFTER_NANOS;
+            (write.refusable() && expired ? refused : remaining).add(write);
         }
         for (Write write : refused) {
-            write.answer().accept(Result.REFUSED);
+            write.callback().accept(Result.REFUSED);
         }
-        return kept;
+        return remaining;
     }
 
     private void retry() {
@@ -278,11 +278,11 @@
     }
 
     /** Records that go together, and whom to tell. */
-    private record Write(List<KeyedRecord> records, boolean refusable, long sinceNanos, Consumer<Result> answer) {
+    private record Write(List<KeyedRecord> records, boolean refusable, long queuedAtNanos, Consumer<Result> callback) {
         private int bytes() {
             int bytes = 0;
             for (KeyedRecord entry : records) {
-                bytes += entry.bytes();
+                bytes += entry.approximateBytes();
             }
             return bytes;
         }
--- a/library/src/main/java/org/chivetally/queue/log/StreamTail.java
+++ b/library/src/main/java/org/chivetally/queue/log/StreamTail.java
@@ -20,18 +20,18 @@
     private static final FluentLogger LOGGER = FluentLogger.forEnclosingClass();
 
     /** Pause after a read that failed. The log gives 2,000 reads a second to all processes. */
-    private static final Duration RETRY_PAUSE = Duration.ofMillis(250);
+    private static final Duration RETRY_DELAY = Duration.ofMillis(250);
 
     private final KeyedLog log;
     private final Timers timers;
     private final LogStream stream;
-    private final Duration wait;
+    private final Duration maximumWait;
     private final Consumer<KeyedRecord> listener;
     /** Keys with a value, as told so far. */
-    private final Set<String> keys = new HashSet<>();
+    private final Set<String> liveKeys = new HashSet<>();
 
     private long offset;
-    private boolean lost;
+    private boolean readsFailing;
 
     /**
      * Creates a tail that has yet to be started.
@@ -39,11 +39,11 @@
      * @param wait longest wait of one read; also how long a silent connection hides changes
      * @param listener told about each record, oldest first
      */
-    public StreamTail(KeyedLog log, Timers timers, LogStream stream, Duration wait, Consumer<KeyedRecord> listener) {
+    public StreamTail(KeyedLog log, Timers timers, LogStream stream, Duration maximumWait, Consumer<KeyedRecord> listener) {
         this.log = log;
         this.timers = timers;
         this.stream = stream;
-        this.wait = wait;
+        this.maximumWait = maximumWait;
         this.listener = listener;
     }
 
@@ -57,66 +57,66 @@
         return offset;
     }
 
-    private void readNewest(String afterKey, long from, Set<String> listed) {
-        log.newest(stream, afterKey, outcome -> {
+    private void readNewest(String afterKey, long from, Set<String> listedKeys) {
+        log.readNewest(stream, afterKey, outcome -> {
             switch (outcome) {
-                case NewestOutcome.Page page -> took(page, Math.min(from, page.endOffset()), listed);
+                case NewestOutcome.Page page -> deliverPage(page, Math.min(from, page.endOffset()), listedKeys);
                 case NewestOutcome.Unavailable unavailable -> {
-                    lost(unavailable.reason());
-                    timers.after(RETRY_PAUSE, this::start);
+                    recordFailure(unavailable.reason());
+                    timers.after(RETRY_DELAY, this::start);
                 }
             }
         });
     }
 
-    private void took(NewestOutcome.Page page, long from, Set<String> listed) {
-        regained();
+    private void deliverPage(NewestOutcome.Page page, long from, Set<String> listedKeys) {
+        recordSuccess();
         // Pages are no snapshot: what was appended since the first one is read after the last.
         offset = Math.max(offset, from);
-        page.items().forEach(item -> listed.add(item.key()));
-        page.items().forEach(this::tell);
+        page.items().forEach(item -> listedKeys.add(item.key()));
+        page.items().forEach(this::deliver);
         if (page.hasMore() && !page.items().isEmpty()) {
-            readNewest(page.items().getLast().key(), from, listed);
+            readNewest(page.items().getLast().key(), from, listedKeys);
             return;
         }
-        for (String key : List.copyOf(keys)) {
-            if (!listed.contains(key)) {
-                tell(KeyedRecord.dropping(key));
+        for (String key : List.copyOf(liveKeys)) {
+            if (!listedKeys.contains(key)) {
+                deliver(KeyedRecord.tombstone(key));
             }
         }
-        readOn(from);
+        readAppended(from);
     }
 
-    private void tell(KeyedRecord entry) {
-        if (entry.drops()) {
-            keys.remove(entry.key());
+    private void deliver(KeyedRecord entry) {
+        if (entry.isTombstone()) {
+            liveKeys.remove(entry.key());
         } else {
-            keys.add(entry.key());
+            liveKeys.add(entry.key());
         }
         listener.accept(entry);
     }
 
-    private void readOn(long from) {
-        log.read(stream, from, wait, outcome -> {
+    private void readAppended(long from) {
+        log.read(stream, from, maximumWait, outcome -> {
             switch (outcome) {
                 case ReadOutcome.Records records -> {
-                    regained();
+                    recordSuccess();
                     offset = Math.max(offset, records.nextOffset());
-                    records.records().forEach(this::tell);
-                    readOn(records.nextOffset());
+                    records.records().forEach(this::deliver);
+                    readAppended(records.nextOffset());
                 }
                 case ReadOutcome.Expired expired -> start();
                 case ReadOutcome.Unavailable unavailable -> {
-                    lost(unavailable.reason());
-                    timers.after(RETRY_PAUSE, () -> readOn(from));
+                    recordFailure(unavailable.reason());
+                    timers.after(RETRY_DELAY, () -> readAppended(from));
                 }
             }
         });
     }
 
-    private void lost(String reason) {
-        if (!lost) {
-            lost = true;
+    private void recordFailure(String reason) {
+        if (!readsFailing) {
+            readsFailing = true;
             EventLine.of("log-reads-lost")
                     .with("stream", stream)
                     .with("reason", reason)
@@ -124,9 +124,9 @@
         }
     }
 
-    private void regained() {
-        if (lost) {
-            lost = false;
+    private void recordSuccess() {
+        if (readsFailing) {
+            readsFailing = false;
             EventLine.of("log-reads-regained").with("stream", stream).log(LOGGER.atInfo());
         }
     }
--- a/library/src/main/java/org/chivetally/queue/warmup/AgentExercise.java
+++ b/library/src/main/java/org/chivetally/queue/warmup/AgentWarmUpLoad.java
@@ -18,11 +18,11 @@
 import org.chivetally.wire.v1.RunStart;
 
 /** Starts for an agent: one of its own, with a minion in memory, that is linked to nothing but a scripted entry. */
-public final class AgentExercise {
-    private static final Duration SETTLE = Duration.ofSeconds(1);
-    private static final Duration ROUND = Duration.ofMillis(100);
-    private static final int STARTS = 4;
-    private static final Room TASK = new Room(500, 64, 0);
+public final class AgentWarmUpLoad {
+    private static final Duration SETTLING_TIME = Duration.ofSeconds(1);
+    private static final Duration ROUND_DURATION = Duration.ofMillis(100);
+    private static final int STARTS_PER_ROUND = 4;
+    private static final Room TASK_ROOM = new Room(500, 64, 0);
     private static final Room CAPACITY = new Room(64_000, 65_536, 0);
 
     private final VirtualTimers timers = new VirtualTimers();
@@ -30,30 +30,30 @@
     private long starts;
 
     /** Sets the agent, its minion and its entry up. */
-    public AgentExercise() {
+    public AgentWarmUpLoad() {
         Peer self = new Peer("warm-up-agent", 1, true, "warm-up", "model", 2);
-        ModelMinion minion = new ModelMinion(timers);
+        SimulatedMinion minion = new SimulatedMinion(timers);
         AgentNode agent = new AgentNode(
                 self,
                 timers,
-                (host, port, listener) -> ModelConnection.connect(timers, listener, entry.links.acceptor()),
+                (host, port, listener) -> InMemoryConnection.connect(timers, listener, entry.links.acceptor()),
                 new RepeatingMinionPort(timers, minion),
                 1);
         agent.meet(entry.self);
         agent.supervisor()
                 .announced(new MinionState(
                         "warm-up-boot", "warm-up", CAPACITY, List.of("a"), false, minion.clockMillis()));
-        timers.advance(SETTLE);
+        timers.advance(SETTLING_TIME);
     }
 
     /** Does one round; returns the number of rounds that were carried out to their end so far. */
-    public int round() {
-        for (int number = 0; number < STARTS; number++) {
+    public int runRound() {
+        for (int number = 0; number < STARTS_PER_ROUND; number++) {
             starts++;
-            entry.start(starts);
+            entry.sendStart(starts);
         }
-        timers.advance(ROUND);
-        return entry.ends / STARTS;
+        timers.advance(ROUND_DURATION);
+        return entry.ends / STARTS_PER_ROUND;
     }
 
     /** Sends starts and counts what has ended. */
@@ -63,15 +63,15 @@
         private Optional<PeerLink> agent = Optional.empty();
         private int ends;
 
-        private void start(long number) {
+        private void sendStart(long number) {
             agent.ifPresent(link -> link.send(Frame.newBuilder()
                     .setRunStart(RunStart.newBuilder()
                             .setNumber(number)
-                            .setTask(new TaskKey(JobNames.of(number), 0, 0, 0).toString())
+                            .setTask(new TaskKey(JobIds.of(number), 0, 0, 0).toString())
                             .setRun(1)
                             .setUnkept(true)
                             .setEchoNanos(link.peerStampNanos())
-                            .setRoom(JobCodec.encode(TASK))
+                            .setRoom(JobCodec.encode(TASK_ROOM))
                             .setPayload("warm-up"))
                     .build()));
         }
@@ -84,7 +84,7 @@
         @Override
         public void received(PeerLink link, Frame frame) {
             if (frame.hasAgentBeat()) {
-                link.stamps(
+                link.recordStamps(
                         frame.getAgentBeat().getStampNanos(),
                         frame.getAgentBeat().getEchoNanos());
             }
--- a/library/src/main/java/org/chivetally/queue/warmup/ModelLog.java
+++ b/library/src/main/java/org/chivetally/queue/warmup/DiscardingLog.java
@@ -12,45 +12,45 @@
 import org.chivetally.queue.log.NewestOutcome;
 import org.chivetally.queue.log.OwnershipGroup;
 import org.chivetally.queue.log.ReadOutcome;
-import org.chivetally.queue.log.WriterStamp;
+import org.chivetally.queue.log.AppendId;
 import org.chivetally.time.Timers;
 
 /** A log that keeps nothing and gives its only member every partition. */
-final class ModelLog implements KeyedLog, OwnershipGroup {
-    private static final Duration ANSWER = Duration.ofMillis(1);
+final class DiscardingLog implements KeyedLog, OwnershipGroup {
+    private static final Duration ANSWER_DELAY = Duration.ofMillis(1);
 
     private final Timers timers;
     private long endOffset;
 
-    ModelLog(Timers timers) {
+    DiscardingLog(Timers timers) {
         this.timers = timers;
     }
 
     @Override
     public void append(
-            LogStream stream, Optional<WriterStamp> stamp, List<KeyedRecord> records, Consumer<AppendOutcome> answer) {
+            LogStream stream, Optional<AppendId> stamp, List<KeyedRecord> records, Consumer<AppendOutcome> answer) {
         endOffset += records.size();
         AppendOutcome appended = new AppendOutcome.Appended(endOffset);
-        timers.after(ANSWER, () -> answer.accept(appended));
+        timers.after(ANSWER_DELAY, () -> answer.accept(appended));
     }
 
     @Override
-    public void newest(LogStream stream, String afterKey, Consumer<NewestOutcome> answer) {
-        timers.after(ANSWER, () -> answer.accept(new NewestOutcome.Page(List.of(), false, 0)));
+    public void readNewest(LogStream stream, String afterKey, Consumer<NewestOutcome> answer) {
+        timers.after(ANSWER_DELAY, () -> answer.accept(new NewestOutcome.Page(List.of(), false, 0)));
     }
 
     @Override
     public void read(LogStream stream, long from, Duration wait, Consumer<ReadOutcome> answer) {
-        timers.after(wait.plus(ANSWER), () -> answer.accept(new ReadOutcome.Records(from, List.of())));
+        timers.after(wait.plus(ANSWER_DELAY), () -> answer.accept(new ReadOutcome.Records(from, List.of())));
     }
 
     @Override
     public void join(String member, long generation, Duration timeToLive, Consumer<JoinOutcome> answer) {
-        timers.after(ANSWER, () -> answer.accept(new JoinOutcome.Joined(1, Set.of(0))));
+        timers.after(ANSWER_DELAY, () -> answer.accept(new JoinOutcome.Joined(1, Set.of(0))));
     }
 
     @Override
     public void leave(String member, Runnable done) {
-        timers.after(ANSWER, done);
+        timers.after(ANSWER_DELAY, done);
     }
 }
--- a/library/src/main/java/org/chivetally/queue/warmup/EntryExercise.java
+++ b/library/src/main/java/org/chivetally/queue/warmup/EntryWarmUpLoad.java
@@ -31,13 +31,13 @@
 import org.chivetally.wire.v1.WorkerReport;
 
 /** Jobs for an entry: one of its own, that is linked to nothing but a scripted agent. */
-public final class EntryExercise {
-    private static final Duration SETTLE = Duration.ofSeconds(3);
-    private static final Duration ROUND = Duration.ofMillis(100);
-    private static final Duration WORK = Duration.ofMillis(5);
-    private static final Duration BEAT = Duration.ofMillis(250);
-    private static final int TASKS = 4;
-    private static final Room TASK = new Room(500, 64, 0);
+public final class EntryWarmUpLoad {
+    private static final Duration SETTLING_TIME = Duration.ofSeconds(3);
+    private static final Duration ROUND_DURATION = Duration.ofMillis(100);
+    private static final Duration RUN_DURATION = Duration.ofMillis(5);
+    private static final Duration HEARTBEAT_INTERVAL = Duration.ofMillis(250);
+    private static final int TASKS_PER_JOB = 4;
+    private static final Room TASK_ROOM = new Room(500, 64, 0);
     private static final Room CAPACITY = new Room(64_000, 65_536, 0);
     private static final QueueTerms TERMS = new QueueTerms("warm-up", "warm-up", 2, 0, 1.5, 60);
     private static final EntryOptions OPTIONS =
@@ -49,28 +49,28 @@
     private int completed;
 
     /** Sets the entry and its agent up. */
-    public EntryExercise() {
+    public EntryWarmUpLoad() {
         Peer self = new Peer("warm-up-entry", 1, false, "warm-up", "model", 1);
-        ModelLog log = new ModelLog(timers);
+        DiscardingLog log = new DiscardingLog(timers);
         entry = new EntryNode(self, timers, (host, port, listener) -> {}, log, log, OPTIONS);
         entry.start();
         new ScriptedAgent().links.dial(self);
-        timers.advance(SETTLE);
+        timers.advance(SETTLING_TIME);
     }
 
     /** Does one round; returns the number of rounds that were carried out to their end so far. */
-    public int round() {
+    public int runRound() {
         submitted++;
-        StepSpecification step = new StepSpecification(TASKS, TASK, (int) WORK.toMillis(), List.of(), StepTraits.NONE);
+        StepSpecification step = new StepSpecification(TASKS_PER_JOB, TASK_ROOM, (int) RUN_DURATION.toMillis(), List.of(), StepTraits.NONE);
         JobSpecification job =
-                new JobSpecification(JobNames.of(submitted), TERMS, "warm-up", timers.epochMillis(), List.of(step));
+                new JobSpecification(JobIds.of(submitted), TERMS, "warm-up", timers.epochMillis(), List.of(step));
         long deadline = timers.nanos() + Duration.ofSeconds(1).toNanos();
-        entry.unkept().submit(job, deadline, this::answered);
-        timers.advance(ROUND);
+        entry.unkept().submit(job, deadline, this::countIfCompleted);
+        timers.advance(ROUND_DURATION);
         return completed;
     }
 
-    private void answered(JobAnswer answer) {
+    private void countIfCompleted(JobAnswer answer) {
         completed += answer.equals(new JobAnswer.State(JobPhase.COMPLETED)) ? 1 : 0;
     }
 
@@ -81,7 +81,7 @@
         private final LinkTable links = new LinkTable(
                 new Peer("warm-up-agent", 1, true, "warm-up", "model", 2),
                 timers,
-                (host, port, listener) -> ModelConnection.connect(timers, listener, entry.acceptor()),
+                (host, port, listener) -> InMemoryConnection.connect(timers, listener, entry.acceptor()),
                 this);
         private long startsSeen;
         private long ends;
@@ -93,10 +93,10 @@
                             .setStampNanos(timers.nanos())
                             .setReport(report()))
                     .build());
-            timers.every(BEAT, () -> beat(link));
+            timers.every(HEARTBEAT_INTERVAL, () -> sendHeartbeat(link));
         }
 
-        private void beat(PeerLink link) {
+        private void sendHeartbeat(PeerLink link) {
             link.send(Frame.newBuilder()
                     .setAgentBeat(AgentBeat.newBuilder()
                             .setStampNanos(timers.nanos())
@@ -120,7 +120,7 @@
         @Override
         public void received(PeerLink link, Frame frame) {
             if (frame.hasEntryBeat()) {
-                link.stamps(
+                link.recordStamps(
                         frame.getEntryBeat().getStampNanos(),
                         frame.getEntryBeat().getEchoNanos());
             }
@@ -128,11 +128,11 @@
                 RunStart start = frame.getRunStart();
                 startsSeen = start.getNumber();
                 TaskKey.parse(start.getTask())
-                        .ifPresent(task -> timers.after(WORK, () -> end(link, new RunKey(task, start.getRun()))));
+                        .ifPresent(task -> timers.after(RUN_DURATION, () -> sendRunEnd(link, new RunKey(task, start.getRun()))));
             }
         }
 
-        private void end(PeerLink link, RunKey run) {
+        private void sendRunEnd(PeerLink link, RunKey run) {
             ends++;
             EndedRun end = new EndedRun(BOOT, ends, run, RunOutcome.DONE, "");
             link.send(Frame.newBuilder()
--- a/library/src/main/java/org/chivetally/queue/warmup/ModelConnection.java
+++ b/library/src/main/java/org/chivetally/queue/warmup/InMemoryConnection.java
@@ -12,39 +12,39 @@
 import org.chivetally.wire.v1.Frame;
 
 /** One end of a connection in memory. Frames are written and read as over a socket, in a buffer outside the heap. */
-final class ModelConnection implements FrameConnection {
-    private static final Duration ONE_WAY = Duration.ofMillis(1);
+final class InMemoryConnection implements FrameConnection {
+    private static final Duration ONE_WAY_DELAY = Duration.ofMillis(1);
 
     /** More than any frame of an exercise takes; a buffer for each frame costs more than the frame. */
     private static final int BUFFER_BYTES = 8 * 1024;
 
     private final Timers timers;
     private final FrameListener listener;
-    private ModelConnection far;
+    private InMemoryConnection remote;
     private ByteBuffer buffer = ByteBuffer.allocateDirect(BUFFER_BYTES);
 
-    private ModelConnection(Timers timers, FrameListener listener) {
+    private InMemoryConnection(Timers timers, FrameListener listener) {
         this.timers = timers;
         this.listener = listener;
     }
 
     /** Connects two processes. */
     static void connect(Timers timers, FrameListener dialling, FrameListener accepting) {
-        ModelConnection near = new ModelConnection(timers, dialling);
-        ModelConnection far = new ModelConnection(timers, accepting);
-        near.far = far;
-        far.far = near;
-        accepting.connected(far);
-        dialling.connected(near);
+        InMemoryConnection dialler = new InMemoryConnection(timers, dialling);
+        InMemoryConnection acceptor = new InMemoryConnection(timers, accepting);
+        dialler.remote = acceptor;
+        acceptor.remote = dialler;
+        accepting.connected(acceptor);
+        dialling.connected(dialler);
     }
 
     @Override
     public void send(Frame frame) {
-        Frame read = read(written(frame));
-        timers.after(ONE_WAY, () -> far.listener.received(far, read));
+        Frame received = decode(encode(frame));
+        timers.after(ONE_WAY_DELAY, () -> remote.listener.received(remote, received));
     }
 
-    private ByteBuffer written(Frame frame) {
+    private ByteBuffer encode(Frame frame) {
         if (frame.getSerializedSize() > buffer.capacity()) {
             buffer = ByteBuffer.allocateDirect(frame.getSerializedSize());
         }
@@ -59,7 +59,7 @@
         return buffer.flip();
     }
 
-    private static Frame read(ByteBuffer buffer) {
+    private static Frame decode(ByteBuffer buffer) {
         try {
             return Frame.parseFrom(CodedInputStream.newInstance(buffer));
         } catch (IOException e) {
--- a/library/src/main/java/org/chivetally/queue/warmup/JobNames.java
+++ b/library/src/main/java/org/chivetally/queue/warmup/JobIds.java
@@ -1,10 +1,10 @@
 package org.chivetally.queue.warmup;
 
 /** Names of an exercise's jobs, written without a formatter, which no real job needs. */
-final class JobNames {
+final class JobIds {
     private static final String ZEROS = "0000000000000000";
 
-    private JobNames() {}
+    private JobIds() {}
 
     /** Returns a number as 16 hexadecimal digits. */
     static String of(long number) {
--- a/library/src/main/java/org/chivetally/queue/warmup/ModelMinion.java
+++ b/library/src/main/java/org/chivetally/queue/warmup/SimulatedMinion.java
@@ -12,16 +12,16 @@
 import org.chivetally.time.Timers;
 
 /** A minion that does every run in the same short time. */
-final class ModelMinion implements MinionPort {
-    private static final Duration ANSWER = Duration.ofMillis(1);
-    private static final Duration WORK = Duration.ofMillis(5);
+final class SimulatedMinion implements MinionPort {
+    private static final Duration ANSWER_DELAY = Duration.ofMillis(1);
+    private static final Duration RUN_DURATION = Duration.ofMillis(5);
 
     private final Timers timers;
     private final Set<RunKey> running = new LinkedHashSet<>();
     private final TreeMap<Long, ListedEnd> ends = new TreeMap<>();
     private long sequence;
 
-    ModelMinion(Timers timers) {
+    SimulatedMinion(Timers timers) {
         this.timers = timers;
     }
 
@@ -32,11 +32,11 @@
     @Override
     public void start(String boot, StartOrder order, Consumer<StartAnswer> answer) {
         running.add(order.run());
-        timers.after(WORK, () -> end(order.run()));
-        timers.after(ANSWER, () -> answer.accept(new StartAnswer.Started(clockMillis())));
+        timers.after(RUN_DURATION, () -> finishRun(order.run()));
+        timers.after(ANSWER_DELAY, () -> answer.accept(new StartAnswer.Started(clockMillis())));
     }
 
-    private void end(RunKey run) {
+    private void finishRun(RunKey run) {
         if (running.remove(run)) {
             sequence++;
             ends.put(sequence, new ListedEnd(sequence, run, RunOutcome.DONE, ""));
@@ -46,13 +46,13 @@
     @Override
     public void stop(String boot, RunKey run, long token, Consumer<Boolean> answer) {
         running.remove(run);
-        timers.after(ANSWER, () -> answer.accept(true));
+        timers.after(ANSWER_DELAY, () -> answer.accept(true));
     }
 
     @Override
     public void look(String boot, LookOrder order, Consumer<LookAnswer> answer) {
         ends.headMap(order.keptThrough(), true).clear();
-        Duration wait = order.longestWait().isZero() ? ANSWER : WORK;
+        Duration wait = order.longestWait().isZero() ? ANSWER_DELAY : RUN_DURATION;
         timers.after(
                 wait,
                 () -> answer.accept(
--- a/library/src/main/java/org/chivetally/queue/warmup/WarmUp.java
+++ b/library/src/main/java/org/chivetally/queue/warmup/WarmUp.java
@@ -18,13 +18,13 @@
  */
 public final class WarmUp {
     /** Time from the start in which links are made and partitions are opened. */
-    static final Duration FIRST = Duration.ofSeconds(3);
+    static final Duration INITIAL_DELAY = Duration.ofSeconds(3);
 
     /**
      * Pause between rounds, in which heartbeats and leases get their turn: the first round takes 0.1 s of processor
      * time.
      */
-    static final Duration PAUSE = Duration.ofMillis(200);
+    static final Duration ROUND_INTERVAL = Duration.ofMillis(200);
 
     /**
      * Rounds: methods are compiled after forty calls, and with four starts in a round most of what a start calls is by
@@ -35,9 +35,9 @@
     private static final FluentLogger LOGGER = FluentLogger.forEnclosingClass();
 
     private final Timers timers;
-    private final Supplier<Runnable> exercise;
+    private final Supplier<Runnable> roundFactory;
     private final BooleanSupplier idle;
-    private final Consumer<Runnable> quietly;
+    private final Consumer<Runnable> logSuppressor;
 
     /**
      * Creates a warm-up.
@@ -47,30 +47,30 @@
      * @param idle whether nothing of anybody's is in progress; once it isn't, no more rounds are done
      * @param quietly runs an action whose log lines don't concern anybody
      */
-    public WarmUp(Timers timers, Supplier<Runnable> exercise, BooleanSupplier idle, Consumer<Runnable> quietly) {
+    public WarmUp(Timers timers, Supplier<Runnable> roundFactory, BooleanSupplier idle, Consumer<Runnable> logSuppressor) {
         this.timers = timers;
-        this.exercise = exercise;
+        this.roundFactory = roundFactory;
         this.idle = idle;
-        this.quietly = quietly;
+        this.logSuppressor = logSuppressor;
     }
 
     /** Begins a while later. */
-    public void begin() {
-        timers.after(FIRST, () -> {
+    public void start() {
+        timers.after(INITIAL_DELAY, () -> {
             if (idle.getAsBoolean()) {
-                quietly.accept(() -> next(exercise.get(), 1));
+                logSuppressor.accept(() -> scheduleRound(roundFactory.get(), 1));
             }
         });
     }
 
-    private void next(Runnable round, int number) {
-        timers.after(PAUSE, () -> {
+    private void scheduleRound(Runnable round, int number) {
+        timers.after(ROUND_INTERVAL, () -> {
             if (number > ROUNDS || !idle.getAsBoolean()) {
                 EventLine.of("warmed-up").with("rounds", number - 1).log(LOGGER.atInfo());
                 return;
             }
-            quietly.accept(round);
-            next(round, number + 1);
+            logSuppressor.accept(round);
+            scheduleRound(round, number + 1);
         });
     }
 }
--- a/library/src/test/java/org/chivetally/queue/agent/AgentNodeTest.java
+++ b/library/src/test/java/org/chivetally/queue/agent/AgentNodeTest.java
@@ -108,8 +108,8 @@
         public void received(PeerLink from, Frame frame) {
             frames.add(frame);
             switch (frame.getBodyCase()) {
-                case AGENT_BEAT -> from.stamps(frame.getAgentBeat().getStampNanos(), 0);
-                case RUN_INVENTORY -> from.stamps(frame.getRunInventory().getStampNanos(), 0);
+                case AGENT_BEAT -> from.recordStamps(frame.getAgentBeat().getStampNanos(), 0);
+                case RUN_INVENTORY -> from.recordStamps(frame.getRunInventory().getStampNanos(), 0);
                 default -> {}
             }
         }
@@ -268,7 +268,7 @@
         PeerLink link = entry.link;
         long stamp = link.peerStampNanos();
         timers.advance(Duration.ofMillis(700));
-        link.stamps(stamp, 0);
+        link.recordStamps(stamp, 0);
         entry.start("job", 1, true);
         timers.advance(Duration.ofMillis(20));
         assertThat(entry.refusals(), hasSize(1));
@@ -286,7 +286,7 @@
         timers.advance(Duration.ofSeconds(19));
         long stamp = entry.link.peerStampNanos();
         timers.advance(Duration.ofMillis(650));
-        entry.link.stamps(stamp, 0);
+        entry.link.recordStamps(stamp, 0);
         entry.start("job", 1, true, Duration.ofNanos(timers.nanos() - stamp - 1_000_000));
         timers.advance(Duration.ofMillis(20));
         assertThat(entry.refusals(), is(empty()));
@@ -300,7 +300,7 @@
         announce();
         long stamp = entry.link.peerStampNanos();
         timers.advance(Duration.ofMillis(1_300));
-        entry.link.stamps(stamp, 0);
+        entry.link.recordStamps(stamp, 0);
         entry.start("job", 1, true, Duration.ofMillis(650));
         timers.advance(Duration.ofMillis(20));
         assertThat(entry.refusals(), hasSize(1));
--- a/library/src/test/java/org/chivetally/queue/link/StallDetectorTest.java
+++ b/library/src/test/java/org/chivetally/queue/link/StallDetectorTest.java
@@ -19,9 +19,9 @@
     @Test
     void doubtsNobodyBecauseTheProcessIsSlowToStart() {
         timers.stall(Duration.ofMillis(1_700));
-        detector.opened();
+        detector.markListening();
 
-        assertThat(detector.look(), is(false));
+        assertThat(detector.check(), is(false));
     }
 
     /**
@@ -30,21 +30,21 @@
      */
     @Test
     void doubtsWhatWaitedInAProcessThatHasJustBegunToListen() {
-        detector.opened();
+        detector.markListening();
         timers.stall(Duration.ofMillis(800));
 
-        assertThat(detector.look(), is(true));
+        assertThat(detector.check(), is(true));
     }
 
     @Test
     void doubtsWhatWaitedInAProcessThatHasServedForLong() {
-        detector.opened();
+        detector.markListening();
         for (int number = 0; number < 20; number++) {
             timers.advance(Duration.ofMillis(250));
-            assertThat(detector.look(), is(false));
+            assertThat(detector.check(), is(false));
         }
         timers.stall(Duration.ofMillis(800));
 
-        assertThat(detector.look(), is(true));
+        assertThat(detector.check(), is(true));
     }
 }
--- a/library/src/test/java/org/chivetally/queue/log/ScriptedKeyedLog.java
+++ b/library/src/test/java/org/chivetally/queue/log/ScriptedKeyedLog.java
@@ -108,7 +108,7 @@
         @Override
         public void append(
                 LogStream stream,
-                Optional<WriterStamp> stamp,
+                Optional<AppendId> stamp,
                 List<KeyedRecord> records,
                 Consumer<AppendOutcome> answer) {
             if (isCut() || mood == Mood.SILENT) {
@@ -130,10 +130,10 @@
             });
         }
 
-        private AppendOutcome carryOut(LogStream stream, Optional<WriterStamp> stamp, List<KeyedRecord> records) {
+        private AppendOutcome carryOut(LogStream stream, Optional<AppendId> stamp, List<KeyedRecord> records) {
             Partition partition = partition(stream);
             if (stamp.isPresent()) {
-                WriterStamp writer = stamp.get();
+                AppendId writer = stamp.get();
                 long epoch = partition.epochs.getOrDefault(writer.writer(), -1L);
                 if (writer.epoch() < epoch) {
                     return new AppendOutcome.Fenced();
@@ -153,7 +153,7 @@
             appends.add(stream);
             for (KeyedRecord entry : records) {
                 partition.records.add(entry);
-                if (entry.drops()) {
+                if (entry.isTombstone()) {
                     partition.newest.remove(entry.key());
                 } else {
                     partition.newest.put(entry.key(), entry.value());
@@ -163,7 +163,7 @@
         }
 
         @Override
-        public void newest(LogStream stream, String afterKey, Consumer<NewestOutcome> answer) {
+        public void readNewest(LogStream stream, String afterKey, Consumer<NewestOutcome> answer) {
             if (isCut()) {
                 timers.after(Duration.ofMillis(600), () -> answer.accept(new NewestOutcome.Unavailable("cut off")));
                 return;
--- a/library/src/test/java/org/chivetally/queue/log/StreamTailTest.java
+++ b/library/src/test/java/org/chivetally/queue/log/StreamTailTest.java
@@ -22,7 +22,7 @@
             log.access("reader"), timers, STREAM, Duration.ofSeconds(1), entry -> told.add(describe(entry)));
 
     private static String describe(KeyedRecord entry) {
-        return (entry.drops() ? "-" : "+") + entry.key();
+        return (entry.isTombstone() ? "-" : "+") + entry.key();
     }
 
     private void append(KeyedRecord entry) {
@@ -39,7 +39,7 @@
         tail.start();
         timers.advance(Duration.ofMillis(100));
         assertThat(tail.offset(), is(1L));
-        append(KeyedRecord.dropping("a"));
+        append(KeyedRecord.tombstone("a"));
         assertThat(tail.offset(), is(2L));
         assertThat(told, contains("+a", "-a"));
     }
@@ -55,7 +55,7 @@
         tail.start();
         timers.advance(Duration.ofMillis(100));
         log.cut("reader", true);
-        append(KeyedRecord.dropping("a"));
+        append(KeyedRecord.tombstone("a"));
         log.forgetHistory(STREAM);
         timers.advance(Duration.ofSeconds(2));
         log.cut("reader", false);
--- a/library/src/test/java/org/chivetally/queue/warmup/WarmUpTest.java
+++ b/library/src/test/java/org/chivetally/queue/warmup/WarmUpTest.java
@@ -13,28 +13,28 @@
     private int quiet;
 
     private void begin() {
-        new WarmUp(timers, () -> new AgentExercise()::round, () -> idle, action -> {
+        new WarmUp(timers, () -> new AgentWarmUpLoad()::runRound, () -> idle, action -> {
                     quiet++;
                     action.run();
                 })
-                .begin();
+                .start();
     }
 
     @Test
     void anEntryDoesEachRoundToItsEnd() {
-        EntryExercise exercise = new EntryExercise();
+        EntryWarmUpLoad exercise = new EntryWarmUpLoad();
 
         for (int number = 1; number <= WarmUp.ROUNDS; number++) {
-            assertThat(exercise.round(), is(number));
+            assertThat(exercise.runRound(), is(number));
         }
     }
 
     @Test
     void anAgentDoesEachRoundToItsEnd() {
-        AgentExercise exercise = new AgentExercise();
+        AgentWarmUpLoad exercise = new AgentWarmUpLoad();
 
         for (int number = 1; number <= WarmUp.ROUNDS; number++) {
-            assertThat(exercise.round(), is(number));
+            assertThat(exercise.runRound(), is(number));
         }
     }
 
@@ -64,7 +64,7 @@
     @Test
     void endsWithTheFirstRealWork() {
         begin();
-        timers.advance(WarmUp.FIRST.plus(WarmUp.PAUSE.multipliedBy(4)).plusMillis(1));
+        timers.advance(WarmUp.INITIAL_DELAY.plus(WarmUp.ROUND_INTERVAL.multipliedBy(4)).plusMillis(1));
         idle = false;
 
         timers.advance(Duration.ofMinutes(1));
