--- a/library/src/main/java/org/chivetally/queue/Job.java
+++ b/library/src/main/java/org/chivetally/queue/Job.java
@@ -44,7 +44,12 @@
      * @param acceptedAtNanos when this process took the job on, by its steady clock
      */
     public Job(JobSpecification specification, long acceptedAtNanos) {
-        this(specification, acceptedAtNanos, acceptedAtNanos + usefulDurationNanos(specification), Long.MAX_VALUE, true);
+        this(
+                specification,
+                acceptedAtNanos,
+                acceptedAtNanos + usefulDurationNanos(specification),
+                Long.MAX_VALUE,
+                true);
     }
 
     /**
@@ -63,7 +68,11 @@
     }
 
     private Job(
-            JobSpecification specification, long acceptedAtNanos, long usefulUntilNanos, long deadlineNanos, boolean durable) {
+            JobSpecification specification,
+            long acceptedAtNanos,
+            long usefulUntilNanos,
+            long deadlineNanos,
+            boolean durable) {
         this.deadlineNanos = deadlineNanos;
         this.durable = durable;
         this.specification = specification;
--- a/library/src/main/java/org/chivetally/queue/entry/MemberDirectory.java
+++ b/library/src/main/java/org/chivetally/queue/entry/MemberDirectory.java
@@ -114,7 +114,8 @@
 
     /** Reads the announcements once, tries on until the log has answered, and then tells that all were read. */
     public void readOnce(Consumer<Peer> listener, Runnable done) {
-        new NewestValuesReader(log, timers, stream, RETRY_PAUSE, () -> true, entry -> take(entry, listener), done).start();
+        new NewestValuesReader(log, timers, stream, RETRY_PAUSE, () -> true, entry -> take(entry, listener), done)
+                .start();
     }
 
     /** Returns the minion with which a process was announced, as last read. */
--- a/library/src/main/java/org/chivetally/queue/entry/RunCoordinator.java
+++ b/library/src/main/java/org/chivetally/queue/entry/RunCoordinator.java
@@ -602,7 +602,8 @@
         }
         for (Worker worker : slow) {
             for (Worker.Sent start : worker.overdue()) {
-                if (!start.task().job().isDurable() && !start.task().job().phase().isFinal()) {
+                if (!start.task().job().isDurable()
+                        && !start.task().job().phase().isFinal()) {
                     stop(worker.process(), start.task().key(), start.run(), homeOf(start.task()));
                 }
             }
--- a/library/src/main/java/org/chivetally/queue/log/KeyedLog.java
+++ b/library/src/main/java/org/chivetally/queue/log/KeyedLog.java
@@ -8,8 +8,7 @@
 /** The platform's log. Each call answers once, on the event loop, also when the log never does. */
 public interface KeyedLog {
     /** Appends records, all or none. No records with a stamp only fence writers of lower epochs. */
-    void append(
-            LogStream stream, Optional<AppendId> id, List<KeyedRecord> records, Consumer<AppendOutcome> callback);
+    void append(LogStream stream, Optional<AppendId> id, List<KeyedRecord> records, Consumer<AppendOutcome> callback);
 
     /**
      * Looks at the newest values.
--- a/library/src/main/java/org/chivetally/queue/log/PartitionWriter.java
+++ b/library/src/main/java/org/chivetally/queue/log/PartitionWriter.java
@@ -108,7 +108,8 @@
     /** Tells whether the log seems to take no writes now, so that new work should be refused at once. */
     public boolean isStalled() {
         long now = timers.nanos();
-        return failing && now - failingSinceNanos > STALL_THRESHOLD_NANOS || inFlight && now - sentAtNanos > REFUSE_AFTER_NANOS;
+        return failing && now - failingSinceNanos > STALL_THRESHOLD_NANOS
+                || inFlight && now - sentAtNanos > REFUSE_AFTER_NANOS;
     }
 
     /** Gives up; every write without an outcome is told FENCED. */
--- a/library/src/main/java/org/chivetally/queue/log/StreamTail.java
+++ b/library/src/main/java/org/chivetally/queue/log/StreamTail.java
@@ -39,7 +39,8 @@
      * @param wait longest wait of one read; also how long a silent connection hides changes
      * @param listener told about each record, oldest first
      */
-    public StreamTail(KeyedLog log, Timers timers, LogStream stream, Duration maximumWait, Consumer<KeyedRecord> listener) {
+    public StreamTail(
+            KeyedLog log, Timers timers, LogStream stream, Duration maximumWait, Consumer<KeyedRecord> listener) {
         this.log = log;
         this.timers = timers;
         this.stream = stream;
--- a/library/src/main/java/org/chivetally/queue/placement/PlacementPolicy.java
+++ b/library/src/main/java/org/chivetally/queue/placement/PlacementPolicy.java
@@ -325,7 +325,8 @@
     }
 
     private static boolean failedAt(Task task, Worker worker) {
-        return task.lastFailedWorker().isPresent() && task.lastFailedWorker().get().equals(worker.process());
+        return task.lastFailedWorker().isPresent()
+                && task.lastFailedWorker().get().equals(worker.process());
     }
 
     /** Tells whether a worker is allowed to run the task, whether it has room or not. */
--- a/library/src/main/java/org/chivetally/queue/placement/TaskForecast.java
+++ b/library/src/main/java/org/chivetally/queue/placement/TaskForecast.java
@@ -22,7 +22,11 @@
     static TaskForecast of(Task task, double expectedMillis, long nowNanos) {
         Job job = task.job();
         return new TaskForecast(
-                nowNanos, task.step().estimatedMillis(), job.remainingMillisAfter(task), job.objectiveNanos(), job.usefulUntilNanos());
+                nowNanos,
+                task.step().estimatedMillis(),
+                job.remainingMillisAfter(task),
+                job.objectiveNanos(),
+                job.usefulUntilNanos());
     }
 
     /**
--- a/library/src/main/java/org/chivetally/queue/placement/WaitingTasks.java
+++ b/library/src/main/java/org/chivetally/queue/placement/WaitingTasks.java
@@ -11,9 +11,9 @@
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.TreeSet;
+import org.chivetally.queue.CompletionForecast;
 import org.chivetally.queue.Job;
 import org.chivetally.queue.JobPhase;
-import org.chivetally.queue.CompletionForecast;
 import org.chivetally.queue.QueueTerms;
 import org.chivetally.queue.Task;
 import org.chivetally.queue.share.Division;
@@ -61,8 +61,8 @@
         remove(task);
         CompletionForecast outlook = task.job().completionForecast(nowNanos);
         QueueTerms terms = task.job().specification().terms();
-        WaitingTask entry =
-                new WaitingTask(task, terms.priority(), outlook.timeliness(), outlook.validUntilNanos(), hasBegun(task.job()));
+        WaitingTask entry = new WaitingTask(
+                task, terms.priority(), outlook.timeliness(), outlook.validUntilNanos(), hasBegun(task.job()));
         entries.put(task, entry);
         byEndOfOutlook.add(entry);
         lines.computeIfAbsent(terms.service(), name -> new TreeMap<>())
@@ -139,7 +139,8 @@
         for (WaitingTask entry : inOrder) {
             Job job = entry.task().job();
             long waitNanos = spareMillis <= 0 ? Long.MAX_VALUE : 1_000_000_000L * work / spareMillis;
-            boolean overtaken = entry.reach() == CompletionForecast.Timeliness.LATE && entry.untilNanos() - nowNanos < waitNanos;
+            boolean overtaken =
+                    entry.reach() == CompletionForecast.Timeliness.LATE && entry.untilNanos() - nowNanos < waitNanos;
             if (overtaken && job.phase() == JobPhase.QUEUED) {
                 jobs.add(job);
             } else {
--- a/library/src/main/java/org/chivetally/queue/warmup/DiscardingLog.java
+++ b/library/src/main/java/org/chivetally/queue/warmup/DiscardingLog.java
@@ -5,6 +5,7 @@
 import java.util.Optional;
 import java.util.Set;
 import java.util.function.Consumer;
+import org.chivetally.queue.log.AppendId;
 import org.chivetally.queue.log.AppendOutcome;
 import org.chivetally.queue.log.KeyedLog;
 import org.chivetally.queue.log.KeyedRecord;
@@ -12,7 +13,6 @@
 import org.chivetally.queue.log.NewestOutcome;
 import org.chivetally.queue.log.OwnershipGroup;
 import org.chivetally.queue.log.ReadOutcome;
-import org.chivetally.queue.log.AppendId;
 import org.chivetally.time.Timers;
 
 /** A log that keeps nothing and gives its only member every partition. */
--- a/library/src/main/java/org/chivetally/queue/warmup/EntryWarmUpLoad.java
+++ b/library/src/main/java/org/chivetally/queue/warmup/EntryWarmUpLoad.java
@@ -61,7 +61,8 @@
     /** Does one round; returns the number of rounds that were carried out to their end so far. */
     public int runRound() {
         submitted++;
-        StepSpecification step = new StepSpecification(TASKS_PER_JOB, TASK_ROOM, (int) RUN_DURATION.toMillis(), List.of(), StepTraits.NONE);
+        StepSpecification step = new StepSpecification(
+                TASKS_PER_JOB, TASK_ROOM, (int) RUN_DURATION.toMillis(), List.of(), StepTraits.NONE);
         JobSpecification job =
                 new JobSpecification(JobIds.of(submitted), TERMS, "warm-up", timers.epochMillis(), List.of(step));
         long deadline = timers.nanos() + Duration.ofSeconds(1).toNanos();
@@ -128,7 +129,8 @@
                 RunStart start = frame.getRunStart();
                 startsSeen = start.getNumber();
                 TaskKey.parse(start.getTask())
-                        .ifPresent(task -> timers.after(RUN_DURATION, () -> sendRunEnd(link, new RunKey(task, start.getRun()))));
+                        .ifPresent(task ->
+                                timers.after(RUN_DURATION, () -> sendRunEnd(link, new RunKey(task, start.getRun()))));
             }
         }
 
--- a/library/src/main/java/org/chivetally/queue/warmup/WarmUp.java
+++ b/library/src/main/java/org/chivetally/queue/warmup/WarmUp.java
@@ -47,7 +47,8 @@
      * @param idle whether nothing of anybody's is in progress; once it isn't, no more rounds are done
      * @param quietly runs an action whose log lines don't concern anybody
      */
-    public WarmUp(Timers timers, Supplier<Runnable> roundFactory, BooleanSupplier idle, Consumer<Runnable> logSuppressor) {
+    public WarmUp(
+            Timers timers, Supplier<Runnable> roundFactory, BooleanSupplier idle, Consumer<Runnable> logSuppressor) {
         this.timers = timers;
         this.roundFactory = roundFactory;
         this.idle = idle;
--- a/library/src/test/java/org/chivetally/queue/entry/Cluster.java
+++ b/library/src/test/java/org/chivetally/queue/entry/Cluster.java
@@ -110,7 +110,7 @@
     /** Kills an entry: its timers go on in the test's clock, but it neither hears nor reaches anybody. */
     void kill(String name) {
         network.kill(name);
-        log.cut(name, true);
+        log.setDisconnected(name, true);
         for (String other : entries.keySet()) {
             network.cut(name, other, true);
         }
--- a/library/src/test/java/org/chivetally/queue/entry/CrashingTasksTest.java
+++ b/library/src/test/java/org/chivetally/queue/entry/CrashingTasksTest.java
@@ -168,10 +168,10 @@
         cluster.submit(entry(1), Jobs.of(GUILTY, 1, 0, 100));
         for (int deaths = 0; deaths < 2; deaths++) {
             advanceToCrash(crashed() + 1);
-            cluster.log.mood = ScriptedKeyedLog.Mood.SILENT;
+            cluster.log.appendBehavior = ScriptedKeyedLog.AppendBehavior.SILENT;
             load.advance(1_500);
             cluster.kill(ownerName());
-            cluster.log.mood = ScriptedKeyedLog.Mood.WELL;
+            cluster.log.appendBehavior = ScriptedKeyedLog.AppendBehavior.ACCEPTING;
         }
         load.advance(30_000);
         assertThat(load.starts(GUILTY), lessThanOrEqualTo(6L));
@@ -184,10 +184,10 @@
         begin(0, 8, Set.of(GUILTY));
         cluster.submit(entry(1), Jobs.of(GUILTY, 1, 0, 100));
         advanceToCrash(3);
-        cluster.log.mood = ScriptedKeyedLog.Mood.SILENT;
+        cluster.log.appendBehavior = ScriptedKeyedLog.AppendBehavior.SILENT;
         load.advance(6_000);
         assertThat(load.starts(GUILTY), is(3L));
-        cluster.log.mood = ScriptedKeyedLog.Mood.WELL;
+        cluster.log.appendBehavior = ScriptedKeyedLog.AppendBehavior.ACCEPTING;
         load.advance(30_000);
         assertThat(load.starts(GUILTY), is(6L));
     }
--- a/library/src/test/java/org/chivetally/queue/entry/EvacuationTest.java
+++ b/library/src/test/java/org/chivetally/queue/entry/EvacuationTest.java
@@ -55,7 +55,7 @@
         cluster.agent("agent-1");
         cluster.agentIn("south", "agent-2");
         cluster.settled();
-        cluster.log.cut("entry-2", true);
+        cluster.log.setDisconnected("entry-2", true);
         reader.evacuations(NORTH);
         cluster.advance(20);
         for (int number = 0; number < 2; number++) {
--- a/library/src/test/java/org/chivetally/queue/entry/KeptJobsTest.java
+++ b/library/src/test/java/org/chivetally/queue/entry/KeptJobsTest.java
@@ -111,12 +111,12 @@
         EntryNode owner = ownerOf(ID);
         cluster.submit(owner, Jobs.of(ID, 1));
         cluster.advance(100);
-        cluster.log.mood = ScriptedKeyedLog.Mood.SILENT;
+        cluster.log.appendBehavior = ScriptedKeyedLog.AppendBehavior.SILENT;
         cluster.finish(ID, RunOutcome.DONE);
         cluster.advance(1_200);
         assertThat(total(minion -> minion.ends.size()), is(1));
         cluster.kill(nameOf(owner));
-        cluster.log.mood = ScriptedKeyedLog.Mood.WELL;
+        cluster.log.appendBehavior = ScriptedKeyedLog.AppendBehavior.ACCEPTING;
         cluster.advance(9_000);
         assertThat(cluster.running(ID), is(empty()));
         assertThat(cluster.query(ownerOf(ID), ID), contains(new JobAnswer.State(JobPhase.COMPLETED)));
@@ -289,7 +289,7 @@
         cluster.advance(100);
         String runner = runnerOf(ID);
         String other = "agent-1".equals(runner) ? "agent-2" : "agent-1";
-        cluster.log.cut(oldName, true);
+        cluster.log.setDisconnected(oldName, true);
         for (String entry : cluster.entries.keySet()) {
             cluster.network.cut(oldName, entry, true);
             cluster.network.cut(other, entry, !entry.equals(oldName));
@@ -339,11 +339,11 @@
     @Test
     void refusesAJobThatTheLogDoesNotTake() {
         three();
-        cluster.log.mood = ScriptedKeyedLog.Mood.REFUSING;
+        cluster.log.appendBehavior = ScriptedKeyedLog.AppendBehavior.REFUSING;
         List<JobAnswer> answers = cluster.submit(ownerOf(ID), Jobs.of(ID, 1));
         cluster.advance(600);
         assertThat(answers, contains(instanceOf(JobAnswer.Refused.class)));
-        cluster.log.mood = ScriptedKeyedLog.Mood.WELL;
+        cluster.log.appendBehavior = ScriptedKeyedLog.AppendBehavior.ACCEPTING;
         cluster.advance(2_000);
         assertThat(cluster.running(ID), is(empty()));
         assertThat(cluster.query(ownerOf(ID), ID), contains(new JobAnswer.UnknownJob()));
--- a/library/src/test/java/org/chivetally/queue/entry/UnkeptJobsTest.java
+++ b/library/src/test/java/org/chivetally/queue/entry/UnkeptJobsTest.java
@@ -50,7 +50,7 @@
     @Test
     void servesWhileTheLogIsDown() {
         agents(1);
-        cluster.log.mood = ScriptedKeyedLog.Mood.SILENT;
+        cluster.log.appendBehavior = ScriptedKeyedLog.AppendBehavior.SILENT;
         cluster.advance(5_000);
         List<JobAnswer> answers = cluster.submitUnkept(entry, Jobs.of(ID, 1), 2_000);
         cluster.advance(50);
--- a/library/src/test/java/org/chivetally/queue/entry/WakeUps.java
+++ b/library/src/test/java/org/chivetally/queue/entry/WakeUps.java
@@ -17,7 +17,7 @@
 
     WakeUps(Timers shared, MemoryNetwork network) {
         this.shared = shared;
-        network.whenArrived(this::count);
+        network.onArrival(this::count);
     }
 
     /** Returns timers of a process that are counted by their delay. */
--- a/library/src/test/java/org/chivetally/queue/link/MemoryNetwork.java
+++ b/library/src/test/java/org/chivetally/queue/link/MemoryNetwork.java
@@ -16,7 +16,7 @@
 
 /** Connections in memory between processes named by their hosts; a test can cut paths silently or end connections. */
 public final class MemoryNetwork {
-    private static final Duration ONE_WAY = Duration.ofMillis(1);
+    private static final Duration ONE_WAY_DELAY = Duration.ofMillis(1);
 
     private final Timers timers;
     /** Frames sent so far, by kind. */
@@ -26,10 +26,10 @@
     public final Map<String, Map<Frame.BodyCase, Integer>> received = new HashMap<>();
 
     private final Map<String, FrameListener> listeners = new HashMap<>();
-    private BiConsumer<String, String> arrival = (host, cause) -> {};
-    private final Set<String> cuts = new HashSet<>();
-    private final Set<String> dead = new HashSet<>();
-    private final List<End> ends = new ArrayList<>();
+    private BiConsumer<String, String> arrivalListener = (host, cause) -> {};
+    private final Set<String> cutPaths = new HashSet<>();
+    private final Set<String> stopped = new HashSet<>();
+    private final List<Endpoint> ends = new ArrayList<>();
 
     /** Creates a network without processes. */
     public MemoryNetwork(Timers timers) {
@@ -37,14 +37,14 @@
     }
 
     /** Names who is told the host and the kind of each frame that arrives. */
-    public void whenArrived(BiConsumer<String, String> listener) {
-        arrival = listener;
+    public void onArrival(BiConsumer<String, String> listener) {
+        arrivalListener = listener;
     }
 
     /** Listens on a host. */
     public void listen(String host, FrameListener listener) {
         listeners.put(host, listener);
-        dead.remove(host);
+        stopped.remove(host);
     }
 
     /** Returns how a host dials. */
@@ -56,9 +56,9 @@
     public void cut(String one, String other, boolean off) {
         for (String path : List.of(one + ">" + other, other + ">" + one)) {
             if (off) {
-                cuts.add(path);
+                cutPaths.add(path);
             } else {
-                cuts.remove(path);
+                cutPaths.remove(path);
             }
         }
     }
@@ -66,8 +66,8 @@
     /** Ends a process: its connections are reset, and nobody can dial it. */
     public void kill(String host) {
         listeners.remove(host);
-        dead.add(host);
-        for (End end : List.copyOf(ends)) {
+        stopped.add(host);
+        for (Endpoint end : List.copyOf(ends)) {
             if (end.from.equals(host)) {
                 end.reset();
             }
@@ -76,13 +76,13 @@
 
     private void dial(String from, String to, FrameListener dialling) {
         FrameListener accepting = listeners.get(to);
-        if (accepting == null || dead.contains(from) || cuts.contains(from + ">" + to)) {
+        if (accepting == null || stopped.contains(from) || cutPaths.contains(from + ">" + to)) {
             timers.after(Duration.ofMillis(500), () -> dialling.disconnected(null, "dial failed"));
             return;
         }
-        timers.after(ONE_WAY, () -> {
-            End near = new End(from, to, dialling);
-            End far = new End(to, from, accepting);
+        timers.after(ONE_WAY_DELAY, () -> {
+            Endpoint near = new Endpoint(from, to, dialling);
+            Endpoint far = new Endpoint(to, from, accepting);
             near.other = far;
             far.other = near;
             ends.add(near);
@@ -92,14 +92,14 @@
         });
     }
 
-    private final class End implements FrameConnection {
+    private final class Endpoint implements FrameConnection {
         private final String from;
         private final String to;
         private final FrameListener listener;
-        private End other;
+        private Endpoint other;
         private boolean open = true;
 
-        private End(String from, String to, FrameListener listener) {
+        private Endpoint(String from, String to, FrameListener listener) {
             this.from = from;
             this.to = to;
             this.listener = listener;
@@ -107,16 +107,16 @@
 
         @Override
         public void send(Frame frame) {
-            if (!open || cuts.contains(from + ">" + to)) {
+            if (!open || cutPaths.contains(from + ">" + to)) {
                 return;
             }
             sent.merge(frame.getBodyCase(), 1, Integer::sum);
-            End receiver = other;
-            timers.after(ONE_WAY, () -> {
+            Endpoint receiver = other;
+            timers.after(ONE_WAY_DELAY, () -> {
                 if (receiver.open) {
                     received.computeIfAbsent(receiver.from, host -> new EnumMap<>(Frame.BodyCase.class))
                             .merge(frame.getBodyCase(), 1, Integer::sum);
-                    arrival.accept(receiver.from, "frame " + frame.getBodyCase());
+                    arrivalListener.accept(receiver.from, "frame " + frame.getBodyCase());
                     receiver.listener.received(receiver, frame);
                 }
             });
@@ -134,8 +134,8 @@
             open = false;
             ends.remove(this);
             listener.disconnected(this, "closed");
-            if (!cuts.contains(from + ">" + to)) {
-                timers.after(ONE_WAY, other::reset);
+            if (!cutPaths.contains(from + ">" + to)) {
+                timers.after(ONE_WAY_DELAY, other::reset);
             }
         }
 
--- a/library/src/test/java/org/chivetally/queue/log/PartitionWriterTest.java
+++ b/library/src/test/java/org/chivetally/queue/log/PartitionWriterTest.java
@@ -51,11 +51,11 @@
     @Test
     void repeatsAnAppendWhoseAnswerWasLostUntilItsFateIsKnown() {
         PartitionWriter writer = open(1);
-        log.mood = ScriptedKeyedLog.Mood.ANSWERS_LOST;
+        log.appendBehavior = ScriptedKeyedLog.AppendBehavior.ANSWERS_LOST;
         writer.write(entry("a"), true, results::add);
         timers.advance(Duration.ofMillis(700));
         assertThat(results, contains(Result.STORED));
-        log.mood = ScriptedKeyedLog.Mood.WELL;
+        log.appendBehavior = ScriptedKeyedLog.AppendBehavior.ACCEPTING;
         timers.advance(Duration.ofMillis(700));
         assertThat(results, contains(Result.STORED, Result.STORED));
         assertThat(log.appends(), hasSize(2));
@@ -65,13 +65,13 @@
     @Test
     void refusesWhatCanNotBeWrittenAndKeepsWhatMust() {
         PartitionWriter writer = open(1);
-        log.mood = ScriptedKeyedLog.Mood.REFUSING;
+        log.appendBehavior = ScriptedKeyedLog.AppendBehavior.REFUSING;
         writer.write(entry("job"), true, results::add);
         writer.write(entry("progress"), false, results::add);
         timers.advance(Duration.ofMillis(500));
         assertThat(results, contains(Result.STORED, Result.REFUSED));
         assertThat(writer.isStalled(), is(true));
-        log.mood = ScriptedKeyedLog.Mood.WELL;
+        log.appendBehavior = ScriptedKeyedLog.AppendBehavior.ACCEPTING;
         timers.advance(Duration.ofMillis(100));
         assertThat(results, contains(Result.STORED, Result.REFUSED, Result.STORED));
         assertThat(log.newest(STREAM).keySet(), contains("progress"));
@@ -82,13 +82,13 @@
     @Test
     void neverRefusesAnAppendThatMayHaveBeenCarriedOut() {
         PartitionWriter writer = open(1);
-        log.mood = ScriptedKeyedLog.Mood.ANSWERS_LOST;
+        log.appendBehavior = ScriptedKeyedLog.AppendBehavior.ANSWERS_LOST;
         writer.write(entry("a"), true, results::add);
         timers.advance(Duration.ofMillis(100));
-        log.mood = ScriptedKeyedLog.Mood.REFUSING;
+        log.appendBehavior = ScriptedKeyedLog.AppendBehavior.REFUSING;
         timers.advance(Duration.ofSeconds(3));
         assertThat(results, contains(Result.STORED));
-        log.mood = ScriptedKeyedLog.Mood.WELL;
+        log.appendBehavior = ScriptedKeyedLog.AppendBehavior.ACCEPTING;
         timers.advance(Duration.ofMillis(100));
         assertThat(results, contains(Result.STORED, Result.STORED));
     }
--- a/library/src/test/java/org/chivetally/queue/log/ScriptedKeyedLog.java
+++ b/library/src/test/java/org/chivetally/queue/log/ScriptedKeyedLog.java
@@ -18,22 +18,22 @@
  * fail for all callers or for some.
  */
 public final class ScriptedKeyedLog {
-    private static final Duration ANSWER = Duration.ofMillis(4);
+    private static final Duration ANSWER_DELAY = Duration.ofMillis(4);
 
     private final Timers timers;
     private final Map<LogStream, Partition> partitions = new HashMap<>();
-    private final Map<String, Long> membersUntil = new TreeMap<>();
-    private final Map<Integer, String> holders = new HashMap<>();
-    private final Map<Integer, String> dealt = new HashMap<>();
+    private final Map<String, Long> memberExpiries = new TreeMap<>();
+    private final Map<Integer, String> owners = new HashMap<>();
+    private final Map<Integer, String> assignment = new HashMap<>();
     private final int partitionCount;
     private final List<LogStream> appends = new ArrayList<>();
     private long generation;
-    private final Set<String> cutOff = new HashSet<>();
+    private final Set<String> disconnected = new HashSet<>();
 
     /** What the log does with appends. */
-    public enum Mood {
+    public enum AppendBehavior {
         /** Takes them. */
-        WELL,
+        ACCEPTING,
         /** Refuses them. */
         REFUSING,
         /** Takes them, and the answer is lost. */
@@ -43,7 +43,7 @@
     }
 
     /** What appends meet now. */
-    public Mood mood = Mood.WELL;
+    public AppendBehavior appendBehavior = AppendBehavior.ACCEPTING;
 
     /** Creates an empty log. */
     public ScriptedKeyedLog(Timers timers, int partitionCount) {
@@ -52,11 +52,11 @@
     }
 
     /** Cuts one caller off, or lets it through again. */
-    public void cut(String caller, boolean off) {
+    public void setDisconnected(String caller, boolean off) {
         if (off) {
-            cutOff.add(caller);
+            disconnected.add(caller);
         } else {
-            cutOff.remove(caller);
+            disconnected.remove(caller);
         }
     }
 
@@ -80,7 +80,7 @@
     }
 
     /** Deletes all records of a partition but the newest value of each key. */
-    public void forgetHistory(LogStream stream) {
+    public void expireHistory(LogStream stream) {
         Partition partition = partition(stream);
         partition.firstKept = partition.records.size();
     }
@@ -102,25 +102,22 @@
         }
 
         private boolean isCut() {
-            return cutOff.contains(caller);
+            return disconnected.contains(caller);
         }
 
         @Override
         public void append(
-                LogStream stream,
-                Optional<AppendId> stamp,
-                List<KeyedRecord> records,
-                Consumer<AppendOutcome> answer) {
-            if (isCut() || mood == Mood.SILENT) {
+                LogStream stream, Optional<AppendId> stamp, List<KeyedRecord> records, Consumer<AppendOutcome> answer) {
+            if (isCut() || appendBehavior == AppendBehavior.SILENT) {
                 timers.after(Duration.ofMillis(600), () -> answer.accept(new AppendOutcome.Unknown("silent")));
                 return;
             }
-            if (mood == Mood.REFUSING) {
-                timers.after(ANSWER, () -> answer.accept(new AppendOutcome.Refused("busy")));
+            if (appendBehavior == AppendBehavior.REFUSING) {
+                timers.after(ANSWER_DELAY, () -> answer.accept(new AppendOutcome.Refused("busy")));
                 return;
             }
-            boolean lost = mood == Mood.ANSWERS_LOST;
-            timers.after(ANSWER, () -> {
+            boolean lost = appendBehavior == AppendBehavior.ANSWERS_LOST;
+            timers.after(ANSWER_DELAY, () -> {
                 AppendOutcome outcome = carryOut(stream, stamp, records);
                 if (lost) {
                     timers.after(Duration.ofMillis(600), () -> answer.accept(new AppendOutcome.Unknown("answer lost")));
@@ -168,7 +165,7 @@
                 timers.after(Duration.ofMillis(600), () -> answer.accept(new NewestOutcome.Unavailable("cut off")));
                 return;
             }
-            timers.after(ANSWER, () -> {
+            timers.after(ANSWER_DELAY, () -> {
                 Partition partition = partition(stream);
                 List<KeyedRecord> items = new ArrayList<>();
                 partition
@@ -186,7 +183,7 @@
                 return;
             }
             Partition partition = partition(stream);
-            timers.after(partition.records.size() > from ? ANSWER : Duration.ofMillis(50), () -> {
+            timers.after(partition.records.size() > from ? ANSWER_DELAY : Duration.ofMillis(50), () -> {
                 if (from < partition.firstKept) {
                     answer.accept(new ReadOutcome.Expired());
                     return;
@@ -199,20 +196,21 @@
 
         @Override
         public void join(String member, long known, Duration timeToLive, Consumer<JoinOutcome> answer) {
-            if (isCut() || mood == Mood.SILENT) {
+            if (isCut() || appendBehavior == AppendBehavior.SILENT) {
                 timers.after(Duration.ofMillis(600), () -> answer.accept(new JoinOutcome.Unavailable("silent")));
                 return;
             }
-            timers.after(ANSWER, () -> {
-                membersUntil.put(member, timers.nanos() + timeToLive.toNanos());
-                deal();
+            timers.after(ANSWER_DELAY, () -> {
+                memberExpiries.put(member, timers.nanos() + timeToLive.toNanos());
+                reassign();
                 if (known >= generation) {
                     // The member has learned what it has lost, so that can be dealt on.
-                    holders.replaceAll((partition, holder) -> holder.equals(member) ? dealt.get(partition) : holder);
+                    owners.replaceAll(
+                            (partition, holder) -> holder.equals(member) ? assignment.get(partition) : holder);
                 }
                 Set<Integer> own = new HashSet<>();
-                dealt.forEach((partition, next) -> {
-                    if (next.equals(member) && holders.get(partition).equals(member)) {
+                assignment.forEach((partition, next) -> {
+                    if (next.equals(member) && owners.get(partition).equals(member)) {
                         own.add(partition);
                     }
                 });
@@ -222,27 +220,27 @@
 
         @Override
         public void leave(String member, Runnable done) {
-            timers.after(ANSWER, () -> {
-                membersUntil.remove(member);
-                deal();
+            timers.after(ANSWER_DELAY, () -> {
+                memberExpiries.remove(member);
+                reassign();
                 done.run();
             });
         }
     }
 
-    private void deal() {
-        membersUntil.values().removeIf(until -> until < timers.nanos());
-        List<String> members = new ArrayList<>(membersUntil.keySet());
+    private void reassign() {
+        memberExpiries.values().removeIf(until -> until < timers.nanos());
+        List<String> members = new ArrayList<>(memberExpiries.keySet());
         Map<Integer, String> next = new HashMap<>();
         for (int partition = 0; partition < partitionCount && !members.isEmpty(); partition++) {
             next.put(partition, members.get(partition % members.size()));
         }
-        if (!next.equals(dealt)) {
-            dealt.clear();
-            dealt.putAll(next);
+        if (!next.equals(assignment)) {
+            assignment.clear();
+            assignment.putAll(next);
             generation++;
         }
-        dealt.forEach((partition, member) ->
-                holders.compute(partition, (same, holder) -> members.contains(holder) ? holder : member));
+        assignment.forEach((partition, member) ->
+                owners.compute(partition, (same, holder) -> members.contains(holder) ? holder : member));
     }
 }
--- a/library/src/test/java/org/chivetally/queue/log/StreamTailTest.java
+++ b/library/src/test/java/org/chivetally/queue/log/StreamTailTest.java
@@ -54,11 +54,11 @@
         append(new KeyedRecord("b", VALUE));
         tail.start();
         timers.advance(Duration.ofMillis(100));
-        log.cut("reader", true);
+        log.setDisconnected("reader", true);
         append(KeyedRecord.tombstone("a"));
-        log.forgetHistory(STREAM);
+        log.expireHistory(STREAM);
         timers.advance(Duration.ofSeconds(2));
-        log.cut("reader", false);
+        log.setDisconnected("reader", false);
         timers.advance(Duration.ofSeconds(2));
         assertThat(told, contains("+a", "+b", "+b", "-a"));
     }
--- a/library/src/test/java/org/chivetally/queue/placement/WorstLoadTest.java
+++ b/library/src/test/java/org/chivetally/queue/placement/WorstLoadTest.java
@@ -16,10 +16,10 @@
 import java.util.Random;
 import java.util.Set;
 import java.util.SplittableRandom;
+import org.chivetally.queue.CompletionForecast;
 import org.chivetally.queue.Job;
 import org.chivetally.queue.JobPhase;
 import org.chivetally.queue.Jobs;
-import org.chivetally.queue.CompletionForecast;
 import org.chivetally.queue.Room;
 import org.chivetally.queue.RunOutcome;
 import org.chivetally.queue.Task;
@@ -182,7 +182,8 @@
         }
         PlacementPolicy.Pass placement = policy.over(workers, nowNanos);
         for (Task task : waiting.first("reports", SLOTS)) {
-            if (task.job().phase().isFinal() || task.job().completionForecast(nowNanos).timeliness() == CompletionForecast.Timeliness.TOO_LATE) {
+            if (task.job().phase().isFinal()
+                    || task.job().completionForecast(nowNanos).timeliness() == CompletionForecast.Timeliness.TOO_LATE) {
                 waiting.remove(task);
                 continue;
             }
--- a/library/src/test/java/org/chivetally/queue/warmup/WarmUpTest.java
+++ b/library/src/test/java/org/chivetally/queue/warmup/WarmUpTest.java
@@ -64,7 +64,8 @@
     @Test
     void endsWithTheFirstRealWork() {
         begin();
-        timers.advance(WarmUp.INITIAL_DELAY.plus(WarmUp.ROUND_INTERVAL.multipliedBy(4)).plusMillis(1));
+        timers.advance(
+                WarmUp.INITIAL_DELAY.plus(WarmUp.ROUND_INTERVAL.multipliedBy(4)).plusMillis(1));
         idle = false;
 
         timers.advance(Duration.ofMinutes(1));
