--- a/library/src/main/java/org/chivetally/queue/entry/AgentAnnouncement.java
+++ b/library/src/main/java/org/chivetally/queue/entry/AgentAnnouncement.java
@@ -15,7 +15,7 @@
     private final Peer self;
     private final AgentNode agent;
     private Optional<MinionState> announced = Optional.empty();
-    private boolean read;
+    private boolean directoryRead;
 
     /** Creates an announcement that is not in the log yet. */
     public AgentAnnouncement(MemberDirectory directory, Peer self, AgentNode agent) {
@@ -29,19 +29,19 @@
      *
      * @param met told about each process
      */
-    public void start(Consumer<Peer> met) {
+    public void start(Consumer<Peer> listener) {
         agent.whenMinionChanges(this::minionChanged);
-        directory.readOnce(met, () -> {
+        directory.readOnce(listener, () -> {
             directory.minionOf(self.process()).ifPresent(agent.supervisor()::recall);
             announced = agent.supervisor().minion();
-            read = true;
+            directoryRead = true;
             directory.announce(self, announced);
         });
     }
 
     private void minionChanged() {
         Optional<MinionState> minion = agent.supervisor().minion();
-        if (!read || isSame(minion)) {
+        if (!directoryRead || isUpToDate(minion)) {
             return;
         }
         announced = minion;
@@ -52,7 +52,7 @@
      * Compares what a restart needs to know: not the clock, which goes on all the time, and of the capacity only that
      * no more is announced than there is, so that one that goes up and down is written once.
      */
-    private boolean isSame(Optional<MinionState> minion) {
+    private boolean isUpToDate(Optional<MinionState> minion) {
         if (minion.isEmpty() || announced.isEmpty()) {
             return minion.isEmpty() && announced.isEmpty();
         }
--- a/library/src/main/java/org/chivetally/queue/entry/EntryNode.java
+++ b/library/src/main/java/org/chivetally/queue/entry/EntryNode.java
@@ -44,15 +44,15 @@
 import org.chivetally.wire.v1.QueueDemand;
 
 /** An entry among its peers and agents: brings ownership, runs and callers together. */
-public final class EntryNode implements LinkListener, PartitionEvents, Ownership.Changes, JobDesk.OwnerDirectory {
+public final class EntryNode implements LinkListener, PartitionEvents, Ownership.Listener, JobRouter.OwnerDirectory {
     /**
      * Interval of heartbeats to entries, and of all else that is looked at regularly: six fit into the silence after
      * which a link is closed.
      */
-    static final Duration BEAT_INTERVAL = Duration.ofMillis(250);
+    static final Duration HEARTBEAT_INTERVAL = Duration.ofMillis(250);
 
     /** Intervals to a heartbeat to entries while this one has no work: two of them fit into the silence. */
-    static final int IDLE_INTERVALS_PER_BEAT = 3;
+    static final int IDLE_TICKS_PER_HEARTBEAT = 3;
 
     /** Time without work after which an entry counts as idle: under load the next job comes long before. */
     static final Duration IDLE_AFTER = Duration.ofSeconds(2);
@@ -61,7 +61,7 @@
      * Least time between two heartbeats to an agent. They are sent in answer to its own in place of an echo, so that
      * they need no wake-up of either process.
      */
-    static final Duration AGENT_BEAT_INTERVAL = Duration.ofMillis(1_000);
+    static final Duration AGENT_HEARTBEAT_INTERVAL = Duration.ofMillis(1_000);
 
     /**
      * Least time between two echoes to an agent that has runs of this entry. With heartbeats every 0.25 s the agent's
@@ -76,22 +76,22 @@
     static final Duration IDLE_ECHO_INTERVAL = Duration.ofMillis(450);
 
     /** Intervals of heartbeats after which ended jobs are looked through for those that nobody may ask for any more. */
-    static final int BEATS_PER_FORGETTING = 20;
+    static final int TICKS_PER_PURGE = 20;
 
     /** Margin on the time for which ended jobs are kept, over clocks that differ between instances. */
-    static final Duration FORGET_MARGIN = Duration.ofSeconds(10);
+    static final Duration RETENTION_MARGIN = Duration.ofSeconds(10);
 
     /**
      * Time from the start in which the opening of partitions waits. After a loss of all power the first entry in the
      * group gets all of them, and gives most back to the others a fifth of a second later.
      */
-    static final Duration GATHERING = Duration.ofMillis(500);
+    static final Duration REBALANCE_WINDOW = Duration.ofMillis(500);
 
     /**
      * Pause before a partition that came in this time is opened. Opening sixteen at once held the cold code of an entry
      * for half a second in which agents could not be linked, and ten of them were given back.
      */
-    static final Duration OPENING_PAUSE = Duration.ofMillis(250);
+    static final Duration OPENING_DELAY = Duration.ofMillis(250);
 
     private static final FluentLogger LOGGER = FluentLogger.forEnclosingClass();
 
@@ -103,17 +103,17 @@
     private final Ownership ownership;
     private final CrashWatch crashes;
     private final RunCoordinator runs;
-    private final JobDesk desk;
+    private final JobRouter jobRouter;
     private final MemberDirectory directory;
     private final SuspensionDetector suspension;
     private final StallDetector stall;
     private final Map<Integer, PartitionOwner> partitions = new TreeMap<>();
     private final Map<Integer, RemoteOwner> remoteOwners = new HashMap<>();
-    private final Map<String, Map<String, Long>> pendingElsewhere = new HashMap<>();
+    private final Map<String, Map<String, Long>> remotePending = new HashMap<>();
     private final long startedAtNanos;
     private Evacuations evacuations = Evacuations.UNKNOWN;
     private boolean leaving;
-    private long beats;
+    private long ticks;
     private long busyAtNanos;
 
     /** Creates an entry that does nothing yet. */
@@ -132,7 +132,7 @@
                 new SplittableRandom(self.process().hashCode()),
                 options.scheduling().learnedSpeeds(),
                 crashPolicy);
-        this.desk = new JobDesk(timers, options.partitions(), this);
+        this.jobRouter = new JobRouter(timers, options.partitions(), this);
         this.directory = new MemberDirectory(log, timers, options.memberStream());
         this.suspension = new SuspensionDetector(timers);
         this.stall = new StallDetector(timers);
@@ -143,7 +143,7 @@
                 options.partitions(),
                 partitions,
                 this::mayStart,
-                this::hasStoodStill,
+                this::mayReadStaleRequests,
                 stall::keptUpAtNanos,
                 options.scheduling());
         this.startedAtNanos = timers.nanos();
@@ -153,24 +153,24 @@
     /** Announces the entry, follows the other processes and begins to own partitions. */
     public void start() {
         directory.announce(self);
-        directory.follow(this::met);
+        directory.follow(this::peerDiscovered);
         ownership.start();
-        timers.every(BEAT_INTERVAL, this::beat);
+        timers.every(HEARTBEAT_INTERVAL, this::tick);
     }
 
     /** Notes that callers can reach the entry from now on. */
-    public void opened() {
+    public void endpointOpened() {
         stall.opened();
     }
 
     /** Returns where callers are answered. */
-    public JobDesk desk() {
-        return desk;
+    public JobRouter jobRouter() {
+        return jobRouter;
     }
 
     /** Returns the jobs that only this entry knows. */
-    public UnkeptJobs unkept() {
-        return runs.unkept();
+    public InMemoryJobs inMemoryJobs() {
+        return runs.inMemoryJobs();
     }
 
     /** Returns how many times as long the slowest workers take as the fastest; 1 while speeds aren't learned. */
@@ -189,8 +189,8 @@
     }
 
     /** Returns the number of entries that are out of reach and keep their parts; 0 unless queues have shares. */
-    public int silentEntries() {
-        return runs.queueShares().map(QueueShares::silentEntries).orElse(0);
+    public int unreachableEntries() {
+        return runs.queueShares().map(QueueShares::unreachableEntries).orElse(0);
     }
 
     /** Returns how queues share the workers; empty unless that is switched on. */
@@ -212,15 +212,15 @@
     public boolean canServe() {
         int known = 0;
         for (int partition = 0; partition < options.partitions(); partition++) {
-            known += local(partition).isPresent() || remote(partition).isPresent() ? 1 : 0;
+            known += localOwner(partition).isPresent() || linkToOwner(partition).isPresent() ? 1 : 0;
         }
         return 2 * known > options.partitions();
     }
 
     /** Returns the number of accepted jobs of a queue none of whose tasks has started, in all partitions. */
     public long pending(String queue) {
-        long count = pendingHere().getOrDefault(queue, 0L);
-        for (Map<String, Long> counts : pendingElsewhere.values()) {
+        long count = localPending().getOrDefault(queue, 0L);
+        for (Map<String, Long> counts : remotePending.values()) {
             count += counts.getOrDefault(queue, 0L);
         }
         return count;
@@ -229,16 +229,16 @@
     /**
      * Notes what operators want to be left alone, and tells the agents at once if that is another domain than before.
      */
-    public void evacuations(Evacuations read) {
+    public void updateEvacuations(Evacuations latest) {
         Evacuations before = evacuations;
-        evacuations = evacuations.newest(read);
-        runs.shares().evacuations(evacuations);
+        evacuations = evacuations.newest(latest);
+        runs.shares().updateEvacuations(evacuations);
         if (!evacuations.failureDomains().equals(before.failureDomains())) {
             EventLine.of("evacuations-read")
                     .with("version", evacuations.version())
                     .with("failure_domains", evacuations.failureDomains())
                     .log(LOGGER.atInfo());
-            sendBeats(true);
+            sendHeartbeats(true);
         }
     }
 
@@ -249,12 +249,12 @@
             for (PartitionOwner owner : List.copyOf(partitions.values())) {
                 lost(owner.partition());
             }
-            sendBeats(true);
+            sendHeartbeats(true);
             done.run();
         });
     }
 
-    private void met(Peer peer) {
+    private void peerDiscovered(Peer peer) {
         // One of each pair of entries dials, the later by name, so that two dials don't replace each other for ever.
         boolean dials = !peer.agent() && peer.process().compareTo(self.process()) < 0;
         if (dials) {
@@ -263,14 +263,14 @@
     }
 
     private boolean mayStart() {
-        return !hasStoodStill() && ownership.isTrusted();
+        return !mayReadStaleRequests() && ownership.hasConfirmation();
     }
 
-    private boolean hasStoodStill() {
+    private boolean mayReadStaleRequests() {
         long gap = suspension.look();
         if (gap > 0) {
             EventLine.of("suspended").with("gap_ms", gap).log(LOGGER.atWarning());
-            ownership.distrust();
+            ownership.invalidateConfirmation();
             stall.doubt();
         }
         return stall.look();
@@ -284,13 +284,13 @@
             runs.up(link);
         } else {
             ownership.join();
-            outdateAgentBeats();
+            invalidateAgentHeartbeats();
         }
-        sendBeat(link, link.peer().agent() ? List.of() : queueDemand());
+        sendHeartbeat(link, link.peer().agent() ? List.of() : queueDemand());
     }
 
     /** Lets agents hear of an entry that has come with the answer to their next heartbeat. */
-    private void outdateAgentBeats() {
+    private void invalidateAgentHeartbeats() {
         for (PeerLink other : links.links()) {
             if (other.peer().agent()) {
                 other.outdateBeat();
@@ -304,34 +304,34 @@
             runs.down(link);
             return;
         }
-        pendingElsewhere.remove(link.peer().process());
-        runs.shares().forgetDemandOf(link.peer().process());
-        desk.linkLost(link.peer().process());
+        remotePending.remove(link.peer().process());
+        runs.shares().removeRemoteDemand(link.peer().process());
+        jobRouter.linkLost(link.peer().process());
         ownership.join();
     }
 
     @Override
     public void received(PeerLink link, Frame frame) {
         switch (frame.getBodyCase()) {
-            case ENTRY_BEAT -> entryBeat(link, frame.getEntryBeat());
+            case ENTRY_BEAT -> receiveEntryHeartbeat(link, frame.getEntryBeat());
             case AGENT_BEAT -> {
                 link.stamps(
                         frame.getAgentBeat().getStampNanos(),
                         frame.getAgentBeat().getEchoNanos());
-                answerBeat(link);
+                answerHeartbeat(link);
                 runs.report(link, frame.getAgentBeat().getReport());
             }
             case RUN_INVENTORY -> {
                 link.stamps(frame.getRunInventory().getStampNanos(), link.echoNanos());
-                runs.inventory(link, frame.getRunInventory());
+                runs.reconcile(link, frame.getRunInventory());
             }
             case RUN_ENDS -> {
                 runs.report(link, frame.getRunEnds().getReport());
                 runs.ends(link, frame.getRunEnds().getEndsList());
             }
             case RUN_REFUSED -> runs.refused(link, frame.getRunRefused());
-            case JOB_SUBMISSION, JOB_QUERY, JOB_CANCELLATION -> desk.serve(link, frame);
-            case JOB_REPLY -> desk.replied(frame.getRequestId(), frame.getJobReply());
+            case JOB_SUBMISSION, JOB_QUERY, JOB_CANCELLATION -> jobRouter.serve(link, frame);
+            case JOB_REPLY -> jobRouter.receiveReply(frame.getRequestId(), frame.getJobReply());
             default ->
                 EventLine.of("frame-unexpected")
                         .with("peer", link.peer().process())
@@ -344,10 +344,10 @@
      * Tells an agent that it was heard, unless a start or a heartbeat has just told it. Half of an idle agent's
      * wake-ups and an entry's frames to agents were echoes; only an agent that has runs of this entry needs them soon.
      */
-    private void answerBeat(PeerLink link) {
+    private void answerHeartbeat(PeerLink link) {
         long now = timers.nanos();
-        if (link.isBeatDue(now, AGENT_BEAT_INTERVAL)) {
-            sendBeat(link, link.peer().agent() ? List.of() : queueDemand());
+        if (link.isBeatDue(now, AGENT_HEARTBEAT_INTERVAL)) {
+            sendHeartbeat(link, link.peer().agent() ? List.of() : queueDemand());
             return;
         }
         Duration interval = runs.hasRunsAt(link.peer().process()) ? ECHO_INTERVAL : IDLE_ECHO_INTERVAL;
@@ -359,35 +359,36 @@
         }
     }
 
-    private void entryBeat(PeerLink link, EntryBeat beat) {
+    private void receiveEntryHeartbeat(PeerLink link, EntryBeat beat) {
         link.stamps(beat.getStampNanos(), beat.getEchoNanos());
         String process = link.peer().process();
         remoteOwners.values().removeIf(owner -> owner.process().equals(process));
         for (OwnedPartition owned : beat.getOwnedList()) {
-            remoteOwned(process, owned);
+            updateRemoteOwner(process, owned);
         }
         Map<String, Long> counts = new HashMap<>();
         for (QueueCount count : beat.getPendingList()) {
             counts.put(count.getQueue(), count.getPending());
         }
-        pendingElsewhere.put(process, counts);
+        remotePending.put(process, counts);
         Map<String, ServiceDemand> demand = new HashMap<>();
         for (Demand told : beat.getDemandList()) {
             demand.put(told.getService(), new ServiceDemand(told.getArrivingMillis(), told.getWaitingWork()));
         }
-        runs.shares().demandElsewhere(process, demand);
+        runs.shares().updateRemoteDemand(process, demand);
         if (runs.queueShares().isPresent()) {
-            runs.queueShares().get().told(process, QueueDemands.decode(beat), beat.getLeaving());
+            runs.queueShares().get().updateRemoteLoads(process, QueueDemandCodec.decode(beat), beat.getLeaving());
         }
         for (EntryAddress entry : beat.getEntriesList()) {
-            met(new Peer(entry.getProcess(), entry.getIncarnation(), false, "", entry.getHost(), entry.getPort()));
+            peerDiscovered(
+                    new Peer(entry.getProcess(), entry.getIncarnation(), false, "", entry.getHost(), entry.getPort()));
         }
         if (beat.getLeaving()) {
             ownership.join();
         }
     }
 
-    private void remoteOwned(String process, OwnedPartition owned) {
+    private void updateRemoteOwner(String process, OwnedPartition owned) {
         RemoteOwner known = remoteOwners.get(owned.getPartition());
         if (known == null || known.epoch() <= owned.getEpoch()) {
             remoteOwners.put(owned.getPartition(), new RemoteOwner(process, owned.getEpoch()));
@@ -404,21 +405,21 @@
         }
     }
 
-    private void beat() {
+    private void tick() {
         mayStart();
         int entries = 1;
         for (PeerLink link : links.links()) {
             entries += link.peer().agent() ? 0 : 1;
         }
-        runs.shares().entries(entries);
+        runs.shares().updateEntryCount(entries);
         runs.sweep();
         links.closeSilent();
-        beats++;
-        if (beats % BEATS_PER_FORGETTING == 0) {
-            forget();
+        ticks++;
+        if (ticks % TICKS_PER_PURGE == 0) {
+            purgeEndedJobs();
         }
-        if (!isIdle() || beats % IDLE_INTERVALS_PER_BEAT == 0) {
-            sendBeats(false);
+        if (!isIdle() || ticks % IDLE_TICKS_PER_HEARTBEAT == 0) {
+            sendHeartbeats(false);
         }
     }
 
@@ -430,27 +431,27 @@
         return now - busyAtNanos >= IDLE_AFTER.toNanos();
     }
 
-    private void sendBeats(boolean toAgents) {
+    private void sendHeartbeats(boolean toAgents) {
         List<QueueDemand> queueDemand = queueDemand();
         for (PeerLink link : links.links()) {
             if (toAgents || !link.peer().agent()) {
-                sendBeat(link, queueDemand);
+                sendHeartbeat(link, queueDemand);
             }
         }
     }
 
-    private void sendBeat(PeerLink link, List<QueueDemand> queueDemand) {
+    private void sendHeartbeat(PeerLink link, List<QueueDemand> queueDemand) {
         link.beatSent(timers.nanos());
-        link.send(beatFor(link, queueDemand));
+        link.send(buildHeartbeat(link, queueDemand));
     }
 
     private List<QueueDemand> queueDemand() {
         return runs.queueShares().isEmpty()
                 ? List.of()
-                : QueueDemands.encode(runs.queueShares().get().own());
+                : QueueDemandCodec.encode(runs.queueShares().get().ownLoads());
     }
 
-    private Frame beatFor(PeerLink link, List<QueueDemand> queueDemand) {
+    private Frame buildHeartbeat(PeerLink link, List<QueueDemand> queueDemand) {
         EntryBeat.Builder beat = EntryBeat.newBuilder()
                 .setStampNanos(timers.nanos())
                 .setEchoNanos(link.peerStampNanos())
@@ -467,7 +468,7 @@
             addEntries(beat);
             beat.setEvacuations(JobCodec.encode(evacuations));
         } else {
-            pendingHere()
+            localPending()
                     .forEach((queue, count) -> beat.addPending(
                             QueueCount.newBuilder().setQueue(queue).setPending(count)));
             runs.shares()
@@ -503,7 +504,7 @@
                 .build();
     }
 
-    private Map<String, Long> pendingHere() {
+    private Map<String, Long> localPending() {
         Map<String, Long> counts = new HashMap<>();
         for (PartitionOwner owner : partitions.values()) {
             for (Job job : owner.jobs()) {
@@ -515,11 +516,11 @@
         return counts;
     }
 
-    private void forget() {
-        Duration kept = options.statusRetention().plus(FORGET_MARGIN);
+    private void purgeEndedJobs() {
+        Duration retention = options.statusRetention().plus(RETENTION_MARGIN);
         for (PartitionOwner owner : partitions.values()) {
             if (owner.isReady()) {
-                owner.forgetEndedBefore(timers.epochMillis() - kept.toMillis());
+                owner.purgeEndedBefore(timers.epochMillis() - retention.toMillis());
             }
         }
     }
@@ -539,8 +540,8 @@
             runs.partitionLost(before);
             before.close();
         }
-        boolean gathering = timers.nanos() - startedAtNanos < GATHERING.toNanos();
-        timers.after(gathering ? OPENING_PAUSE : Duration.ZERO, owner::open);
+        boolean rebalancing = timers.nanos() - startedAtNanos < REBALANCE_WINDOW.toNanos();
+        timers.after(rebalancing ? OPENING_DELAY : Duration.ZERO, owner::open);
     }
 
     @Override
@@ -558,7 +559,7 @@
                     .with("partition", owner.partition())
                     .with("epoch", owner.epoch())
                     .log(LOGGER.atInfo());
-            ownership.forget(owner.partition());
+            ownership.markLost(owner.partition());
             runs.partitionLost(owner);
             owner.close();
             // It may have been dealt away and back between two calls; then it is this entry's again at once.
@@ -575,7 +576,7 @@
             }
         }
         owner.awaitAgents(agents);
-        sendBeats(true);
+        sendHeartbeats(true);
     }
 
     @Override
@@ -596,18 +597,18 @@
     // ---- owners for callers ----
 
     @Override
-    public Optional<PartitionOwner> local(int partition) {
+    public Optional<PartitionOwner> localOwner(int partition) {
         return Optional.ofNullable(partitions.get(partition)).filter(PartitionOwner::isReady);
     }
 
     @Override
-    public Optional<PeerLink> remote(int partition) {
+    public Optional<PeerLink> linkToOwner(int partition) {
         return Optional.ofNullable(remoteOwners.get(partition)).flatMap(owner -> links.link(owner.process()));
     }
 
     @Override
-    public boolean mayDeny() {
-        return ownership.isConfirmed();
+    public boolean mayReportUnknownJob() {
+        return ownership.isRecentlyConfirmed();
     }
 
     /** Another entry that owns a partition. */
--- a/library/src/main/java/org/chivetally/queue/entry/UnkeptJobs.java
+++ b/library/src/main/java/org/chivetally/queue/entry/InMemoryJobs.java
@@ -25,34 +25,34 @@
  * Jobs that nobody asks for later: their callers wait for the end, and send them again when this entry fails them. They
  * are kept in memory only, so neither the log nor another entry stands between a caller and its tasks.
  */
-public final class UnkeptJobs implements RunHome {
+public final class InMemoryJobs implements JobOwner {
     /** When to come back after a job could not be started in its caller's time. */
-    static final Duration RETRY = Duration.ofSeconds(1);
+    static final Duration RETRY_AFTER = Duration.ofSeconds(1);
 
     /**
      * How many times its estimate a job must have left when it comes while the entry stops. Estimates are off by 40%
      * (standard deviation), and one that is cut off at the end has run in vain.
      */
-    static final int STOPPING_ESTIMATES = 2;
+    static final int STOPPING_ESTIMATE_FACTOR = 2;
 
     private static final FluentLogger LOGGER = FluentLogger.forEnclosingClass();
 
     private final Timers timers;
     private final CrashWatch crashes;
-    private final Admission admission;
-    private final Map<String, Open> open = new LinkedHashMap<>();
+    private final Scheduler scheduler;
+    private final Map<String, OpenJob> openJobs = new LinkedHashMap<>();
     private OptionalLong stopsAtNanos = OptionalLong.empty();
 
-    UnkeptJobs(Timers timers, CrashWatch crashes, Admission admission) {
+    InMemoryJobs(Timers timers, CrashWatch crashes, Scheduler scheduler) {
         this.crashes = crashes;
         this.timers = timers;
-        this.admission = admission;
+        this.scheduler = scheduler;
     }
 
     /** What these jobs ask of and tell to the entry around them. */
-    interface Admission {
+    interface Scheduler {
         /** Tells whether what is read now may be so old that its caller has sent it again elsewhere. */
-        boolean hasStoodStill();
+        boolean mayReadStaleRequests();
 
         /** Decides whether a job is taken on; returns what its caller is told if it isn't. */
         Optional<JobAnswer.Refused> refuse(Job job);
@@ -75,7 +75,7 @@
      */
     public void submit(JobSpecification specification, long deadlineNanos, Consumer<JobAnswer> answer) {
         String id = specification.id();
-        Open known = open.get(id);
+        OpenJob known = openJobs.get(id);
         if (known != null) {
             known.callers.add(answer);
             return;
@@ -87,27 +87,27 @@
             answer.accept(refusal.get());
             return;
         }
-        Open fresh = new Open(job, answer);
-        open.put(id, fresh);
+        OpenJob fresh = new OpenJob(job, answer);
+        openJobs.put(id, fresh);
         Duration left = Duration.ofNanos(Math.max(0, deadlineNanos - timers.nanos()));
         fresh.timer = timers.after(left, () -> expire(fresh));
         log("job-accepted", job, "unkept");
-        admission.ready(job.tasksIn(Task.Status.WAITING));
+        scheduler.ready(job.tasksIn(Task.Status.WAITING));
     }
 
     private Optional<JobAnswer.Refused> refusal(Job job) {
-        if (admission.hasStoodStill()) {
-            return Optional.of(new JobAnswer.Refused(RefusalReason.STOOD_STILL, RETRY));
+        if (scheduler.mayReadStaleRequests()) {
+            return Optional.of(new JobAnswer.Refused(RefusalReason.STOOD_STILL, RETRY_AFTER));
         }
         if (stopsAtNanos.isPresent() && endsAfter(job, stopsAtNanos.getAsLong())) {
-            return Optional.of(new JobAnswer.Refused(RefusalReason.STOPPING, RETRY));
+            return Optional.of(new JobAnswer.Refused(RefusalReason.STOPPING, RETRY_AFTER));
         }
-        return admission.refuse(job);
+        return scheduler.refuse(job);
     }
 
     private boolean endsAfter(Job job, long limitNanos) {
         long estimate = Duration.ofMillis(
-                        STOPPING_ESTIMATES * job.specification().chainMillis())
+                        STOPPING_ESTIMATE_FACTOR * job.specification().chainMillis())
                 .toNanos();
         return timers.nanos() + estimate > limitNanos;
     }
@@ -118,15 +118,15 @@
     }
 
     /** Answers all callers that still wait, as the process ends now; a reset would leave them guessing longer. */
-    public void endAll() {
-        for (Open last : new ArrayList<>(open.values())) {
+    public void expireAll() {
+        for (OpenJob last : new ArrayList<>(openJobs.values())) {
             expire(last);
         }
     }
 
     /** Notes that a caller has gone; a job without callers is cancelled. */
-    public void callerLeft(String id, Consumer<JobAnswer> answer) {
-        Open known = open.get(id);
+    public void callerDisconnected(String id, Consumer<JobAnswer> answer) {
+        OpenJob known = openJobs.get(id);
         if (known == null || !known.callers.remove(answer) || !known.callers.isEmpty()) {
             return;
         }
@@ -135,9 +135,9 @@
     }
 
     /** Refuses jobs of which nothing has started and that can't end in their callers' time any more. */
-    void refuseHopeless() {
+    void refuseInfeasible() {
         long now = timers.nanos();
-        for (Open candidate : new ArrayList<>(open.values())) {
+        for (OpenJob candidate : new ArrayList<>(openJobs.values())) {
             if (candidate.job.phase() == JobPhase.QUEUED && candidate.job.isHopeless(now)) {
                 refuse(candidate, RefusalReason.NOT_STARTED_IN_TIME);
             }
@@ -146,36 +146,36 @@
 
     /** Refuses a job of which nothing has started and that others go before for too long; not one that is kept. */
     void refuseOvertaken(Job job) {
-        Open candidate = open.get(job.specification().id());
+        OpenJob candidate = openJobs.get(job.specification().id());
         if (candidate != null && candidate.job == job) {
             refuse(candidate, RefusalReason.OVERTAKEN);
         }
     }
 
-    private void refuse(Open refused, RefusalReason reason) {
+    private void refuse(OpenJob refused, RefusalReason reason) {
         refused.job.finish(JobPhase.CANCELLED, timers.epochMillis());
         close(refused, reason.text());
-        refused.tell(new JobAnswer.Refused(reason, admission.retryAfter(refused.job)));
+        refused.answerCallers(new JobAnswer.Refused(reason, scheduler.retryAfter(refused.job)));
     }
 
-    private void expire(Open expired) {
-        if (open.get(expired.job.specification().id()) != expired) {
+    private void expire(OpenJob expired) {
+        if (openJobs.get(expired.job.specification().id()) != expired) {
             return;
         }
         boolean started = expired.job.phase() != JobPhase.QUEUED;
         expired.job.finish(JobPhase.CANCELLED, timers.epochMillis());
         close(expired, "time limit");
-        expired.tell(
+        expired.answerCallers(
                 started
                         ? new JobAnswer.Undecided("not done in time")
-                        : new JobAnswer.Refused(RefusalReason.NOT_STARTED_IN_TIME, RETRY));
+                        : new JobAnswer.Refused(RefusalReason.NOT_STARTED_IN_TIME, RETRY_AFTER));
     }
 
-    private void close(Open ended, String reason) {
-        open.remove(ended.job.specification().id());
+    private void close(OpenJob ended, String reason) {
+        openJobs.remove(ended.job.specification().id());
         ended.timer.cancel();
         log("job-ended", ended.job, reason);
-        admission.ended(ended.job);
+        scheduler.ended(ended.job);
     }
 
     private void log(String event, Job job, String reason) {
@@ -192,13 +192,13 @@
 
     @Override
     public Optional<Task> task(TaskKey key) {
-        return Optional.ofNullable(open.get(key.jobId())).flatMap(known -> known.job.task(key));
+        return Optional.ofNullable(openJobs.get(key.jobId())).flatMap(known -> known.job.task(key));
     }
 
     @Override
-    public void ended(Task task, RunOutcome outcome, Runnable kept) {
-        kept.run();
-        Open known = open.get(task.key().jobId());
+    public void ended(Task task, RunOutcome outcome, Runnable acknowledge) {
+        acknowledge.run();
+        OpenJob known = openJobs.get(task.key().jobId());
         List<Task> ready = task.job().end(task, outcome, timers.epochMillis());
         if (known == null || known.job != task.job()) {
             return;
@@ -209,39 +209,39 @@
         }
         if (task.job().phase().isFinal()) {
             close(known, "done");
-            known.tell(new JobAnswer.State(task.job().phase()));
+            known.answerCallers(new JobAnswer.State(task.job().phase()));
         } else if (!ready.isEmpty()) {
-            admission.ready(ready);
+            scheduler.ready(ready);
         }
     }
 
     @Override
-    public void toldAgain(Task task, Runnable kept) {
-        kept.run();
+    public void reportedAgain(Task task, Runnable acknowledge) {
+        acknowledge.run();
     }
 
     @Override
-    public RunAuthority authority() {
-        return RunAuthority.UNKEPT;
+    public FencingToken fencingToken() {
+        return FencingToken.IN_MEMORY;
     }
 
     /** Returns the number of jobs that haven't ended. */
     public int size() {
-        return open.size();
+        return openJobs.size();
     }
 
     /** A job that hasn't ended, and who waits for it. */
-    private static final class Open {
+    private static final class OpenJob {
         private final Job job;
         private final List<Consumer<JobAnswer>> callers = new ArrayList<>();
         private Timers.Timer timer;
 
-        private Open(Job job, Consumer<JobAnswer> caller) {
+        private OpenJob(Job job, Consumer<JobAnswer> caller) {
             this.job = job;
             callers.add(caller);
         }
 
-        private void tell(JobAnswer answer) {
+        private void answerCallers(JobAnswer answer) {
             for (Consumer<JobAnswer> caller : callers) {
                 caller.accept(answer);
             }
--- a/library/src/main/java/org/chivetally/queue/entry/RunHome.java
+++ b/library/src/main/java/org/chivetally/queue/entry/JobOwner.java
@@ -6,7 +6,7 @@
 import org.chivetally.queue.TaskKey;
 
 /** Where the jobs of runs are known. */
-interface RunHome {
+interface JobOwner {
     /** Returns a task of a job that hasn't ended. */
     Optional<Task> task(TaskKey key);
 
@@ -15,36 +15,36 @@
      *
      * @param kept run once the minion may forget the end
      */
-    void ended(Task task, RunOutcome outcome, Runnable kept);
+    void ended(Task task, RunOutcome outcome, Runnable acknowledge);
 
     /**
      * Notes that an end was told that changes nothing any more: it was told before, or its run was given up.
      *
      * @param kept run once the minion may forget the end; never, if it is to be told again
      */
-    void toldAgain(Task task, Runnable kept);
+    void reportedAgain(Task task, Runnable acknowledge);
 
     /**
      * Notes that a minion crashed under a run that nobody here follows any more.
      *
      * @param kept run once the agent may forget the crash
      */
-    default void crashedBefore(Task task, long run, Runnable kept) {
-        toldAgain(task, kept);
+    default void earlierRunCrashed(Task task, long run, Runnable acknowledge) {
+        reportedAgain(task, acknowledge);
     }
 
     /** Returns what agents check orders for these runs by. */
-    RunAuthority authority();
+    FencingToken fencingToken();
 
     /**
      * By what right runs are started and stopped.
      *
      * @param partition partition of the job; 0 where the job isn't kept
      * @param epoch epoch of the partition's owner; 0 where the job isn't kept
-     * @param unkept whether only this entry knows the job
+     * @param inMemory whether only this entry knows the job
      */
-    record RunAuthority(int partition, long epoch, boolean unkept) {
+    record FencingToken(int partition, long epoch, boolean inMemory) {
         /** Right of the entry that alone knows a job. */
-        static final RunAuthority UNKEPT = new RunAuthority(0, 0, true);
+        static final FencingToken IN_MEMORY = new FencingToken(0, 0, true);
     }
 }
--- a/library/src/main/java/org/chivetally/queue/entry/JobReplies.java
+++ b/library/src/main/java/org/chivetally/queue/entry/JobReplyCodec.java
@@ -8,8 +8,8 @@
 import org.chivetally.wire.v1.JobVerdict;
 
 /** Translates answers about jobs to frames and back. */
-final class JobReplies {
-    private JobReplies() {}
+final class JobReplyCodec {
+    private JobReplyCodec() {}
 
     static JobReply encode(JobAnswer answer) {
         JobReply.Builder reply = JobReply.newBuilder();
--- a/library/src/main/java/org/chivetally/queue/entry/JobDesk.java
+++ b/library/src/main/java/org/chivetally/queue/entry/JobRouter.java
@@ -25,22 +25,22 @@
  * Answers callers of this entry: asks the owner of the job's partition, here or at another entry, and asks again when
  * the owner changes meanwhile. All three calls may be repeated, as the owner knows a job by its id.
  */
-public final class JobDesk {
+public final class JobRouter {
     /** When to come back while a partition has no owner: a failover takes two to three seconds. */
-    static final Duration OWNER_RETRY = Duration.ofSeconds(2);
+    static final Duration OWNER_RETRY_AFTER = Duration.ofSeconds(2);
 
     /** Pause before an owner that denied it is asked again; its beat with the new owner comes meanwhile. */
-    static final Duration ASK_PAUSE = Duration.ofMillis(60);
+    static final Duration RETRY_DELAY = Duration.ofMillis(60);
 
     private static final FluentLogger LOGGER = FluentLogger.forEnclosingClass();
 
     private final Timers timers;
     private final int partitionCount;
     private final OwnerDirectory owners;
-    private final Map<Long, Question> open = new HashMap<>();
+    private final Map<Long, PendingRequest> pending = new HashMap<>();
     private long lastId;
 
-    JobDesk(Timers timers, int partitionCount, OwnerDirectory owners) {
+    JobRouter(Timers timers, int partitionCount, OwnerDirectory owners) {
         this.timers = timers;
         this.partitionCount = partitionCount;
         this.owners = owners;
@@ -49,13 +49,13 @@
     /** Who owns a partition, as far as this entry knows. */
     interface OwnerDirectory {
         /** Returns this entry's own partition when it is ready for callers. */
-        Optional<PartitionOwner> local(int partition);
+        Optional<PartitionOwner> localOwner(int partition);
 
         /** Returns the link to the entry that owns the partition. */
-        Optional<PeerLink> remote(int partition);
+        Optional<PeerLink> linkToOwner(int partition);
 
         /** Tells whether this entry may say that a job does not exist. */
-        boolean mayDeny();
+        boolean mayReportUnknownJob();
     }
 
     /**
@@ -67,7 +67,8 @@
         Frame frame = Frame.newBuilder()
                 .setJobSubmission(JobSubmission.newBuilder().setJob(JobCodec.encode(job)))
                 .build();
-        ask(new Question(job.id(), frame, deadlineNanos, answer, (owner, told) -> owner.submit(job, told), true));
+        route(new PendingRequest(
+                job.id(), frame, deadlineNanos, answer, (owner, told) -> owner.submit(job, told), true));
     }
 
     /** Asks how far a job is. */
@@ -75,7 +76,7 @@
         Frame frame = Frame.newBuilder()
                 .setJobQuery(JobQuery.newBuilder().setJobId(jobId))
                 .build();
-        ask(new Question(
+        route(new PendingRequest(
                 jobId, frame, deadlineNanos, answer, (owner, told) -> told.accept(state(owner, jobId)), false));
     }
 
@@ -84,93 +85,94 @@
         Frame frame = Frame.newBuilder()
                 .setJobCancellation(JobCancellation.newBuilder().setJobId(jobId))
                 .build();
-        ask(new Question(jobId, frame, deadlineNanos, answer, (owner, told) -> owner.cancel(jobId, told), false));
+        route(new PendingRequest(
+                jobId, frame, deadlineNanos, answer, (owner, told) -> owner.cancel(jobId, told), false));
     }
 
     private JobAnswer state(PartitionOwner owner, String jobId) {
         JobAnswer answer = owner.query(jobId);
-        if (answer instanceof JobAnswer.UnknownJob && !owners.mayDeny()) {
+        if (answer instanceof JobAnswer.UnknownJob && !owners.mayReportUnknownJob()) {
             // Another entry may have taken the partition over, and jobs with it, without this one having noticed.
             return new JobAnswer.NotOwner();
         }
         return answer;
     }
 
-    private void ask(Question question) {
+    private void route(PendingRequest question) {
         lastId++;
         question.id = lastId;
-        open.put(question.id, question);
+        pending.put(question.id, question);
         boolean asked = send(question);
-        if (!asked && open.containsKey(question.id)) {
-            finish(question, unasked(question, "no owner"));
+        if (!asked && pending.containsKey(question.id)) {
+            finish(question, notSent(question, "no owner"));
             return;
         }
         long left = question.deadlineNanos - timers.nanos();
         question.timer = timers.after(Duration.ofNanos(Math.max(0, left)), () -> expire(question));
-        if (!open.containsKey(question.id)) {
+        if (!pending.containsKey(question.id)) {
             question.timer.cancel();
         }
     }
 
-    private void expire(Question question) {
-        if (question.asked) {
-            finish(question, undecided(question, "no answer in time"));
+    private void expire(PendingRequest question) {
+        if (question.sent) {
+            finish(question, notAnswered(question, "no answer in time"));
         } else {
-            finish(question, unasked(question, "no owner in time"));
+            finish(question, notSent(question, "no owner in time"));
         }
     }
 
-    private static JobAnswer unasked(Question question, String reason) {
+    private static JobAnswer notSent(PendingRequest question, String reason) {
         return question.submission
-                ? new JobAnswer.Refused(RefusalReason.OWNER_UNAVAILABLE, OWNER_RETRY)
+                ? new JobAnswer.Refused(RefusalReason.OWNER_UNAVAILABLE, OWNER_RETRY_AFTER)
                 : new JobAnswer.Unavailable(reason);
     }
 
-    private static JobAnswer undecided(Question question, String reason) {
+    private static JobAnswer notAnswered(PendingRequest question, String reason) {
         return question.submission ? new JobAnswer.Undecided(reason) : new JobAnswer.Unavailable(reason);
     }
 
     /** Asks the owner; tells whether there was one to ask. */
-    private boolean send(Question question) {
+    private boolean send(PendingRequest question) {
         int partition = Partitions.of(question.jobId, partitionCount);
-        Optional<PartitionOwner> local = owners.local(partition);
+        Optional<PartitionOwner> local = owners.localOwner(partition);
         if (local.isPresent()) {
-            question.asked = true;
-            question.askedAt = "";
-            question.call.ask(local.get(), answer -> answered(question, answer));
+            question.sent = true;
+            question.sentTo = "";
+            question.call.call(local.get(), answer -> receiveAnswer(question, answer));
             return true;
         }
-        Optional<PeerLink> remote = owners.remote(partition);
+        Optional<PeerLink> remote = owners.linkToOwner(partition);
         if (remote.isEmpty()) {
             return false;
         }
-        question.asked = true;
-        question.askedAt = remote.get().peer().process();
+        question.sent = true;
+        question.sentTo = remote.get().peer().process();
         remote.get().send(question.frame.toBuilder().setRequestId(question.id).build());
         return true;
     }
 
-    private void answered(Question question, JobAnswer answer) {
-        if (!open.containsKey(question.id)) {
+    private void receiveAnswer(PendingRequest question, JobAnswer answer) {
+        if (!pending.containsKey(question.id)) {
             return;
         }
         if (answer instanceof JobAnswer.NotOwner) {
-            timers.after(ASK_PAUSE, () -> askAgain(question));
+            timers.after(RETRY_DELAY, () -> retry(question));
             return;
         }
         finish(question, answer);
     }
 
-    private void askAgain(Question question) {
-        if (open.containsKey(question.id) && !send(question)) {
+    private void retry(PendingRequest question) {
+        if (pending.containsKey(question.id) && !send(question)) {
             // Nobody owns the partition for the moment. The question stays open until its deadline, as what was asked
             // may already be stored.
-            timers.after(ASK_PAUSE, () -> askAgain(question));
+            timers.after(RETRY_DELAY, () -> retry(question));
         }
     }
 
-    private void finish(Question question, JobAnswer answer) {
-        if (open.remove(question.id) == null) {
+    private void finish(PendingRequest question, JobAnswer answer) {
+        if (pending.remove(question.id) == null) {
             return;
         }
         if (question.timer != null) {
@@ -180,7 +182,7 @@
             EventLine.of("caller-answered")
                     .with("job", question.jobId)
                     .with("answer", answer)
-                    .with("owner", question.askedAt)
+                    .with("owner", question.sentTo)
                     .with("left_ms", (question.deadlineNanos - timers.nanos()) / 1_000_000)
                     .log(LOGGER.atInfo());
         }
@@ -189,25 +191,25 @@
 
     /** Asks again what was asked at a process whose link is gone. */
     void linkLost(String process) {
-        for (Question question : new ArrayList<>(open.values())) {
-            if (process.equals(question.askedAt)) {
-                askAgain(question);
+        for (PendingRequest question : new ArrayList<>(pending.values())) {
+            if (process.equals(question.sentTo)) {
+                retry(question);
             }
         }
     }
 
     /** Answers all callers that still wait, as the process ends now. */
-    public void endAll() {
-        for (Question question : new ArrayList<>(open.values())) {
+    public void expireAll() {
+        for (PendingRequest question : new ArrayList<>(pending.values())) {
             expire(question);
         }
     }
 
     /** Takes the answer of another entry. */
-    void replied(long id, JobReply reply) {
-        Question question = open.get(id);
+    void receiveReply(long id, JobReply reply) {
+        PendingRequest question = pending.get(id);
         if (question != null) {
-            answered(question, JobReplies.decode(reply));
+            receiveAnswer(question, JobReplyCodec.decode(reply));
         }
     }
 
@@ -216,7 +218,7 @@
         long id = frame.getRequestId();
         Consumer<JobAnswer> reply = answer -> link.send(Frame.newBuilder()
                 .setRequestId(id)
-                .setJobReply(JobReplies.encode(answer))
+                .setJobReply(JobReplyCodec.encode(answer))
                 .build());
         switch (frame.getBodyCase()) {
             case JOB_SUBMISSION -> {
@@ -239,21 +241,21 @@
     }
 
     private Optional<PartitionOwner> ownerOf(String jobId) {
-        return owners.local(Partitions.of(jobId, partitionCount));
+        return owners.localOwner(Partitions.of(jobId, partitionCount));
     }
 
     /** Returns the number of callers that wait for an answer. */
-    public int openQuestions() {
-        return open.size();
+    public int pendingRequests() {
+        return pending.size();
     }
 
     /** How an owner in this process is asked. */
     private interface LocalCall {
-        void ask(PartitionOwner owner, Consumer<JobAnswer> answer);
+        void call(PartitionOwner owner, Consumer<JobAnswer> answer);
     }
 
     /** A caller that waits. */
-    private static final class Question {
+    private static final class PendingRequest {
         private final String jobId;
         private final Frame frame;
         private final long deadlineNanos;
@@ -261,11 +263,11 @@
         private final LocalCall call;
         private final boolean submission;
         private long id;
-        private boolean asked;
-        private String askedAt = "";
+        private boolean sent;
+        private String sentTo = "";
         private Timers.Timer timer;
 
-        private Question(
+        private PendingRequest(
                 String jobId,
                 Frame frame,
                 long deadlineNanos,
--- a/library/src/main/java/org/chivetally/queue/entry/MemberDirectory.java
+++ b/library/src/main/java/org/chivetally/queue/entry/MemberDirectory.java
@@ -30,16 +30,16 @@
     private static final FluentLogger LOGGER = FluentLogger.forEnclosingClass();
 
     /** Longest wait of one read of announcements; a silent connection hides a new process for about as long. */
-    private static final Duration WAIT = Duration.ofMillis(2_500);
+    private static final Duration POLL_TIMEOUT = Duration.ofMillis(2_500);
 
-    private static final Duration RETRY_PAUSE = Duration.ofMillis(200);
+    private static final Duration RETRY_DELAY = Duration.ofMillis(200);
 
     private final KeyedLog log;
     private final Timers timers;
     private final LogStream stream;
     private final Map<String, Peer> members = new LinkedHashMap<>();
     private final Map<String, MinionState> minions = new HashMap<>();
-    private long announcements;
+    private long newestAnnouncement;
 
     /** Creates a directory that has read nothing yet. */
     public MemberDirectory(KeyedLog log, Timers timers, String stream) {
@@ -62,19 +62,19 @@
                 .setHost(self.host())
                 .setPort(self.port());
         minion.ifPresent(state -> member.setMinion(encode(state)));
-        announcements++;
-        write(new KeyedRecord(self.process(), member.build().toByteArray()), announcements);
+        newestAnnouncement++;
+        write(new KeyedRecord(self.process(), member.build().toByteArray()), newestAnnouncement);
     }
 
-    private void write(KeyedRecord entry, long number) {
-        if (number != announcements) {
+    private void write(KeyedRecord record, long number) {
+        if (number != newestAnnouncement) {
             // A newer announcement is on its way.
             return;
         }
         // Written without a stamp: a repeat writes the same value once more, which changes nothing.
-        log.append(stream, Optional.empty(), List.of(entry), outcome -> {
+        log.append(stream, Optional.empty(), List.of(record), outcome -> {
             if (!(outcome instanceof AppendOutcome.Appended)) {
-                timers.after(RETRY_PAUSE, () -> write(entry, number));
+                timers.after(RETRY_DELAY, () -> write(record, number));
             }
         });
     }
@@ -104,7 +104,7 @@
 
     /** Follows the announcements from now on. */
     public void follow(Consumer<Peer> listener) {
-        new StreamTail(log, timers, stream, WAIT, entry -> take(entry, listener)).start();
+        new StreamTail(log, timers, stream, POLL_TIMEOUT, entry -> apply(entry, listener)).start();
     }
 
     /** Reads the announcements once, and tries on until the log has answered. */
@@ -114,7 +114,7 @@
 
     /** Reads the announcements once, tries on until the log has answered, and then tells that all were read. */
     public void readOnce(Consumer<Peer> listener, Runnable done) {
-        new NewestValues(log, timers, stream, RETRY_PAUSE, () -> true, entry -> take(entry, listener), done).start();
+        new NewestValues(log, timers, stream, RETRY_DELAY, () -> true, entry -> apply(entry, listener), done).start();
     }
 
     /** Returns the minion with which a process was announced, as last read. */
@@ -127,16 +127,16 @@
         return List.copyOf(members.values());
     }
 
-    private void take(KeyedRecord entry, Consumer<Peer> listener) {
-        if (entry.drops()) {
-            members.remove(entry.key());
-            minions.remove(entry.key());
+    private void apply(KeyedRecord record, Consumer<Peer> listener) {
+        if (record.drops()) {
+            members.remove(record.key());
+            minions.remove(record.key());
             return;
         }
         try {
-            StoredMember member = StoredMember.parseFrom(entry.value());
+            StoredMember member = StoredMember.parseFrom(record.value());
             Peer peer = new Peer(
-                    entry.key(),
+                    record.key(),
                     member.getIncarnation(),
                     member.getAgent(),
                     member.getFailureDomain(),
@@ -151,7 +151,7 @@
             listener.accept(peer);
         } catch (InvalidProtocolBufferException e) {
             EventLine.of("member-unreadable")
-                    .with("key", entry.key())
+                    .with("key", record.key())
                     .with("cause", e)
                     .log(LOGGER.atWarning());
         }
--- a/library/src/main/java/org/chivetally/queue/entry/Ownership.java
+++ b/library/src/main/java/org/chivetally/queue/entry/Ownership.java
@@ -23,31 +23,31 @@
     static final Duration JOIN_INTERVAL = Duration.ofMillis(450);
 
     /** Age of the last confirmation up to which this entry may tell callers that a job does not exist. */
-    static final Duration CONFIRMATION = Duration.ofMillis(1_200);
+    static final Duration CONFIRMATION_VALIDITY = Duration.ofMillis(1_200);
 
     private static final FluentLogger LOGGER = FluentLogger.forEnclosingClass();
 
     private final OwnershipGroup group;
     private final Timers timers;
     private final String member;
-    private final Changes changes;
+    private final Listener listener;
     private Set<Integer> owned = Set.of();
     private long generation;
     private long confirmedAtNanos;
     private boolean confirmed;
-    private boolean inFlight;
-    private boolean lost;
+    private boolean joinInFlight;
+    private boolean disconnected;
     private boolean left;
 
-    Ownership(OwnershipGroup group, Timers timers, String member, Changes changes) {
+    Ownership(OwnershipGroup group, Timers timers, String member, Listener listener) {
         this.group = group;
         this.timers = timers;
         this.member = member;
-        this.changes = changes;
+        this.listener = listener;
     }
 
     /** Told which partitions came and went. */
-    interface Changes {
+    interface Listener {
         /** A partition is this entry's from a generation on. */
         void gained(int partition, long generation);
 
@@ -62,13 +62,13 @@
 
     /** Asks for the partitions now, as something has probably changed. */
     void join() {
-        if (inFlight || left) {
+        if (joinInFlight || left) {
             return;
         }
-        inFlight = true;
+        joinInFlight = true;
         long sentAt = timers.nanos();
         group.join(member, generation, TIME_TO_LIVE, outcome -> {
-            inFlight = false;
+            joinInFlight = false;
             if (left) {
                 return;
             }
@@ -80,8 +80,8 @@
     }
 
     private void joined(JoinOutcome.Joined joined, long sentAt) {
-        if (lost) {
-            lost = false;
+        if (disconnected) {
+            disconnected = false;
             EventLine.of("group-regained")
                     .with("generation", joined.generation())
                     .log(LOGGER.atInfo());
@@ -94,12 +94,12 @@
         owned = joined.partitions();
         for (int partition : before) {
             if (!owned.contains(partition)) {
-                changes.lost(partition);
+                listener.lost(partition);
             }
         }
         for (int partition : owned) {
             if (!before.contains(partition)) {
-                changes.gained(partition, generation);
+                listener.gained(partition, generation);
             }
         }
         if (changed) {
@@ -113,32 +113,32 @@
     }
 
     private void unavailable(String reason) {
-        if (!lost) {
-            lost = true;
+        if (!disconnected) {
+            disconnected = true;
             EventLine.of("group-lost").with("reason", reason).log(LOGGER.atWarning());
         }
     }
 
     /** Notes that a partition turned out to be somebody else's, so that it is gained anew if it is dealt back. */
-    void forget(int partition) {
-        Set<Integer> rest = new HashSet<>(owned);
-        rest.remove(partition);
-        owned = Set.copyOf(rest);
+    void markLost(int partition) {
+        Set<Integer> remaining = new HashSet<>(owned);
+        remaining.remove(partition);
+        owned = Set.copyOf(remaining);
     }
 
     /** Takes the last confirmation back, after the machine stood still. */
-    void distrust() {
+    void invalidateConfirmation() {
         confirmed = false;
         join();
     }
 
     /** Tells whether the platform has confirmed the membership lately. */
-    boolean isConfirmed() {
-        return confirmed && timers.nanos() - confirmedAtNanos <= CONFIRMATION.toNanos();
+    boolean isRecentlyConfirmed() {
+        return confirmed && timers.nanos() - confirmedAtNanos <= CONFIRMATION_VALIDITY.toNanos();
     }
 
     /** Tells whether the platform has confirmed the membership at least once since the last doubt. */
-    boolean isTrusted() {
+    boolean hasConfirmation() {
         return confirmed;
     }
 
--- a/library/src/main/java/org/chivetally/queue/entry/PartitionOwner.java
+++ b/library/src/main/java/org/chivetally/queue/entry/PartitionOwner.java
@@ -39,7 +39,7 @@
  * counts is written before the agent is told that it is kept, and before callers see its effect; so whatever a later
  * owner finds in the log is all that was promised.
  */
-final class PartitionOwner implements RunHome {
+final class PartitionOwner implements JobOwner {
     /** Prefix of the key that holds a job as accepted. */
     static final String JOB_PREFIX = "j";
 
@@ -47,7 +47,7 @@
     static final String PROGRESS_PREFIX = "p";
 
     /** Name under which owners write; the log fences writers of the same name by their epochs. */
-    static final String WRITER = "owner";
+    static final String WRITER_NAME = "owner";
 
     /**
      * Numbers that an owner may use for a task's runs. Runs aren't written to the log, so the next owner's numbers
@@ -56,10 +56,10 @@
     static final long RUNS_PER_EPOCH = 64;
 
     /** When to come back after a refusal because the log takes nothing: outages last seconds. */
-    static final Duration LOG_RETRY = Duration.ofSeconds(2);
+    static final Duration LOG_RETRY_AFTER = Duration.ofSeconds(2);
 
     private static final FluentLogger LOGGER = FluentLogger.forEnclosingClass();
-    private static final Duration LOAD_RETRY = Duration.ofMillis(50);
+    private static final Duration LOAD_RETRY_DELAY = Duration.ofMillis(50);
 
     private final KeyedLog log;
     private final Timers timers;
@@ -69,14 +69,14 @@
     private final PartitionEvents events;
     private final PartitionWriter writer;
     private final Map<String, Job> jobs = new LinkedHashMap<>();
-    private final Map<String, Ended> ended = new LinkedHashMap<>();
-    private final Map<String, List<Consumer<JobAnswer>>> accepting = new HashMap<>();
+    private final Map<String, EndedJob> endedJobs = new LinkedHashMap<>();
+    private final Map<String, List<Consumer<JobAnswer>>> pendingSubmissions = new HashMap<>();
     /** Writes in progress by job. */
-    private final Map<String, Integer> writing = new HashMap<>();
+    private final Map<String, Integer> pendingWrites = new HashMap<>();
 
-    private final Set<String> unheardAgents = new HashSet<>();
+    private final Set<String> unreportedAgents = new HashSet<>();
     /** Tasks with a crash that is not stored yet. */
-    private final Set<Task> uncounted = new HashSet<>();
+    private final Set<Task> tasksWithUnstoredCrash = new HashSet<>();
 
     private final long openedAtNanos;
     private boolean ready;
@@ -90,7 +90,7 @@
         this.stream = stream;
         this.epoch = epoch;
         this.events = events;
-        this.writer = new PartitionWriter(log, timers, stream, WRITER, epoch);
+        this.writer = new PartitionWriter(log, timers, stream, WRITER_NAME, epoch);
         this.openedAtNanos = timers.nanos();
     }
 
@@ -103,7 +103,7 @@
             if (result == PartitionWriter.Result.STORED) {
                 load();
             } else {
-                lose("fenced at opening");
+                loseOwnership("fenced at opening");
             }
         });
     }
@@ -130,8 +130,8 @@
     }
 
     @Override
-    public RunAuthority authority() {
-        return new RunAuthority(partition(), epoch, false);
+    public FencingToken fencingToken() {
+        return new FencingToken(partition(), epoch, false);
     }
 
     /** Ends the ownership here; callers in progress are told to ask another owner. */
@@ -143,7 +143,7 @@
         writer.close();
     }
 
-    private void lose(String reason) {
+    private void loseOwnership(String reason) {
         if (closed) {
             return;
         }
@@ -157,8 +157,8 @@
     }
 
     /** Ends the ownership, as an agent has heard of a later owner. */
-    void replaced(long byEpoch) {
-        lose("replaced by epoch " + byEpoch);
+    void superseded(long byEpoch) {
+        loseOwnership("replaced by epoch " + byEpoch);
     }
 
     private void load() {
@@ -167,7 +167,7 @@
                         log,
                         timers,
                         stream,
-                        LOAD_RETRY,
+                        LOAD_RETRY_DELAY,
                         () -> !closed,
                         item -> records.put(item.key(), item.value()),
                         () -> restore(records))
@@ -182,7 +182,7 @@
                 restoreJob(id, value, Optional.ofNullable(records.get(PROGRESS_PREFIX + id)), now);
             } else if (!records.containsKey(JOB_PREFIX + id)) {
                 JobProgress progress = JobCodec.decodeProgress(value);
-                ended.put(id, new Ended(progress.phase(), progress.endedAtMillis()));
+                endedJobs.put(id, new EndedJob(progress.phase(), progress.endedAtMillis()));
             }
         });
         ready = true;
@@ -190,7 +190,7 @@
                 .with("partition", partition())
                 .with("epoch", epoch)
                 .with("jobs", jobs.size())
-                .with("ended", ended.size())
+                .with("ended", endedJobs.size())
                 .with("took_ms", (now - openedAtNanos) / 1_000_000)
                 .log(LOGGER.atInfo());
         events.loaded(this);
@@ -202,7 +202,7 @@
         Job job = new Job(specification, now - Duration.ofMillis(ageMillis).toNanos());
         job.restore(progress.map(JobCodec::decodeProgress).orElse(JobProgress.none()), epoch * RUNS_PER_EPOCH + 1);
         if (job.phase().isFinal()) {
-            ended.put(id, new Ended(job.phase(), job.endedAtMillis()));
+            endedJobs.put(id, new EndedJob(job.phase(), job.endedAtMillis()));
         } else {
             jobs.put(id, job);
         }
@@ -210,12 +210,12 @@
 
     /** Names the agents that may hold runs of the loaded jobs; those tasks wait until each has told or can't tell. */
     void awaitAgents(Collection<String> agents) {
-        unheardAgents.addAll(agents);
-        releaseWhenHeard();
+        unreportedAgents.addAll(agents);
+        releaseWhenAllReported();
     }
 
-    Set<String> unheardAgents() {
-        return Set.copyOf(unheardAgents);
+    Set<String> unreportedAgents() {
+        return Set.copyOf(unreportedAgents);
     }
 
     long openedAtNanos() {
@@ -223,20 +223,20 @@
     }
 
     /** Notes that all of an agent's runs are known, or that none of them can go on. */
-    void agentHeard(String agent) {
-        if (unheardAgents.remove(agent)) {
-            releaseWhenHeard();
+    void agentReported(String agent) {
+        if (unreportedAgents.remove(agent)) {
+            releaseWhenAllReported();
         }
     }
 
-    private void releaseWhenHeard() {
-        if (!isReady() || !unheardAgents.isEmpty()) {
+    private void releaseWhenAllReported() {
+        if (!isReady() || !unreportedAgents.isEmpty()) {
             return;
         }
         List<Task> released = new ArrayList<>();
         for (Job job : jobs.values()) {
             for (Task task : job.tasksIn(Task.Status.UNCERTAIN)) {
-                if (!uncounted.contains(task)) {
+                if (!tasksWithUnstoredCrash.contains(task)) {
                     job.release(task);
                     released.add(task);
                 }
@@ -248,7 +248,7 @@
                     .with("epoch", epoch)
                     .with("tasks_to_start", released.size())
                     .log(LOGGER.atInfo());
-            mayStart(released);
+            place(released);
         }
     }
 
@@ -259,13 +259,13 @@
             answer.accept(new JobAnswer.NotOwner());
             return;
         }
-        if (jobs.containsKey(id) || ended.containsKey(id)) {
+        if (jobs.containsKey(id) || endedJobs.containsKey(id)) {
             answer.accept(new JobAnswer.Accepted());
             return;
         }
-        List<Consumer<JobAnswer>> others = accepting.get(id);
-        if (others != null) {
-            others.add(answer);
+        List<Consumer<JobAnswer>> waitingCallers = pendingSubmissions.get(id);
+        if (waitingCallers != null) {
+            waitingCallers.add(answer);
             return;
         }
         Optional<JobAnswer.Refused> refusal = refusal(specification);
@@ -279,23 +279,23 @@
             answer.accept(refusal.get());
             return;
         }
-        accepting.put(id, new ArrayList<>(List.of(answer)));
+        pendingSubmissions.put(id, new ArrayList<>(List.of(answer)));
         KeyedRecord stored =
                 new KeyedRecord(JOB_PREFIX + id, JobCodec.encode(specification).toByteArray());
-        writer.write(List.of(stored), true, result -> submitted(specification, result));
+        writer.write(List.of(stored), true, result -> submissionWritten(specification, result));
     }
 
     private Optional<JobAnswer.Refused> refusal(JobSpecification specification) {
         if (writer.isStalled()) {
-            return Optional.of(new JobAnswer.Refused(RefusalReason.LOG_UNAVAILABLE, LOG_RETRY));
+            return Optional.of(new JobAnswer.Refused(RefusalReason.LOG_UNAVAILABLE, LOG_RETRY_AFTER));
         }
         return events.refuse(new Job(specification, timers.nanos()));
     }
 
-    private void submitted(JobSpecification specification, PartitionWriter.Result result) {
+    private void submissionWritten(JobSpecification specification, PartitionWriter.Result result) {
         JobAnswer answer = switch (result) {
             case STORED -> new JobAnswer.Accepted();
-            case REFUSED -> new JobAnswer.Refused(RefusalReason.LOG_UNAVAILABLE, LOG_RETRY);
+            case REFUSED -> new JobAnswer.Refused(RefusalReason.LOG_UNAVAILABLE, LOG_RETRY_AFTER);
             case FENCED -> new JobAnswer.NotOwner();
         };
         if (result == PartitionWriter.Result.STORED) {
@@ -310,15 +310,15 @@
                     .log(LOGGER.atInfo());
             events.ready(job.tasksIn(Task.Status.WAITING));
         }
-        for (Consumer<JobAnswer> caller : accepting.remove(specification.id())) {
+        for (Consumer<JobAnswer> caller : pendingSubmissions.remove(specification.id())) {
             caller.accept(answer);
         }
-        loseIfFenced(result);
+        loseOwnershipIfFenced(result);
     }
 
-    private void loseIfFenced(PartitionWriter.Result result) {
+    private void loseOwnershipIfFenced(PartitionWriter.Result result) {
         if (result == PartitionWriter.Result.FENCED) {
-            lose("fenced");
+            loseOwnership("fenced");
         }
     }
 
@@ -331,11 +331,11 @@
         if (job != null) {
             return new JobAnswer.State(job.shownPhase());
         }
-        Ended end = ended.get(id);
+        EndedJob end = endedJobs.get(id);
         if (end != null) {
             return new JobAnswer.State(end.phase());
         }
-        return accepting.containsKey(id) ? new JobAnswer.State(JobPhase.QUEUED) : new JobAnswer.UnknownJob();
+        return pendingSubmissions.containsKey(id) ? new JobAnswer.State(JobPhase.QUEUED) : new JobAnswer.UnknownJob();
     }
 
     /** Cancels a job; answers once that is stored. */
@@ -344,14 +344,14 @@
             answer.accept(new JobAnswer.NotOwner());
             return;
         }
-        List<Consumer<JobAnswer>> others = accepting.get(id);
-        if (others != null) {
-            others.add(accepted -> cancel(id, answer));
+        List<Consumer<JobAnswer>> waitingCallers = pendingSubmissions.get(id);
+        if (waitingCallers != null) {
+            waitingCallers.add(accepted -> cancel(id, answer));
             return;
         }
         Job job = jobs.get(id);
         if (job == null) {
-            answer.accept(ended.containsKey(id) ? new JobAnswer.Cancelled() : new JobAnswer.UnknownJob());
+            answer.accept(endedJobs.containsKey(id) ? new JobAnswer.Cancelled() : new JobAnswer.UnknownJob());
             return;
         }
         if (!job.phase().isFinal()) {
@@ -362,44 +362,44 @@
     }
 
     @Override
-    public void ended(Task task, RunOutcome outcome, Runnable kept) {
+    public void ended(Task task, RunOutcome outcome, Runnable acknowledge) {
         Job job = task.job();
         boolean wasFinal = job.phase().isFinal();
         List<Task> ready = job.end(task, outcome, timers.epochMillis());
         if (!wasFinal) {
-            judge(task, outcome);
+            applyCrashLimits(task, outcome);
         }
         boolean ended = !wasFinal && job.phase().isFinal();
         if (outcome == RunOutcome.CRASHED && !wasFinal && !ended) {
-            storeCrash(task, kept);
+            storeCrash(task, acknowledge);
             return;
         }
         if (!ready.isEmpty() && !job.phase().isFinal()) {
-            becameReady(ready);
+            placeWhenAllReported(ready);
         }
         if (outcome != RunOutcome.DONE && outcome != RunOutcome.FAILED && !ended) {
-            kept.run();
+            acknowledge.run();
             return;
         }
         if (wasFinal) {
-            toldAgain(task, kept);
+            reportedAgain(task, acknowledge);
             return;
         }
         if (job.phase().isFinal()) {
             events.ended(job);
-            writeEnd(job, stored -> keepIf(stored, kept));
+            writeEnd(job, stored -> acknowledgeIfStored(stored, acknowledge));
             return;
         }
-        write(job, List.of(progressOf(job)), stored -> keepIf(stored, kept));
+        write(job, List.of(progressOf(job)), stored -> acknowledgeIfStored(stored, acknowledge));
     }
 
     /**
      * Has tasks placed whose turn has come; while agents aren't heard they wait for these like all that was loaded. The
      * owner before may have been told the same end, and have started them at an agent that takes its starts still.
      */
-    private void becameReady(List<Task> tasks) {
-        if (unheardAgents.isEmpty()) {
-            mayStart(tasks);
+    private void placeWhenAllReported(List<Task> tasks) {
+        if (unreportedAgents.isEmpty()) {
+            place(tasks);
             return;
         }
         for (Task task : tasks) {
@@ -408,10 +408,10 @@
     }
 
     @Override
-    public void crashedBefore(Task task, long run, Runnable kept) {
+    public void earlierRunCrashed(Task task, long run, Runnable acknowledge) {
         Job job = task.job();
         if (job.phase().isFinal() || task.status() == Task.Status.DONE || !task.crashed(run)) {
-            toldAgain(task, kept);
+            reportedAgain(task, acknowledge);
             return;
         }
         boolean overLimit = crashes.crashed(task, run);
@@ -421,11 +421,11 @@
             task.countStarts(1);
         }
         if (overLimit) {
-            giveUp(task);
+            failJob(task);
             events.ended(job);
-            writeEnd(job, stored -> keepIf(stored, kept));
+            writeEnd(job, stored -> acknowledgeIfStored(stored, acknowledge));
         } else {
-            storeCrash(task, kept);
+            storeCrash(task, acknowledge);
         }
     }
 
@@ -433,55 +433,55 @@
      * Stores the crashes of a task before it is started again: each run under which a minion crashed is then in the log
      * before the next one exists, whichever owner hears of it.
      */
-    private void storeCrash(Task task, Runnable kept) {
-        uncounted.add(task);
+    private void storeCrash(Task task, Runnable acknowledge) {
+        tasksWithUnstoredCrash.add(task);
         write(task.job(), List.of(progressOf(task.job())), stored -> {
-            uncounted.remove(task);
+            tasksWithUnstoredCrash.remove(task);
             if (!stored) {
                 return;
             }
-            kept.run();
+            acknowledge.run();
             if (!isReady() || task.job().phase().isFinal()) {
                 return;
             }
             if (task.status() == Task.Status.WAITING) {
-                becameReady(List.of(task));
+                placeWhenAllReported(List.of(task));
             } else {
-                releaseWhenHeard();
+                releaseWhenAllReported();
             }
         });
     }
 
     /** Gives a task up that has crashed as many minions as are allowed, or that may be started no more. */
-    private void judge(Task task, RunOutcome outcome) {
+    private void applyCrashLimits(Task task, RunOutcome outcome) {
         if (outcome == RunOutcome.NEVER_STARTED
                 && CrashPolicy.isBounded(task.crashes().crashes())) {
             task.countStarts(-1);
         }
         boolean overLimit = outcome == RunOutcome.CRASHED && crashes.crashed(task, task.lastRun());
-        if (!task.job().phase().isFinal() && (overLimit || isUsedUp(task))) {
-            giveUp(task);
+        if (!task.job().phase().isFinal() && (overLimit || hasNoStartsLeft(task))) {
+            failJob(task);
         }
     }
 
-    private static void keepIf(boolean stored, Runnable kept) {
+    private static void acknowledgeIfStored(boolean stored, Runnable acknowledge) {
         if (stored) {
-            kept.run();
+            acknowledge.run();
         }
     }
 
-    private static boolean isUsedUp(Task task) {
+    private static boolean hasNoStartsLeft(Task task) {
         return task.status() != Task.Status.DONE
                 && CrashPolicy.isUsedUp(task.crashes().crashes(), task.crashes().boundedStarts());
     }
 
-    private void giveUp(Task task) {
+    private void failJob(Task task) {
         crashes.givenUp(task);
         task.job().finish(JobPhase.FAILED, timers.epochMillis());
     }
 
     /** Has tasks placed, those whose starts are bounded only once the start is counted in the log. */
-    private void mayStart(List<Task> tasks) {
+    private void place(List<Task> tasks) {
         List<Task> unbounded = new ArrayList<>();
         for (Task task : tasks) {
             if (CrashPolicy.isBounded(task.crashes().crashes())) {
@@ -500,8 +500,8 @@
         if (job.phase().isFinal()) {
             return;
         }
-        if (isUsedUp(task)) {
-            giveUp(task);
+        if (hasNoStartsLeft(task)) {
+            failJob(task);
             events.ended(job);
             writeEnd(job, stored -> {});
             return;
@@ -521,19 +521,19 @@
      * the task again. What is left out here is told again.
      */
     @Override
-    public void toldAgain(Task task, Runnable kept) {
-        if (!writing.containsKey(task.key().jobId())) {
-            kept.run();
+    public void reportedAgain(Task task, Runnable acknowledge) {
+        if (!pendingWrites.containsKey(task.key().jobId())) {
+            acknowledge.run();
         }
     }
 
     private void write(Job job, List<KeyedRecord> records, Consumer<Boolean> answer) {
         String id = job.specification().id();
-        writing.merge(id, 1, Integer::sum);
+        pendingWrites.merge(id, 1, Integer::sum);
         writer.write(records, false, result -> {
-            writing.computeIfPresent(id, (same, count) -> count > 1 ? count - 1 : null);
+            pendingWrites.computeIfPresent(id, (same, count) -> count > 1 ? count - 1 : null);
             answer.accept(result == PartitionWriter.Result.STORED);
-            loseIfFenced(result);
+            loseOwnershipIfFenced(result);
         });
     }
 
@@ -554,7 +554,7 @@
         if (jobs.remove(id) == null) {
             return;
         }
-        ended.put(id, new Ended(job.phase(), job.endedAtMillis()));
+        endedJobs.put(id, new EndedJob(job.phase(), job.endedAtMillis()));
         EventLine.of("job-ended")
                 .with("job", id)
                 .with("queue", job.specification().terms().queue())
@@ -568,9 +568,9 @@
     }
 
     /** Forgets jobs that ended longer ago than their state has to be kept. */
-    void forgetEndedBefore(long millis) {
+    void purgeEndedBefore(long millis) {
         List<KeyedRecord> drops = new ArrayList<>();
-        ended.entrySet().removeIf(entry -> {
+        endedJobs.entrySet().removeIf(entry -> {
             boolean old = entry.getValue().atMillis() < millis;
             if (old) {
                 drops.add(KeyedRecord.dropping(PROGRESS_PREFIX + entry.getKey()));
@@ -578,10 +578,10 @@
             return old;
         });
         if (!drops.isEmpty()) {
-            writer.write(drops, false, this::loseIfFenced);
+            writer.write(drops, false, this::loseOwnershipIfFenced);
         }
     }
 
     /** How and when a job ended. */
-    private record Ended(JobPhase phase, long atMillis) {}
+    private record EndedJob(JobPhase phase, long atMillis) {}
 }
--- a/library/src/main/java/org/chivetally/queue/entry/PlacementPasses.java
+++ b/library/src/main/java/org/chivetally/queue/entry/PlacementPasses.java
@@ -32,7 +32,7 @@
      * millisecond, and without the pause each report would begin a pass over all of them. It is small beside the 60 ms
      * that callers allow beyond the work.
      */
-    static final Duration PASS_PAUSE = Duration.ofMillis(5);
+    static final Duration PASS_INTERVAL = Duration.ofMillis(5);
 
     private final Timers timers;
     private final WaitingTasks waiting;
@@ -41,9 +41,9 @@
     private final CrashWatch crashes;
     private final ServiceShares shares;
     private final Optional<QueueShares> queueShares;
-    private final Runs runs;
-    private boolean armed;
-    private OptionalLong missedAtNanos = OptionalLong.empty();
+    private final RunStarter starter;
+    private boolean scheduled;
+    private OptionalLong unplacedAtNanos = OptionalLong.empty();
 
     /**
      * Creates the passes of an entry.
@@ -60,7 +60,7 @@
             CrashWatch crashes,
             ServiceShares shares,
             Optional<QueueShares> queueShares,
-            Runs runs) {
+            RunStarter starter) {
         this.timers = timers;
         this.waiting = waiting;
         this.workers = workers;
@@ -68,11 +68,11 @@
         this.crashes = crashes;
         this.shares = shares;
         this.queueShares = queueShares;
-        this.runs = runs;
+        this.starter = starter;
     }
 
     /** What a pass asks of the entry around it. */
-    interface Runs {
+    interface RunStarter {
         /** Tells whether the entry is sure enough of its ownership to start anything. */
         boolean mayStart();
 
@@ -80,43 +80,43 @@
         void start(Worker worker, Task task, boolean bySpeed);
 
         /** Some waiting jobs can reach less than before. */
-        void outlookChanged(long nowNanos);
+        void forecastsChanged(long nowNanos);
     }
 
     /** Has the waiting tasks placed soon, if there are any. */
-    void arm() {
-        if (!armed && !waiting.isEmpty()) {
-            armed = true;
-            timers.after(pauseBeforePass(), this::pass);
+    void schedule() {
+        if (!scheduled && !waiting.isEmpty()) {
+            scheduled = true;
+            timers.after(delayBeforePass(), this::pass);
         }
     }
 
     /** Returns the rest of the pause after a pass that left tasks waiting; none if it left nothing. */
-    private Duration pauseBeforePass() {
-        if (missedAtNanos.isEmpty()) {
+    private Duration delayBeforePass() {
+        if (unplacedAtNanos.isEmpty()) {
             return Duration.ZERO;
         }
-        long sinceNanos = timers.nanos() - missedAtNanos.getAsLong();
-        return Duration.ofNanos(Math.max(0, PASS_PAUSE.toNanos() - sinceNanos));
+        long sinceNanos = timers.nanos() - unplacedAtNanos.getAsLong();
+        return Duration.ofNanos(Math.max(0, PASS_INTERVAL.toNanos() - sinceNanos));
     }
 
     private void pass() {
-        armed = false;
-        if (!runs.mayStart()) {
+        scheduled = false;
+        if (!starter.mayStart()) {
             return;
         }
         long now = timers.nanos();
         if (waiting.refresh(now)) {
-            runs.outlookChanged(now);
+            starter.forecastsChanged(now);
         }
         place(now);
-        missedAtNanos = waiting.isEmpty() ? OptionalLong.empty() : OptionalLong.of(now);
+        unplacedAtNanos = waiting.isEmpty() ? OptionalLong.empty() : OptionalLong.of(now);
     }
 
     private void place(long now) {
         PlacementPolicy.Pass choices = placement.over(workers, now);
         Map<String, QueueLoads> own =
-                queueShares.isPresent() ? queueShares.get().own() : Map.of();
+                queueShares.isPresent() ? queueShares.get().ownLoads() : Map.of();
         for (String service : waiting.services()) {
             double part = shares.of(service).backlogPart();
             boolean contended = PlacementPolicy.isContended(choices, service, waiting.processorMillis(service), part);
@@ -140,7 +140,7 @@
         for (Task task : waiting.first(service, TASKS_PER_PASS + crashes.suspects())) {
             Choice choice = choices.decide(task, bound, part);
             if (choice.worker().isPresent()) {
-                runs.start(choice.worker().get(), task, choice.bySpeed());
+                starter.start(choice.worker().get(), task, choice.bySpeed());
             } else if (!choice.heldBack() && !crashes.isSuspect(task) && ++misses >= MISSES_PER_PASS) {
                 break;
             }
@@ -148,15 +148,15 @@
     }
 
     private void placeByShares(PlacementPolicy.Pass choices, Turns turns, double bound, double part, long now) {
-        List<Job> begun = new ArrayList<>();
+        List<Job> startedJobs = new ArrayList<>();
         for (Optional<Task> turn = turns.next(); turn.isPresent(); turn = turns.next()) {
             Task task = turn.get();
             Choice choice = choices.decide(task, bound, part);
             if (choice.worker().isPresent()) {
                 if (task.job().phase() == JobPhase.QUEUED) {
-                    begun.add(task.job());
+                    startedJobs.add(task.job());
                 }
-                runs.start(choice.worker().get(), task, choice.bySpeed());
+                starter.start(choice.worker().get(), task, choice.bySpeed());
                 turns.placed();
             } else if (choice.heldBack() || crashes.isSuspect(task)) {
                 turns.heldBack();
@@ -164,7 +164,7 @@
                 turns.missed();
             }
         }
-        for (Job job : begun) {
+        for (Job job : startedJobs) {
             waiting.reorder(job, now);
         }
     }
--- a/library/src/main/java/org/chivetally/queue/entry/QueueDemands.java
+++ b/library/src/main/java/org/chivetally/queue/entry/QueueDemandCodec.java
@@ -10,8 +10,8 @@
 import org.chivetally.wire.v1.QueueDemand;
 
 /** Translates what queues use and need to and from the heartbeats between entries. */
-final class QueueDemands {
-    private QueueDemands() {}
+final class QueueDemandCodec {
+    private QueueDemandCodec() {}
 
     static List<QueueDemand> encode(Map<String, QueueLoads> byService) {
         List<QueueDemand> encoded = new ArrayList<>();
@@ -31,15 +31,15 @@
 
     static Map<String, QueueLoads> decode(EntryBeat beat) {
         Map<String, QueueLoads> byService = new HashMap<>();
-        for (QueueDemand told : beat.getQueueDemandList()) {
-            QueueLoads loads = byService.get(told.getService());
+        for (QueueDemand demand : beat.getQueueDemandList()) {
+            QueueLoads loads = byService.get(demand.getService());
             if (loads == null) {
                 loads = new QueueLoads();
-                byService.put(told.getService(), loads);
+                byService.put(demand.getService(), loads);
             }
             // What makes no sense, as from another implementation, is bounded before it is added up.
-            QueueLoad load = new QueueLoad(told.getRunningMillis(), told.getWaitingMillis());
-            loads.add(told.getQueue(), load.runningMillis(), load.waitingMillis());
+            QueueLoad load = new QueueLoad(demand.getRunningMillis(), demand.getWaitingMillis());
+            loads.add(demand.getQueue(), load.runningMillis(), load.waitingMillis());
         }
         return byService;
     }
--- a/library/src/main/java/org/chivetally/queue/entry/QueueShares.java
+++ b/library/src/main/java/org/chivetally/queue/entry/QueueShares.java
@@ -27,17 +27,17 @@
      * Time without contention after which a service counts as uncontended. At a load near the capacity the demands
      * cross it several times a second, and each crossing would make a log line.
      */
-    static final Duration CALM = Duration.ofSeconds(1);
+    static final Duration UNCONTENDED_AFTER = Duration.ofSeconds(1);
 
     private static final FluentLogger LOGGER = FluentLogger.forEnclosingClass();
 
     private final Timers timers;
     private final WaitingTasks waiting;
     private final Collection<Worker> workers;
-    private final LoadsElsewhere elsewhere = new LoadsElsewhere();
-    private final RefusedLately refusedLately = new RefusedLately();
+    private final LoadsElsewhere remoteLoads = new LoadsElsewhere();
+    private final RefusedLately recentRefusals = new RefusedLately();
     private final Map<String, Long> contendedAtNanos = new HashMap<>();
-    private int silentEntries;
+    private int unreachableEntries;
 
     /**
      * Creates the shares of an entry that is alone.
@@ -52,7 +52,7 @@
     }
 
     /** Returns what this entry's runs hold and its waiting tasks need, by service and queue. */
-    Map<String, QueueLoads> own() {
+    Map<String, QueueLoads> ownLoads() {
         Map<String, QueueLoads> byService = new HashMap<>();
         waiting.addTo(byService);
         for (Worker worker : workers) {
@@ -62,17 +62,17 @@
     }
 
     /** Notes what another entry tells of its queues. */
-    void told(String entry, Map<String, QueueLoads> byService, boolean leaving) {
-        elsewhere.told(entry, byService, leaving, timers.nanos());
+    void updateRemoteLoads(String entry, Map<String, QueueLoads> byService, boolean leaving) {
+        remoteLoads.told(entry, byService, leaving, timers.nanos());
     }
 
     /** Returns how a service is divided now. */
     Division division(String service) {
-        return division(service, own().getOrDefault(service, new QueueLoads()));
+        return division(service, ownLoads().getOrDefault(service, new QueueLoads()));
     }
 
     private Division division(String service, QueueLoads own) {
-        LoadsElsewhere.Known known = elsewhere.of(service, timers.nanos());
+        LoadsElsewhere.Known known = remoteLoads.of(service, timers.nanos());
         return new Division(known.capacityOf(usableMillis(service)), own, known.loads());
     }
 
@@ -106,18 +106,18 @@
         }
         String id = job.specification().id();
         long reach = division(terms.service()).ownReach(terms.queue());
-        Optional<Duration> refusal = QueueAdmission.refuse(job, now, ahead, reach, refusedLately.contains(id, now));
+        Optional<Duration> refusal = QueueAdmission.refuse(job, now, ahead, reach, recentRefusals.contains(id, now));
         if (refusal.isPresent()) {
-            refusedLately.refused(id, now);
+            recentRefusals.refused(id, now);
         }
         return refusal;
     }
 
     /** Returns when the caller of a job that is given back should come back, and notes that it may. */
-    Duration givenBack(Job job) {
+    Duration retryAfterRefusal(Job job) {
         QueueTerms terms = job.specification().terms();
         String id = job.specification().id();
-        refusedLately.refused(id, timers.nanos());
+        recentRefusals.refused(id, timers.nanos());
         long reach = division(terms.service()).ownReach(terms.queue());
         return QueueAdmission.retryAfter(id, waiting.work(terms.service(), terms.queue()), reach);
     }
@@ -127,8 +127,8 @@
      *
      * @param own what this entry's runs hold and its waiting tasks need of the service
      */
-    Turns turns(String service, QueueLoads own, int most) {
-        return waiting.turns(service, division(service, own), own, most);
+    Turns turns(String service, QueueLoads own, int limit) {
+        return waiting.turns(service, division(service, own), own, limit);
     }
 
     /** Returns the number of services whose queues have lately asked for more than there is. */
@@ -137,31 +137,31 @@
     }
 
     /** Returns the number of entries that were out of reach at the last look. */
-    int silentEntries() {
-        return silentEntries;
+    int unreachableEntries() {
+        return unreachableEntries;
     }
 
     /** Looks which services are contended, and forgets entries that are gone. */
-    void look() {
+    void updateContention() {
         long now = timers.nanos();
-        elsewhere.forgetGone(now);
-        silentEntries = elsewhere.of("", now).silent();
-        Map<String, QueueLoads> own = own();
+        remoteLoads.forgetGone(now);
+        unreachableEntries = remoteLoads.of("", now).silent();
+        Map<String, QueueLoads> own = ownLoads();
         for (Map.Entry<String, QueueLoads> service : own.entrySet()) {
             Division division = division(service.getKey(), service.getValue());
             if (division.isContended() && contendedAtNanos.put(service.getKey(), now) == null) {
                 log("service-contended", service.getKey(), division);
             }
         }
-        contendedAtNanos.entrySet().removeIf(service -> isCalm(service, now));
+        contendedAtNanos.entrySet().removeIf(service -> isUncontended(service, now));
     }
 
-    private boolean isCalm(Map.Entry<String, Long> service, long now) {
-        boolean calm = now - service.getValue() > CALM.toNanos();
-        if (calm) {
+    private boolean isUncontended(Map.Entry<String, Long> service, long now) {
+        boolean uncontended = now - service.getValue() > UNCONTENDED_AFTER.toNanos();
+        if (uncontended) {
             log("service-uncontended", service.getKey(), division(service.getKey()));
         }
-        return calm;
+        return uncontended;
     }
 
     private static void log(String event, String service, Division division) {
--- a/library/src/main/java/org/chivetally/queue/entry/RunCoordinator.java
+++ b/library/src/main/java/org/chivetally/queue/entry/RunCoordinator.java
@@ -48,25 +48,25 @@
 import org.chivetally.wire.v1.WorkerReport;
 
 /** Places the tasks of the entry's partitions on workers and follows their runs, until their ends are known. */
-final class RunCoordinator implements UnkeptJobs.Admission {
+final class RunCoordinator implements InMemoryJobs.Scheduler {
     /**
      * Silence after which an agent's runs are given up: the agent stops them when the owner's knowledge of it is 3.7 s
      * old, and renews no longer than 4.05 s; the lease of 1 s then ends by a clock that may be 2% slow, and timers on a
      * slowed machine fire late. Any sooner, a task could be started beside its old run.
      */
-    static final Duration ABSENCE = Duration.ofMillis(5_700);
+    static final Duration RUN_LOSS_TIMEOUT = Duration.ofMillis(5_700);
 
     /**
      * Silence after which the runs of unkept jobs are given up. The agent stops them when this entry's knowledge of it
      * is 0.8 s old, and renews no longer than 1.15 s; the lease of 1 s then ends by a clock that may be 2% slow.
      */
-    static final Duration UNKEPT_ABSENCE = Duration.ofMillis(2_350);
+    static final Duration IN_MEMORY_RUN_LOSS_TIMEOUT = Duration.ofMillis(2_350);
 
     /**
      * Time from the start of an entry in which no job is refused for the backlog. Agents that start with it are linked
      * and know their minions within 1.5 s; until then it knows few workers and would take the service for overloaded.
      */
-    static final Duration SETTLING = Duration.ofSeconds(2);
+    static final Duration BACKLOG_GRACE = Duration.ofSeconds(2);
 
     /** Pause of a worker that refused a start for another reason than room: one interval of heartbeats. */
     static final Duration REFUSAL_PAUSE = Duration.ofMillis(250);
@@ -81,8 +81,8 @@
     private final Timers timers;
     private final int partitionCount;
     private final Map<Integer, PartitionOwner> partitions;
-    private final UnkeptJobs unkept;
-    private final BooleanSupplier stoodStill;
+    private final InMemoryJobs inMemoryJobs;
+    private final BooleanSupplier mayReadStaleRequests;
     private final LongSupplier keptUpAtNanos;
     private final PlacementPolicy placement;
     private final CrashWatch crashes;
@@ -113,17 +113,17 @@
             int partitionCount,
             Map<Integer, PartitionOwner> partitions,
             BooleanSupplier mayStart,
-            BooleanSupplier stoodStill,
+            BooleanSupplier mayReadStaleRequests,
             LongSupplier keptUpAtNanos,
             SchedulingSettings scheduling) {
-        this.stoodStill = stoodStill;
+        this.mayReadStaleRequests = mayReadStaleRequests;
         this.keptUpAtNanos = keptUpAtNanos;
         this.placement = placement;
         this.crashes = crashes;
         this.timers = timers;
         this.partitionCount = partitionCount;
         this.partitions = partitions;
-        this.unkept = new UnkeptJobs(timers, crashes, this);
+        this.inMemoryJobs = new InMemoryJobs(timers, crashes, this);
         this.startedAtNanos = timers.nanos();
         this.waiting = new WaitingTasks(scheduling.fairShares());
         this.shares = new ServiceShares(timers, waiting, workers.values());
@@ -131,7 +131,14 @@
                 ? Optional.of(new QueueShares(timers, waiting, workers.values()))
                 : Optional.empty();
         this.passes = new PlacementPasses(
-                timers, waiting, workers.values(), placement, crashes, shares, queueShares, new PlacementPasses.Runs() {
+                timers,
+                waiting,
+                workers.values(),
+                placement,
+                crashes,
+                shares,
+                queueShares,
+                new PlacementPasses.RunStarter() {
                     @Override
                     public boolean mayStart() {
                         return mayStart.getAsBoolean();
@@ -143,8 +150,8 @@
                     }
 
                     @Override
-                    public void outlookChanged(long nowNanos) {
-                        refuseWithoutProspect(nowNanos);
+                    public void forecastsChanged(long nowNanos) {
+                        refuseInfeasible(nowNanos);
                     }
                 });
     }
@@ -160,8 +167,8 @@
     }
 
     /** Returns the jobs that only this entry knows. */
-    UnkeptJobs unkept() {
-        return unkept;
+    InMemoryJobs inMemoryJobs() {
+        return inMemoryJobs;
     }
 
     @Override
@@ -170,9 +177,9 @@
         if (shares.isEvacuated(service)) {
             return Optional.of(new JobAnswer.Refused(RefusalReason.EVACUATED, EVACUATION_RETRY));
         }
-        Optional<Duration> refusal = isSettling() ? Optional.empty() : refuseForBacklog(job);
+        Optional<Duration> refusal = isInBacklogGrace() ? Optional.empty() : refuseForBacklog(job);
         if (refusal.isEmpty()) {
-            shares.arrived(job.specification());
+            shares.recordArrival(job.specification());
         }
         return refusal.map(retry -> new JobAnswer.Refused(RefusalReason.BACKLOG, retry));
     }
@@ -189,21 +196,21 @@
 
     @Override
     public Duration retryAfter(Job job) {
-        return queueShares.isPresent() ? queueShares.get().givenBack(job) : UnkeptJobs.RETRY;
+        return queueShares.isPresent() ? queueShares.get().retryAfterRefusal(job) : InMemoryJobs.RETRY_AFTER;
     }
 
     @Override
-    public boolean hasStoodStill() {
-        return stoodStill.getAsBoolean();
+    public boolean mayReadStaleRequests() {
+        return mayReadStaleRequests.getAsBoolean();
     }
 
-    private boolean isSettling() {
-        return timers.nanos() - startedAtNanos < SETTLING.toNanos();
+    private boolean isInBacklogGrace() {
+        return timers.nanos() - startedAtNanos < BACKLOG_GRACE.toNanos();
     }
 
-    private void refuseWithoutProspect(long now) {
-        unkept.refuseHopeless();
-        if (isSettling()) {
+    private void refuseInfeasible(long now) {
+        inMemoryJobs.refuseInfeasible();
+        if (isInBacklogGrace()) {
             return;
         }
         for (String service : waiting.services()) {
@@ -221,10 +228,10 @@
         }
         Optional<Division> division = queueShares.map(all -> all.division(service));
         for (Job job : overtaken) {
-            boolean hasTurn = division.isPresent()
+            boolean isCoveredByShare = division.isPresent()
                     && division.get().isSatisfied(job.specification().terms().queue());
-            if (!hasTurn) {
-                unkept.refuseOvertaken(job);
+            if (!isCoveredByShare) {
+                inMemoryJobs.refuseOvertaken(job);
             }
         }
     }
@@ -237,7 +244,7 @@
 
     /** Tells whether nothing that this entry knows of waits or runs. */
     boolean isIdle() {
-        if (!waiting.isEmpty() || unkept.size() > 0) {
+        if (!waiting.isEmpty() || inMemoryJobs.size() > 0) {
             return false;
         }
         for (Worker worker : workers.values()) {
@@ -273,7 +280,7 @@
                 waiting.reorder(last, timers.nanos());
             }
         }
-        passes.arm();
+        passes.schedule();
     }
 
     /** Drops what waits of a job and stops what runs. */
@@ -282,7 +289,7 @@
         crashes.ended(job);
         for (Task task : job.tasks()) {
             waiting.remove(task);
-            task.worker().ifPresent(name -> stop(name, task.key(), task.lastRun(), homeOf(task)));
+            task.worker().ifPresent(name -> stop(name, task.key(), task.lastRun(), jobOwnerOf(task)));
         }
     }
 
@@ -297,20 +304,20 @@
         }
     }
 
-    private void stop(String workerName, TaskKey task, long run, Optional<RunHome> home) {
+    private void stop(String workerName, TaskKey task, long run, Optional<JobOwner> owner) {
         PeerLink link = links.get(workerName);
-        if (home.isEmpty() || link == null) {
+        if (owner.isEmpty() || link == null) {
             // The agent is told when it is linked again: a run of an ended job in its inventory is stopped.
             return;
         }
-        RunHome.RunAuthority authority = home.get().authority();
+        JobOwner.FencingToken token = owner.get().fencingToken();
         link.send(Frame.newBuilder()
                 .setRunStop(RunStop.newBuilder()
                         .setTask(task.toString())
                         .setRun(run)
-                        .setPartition(authority.partition())
-                        .setEpoch(authority.epoch())
-                        .setUnkept(authority.unkept()))
+                        .setPartition(token.partition())
+                        .setEpoch(token.epoch())
+                        .setUnkept(token.inMemory()))
                 .build());
     }
 
@@ -349,19 +356,19 @@
                 timers.nanos());
         worker.learned(new LearnedStretch(report.getStretchPermille(), report.getStretchRuns()));
         worker.reportSuspects(report.getSuspectedRuns());
-        passes.arm();
+        passes.schedule();
     }
 
     /** Brings the own view in line with everything that an agent holds. */
-    void inventory(PeerLink link, RunInventory inventory) {
+    void reconcile(PeerLink link, RunInventory inventory) {
         report(link, inventory.getReport());
         Worker worker = worker(link.peer().process());
-        giveUpReplaced(inventory.getFencedList());
+        loseSupersededPartitions(inventory.getFencedList());
         Set<TaskKey> listed = new HashSet<>();
         for (HeldRun run : inventory.getRunsList()) {
             TaskKey.parse(run.getTask()).ifPresent(task -> {
                 listed.add(task);
-                held(worker, task, run);
+                reconcileRun(worker, task, run);
             });
         }
         for (RunEnd end : inventory.getEndsList()) {
@@ -373,13 +380,13 @@
         ends(link, inventory.getEndsList());
         for (Worker.Sent start : worker.sent()) {
             if (!listed.contains(start.task().key()) && !worker.isUnseen(start)) {
-                finished(worker, start, RunOutcome.LOST, () -> {});
+                finishRun(worker, start, RunOutcome.LOST, () -> {});
             }
         }
         for (OwnedPartition fenced : inventory.getFencedList()) {
             PartitionOwner owner = partitions.get(fenced.getPartition());
             if (owner != null && owner.isReady() && owner.epoch() == fenced.getEpoch()) {
-                owner.agentHeard(worker.process());
+                owner.agentReported(worker.process());
             }
         }
     }
@@ -388,53 +395,54 @@
      * Gives up the partitions for which an agent has heard of a later owner. That one may have taken ends there, which
      * are listed no more: taken for lost, the runs would be started again, at an agent that it has not reached yet.
      */
-    private void giveUpReplaced(List<OwnedPartition> fenced) {
+    private void loseSupersededPartitions(List<OwnedPartition> fenced) {
         for (OwnedPartition fence : fenced) {
             PartitionOwner owner = partitions.get(fence.getPartition());
             if (owner != null && owner.epoch() < fence.getEpoch()) {
-                owner.replaced(fence.getEpoch());
+                owner.superseded(fence.getEpoch());
             }
         }
     }
 
-    private Optional<PartitionOwner> ownerOf(TaskKey task) {
+    private Optional<PartitionOwner> partitionOwnerOf(TaskKey task) {
         PartitionOwner owner = partitions.get(Partitions.of(task.jobId(), partitionCount));
         return owner != null && owner.isReady() ? Optional.of(owner) : Optional.empty();
     }
 
     /** Returns where the job of a task is known; empty when its partition isn't this entry's any more. */
-    private Optional<RunHome> homeOf(Task task) {
-        return task.job().isKept() ? ownerOf(task.key()).map(RunHome.class::cast) : Optional.of(unkept);
+    private Optional<JobOwner> jobOwnerOf(Task task) {
+        return task.job().isKept() ? partitionOwnerOf(task.key()).map(JobOwner.class::cast) : Optional.of(inMemoryJobs);
     }
 
     private Optional<Task> task(TaskKey key) {
-        Optional<Task> known = unkept.task(key);
-        return known.isPresent() ? known : ownerOf(key).flatMap(owner -> owner.task(key));
+        Optional<Task> known = inMemoryJobs.task(key);
+        return known.isPresent() ? known : partitionOwnerOf(key).flatMap(owner -> owner.task(key));
     }
 
-    private void held(Worker worker, TaskKey key, HeldRun run) {
-        if (!run.getUnkept() && ownerOf(key).isEmpty()) {
+    private void reconcileRun(Worker worker, TaskKey key, HeldRun run) {
+        if (!run.getUnkept() && partitionOwnerOf(key).isEmpty()) {
             return;
         }
-        Optional<RunHome> home =
-                run.getUnkept() ? Optional.of(unkept) : ownerOf(key).map(RunHome.class::cast);
-        Optional<Task> known = home.flatMap(place -> place.task(key));
-        boolean wanted = known.isPresent() && !known.get().job().phase().isFinal();
-        if (wanted && known.get().status() == Task.Status.UNCERTAIN) {
+        Optional<JobOwner> owner = run.getUnkept()
+                ? Optional.of(inMemoryJobs)
+                : partitionOwnerOf(key).map(JobOwner.class::cast);
+        Optional<Task> known = owner.flatMap(place -> place.task(key));
+        boolean needed = known.isPresent() && !known.get().job().phase().isFinal();
+        if (needed && known.get().status() == Task.Status.UNCERTAIN) {
             Task task = known.get();
             task.job().place(task, worker.process(), run.getRun());
             worker.adopt(task, run.getRun(), timers.nanos());
             return;
         }
-        boolean ours = wanted
+        boolean tracked = needed
                 && worker.sent(key).map(start -> start.run() == run.getRun()).orElse(false);
-        if (!ours) {
+        if (!tracked) {
             EventLine.of("run-unwanted")
                     .with("task", key)
                     .with("run", run.getRun())
                     .with("worker", worker.process())
                     .log(LOGGER.atInfo());
-            stop(worker.process(), key, run.getRun(), home);
+            stop(worker.process(), key, run.getRun(), owner);
         }
     }
 
@@ -448,7 +456,7 @@
 
     private void end(PeerLink link, Worker worker, EndedRun end) {
         TaskKey key = end.run().task();
-        Runnable kept = () -> keep(link, end);
+        Runnable acknowledge = () -> acknowledge(link, end);
         Optional<Worker.Sent> start =
                 worker.sent(key).filter(sent -> sent.run() == end.run().run());
         if (start.isPresent()) {
@@ -456,50 +464,51 @@
                 // A worker that can't start has room all the time and would be chosen again at once, for every task.
                 worker.pause(timers.nanos() + REFUSAL_PAUSE.toNanos());
             }
-            finished(worker, start.get(), end.outcome(), kept);
+            finishRun(worker, start.get(), end.outcome(), acknowledge);
             return;
         }
         Optional<Task> known = task(key);
         if (known.isEmpty()) {
             // Of a job that has ended. An end that is another owner's to store is told to that one.
-            ownerOf(key).ifPresent(owner -> kept.run());
+            partitionOwnerOf(key).ifPresent(owner -> acknowledge.run());
             return;
         }
         Task task = known.get();
         if (end.outcome() == RunOutcome.CRASHED) {
-            homeOf(task).ifPresent(home -> home.crashedBefore(task, end.run().run(), kept));
+            jobOwnerOf(task)
+                    .ifPresent(home -> home.earlierRunCrashed(task, end.run().run(), acknowledge));
             return;
         }
-        if (task.status() == Task.Status.UNCERTAIN || isLastWord(task, end)) {
+        if (task.status() == Task.Status.UNCERTAIN || completesTask(task, end)) {
             stopNewerRun(task);
-            endedUnseen(worker, task, end, kept);
+            endUntrackedRun(worker, task, end, acknowledge);
         } else {
-            homeOf(task).ifPresent(home -> home.toldAgain(task, kept));
+            jobOwnerOf(task).ifPresent(home -> home.reportedAgain(task, acknowledge));
         }
     }
 
     /** Tells whether a run that this entry no longer followed has done the task, so that no other run is needed. */
-    private static boolean isLastWord(Task task, EndedRun end) {
+    private static boolean completesTask(Task task, EndedRun end) {
         return task.status() != Task.Status.DONE && end.outcome() == RunOutcome.DONE;
     }
 
     /** Stops the run in progress of a task that an earlier run has done: the work must not be done twice. */
     private void stopNewerRun(Task task) {
-        task.worker().ifPresent(name -> stop(name, task.key(), task.lastRun(), homeOf(task)));
+        task.worker().ifPresent(name -> stop(name, task.key(), task.lastRun(), jobOwnerOf(task)));
     }
 
-    private void endedUnseen(Worker worker, Task task, EndedRun end, Runnable kept) {
+    private void endUntrackedRun(Worker worker, Task task, EndedRun end, Runnable acknowledge) {
         boolean counts = end.outcome() == RunOutcome.DONE || end.outcome() == RunOutcome.FAILED;
         if (!counts) {
-            kept.run();
+            acknowledge.run();
             return;
         }
         waiting.remove(task);
         task.job().place(task, worker.process(), end.run().run());
-        settle(worker, task, end.run().run(), end.outcome(), kept);
+        recordEnd(worker, task, end.run().run(), end.outcome(), acknowledge);
     }
 
-    private void keep(PeerLink link, EndedRun end) {
+    private void acknowledge(PeerLink link, EndedRun end) {
         if (end.sequence() == 0) {
             return;
         }
@@ -508,16 +517,16 @@
                 .build());
     }
 
-    private void finished(Worker worker, Worker.Sent start, RunOutcome outcome, Runnable kept) {
+    private void finishRun(Worker worker, Worker.Sent start, RunOutcome outcome, Runnable acknowledge) {
         if (outcome == RunOutcome.DONE) {
             placement.ended(worker, start, timers.nanos());
             crashes.cleared(start.task());
         }
         worker.remove(start.task().key());
-        settle(worker, start.task(), start.run(), outcome, kept);
+        recordEnd(worker, start.task(), start.run(), outcome, acknowledge);
     }
 
-    private void settle(Worker worker, Task task, long run, RunOutcome outcome, Runnable kept) {
+    private void recordEnd(Worker worker, Task task, long run, RunOutcome outcome, Runnable acknowledge) {
         if (outcome == RunOutcome.FAILED && worker.health().failed(task.key().jobId(), timers.nanos())) {
             EventLine.of("worker-avoided").with("worker", worker.process()).log(LOGGER.atWarning());
         }
@@ -528,8 +537,8 @@
                 .with("outcome", outcome)
                 .with("failures", task.failures())
                 .log(LOGGER.atInfo());
-        homeOf(task).ifPresent(home -> home.ended(task, outcome, kept));
-        passes.arm();
+        jobOwnerOf(task).ifPresent(home -> home.ended(task, outcome, acknowledge));
+        passes.schedule();
     }
 
     /** Notes that an agent did not start a run. */
@@ -539,9 +548,9 @@
         if (refused.getFencedBy() > 0) {
             // Started elsewhere, at an agent that the later owner has not reached, the task could run twice.
             TaskKey.parse(refused.getTask())
-                    .flatMap(this::ownerOf)
+                    .flatMap(this::partitionOwnerOf)
                     .filter(owner -> owner.epoch() < refused.getFencedBy())
-                    .ifPresent(owner -> owner.replaced(refused.getFencedBy()));
+                    .ifPresent(owner -> owner.superseded(refused.getFencedBy()));
         }
         Optional<Worker.Sent> start =
                 TaskKey.parse(refused.getTask()).flatMap(worker::sent).filter(sent -> sent.run() == refused.getRun());
@@ -552,7 +561,7 @@
         if (!RunSupervisor.NO_ROOM.equals(reason) && !RunSupervisor.SUSPECT_HELD.equals(reason)) {
             worker.pause(timers.nanos() + REFUSAL_PAUSE.toNanos());
         }
-        finished(worker, start.get(), RunOutcome.NEVER_STARTED, () -> {});
+        finishRun(worker, start.get(), RunOutcome.NEVER_STARTED, () -> {});
     }
 
     /** Gives up the runs of agents that have been silent too long, and lets tasks pass on whose turn is over. */
@@ -560,21 +569,21 @@
         long now = timers.nanos();
         for (Worker worker : List.copyOf(workers.values())) {
             if (!worker.isLinked()) {
-                giveUp(worker, worker.silentNanos(now));
+                expireRuns(worker, worker.silentNanos(now));
             }
         }
         for (PartitionOwner owner : partitions.values()) {
-            boolean over = now - owner.openedAtNanos() > ABSENCE.toNanos();
-            for (String agent : over ? owner.unheardAgents() : Set.<String>of()) {
+            boolean timedOut = now - owner.openedAtNanos() > RUN_LOSS_TIMEOUT.toNanos();
+            for (String agent : timedOut ? owner.unreportedAgents() : Set.<String>of()) {
                 if (!links.containsKey(agent)) {
-                    owner.agentHeard(agent);
+                    owner.agentReported(agent);
                 }
             }
         }
         moveFromSlowWorkers(now);
-        refuseWithoutProspect(now);
-        queueShares.ifPresent(QueueShares::look);
-        passes.arm();
+        refuseInfeasible(now);
+        queueShares.ifPresent(QueueShares::updateContention);
+        passes.schedule();
     }
 
     /**
@@ -603,18 +612,18 @@
         for (Worker worker : slow) {
             for (Worker.Sent start : worker.overdue()) {
                 if (!start.task().job().isKept() && !start.task().job().phase().isFinal()) {
-                    stop(worker.process(), start.task().key(), start.run(), homeOf(start.task()));
+                    stop(worker.process(), start.task().key(), start.run(), jobOwnerOf(start.task()));
                 }
             }
         }
     }
 
-    private void giveUp(Worker worker, long silentNanos) {
+    private void expireRuns(Worker worker, long silentNanos) {
         int count = 0;
         for (Worker.Sent start : worker.sent()) {
-            Duration absence = start.task().job().isKept() ? ABSENCE : UNKEPT_ABSENCE;
-            if (silentNanos > absence.toNanos()) {
-                finished(worker, start, RunOutcome.LOST, () -> {});
+            Duration timeout = start.task().job().isKept() ? RUN_LOSS_TIMEOUT : IN_MEMORY_RUN_LOSS_TIMEOUT;
+            if (silentNanos > timeout.toNanos()) {
+                finishRun(worker, start, RunOutcome.LOST, () -> {});
                 count++;
             }
         }
@@ -625,18 +634,18 @@
                     .with("silent_ms", silentNanos / 1_000_000)
                     .log(LOGGER.atWarning());
         }
-        if (silentNanos > ABSENCE.toNanos() && worker.sent().isEmpty()) {
+        if (silentNanos > RUN_LOSS_TIMEOUT.toNanos() && worker.sent().isEmpty()) {
             workers.remove(worker.process());
         }
     }
 
     private void start(Worker worker, Task task, boolean bySpeed) {
-        Optional<RunHome> home = homeOf(task);
+        Optional<JobOwner> owner = jobOwnerOf(task);
         PeerLink link = links.get(worker.process());
-        if (home.isEmpty() || link == null) {
+        if (owner.isEmpty() || link == null) {
             return;
         }
-        RunHome.RunAuthority authority = home.get().authority();
+        JobOwner.FencingToken token = owner.get().fencingToken();
         waiting.remove(task);
         long run = task.lastRun() + 1;
         long now = timers.nanos();
@@ -670,9 +679,9 @@
                         .setNumber(sent.number())
                         .setTask(task.key().toString())
                         .setRun(run)
-                        .setPartition(authority.partition())
-                        .setEpoch(authority.epoch())
-                        .setUnkept(authority.unkept())
+                        .setPartition(token.partition())
+                        .setEpoch(token.epoch())
+                        .setUnkept(token.inMemory())
                         .setSuspected(isolated)
                         .setEchoNanos(link.peerStampNanos())
                         .setStampAgeNanos(link.stampAgeNanos(keptUpAtNanos.getAsLong()))
--- a/library/src/main/java/org/chivetally/queue/entry/ServiceShares.java
+++ b/library/src/main/java/org/chivetally/queue/entry/ServiceShares.java
@@ -18,7 +18,7 @@
     private final WaitingTasks waiting;
     private final Collection<Worker> workers;
     private final Map<String, ArrivalRate> arrivals = new HashMap<>();
-    private final Map<String, Map<String, ServiceDemand>> demandElsewhere = new HashMap<>();
+    private final Map<String, Map<String, ServiceDemand>> remoteDemand = new HashMap<>();
     private Evacuations evacuations = Evacuations.UNKNOWN;
     private int entries = 1;
 
@@ -35,16 +35,16 @@
     }
 
     /** Notes that a job was taken on. */
-    void arrived(JobSpecification job) {
+    void recordArrival(JobSpecification job) {
         arrivals.computeIfAbsent(job.terms().service(), name -> new ArrivalRate())
                 .arrived(job, timers.nanos());
     }
 
     /** Returns this entry's part of a service's processors. */
     SharedProcessors of(String service) {
-        Map<String, ServiceDemand> told = new HashMap<>();
-        demandElsewhere.forEach((entry, demand) -> told.put(entry, demand.getOrDefault(service, ServiceDemand.NONE)));
-        return SharedProcessors.among(capacity(service), demand(service), told, entries);
+        Map<String, ServiceDemand> remote = new HashMap<>();
+        remoteDemand.forEach((entry, demand) -> remote.put(entry, demand.getOrDefault(service, ServiceDemand.NONE)));
+        return SharedProcessors.among(capacity(service), demand(service), remote, entries);
     }
 
     private long capacity(String service) {
@@ -74,23 +74,23 @@
     }
 
     /** Notes what another entry asks of each service's workers. */
-    void demandElsewhere(String entry, Map<String, ServiceDemand> demand) {
-        demandElsewhere.put(entry, demand);
+    void updateRemoteDemand(String entry, Map<String, ServiceDemand> demand) {
+        remoteDemand.put(entry, demand);
     }
 
     /** Forgets what another entry asked for, as it is gone or can't be heard. */
-    void forgetDemandOf(String entry) {
-        demandElsewhere.remove(entry);
+    void removeRemoteDemand(String entry) {
+        remoteDemand.remove(entry);
     }
 
     /** Notes how many entries place tasks on the workers. */
-    void entries(int count) {
+    void updateEntryCount(int count) {
         entries = count;
     }
 
     /** Notes which failure domains operators want to be left alone. */
-    void evacuations(Evacuations read) {
-        evacuations = read;
+    void updateEvacuations(Evacuations latest) {
+        evacuations = latest;
     }
 
     /** Tells whether a service has workers, and all that are known stand in evacuated failure domains. */
--- a/library/src/main/java/org/chivetally/queue/warmup/EntryExercise.java
+++ b/library/src/main/java/org/chivetally/queue/warmup/EntryExercise.java
@@ -65,7 +65,7 @@
         JobSpecification job =
                 new JobSpecification(JobNames.of(submitted), TERMS, "warm-up", timers.epochMillis(), List.of(step));
         long deadline = timers.nanos() + Duration.ofSeconds(1).toNanos();
-        entry.unkept().submit(job, deadline, this::answered);
+        entry.inMemoryJobs().submit(job, deadline, this::answered);
         timers.advance(ROUND);
         return completed;
     }
--- a/library/src/test/java/org/chivetally/queue/entry/CancelBoundTest.java
+++ b/library/src/test/java/org/chivetally/queue/entry/CancellationBoundTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.api.Test;
 
 /** A cancelled job's tasks stop in time, whatever its owner and its agents can reach of each other. */
-class CancelBoundTest {
+class CancellationBoundTest {
     /** From the acknowledgement, or from a late start, until nothing of the job may run. */
     private static final long BOUND_MILLIS = 4_050;
 
@@ -31,13 +31,13 @@
         }
         cluster.agent("agent-1");
         cluster.agent("agent-2");
-        cluster.settled();
+        cluster.awaitLinks();
     }
 
     private String owner() {
         int partition = Partitions.of(ID, Cluster.PARTITIONS);
         return cluster.entries.entrySet().stream()
-                .filter(entry -> entry.getValue().local(partition).isPresent())
+                .filter(entry -> entry.getValue().localOwner(partition).isPresent())
                 .findFirst()
                 .orElseThrow()
                 .getKey();
@@ -61,7 +61,7 @@
 
     private void cancelAcknowledged(EntryNode entry) {
         List<JobAnswer> answers = new ArrayList<>();
-        entry.desk().cancel(ID, cluster.timers.nanos() + 20_000_000_000L, answers::add);
+        entry.jobRouter().cancel(ID, cluster.timers.nanos() + 20_000_000_000L, answers::add);
         advanceUntil(() -> !answers.isEmpty());
         assertThat(answers, contains(new JobAnswer.Cancelled()));
     }
@@ -77,7 +77,7 @@
     @Test
     void aRunWhoseAgentNoStopReachesStopsInTime() {
         for (int phase = 0; phase < 250; phase += 25) {
-            CancelBoundTest again = new CancelBoundTest();
+            CancellationBoundTest again = new CancellationBoundTest();
             again.settle();
             again.cluster.submit(again.cluster.entries.get(again.owner()), Jobs.of(ID, 1));
             again.cluster.advance(500 + phase);
@@ -97,7 +97,7 @@
         cluster.kill(owner());
         advanceUntil(() -> cluster.entries.values().stream()
                 .anyMatch(entry ->
-                        entry.local(Partitions.of(ID, Cluster.PARTITIONS)).isPresent()));
+                        entry.localOwner(Partitions.of(ID, Cluster.PARTITIONS)).isPresent()));
         cancelAcknowledged(cluster.entries.get(owner()));
         cluster.advance(BOUND_MILLIS);
         assertThat(isRunning(), is(false));
--- a/library/src/test/java/org/chivetally/queue/entry/Cluster.java
+++ b/library/src/test/java/org/chivetally/queue/entry/Cluster.java
@@ -70,7 +70,7 @@
     }
 
     AgentNode agentIn(String failureDomain, String name) {
-        AgentNode agent = silentAgent(failureDomain, name);
+        AgentNode agent = agentWithoutMinion(failureDomain, name);
         agent.supervisor()
                 .announced(new MinionState(
                         "boot-" + name,
@@ -83,11 +83,11 @@
     }
 
     /** Starts an agent whose minion has not announced itself to it yet. */
-    AgentNode silentAgent(String name) {
-        return silentAgent("north", name);
+    AgentNode agentWithoutMinion(String name) {
+        return agentWithoutMinion("north", name);
     }
 
-    private AgentNode silentAgent(String failureDomain, String name) {
+    private AgentNode agentWithoutMinion(String failureDomain, String name) {
         incarnations++;
         Peer self = new Peer(name, incarnations, true, failureDomain, name, 1);
         ModelMinion minion = minions.computeIfAbsent(name, key -> new ModelMinion(timers));
@@ -102,7 +102,7 @@
     }
 
     /** Lets everybody find everybody. */
-    Cluster settled() {
+    Cluster awaitLinks() {
         timers.advance(Duration.ofSeconds(3));
         return this;
     }
@@ -126,20 +126,20 @@
 
     List<JobAnswer> submit(EntryNode entry, JobSpecification job) {
         List<JobAnswer> answers = new ArrayList<>();
-        entry.desk().submit(job, timers.nanos() + Duration.ofSeconds(2).toNanos(), answers::add);
+        entry.jobRouter().submit(job, timers.nanos() + Duration.ofSeconds(2).toNanos(), answers::add);
         return answers;
     }
 
-    List<JobAnswer> submitUnkept(EntryNode entry, JobSpecification job, long limitMillis) {
+    List<JobAnswer> submitInMemory(EntryNode entry, JobSpecification job, long limitMillis) {
         List<JobAnswer> answers = new ArrayList<>();
-        entry.unkept()
+        entry.inMemoryJobs()
                 .submit(job, timers.nanos() + Duration.ofMillis(limitMillis).toNanos(), answers::add);
         return answers;
     }
 
     List<JobAnswer> query(EntryNode entry, String id) {
         List<JobAnswer> answers = new ArrayList<>();
-        entry.desk().query(id, timers.nanos() + Duration.ofSeconds(1).toNanos(), answers::add);
+        entry.jobRouter().query(id, timers.nanos() + Duration.ofSeconds(1).toNanos(), answers::add);
         advance(50);
         return answers;
     }
--- a/library/src/test/java/org/chivetally/queue/entry/ContentionReplay.java
+++ b/library/src/test/java/org/chivetally/queue/entry/ContentionReplay.java
@@ -129,7 +129,7 @@
         Level before = logger.getLevel();
         logger.setLevel(Level.OFF);
         try {
-            cluster.settled();
+            cluster.awaitLinks();
             double[] next = new double[loads.size()];
             for (int millis = 0; millis < END_MILLIS + DRAIN_MILLIS; millis++) {
                 cutOff(millis);
@@ -182,7 +182,7 @@
 
     private void submit(Caller caller) {
         entries.get(entryChoice.nextInt(ENTRIES))
-                .unkept()
+                .inMemoryJobs()
                 .submit(caller.job(), caller.limitNanos(), answer -> answered(caller, answer));
     }
 
--- a/library/src/test/java/org/chivetally/queue/entry/CrashLoad.java
+++ b/library/src/test/java/org/chivetally/queue/entry/CrashingMinions.java
@@ -13,7 +13,7 @@
 import org.chivetally.queue.agent.ModelMinion;
 
 /** Minions that carry tasks out, and that crash under some of them and come back under the same id. */
-final class CrashLoad {
+final class CrashingMinions {
     private static final long BORN = 1_800_000_000_000L;
     private static final long STEP_MILLIS = 5;
     private static final long HEARTBEAT_MILLIS = 1_500;
@@ -30,13 +30,13 @@
     long awayMillis = 3_000;
     private long nowMillis;
 
-    CrashLoad(Cluster cluster, Set<String> guiltyJobs) {
+    CrashingMinions(Cluster cluster, Set<String> guiltyJobs) {
         this.cluster = cluster;
         this.guiltyJobs = guiltyJobs;
     }
 
     void agent(String name) {
-        cluster.silentAgent(name);
+        cluster.agentWithoutMinion(name);
         seenAt.put(name, new HashMap<>());
         cluster.minions.get(name).reborn(BORN);
         beat(name);
--- a/library/src/test/java/org/chivetally/queue/entry/CrashingTasksTest.java
+++ b/library/src/test/java/org/chivetally/queue/entry/CrashingTasksTest.java
@@ -31,12 +31,12 @@
     private static final JobAnswer COMPLETED = new JobAnswer.State(JobPhase.COMPLETED);
 
     private Cluster cluster;
-    private CrashLoad load;
+    private CrashingMinions load;
 
     private void begin(int crashLimit, int agents, Set<String> guilty) {
         cluster = new Cluster(new SchedulingSettings(false, false, crashLimit));
         cluster.capacity = new Room(60_000, 65_536, 0);
-        load = new CrashLoad(cluster, guilty);
+        load = new CrashingMinions(cluster, guilty);
         for (int number = 1; number <= 3; number++) {
             cluster.entry("entry-" + number);
         }
@@ -53,7 +53,7 @@
     private String ownerName() {
         int partition = Partitions.of(GUILTY, Cluster.PARTITIONS);
         return cluster.entries.entrySet().stream()
-                .filter(entry -> entry.getValue().local(partition).isPresent())
+                .filter(entry -> entry.getValue().localOwner(partition).isPresent())
                 .findFirst()
                 .orElseThrow()
                 .getKey();
@@ -83,10 +83,10 @@
         Map<String, List<JobAnswer>> answers = new LinkedHashMap<>();
         for (int number = 0; number < 400; number++) {
             String id = String.format("%016x", 0xe000 + 1_000 * variant + number);
-            answers.put(id, cluster.submitUnkept(entry(1 + number % 3), Jobs.of(id, 4, 0, 300), 4_000));
+            answers.put(id, cluster.submitInMemory(entry(1 + number % 3), Jobs.of(id, 4, 0, 300), 4_000));
             if (number % 80 == 40) {
                 String job = guilty.get(number / 80 % guilty.size());
-                answers.computeIfAbsent(job, key -> cluster.submitUnkept(entry(2), Jobs.of(key, 1, 0, 300), 4_000));
+                answers.computeIfAbsent(job, key -> cluster.submitInMemory(entry(2), Jobs.of(key, 1, 0, 300), 4_000));
             }
             load.advance(20);
         }
@@ -113,10 +113,10 @@
         for (int number = 0; number < 300; number++) {
             String id = String.format("%016x", 0xe000 + 1_000 * variant + number);
             entry(1 + number % 3)
-                    .unkept()
+                    .inMemoryJobs()
                     .submit(Jobs.of(id, 4, 0, 300), cluster.timers.nanos() + 4_000_000_000L, others::add);
             if (number == 50) {
-                guilty = cluster.submitUnkept(entry(1), Jobs.of(GUILTY, 6, 0, 300), 4_000);
+                guilty = cluster.submitInMemory(entry(1), Jobs.of(GUILTY, 6, 0, 300), 4_000);
             }
             load.advance(20);
         }
@@ -131,7 +131,7 @@
     @Test
     void withoutALimitNothingIsGivenUp() {
         begin(0, 6, Set.of(GUILTY));
-        List<JobAnswer> answers = cluster.submitUnkept(entry(1), Jobs.of(GUILTY, 1, 0, 3_000), 9_000);
+        List<JobAnswer> answers = cluster.submitInMemory(entry(1), Jobs.of(GUILTY, 1, 0, 3_000), 9_000);
         load.advance(10_000);
         assertThat(answers.contains(FAILED), is(false));
         assertThat(crashed(), is(greaterThan(3)));
@@ -197,7 +197,7 @@
     void countsCrashesOfMinionsThatAreBackAtOnce() {
         begin(2, 6, Set.of(GUILTY));
         load.awayMillis = 5;
-        List<JobAnswer> answers = cluster.submitUnkept(entry(1), Jobs.of(GUILTY, 1, 0, 300), 4_000);
+        List<JobAnswer> answers = cluster.submitInMemory(entry(1), Jobs.of(GUILTY, 1, 0, 300), 4_000);
         load.advance(2_000);
         assertThat(answers, contains(FAILED));
         assertThat(crashed(), is(2));
--- a/library/src/test/java/org/chivetally/queue/entry/KeptJobsTest.java
+++ b/library/src/test/java/org/chivetally/queue/entry/DurableJobsTest.java
@@ -23,7 +23,7 @@
 import org.chivetally.queue.log.ScriptedKeyedLog;
 import org.junit.jupiter.api.Test;
 
-class KeptJobsTest {
+class DurableJobsTest {
     private static final String ID = "00000000000000a1";
 
     private final Cluster cluster = new Cluster();
@@ -31,7 +31,7 @@
     private EntryNode ownerOf(String id) {
         int partition = Partitions.of(id, Cluster.PARTITIONS);
         return cluster.entries.values().stream()
-                .filter(entry -> entry.local(partition).isPresent())
+                .filter(entry -> entry.localOwner(partition).isPresent())
                 .findFirst()
                 .orElseThrow();
     }
@@ -58,7 +58,7 @@
         }
         cluster.agent("agent-1");
         cluster.agent("agent-2");
-        cluster.settled();
+        cluster.awaitLinks();
     }
 
     @Test
@@ -245,7 +245,7 @@
     private EntryNode ownerBeside(EntryNode old) {
         int partition = Partitions.of(ID, Cluster.PARTITIONS);
         return cluster.entries.values().stream()
-                .filter(entry -> entry != old && entry.local(partition).isPresent())
+                .filter(entry -> entry != old && entry.localOwner(partition).isPresent())
                 .findFirst()
                 .orElseThrow();
     }
@@ -302,7 +302,7 @@
         cluster.network.cut(runner, oldName, false);
         cluster.advance(1_500);
         assertThat(starts(), is(1));
-        assertThat(old.local(Partitions.of(ID, Cluster.PARTITIONS)).isPresent(), is(false));
+        assertThat(old.localOwner(Partitions.of(ID, Cluster.PARTITIONS)).isPresent(), is(false));
     }
 
     /**
@@ -360,7 +360,7 @@
                 .filter(entry -> entry != owner)
                 .findFirst()
                 .orElseThrow();
-        other.desk().cancel(ID, cluster.timers.nanos() + 1_000_000_000L, answers::add);
+        other.jobRouter().cancel(ID, cluster.timers.nanos() + 1_000_000_000L, answers::add);
         cluster.advance(100);
         assertThat(answers, contains(new JobAnswer.Cancelled()));
         assertThat(cluster.running(ID), is(empty()));
@@ -393,7 +393,7 @@
         }
         cluster.advance(1_000);
         cluster.entry("entry-8");
-        cluster.silentAgent("agent-1");
+        cluster.agentWithoutMinion("agent-1");
         cluster.advance(100);
         assertThat(cluster.agents.get("agent-1").supervisor().isAccepting(), is(true));
     }
@@ -405,7 +405,7 @@
         cluster.network.kill("agent-1");
         cluster.advance(1_000);
         long before = announcements();
-        cluster.silentAgent("agent-1");
+        cluster.agentWithoutMinion("agent-1");
         cluster.advance(500);
         assertThat(announcements() - before, is(1L));
     }
--- a/library/src/test/java/org/chivetally/queue/entry/EvacuationTest.java
+++ b/library/src/test/java/org/chivetally/queue/entry/EvacuationTest.java
@@ -29,16 +29,16 @@
     void refusesJobsAtOnceWhileNoFailureDomainIsLeft() {
         EntryNode entry = cluster.entry("entry-1");
         cluster.agent("agent-1");
-        cluster.settled();
-        entry.evacuations(NORTH);
+        cluster.awaitLinks();
+        entry.updateEvacuations(NORTH);
         cluster.advance(50);
-        List<JobAnswer> early = cluster.submitUnkept(entry, Jobs.of("1111111111111111", 1), 2_000);
+        List<JobAnswer> early = cluster.submitInMemory(entry, Jobs.of("1111111111111111", 1), 2_000);
         assertThat(early, hasSize(1));
         assertThat(early.getFirst(), instanceOf(JobAnswer.Refused.class));
         assertThat(((JobAnswer.Refused) early.getFirst()).reason(), is(RefusalReason.EVACUATED));
-        entry.evacuations(NONE);
+        entry.updateEvacuations(NONE);
         cluster.advance(50);
-        List<JobAnswer> late = cluster.submitUnkept(entry, Jobs.of("2222222222222222", 1), 2_000);
+        List<JobAnswer> late = cluster.submitInMemory(entry, Jobs.of("2222222222222222", 1), 2_000);
         cluster.advance(50);
         assertThat(late, is(empty()));
         assertThat(cluster.minions.get("agent-1").running.keySet(), hasSize(1));
@@ -54,12 +54,12 @@
         EntryNode cutOff = cluster.entry("entry-2");
         cluster.agent("agent-1");
         cluster.agentIn("south", "agent-2");
-        cluster.settled();
+        cluster.awaitLinks();
         cluster.log.cut("entry-2", true);
-        reader.evacuations(NORTH);
+        reader.updateEvacuations(NORTH);
         cluster.advance(20);
         for (int number = 0; number < 2; number++) {
-            cluster.submitUnkept(cutOff, Jobs.of("%016x".formatted(number), 1), 2_000);
+            cluster.submitInMemory(cutOff, Jobs.of("%016x".formatted(number), 1), 2_000);
         }
         cluster.advance(50);
         assertThat(cluster.minions.get("agent-1").running.keySet(), is(empty()));
--- a/library/src/test/java/org/chivetally/queue/entry/FleetCostTest.java
+++ b/library/src/test/java/org/chivetally/queue/entry/FleetCostTest.java
@@ -37,7 +37,7 @@
         for (int number = 1; number <= agents; number++) {
             cluster.agent("agent-" + number);
         }
-        cluster.settled();
+        cluster.awaitLinks();
         cluster.advance(5_000);
         cluster.network.sent.clear();
     }
@@ -61,7 +61,7 @@
     void runsGoOnWhileTheirAgentIsHeard() {
         fleet(3, 4);
         EntryNode entry = cluster.entries.get("entry-1");
-        List<JobAnswer> answers = cluster.submitUnkept(entry, Jobs.of(ID, 4, 0, 8_000), 12_000);
+        List<JobAnswer> answers = cluster.submitInMemory(entry, Jobs.of(ID, 4, 0, 8_000), 12_000);
 
         cluster.advance(8_000);
 
--- a/library/src/test/java/org/chivetally/queue/entry/IdleCostTest.java
+++ b/library/src/test/java/org/chivetally/queue/entry/IdleCostTest.java
@@ -15,7 +15,7 @@
     private static final int SECONDS = 21;
 
     private final Cluster cluster = new Cluster();
-    private final WakeUps wakeUps = new WakeUps(cluster.timers, cluster.network);
+    private final WakeUpCounter wakeUps = new WakeUpCounter(cluster.timers, cluster.network);
 
     private void fleet() {
         cluster.timersOf = (name, shared) -> wakeUps.of(name);
--- a/library/src/test/java/org/chivetally/queue/entry/IdleFleetTest.java
+++ b/library/src/test/java/org/chivetally/queue/entry/IdleFleetTest.java
@@ -43,7 +43,7 @@
         EntryNode entry = idle(2, 4);
         for (int round = 0; round < 16; round++) {
             String id = String.format("%016x", 100 + round);
-            List<JobAnswer> answers = cluster.submitUnkept(entry, Jobs.of(id, 4, 0, 1_000), 3_000);
+            List<JobAnswer> answers = cluster.submitInMemory(entry, Jobs.of(id, 4, 0, 1_000), 3_000);
             cluster.advance(3);
             assertThat(cluster.running(id).size(), is(4));
             cluster.advance(100);
@@ -60,7 +60,7 @@
         EntryNode entry = idle(2, 4);
         for (int round = 0; round < 8; round++) {
             String id = String.format("%016x", 100 + round);
-            List<JobAnswer> answers = cluster.submitUnkept(entry, Jobs.of(id, 4, 0, 8_000), 12_000);
+            List<JobAnswer> answers = cluster.submitInMemory(entry, Jobs.of(id, 4, 0, 8_000), 12_000);
             cluster.advance(6_000);
             assertThat(answers, is(empty()));
             assertThat(cluster.running(id).size(), is(4));
@@ -96,7 +96,7 @@
         }
         cluster.advance(1_750);
 
-        cluster.submitUnkept(entry, Jobs.of(ID, 4, 0, 1_000), 3_000);
+        cluster.submitInMemory(entry, Jobs.of(ID, 4, 0, 1_000), 3_000);
         cluster.advance(3);
 
         assertThat(cluster.running(ID).size(), is(4));
@@ -114,7 +114,7 @@
         cluster.minions.values().forEach(minion -> minion.stopsLost = true);
         for (int round = 0; round < 8; round++) {
             String id = String.format("%016x", 100 + round);
-            cluster.submitUnkept(entry, Jobs.of(id, 1, 0, 9_000), 12_000);
+            cluster.submitInMemory(entry, Jobs.of(id, 1, 0, 9_000), 12_000);
             cluster.advance(3);
             String agent = cluster.agents.keySet().stream()
                     .filter(name -> !cluster.minions.get(name).running.isEmpty())
--- a/library/src/test/java/org/chivetally/queue/entry/UnkeptJobsTest.java
+++ b/library/src/test/java/org/chivetally/queue/entry/InMemoryJobsTest.java
@@ -19,7 +19,7 @@
 import org.chivetally.queue.log.ScriptedKeyedLog;
 import org.junit.jupiter.api.Test;
 
-class UnkeptJobsTest {
+class InMemoryJobsTest {
     private static final String ID = "00000000000000b1";
     private static final String OTHER = "00000000000000b2";
 
@@ -30,13 +30,13 @@
         for (int number = 1; number <= count; number++) {
             cluster.agent("agent-" + number);
         }
-        cluster.settled();
+        cluster.awaitLinks();
     }
 
     @Test
     void answersTheCallerWithTheEndAndStoresNothing() {
         agents(1);
-        List<JobAnswer> answers = cluster.submitUnkept(entry, Jobs.of(ID, 2), 2_000);
+        List<JobAnswer> answers = cluster.submitInMemory(entry, Jobs.of(ID, 2), 2_000);
         cluster.advance(50);
         assertThat(answers, is(empty()));
         cluster.finish(ID, RunOutcome.DONE);
@@ -52,7 +52,7 @@
         agents(1);
         cluster.log.mood = ScriptedKeyedLog.Mood.SILENT;
         cluster.advance(5_000);
-        List<JobAnswer> answers = cluster.submitUnkept(entry, Jobs.of(ID, 1), 2_000);
+        List<JobAnswer> answers = cluster.submitInMemory(entry, Jobs.of(ID, 1), 2_000);
         cluster.advance(50);
         cluster.finish(ID, RunOutcome.DONE);
         assertThat(answers, contains(new JobAnswer.State(JobPhase.COMPLETED)));
@@ -61,8 +61,8 @@
     @Test
     void runsTheSameIdOnceWhileItIsInProgress() {
         agents(1);
-        List<JobAnswer> first = cluster.submitUnkept(entry, Jobs.of(ID, 1), 2_000);
-        List<JobAnswer> again = cluster.submitUnkept(entry, Jobs.of(ID, 1), 2_000);
+        List<JobAnswer> first = cluster.submitInMemory(entry, Jobs.of(ID, 1), 2_000);
+        List<JobAnswer> again = cluster.submitInMemory(entry, Jobs.of(ID, 1), 2_000);
         cluster.advance(50);
         assertThat(cluster.running(ID), hasSize(1));
         cluster.finish(ID, RunOutcome.DONE);
@@ -76,12 +76,12 @@
         agents(1);
         List<JobAnswer> answers = new ArrayList<>();
         Consumer<JobAnswer> caller = answers::add;
-        entry.unkept().submit(Jobs.of(ID, 1), cluster.timers.nanos() + 2_000_000_000L, caller);
+        entry.inMemoryJobs().submit(Jobs.of(ID, 1), cluster.timers.nanos() + 2_000_000_000L, caller);
         cluster.advance(50);
-        entry.unkept().callerLeft(ID, caller);
+        entry.inMemoryJobs().callerDisconnected(ID, caller);
         cluster.advance(50);
         assertThat(cluster.running(ID), is(empty()));
-        assertThat(entry.unkept().size(), is(0));
+        assertThat(entry.inMemoryJobs().size(), is(0));
     }
 
     /**
@@ -91,9 +91,9 @@
     @Test
     void refusesAWaitingJobAsSoonAsItCanNotMakeIt() {
         agents(1);
-        cluster.submitUnkept(entry, Jobs.of(OTHER, 2, 0, 5_000), 9_000);
+        cluster.submitInMemory(entry, Jobs.of(OTHER, 2, 0, 5_000), 9_000);
         cluster.advance(50);
-        List<JobAnswer> answers = cluster.submitUnkept(entry, Jobs.of(ID, 1, 0, 400), 1_000);
+        List<JobAnswer> answers = cluster.submitInMemory(entry, Jobs.of(ID, 1, 0, 400), 1_000);
         cluster.advance(550);
         assertThat(answers, is(empty()));
         cluster.advance(400);
@@ -111,12 +111,12 @@
         agents(1);
         cluster.advance(2_000);
         cluster.timers.stall(Duration.ofSeconds(3));
-        List<JobAnswer> answers = cluster.submitUnkept(entry, Jobs.of(ID, 1), 2_000);
+        List<JobAnswer> answers = cluster.submitInMemory(entry, Jobs.of(ID, 1), 2_000);
         assertThat(answers, contains(instanceOf(JobAnswer.Refused.class)));
         cluster.advance(200);
         assertThat(cluster.running(ID), is(empty()));
         cluster.advance(800);
-        cluster.submitUnkept(entry, Jobs.of(OTHER, 1), 2_000);
+        cluster.submitInMemory(entry, Jobs.of(OTHER, 1), 2_000);
         cluster.advance(50);
         assertThat(cluster.running(OTHER), hasSize(1));
     }
@@ -136,10 +136,10 @@
             cluster.timers.stall(Duration.ofMillis(90));
             cluster.advance(1);
         }
-        List<JobAnswer> answers = cluster.submitUnkept(entry, Jobs.of(ID, 1), 2_000);
+        List<JobAnswer> answers = cluster.submitInMemory(entry, Jobs.of(ID, 1), 2_000);
         assertThat(answers, contains(instanceOf(JobAnswer.Refused.class)));
         cluster.advance(400);
-        cluster.submitUnkept(entry, Jobs.of(OTHER, 1), 2_000);
+        cluster.submitInMemory(entry, Jobs.of(OTHER, 1), 2_000);
         cluster.advance(50);
         assertThat(cluster.running(OTHER), hasSize(1));
     }
@@ -158,7 +158,7 @@
             cluster.timers.stall(Duration.ofMillis(90));
             cluster.advance(1);
         }
-        List<JobAnswer> answers = cluster.submitUnkept(entry, Jobs.of(ID, 1), 2_000);
+        List<JobAnswer> answers = cluster.submitInMemory(entry, Jobs.of(ID, 1), 2_000);
         assertThat(answers, is(empty()));
     }
 
@@ -169,17 +169,17 @@
     @Test
     void startsNothingThatWaitedUntilItHasReadItsSockets() {
         agents(1);
-        cluster.submitUnkept(entry, Jobs.of(OTHER, 2, 0, 5_000), 9_000);
+        cluster.submitInMemory(entry, Jobs.of(OTHER, 2, 0, 5_000), 9_000);
         cluster.advance(50);
         List<JobAnswer> answers = new ArrayList<>();
         Consumer<JobAnswer> caller = answers::add;
-        entry.unkept().submit(Jobs.of(ID, 1, 0, 1_000), cluster.timers.nanos() + 9_000_000_000L, caller);
+        entry.inMemoryJobs().submit(Jobs.of(ID, 1, 0, 1_000), cluster.timers.nanos() + 9_000_000_000L, caller);
         cluster.advance(50);
         cluster.finish(OTHER, RunOutcome.DONE);
         cluster.timers.stall(Duration.ofSeconds(1));
         cluster.advance(100);
         assertThat(cluster.running(ID), is(empty()));
-        entry.unkept().callerLeft(ID, caller);
+        entry.inMemoryJobs().callerDisconnected(ID, caller);
         cluster.advance(1_000);
         assertThat(cluster.running(ID), is(empty()));
     }
@@ -194,7 +194,7 @@
         cluster.advance(700);
         List<JobAnswer> answers = new ArrayList<>();
         for (int number = 0; number < 40; number++) {
-            answers.addAll(cluster.submitUnkept(entry, Jobs.of("00000000000001" + (10 + number), 4), 2_000));
+            answers.addAll(cluster.submitInMemory(entry, Jobs.of("00000000000001" + (10 + number), 4), 2_000));
         }
         assertThat(answers, is(empty()));
     }
@@ -203,7 +203,7 @@
     @Test
     void doesNotSayThatAStartedJobHasNotRun() {
         agents(1);
-        List<JobAnswer> answers = cluster.submitUnkept(entry, Jobs.of(ID, 1), 1_000);
+        List<JobAnswer> answers = cluster.submitInMemory(entry, Jobs.of(ID, 1), 1_000);
         cluster.advance(1_100);
         assertThat(answers, contains(instanceOf(JobAnswer.Undecided.class)));
         assertThat(cluster.running(ID), is(empty()));
@@ -216,7 +216,7 @@
     @Test
     void movesTheRunsOfALostAgentWithoutRunningThemTwice() {
         agents(2);
-        List<JobAnswer> answers = cluster.submitUnkept(entry, Jobs.of(ID, 1), 9_000);
+        List<JobAnswer> answers = cluster.submitInMemory(entry, Jobs.of(ID, 1), 9_000);
         cluster.advance(50);
         String agent = cluster.minions.entrySet().stream()
                 .filter(known -> !known.getValue().running.isEmpty())
@@ -236,7 +236,7 @@
     @Test
     void triesAFailedTaskOnceMoreOnAnotherWorker() {
         agents(2);
-        List<JobAnswer> answers = cluster.submitUnkept(entry, Jobs.of(ID, 1), 9_000);
+        List<JobAnswer> answers = cluster.submitInMemory(entry, Jobs.of(ID, 1), 9_000);
         cluster.advance(50);
         var first = cluster.runner(ID).orElseThrow();
         cluster.finish(ID, RunOutcome.FAILED);
@@ -252,9 +252,9 @@
     @Test
     void takesOnlyJobsOnThatEndBeforeItStops() {
         agents(1);
-        entry.unkept().stopAt(cluster.timers.nanos() + 1_000_000_000L);
-        List<JobAnswer> longer = cluster.submitUnkept(entry, Jobs.of(ID, 1, 0, 700), 5_000);
-        List<JobAnswer> shorter = cluster.submitUnkept(entry, Jobs.of(OTHER, 1, 0, 100), 5_000);
+        entry.inMemoryJobs().stopAt(cluster.timers.nanos() + 1_000_000_000L);
+        List<JobAnswer> longer = cluster.submitInMemory(entry, Jobs.of(ID, 1, 0, 700), 5_000);
+        List<JobAnswer> shorter = cluster.submitInMemory(entry, Jobs.of(OTHER, 1, 0, 100), 5_000);
         assertThat(longer, contains(instanceOf(JobAnswer.Refused.class)));
         cluster.advance(50);
         cluster.finish(OTHER, RunOutcome.DONE);
@@ -265,9 +265,9 @@
     @Test
     void answersWhoeverStillWaitsWhenTheProcessEnds() {
         agents(1);
-        List<JobAnswer> answers = cluster.submitUnkept(entry, Jobs.of(ID, 1), 5_000);
+        List<JobAnswer> answers = cluster.submitInMemory(entry, Jobs.of(ID, 1), 5_000);
         cluster.advance(50);
-        entry.unkept().endAll();
+        entry.inMemoryJobs().expireAll();
         assertThat(answers, contains(instanceOf(JobAnswer.Undecided.class)));
     }
 
@@ -283,7 +283,7 @@
         List<List<JobAnswer>> answers = new ArrayList<>();
         for (int job = 0; job < 12; job++) {
             ids.add("00000000000000%02x".formatted(job));
-            answers.add(cluster.submitUnkept(entry, Jobs.of(ids.getLast(), 1, 0, 100), 9_000));
+            answers.add(cluster.submitInMemory(entry, Jobs.of(ids.getLast(), 1, 0, 100), 9_000));
         }
         cluster.advance(50);
         var still = cluster.minions.get("agent-1");
@@ -309,8 +309,8 @@
     void runsJobsElsewhereWhileAMinionIsDown() {
         agents(2);
         cluster.minions.get("agent-1").down = true;
-        List<JobAnswer> first = cluster.submitUnkept(entry, Jobs.of(ID, 1), 2_000);
-        List<JobAnswer> second = cluster.submitUnkept(entry, Jobs.of(OTHER, 1), 2_000);
+        List<JobAnswer> first = cluster.submitInMemory(entry, Jobs.of(ID, 1), 2_000);
+        List<JobAnswer> second = cluster.submitInMemory(entry, Jobs.of(OTHER, 1), 2_000);
         cluster.advance(30);
         assertThat(cluster.minions.get("agent-1").starts.size() <= 2, is(true));
         cluster.finish(ID, RunOutcome.DONE);
--- a/library/src/test/java/org/chivetally/queue/entry/QueueSharesTest.java
+++ b/library/src/test/java/org/chivetally/queue/entry/QueueSharesTest.java
@@ -27,10 +27,10 @@
     private void contend() {
         cluster.capacity = new Room(8 * TASK, 10_000, 0);
         cluster.agent("agent-1");
-        cluster.settled();
-        cluster.submitUnkept(first, Jobs.of("00000000000000a1", 10, 0, 10_000), 60_000);
+        cluster.awaitLinks();
+        cluster.submitInMemory(first, Jobs.of("00000000000000a1", 10, 0, 10_000), 60_000);
         cluster.advance(100);
-        cluster.submitUnkept(second, Jobs.of("00000000000000a2", 2, 1, 10_000), 60_000);
+        cluster.submitInMemory(second, Jobs.of("00000000000000a2", 2, 1, 10_000), 60_000);
         cluster.advance(600);
     }
 
@@ -64,7 +64,7 @@
         assertThat(division(first).share("queue-0"), is(6 * TASK));
         cluster.advance(600);
         assertThat(division(first).capacityMillis(), is(4 * TASK));
-        assertThat(first.silentEntries(), is(1));
+        assertThat(first.unreachableEntries(), is(1));
         assertThat(division(first).share("queue-0"), is(4 * TASK));
         cluster.network.cut("entry-1", "entry-2", false);
         cluster.advance(3_000);
@@ -102,13 +102,13 @@
     void aJobIsRefusedByTheForecastOfItsOwnQueueOnly() {
         cluster.capacity = new Room(8 * TASK, 10_000, 0);
         cluster.agent("agent-1");
-        cluster.settled();
+        cluster.awaitLinks();
         for (int number = 0; number < 10; number++) {
-            cluster.submitUnkept(first, Jobs.of("%016x".formatted(number), 8, 0, 1_000), 60_000);
+            cluster.submitInMemory(first, Jobs.of("%016x".formatted(number), 8, 0, 1_000), 60_000);
         }
         cluster.advance(100);
-        List<JobAnswer> other = cluster.submitUnkept(first, Jobs.of("00000000000000b1", 2, 1, 1_000), 2_500);
-        List<JobAnswer> burst = cluster.submitUnkept(first, Jobs.of("00000000000000b2", 8, 0, 1_000), 2_500);
+        List<JobAnswer> other = cluster.submitInMemory(first, Jobs.of("00000000000000b1", 2, 1, 1_000), 2_500);
+        List<JobAnswer> burst = cluster.submitInMemory(first, Jobs.of("00000000000000b2", 8, 0, 1_000), 2_500);
         assertThat(other, is(List.of()));
         assertThat(burst.size(), is(1));
         JobAnswer.Refused refused = (JobAnswer.Refused) burst.getFirst();
@@ -136,6 +136,6 @@
                         .setRunningMillis(-5)
                         .setWaitingMillis(7))
                 .build();
-        assertThat(QueueDemands.decode(beat).get(SERVICE).of("queue-0").demandMillis(), is(7L));
+        assertThat(QueueDemandCodec.decode(beat).get(SERVICE).of("queue-0").demandMillis(), is(7L));
     }
 }
--- a/library/src/test/java/org/chivetally/queue/entry/UnevenLoadTest.java
+++ b/library/src/test/java/org/chivetally/queue/entry/UnevenLoadTest.java
@@ -38,10 +38,10 @@
         cluster.entry("entry-3");
         cluster.agent("agent-1");
         cluster.agent("agent-2");
-        cluster.settled();
+        cluster.awaitLinks();
         for (int number = 0; number < 100; number++) {
             String id = "%016x".formatted(number);
-            List<JobAnswer> answers = cluster.submitUnkept(busy, Jobs.of(id, 1), 2_000);
+            List<JobAnswer> answers = cluster.submitInMemory(busy, Jobs.of(id, 1), 2_000);
             boolean stalled = number >= 50 && number < 56;
             work(stalled ? Integer.MAX_VALUE : TASK_MILLIS);
             answersOf.add(answers);
@@ -91,10 +91,10 @@
         for (int number = 1; number <= 6; number++) {
             entries.add(cluster.entry("entry-" + number));
         }
-        cluster.settled();
+        cluster.awaitLinks();
         cluster.capacity = new Room(60_000, 10_000, 0);
         for (int number = 0; number < 60; number++) {
-            cluster.submitUnkept(entries.get(number % 6), Jobs.of("%016x".formatted(number), 1, 0, 10_000), 60_000);
+            cluster.submitInMemory(entries.get(number % 6), Jobs.of("%016x".formatted(number), 1, 0, 10_000), 60_000);
         }
         cluster.advance(300);
         cluster.agent("agent-1");
--- a/library/src/test/java/org/chivetally/queue/entry/UnevenSpeedsTest.java
+++ b/library/src/test/java/org/chivetally/queue/entry/UnevenSpeedsTest.java
@@ -26,7 +26,7 @@
     /** Ends the runs of agent-1 after 60 ms and all others after 240, while a job of 100 ms comes every 60 ms. */
     private void work(EntryNode entry, int firstJob, int jobs) {
         for (int number = firstJob; number < firstJob + jobs; number++) {
-            cluster.submitUnkept(entry, Jobs.of("%016x".formatted(number), 1), 2_000);
+            cluster.submitInMemory(entry, Jobs.of("%016x".formatted(number), 1), 2_000);
             for (int step = 0; step < 6; step++) {
                 cluster.advance(STEP_MILLIS);
                 endDue("agent-1", 60);
@@ -58,7 +58,7 @@
         cluster.agent("agent-1");
         cluster.labels = List.of("slow");
         SLOW.forEach(cluster::agent);
-        cluster.settled();
+        cluster.awaitLinks();
     }
 
     @Test
@@ -76,7 +76,7 @@
         EntryNode second = cluster.entry("entry-2");
         cluster.advance(1_000);
         before = slowStarts();
-        cluster.submitUnkept(second, Jobs.of("%016x".formatted(1_000), 1), 2_000);
+        cluster.submitInMemory(second, Jobs.of("%016x".formatted(1_000), 1), 2_000);
         cluster.advance(20);
         assertThat(second.speedSpread(), is(greaterThan(1.8)));
         assertThat(slowStarts(), is(before));
--- a/library/src/test/java/org/chivetally/queue/entry/WakeUps.java
+++ b/library/src/test/java/org/chivetally/queue/entry/WakeUpCounter.java
@@ -10,12 +10,12 @@
 import org.chivetally.time.Timers;
 
 /** Counts what wakes each process of a {@link Cluster} up: its timers, and the frames that reach it. */
-final class WakeUps {
+final class WakeUpCounter {
     private final Timers shared;
     private final Map<String, Map<String, Integer>> causes = new HashMap<>();
     private final Map<String, Set<Long>> instants = new HashMap<>();
 
-    WakeUps(Timers shared, MemoryNetwork network) {
+    WakeUpCounter(Timers shared, MemoryNetwork network) {
         this.shared = shared;
         network.whenArrived(this::count);
     }
