--- a/library/src/main/java/org/chivetally/queue/warmup/EntryWarmUpLoad.java
+++ b/library/src/main/java/org/chivetally/queue/warmup/EntryWarmUpLoad.java
@@ -66,7 +66,7 @@
         JobSpecification job =
                 new JobSpecification(JobIds.of(submitted), TERMS, "warm-up", timers.epochMillis(), List.of(step));
         long deadline = timers.nanos() + Duration.ofSeconds(1).toNanos();
-        entry.unkept().submit(job, deadline, this::countIfCompleted);
+        entry.inMemoryJobs().submit(job, deadline, this::countIfCompleted);
         timers.advance(ROUND_DURATION);
         return completed;
     }
