--- a/library/src/main/java/org/chivetally/queue/entry/RunCoordinator.java
+++ b/library/src/main/java/org/chivetally/queue/entry/RunCoordinator.java
@@ -411,7 +411,9 @@
 
     /** Returns where the job of a task is known; empty when its partition isn't this entry's any more. */
     private Optional<JobOwner> jobOwnerOf(Task task) {
-        return task.job().isDurable() ? partitionOwnerOf(task.key()).map(JobOwner.class::cast) : Optional.of(inMemoryJobs);
+        return task.job().isDurable()
+                ? partitionOwnerOf(task.key()).map(JobOwner.class::cast)
+                : Optional.of(inMemoryJobs);
     }
 
     private Optional<Task> task(TaskKey key) {
