--- a/library/src/main/java/org/chivetally/queue/entry/QueueShares.java
+++ b/library/src/main/java/org/chivetally/queue/entry/QueueShares.java
@@ -27,17 +27,17 @@
      * Time without contention after which a service counts as uncontended. At a load near the capacity the demands
      * cross it several times a second, and each crossing would make a log line.
      */
-    static final Duration CALM = Duration.ofSeconds(1);
+    static final Duration UNCONTENDED_AFTER = Duration.ofSeconds(1);
 
     private static final FluentLogger LOGGER = FluentLogger.forEnclosingClass();
 
     private final Timers timers;
     private final WaitingTasks waiting;
     private final Collection<Worker> workers;
-    private final PeerLoads elsewhere = new PeerLoads();
-    private final RecentlyRefusedJobs refusedLately = new RecentlyRefusedJobs();
+    private final PeerLoads remoteLoads = new PeerLoads();
+    private final RecentlyRefusedJobs recentRefusals = new RecentlyRefusedJobs();
     private final Map<String, Long> contendedAtNanos = new HashMap<>();
-    private int silentEntries;
+    private int unreachableEntries;
 
     /**
      * Creates the shares of an entry that is alone.
@@ -52,7 +52,7 @@
     }
 
     /** Returns what this entry's runs hold and its waiting tasks need, by service and queue. */
-    Map<String, QueueLoads> own() {
+    Map<String, QueueLoads> ownLoads() {
         Map<String, QueueLoads> byService = new HashMap<>();
         waiting.addWaitingTo(byService);
         for (Worker worker : workers) {
@@ -62,17 +62,17 @@
     }
 
     /** Notes what another entry tells of its queues. */
-    void told(String entry, Map<String, QueueLoads> byService, boolean leaving) {
-        elsewhere.recordReport(entry, byService, leaving, timers.nanos());
+    void updateRemoteLoads(String entry, Map<String, QueueLoads> byService, boolean leaving) {
+        remoteLoads.recordReport(entry, byService, leaving, timers.nanos());
     }
 
     /** Returns how a service is divided now. */
     FairShares division(String service) {
-        return division(service, own().getOrDefault(service, new QueueLoads()));
+        return division(service, ownLoads().getOrDefault(service, new QueueLoads()));
     }
 
     private FairShares division(String service, QueueLoads own) {
-        PeerLoads.ServiceSnapshot known = elsewhere.of(service, timers.nanos());
+        PeerLoads.ServiceSnapshot known = remoteLoads.of(service, timers.nanos());
         return new FairShares(known.reachableCapacity(usableMillis(service)), own, known.loads());
     }
 
@@ -100,24 +100,24 @@
         QueueTerms terms = job.specification().terms();
         long ahead = waiting.workAhead(terms.service(), terms.queue(), terms.priority());
         long now = timers.nanos();
-        if (ahead == 0 && !job.isHopeless(now)) {
+        if (ahead == 0 && !job.isTooLate(now)) {
             // Nothing waits before it, as is usual: no division is needed to tell that it has its turn at once.
             return Optional.empty();
         }
         String id = job.specification().id();
         long reach = division(terms.service()).ownAvailableMillicores(terms.queue());
-        Optional<Duration> refusal = QueueAdmission.refuse(job, now, ahead, reach, refusedLately.contains(id, now));
+        Optional<Duration> refusal = QueueAdmission.refuse(job, now, ahead, reach, recentRefusals.contains(id, now));
         if (refusal.isPresent()) {
-            refusedLately.add(id, now);
+            recentRefusals.add(id, now);
         }
         return refusal;
     }
 
     /** Returns when the caller of a job that is given back should come back, and notes that it may. */
-    Duration givenBack(Job job) {
+    Duration retryAfterRefusal(Job job) {
         QueueTerms terms = job.specification().terms();
         String id = job.specification().id();
-        refusedLately.add(id, timers.nanos());
+        recentRefusals.add(id, timers.nanos());
         long reach = division(terms.service()).ownAvailableMillicores(terms.queue());
         return QueueAdmission.retryAfter(id, waiting.work(terms.service(), terms.queue()), reach);
     }
@@ -127,8 +127,8 @@
      *
      * @param own what this entry's runs hold and its waiting tasks need of the service
      */
-    FairShareOrder turns(String service, QueueLoads own, int most) {
-        return waiting.fairShareOrder(service, division(service, own), own, most);
+    FairShareOrder turns(String service, QueueLoads own, int limit) {
+        return waiting.fairShareOrder(service, division(service, own), own, limit);
     }
 
     /** Returns the number of services whose queues have lately asked for more than there is. */
@@ -137,31 +137,31 @@
     }
 
     /** Returns the number of entries that were out of reach at the last look. */
-    int silentEntries() {
-        return silentEntries;
+    int unreachableEntries() {
+        return unreachableEntries;
     }
 
     /** Looks which services are contended, and forgets entries that are gone. */
-    void look() {
+    void updateContention() {
         long now = timers.nanos();
-        elsewhere.removeExpired(now);
-        silentEntries = elsewhere.of("", now).unreachable();
-        Map<String, QueueLoads> own = own();
+        remoteLoads.removeExpired(now);
+        unreachableEntries = remoteLoads.of("", now).unreachable();
+        Map<String, QueueLoads> own = ownLoads();
         for (Map.Entry<String, QueueLoads> service : own.entrySet()) {
             FairShares division = division(service.getKey(), service.getValue());
             if (division.isContended() && contendedAtNanos.put(service.getKey(), now) == null) {
                 log("service-contended", service.getKey(), division);
             }
         }
-        contendedAtNanos.entrySet().removeIf(service -> isCalm(service, now));
+        contendedAtNanos.entrySet().removeIf(service -> isUncontended(service, now));
     }
 
-    private boolean isCalm(Map.Entry<String, Long> service, long now) {
-        boolean calm = now - service.getValue() > CALM.toNanos();
-        if (calm) {
+    private boolean isUncontended(Map.Entry<String, Long> service, long now) {
+        boolean uncontended = now - service.getValue() > UNCONTENDED_AFTER.toNanos();
+        if (uncontended) {
             log("service-uncontended", service.getKey(), division(service.getKey()));
         }
-        return calm;
+        return uncontended;
     }
 
     private static void log(String event, String service, FairShares division) {
--- a/library/src/main/java/org/chivetally/queue/placement/FairShareOrder.java
+++ b/library/src/main/java/org/chivetally/queue/placement/FairShareOrder.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Optional;
-import org.chivetally.queue.Outlook;
+import org.chivetally.queue.CompletionForecast;
 import org.chivetally.queue.Room;
 import org.chivetally.queue.Task;
 import org.chivetally.queue.share.FairShares;
@@ -79,7 +79,7 @@
         Task task = current.next.task();
         boolean unrestricted = task.step().traits().requiredLabel().isEmpty()
                 && task.step().traits().maximumPerWorker() == 0
-                && task.failedAt().isEmpty();
+                && task.lastFailedWorker().isEmpty();
         if (unrestricted) {
             unavailableRoom = task.room();
         }
@@ -107,8 +107,8 @@
         }
 
         private boolean isBefore(QueueCursor other) {
-            boolean hopeless = next.reach() == Outlook.Reach.HOPELESS;
-            if (hopeless != (other.next.reach() == Outlook.Reach.HOPELESS)) {
+            boolean hopeless = next.reach() == CompletionForecast.Timeliness.TOO_LATE;
+            if (hopeless != (other.next.reach() == CompletionForecast.Timeliness.TOO_LATE)) {
                 return !hopeless;
             }
             if (isBelowShare() != other.isBelowShare()) {
--- a/library/src/main/java/org/chivetally/queue/placement/PlacementPolicy.java
+++ b/library/src/main/java/org/chivetally/queue/placement/PlacementPolicy.java
@@ -186,7 +186,7 @@
             boolean suspect = isSuspect(task);
             Optional<Worker> worker = choose(task, freeShare, suspect);
             boolean decided = worker.isPresent() || !suspect;
-            return decided || !crashes.isUrgent(nowNanos, task.job().lastStartNanos())
+            return decided || !crashes.isUrgent(nowNanos, task.job().latestStartNanos())
                     ? worker
                     : choose(task, freeShare, false);
         }
@@ -297,7 +297,7 @@
 
         /** Tells whether there is a sound worker for the task where it has not just failed, with room or without. */
         private boolean hasHealthyAlternative(Task task) {
-            if (task.failedAt().isEmpty()) {
+            if (task.lastFailedWorker().isEmpty()) {
                 return false;
             }
             for (Worker worker : acceptingWorkers) {
@@ -334,7 +334,8 @@
     }
 
     private static boolean failedOn(Task task, Worker worker) {
-        return task.failedAt().isPresent() && task.failedAt().get().equals(worker.process());
+        return task.lastFailedWorker().isPresent()
+                && task.lastFailedWorker().get().equals(worker.process());
     }
 
     /** Tells whether a worker is allowed to run the task, whether it has room or not. */
--- a/library/src/test/java/org/chivetally/queue/placement/FairShareOrderTest.java
+++ b/library/src/test/java/org/chivetally/queue/placement/FairShareOrderTest.java
@@ -125,7 +125,7 @@
     void startedJobPrecedesOlderJobThatHasNotStarted() {
         Job older = job("older", 0, 2, 0);
         Job started = job("begun", 0, 2, 1);
-        started.place(started.tasks().getFirst(), "worker", 1);
+        started.recordPlacement(started.tasks().getFirst(), "worker", 1);
         waiting.remove(started.tasks().getFirst());
         waiting.reorder(started, 2);
         assertThat(placeAll(order(60 * TASK_MILLICORES), 9), contains("begun", "older", "older"));
@@ -141,10 +141,10 @@
         Job older = job("older", 0, 1, 0);
         Job refused = job("turned-down", 0, 2, 1);
         Task first = refused.tasks().getFirst();
-        refused.place(first, "worker", 1);
+        refused.recordPlacement(first, "worker", 1);
         waiting.remove(first);
         waiting.reorder(refused, 2);
-        refused.end(first, RunOutcome.NEVER_STARTED, 3);
+        refused.recordRunEnd(first, RunOutcome.NEVER_STARTED, 3);
         waiting.add(first, 3);
         waiting.reorder(refused, 3);
         assertThat(placeAll(order(60 * TASK_MILLICORES), 9), contains("older", "turned-down", "turned-down"));
@@ -157,7 +157,7 @@
         WaitingTasks withoutShares = new WaitingTasks();
         Job older = new Job(Jobs.of("older", 1, 0, 100), 0, 60 * SECOND_NANOS);
         Job started = new Job(Jobs.of("begun", 2, 0, 100), 1, 60 * SECOND_NANOS);
-        started.place(started.tasks().getFirst(), "worker", 1);
+        started.recordPlacement(started.tasks().getFirst(), "worker", 1);
         withoutShares.add(started.tasks().getLast(), 2);
         withoutShares.add(older.tasks().getFirst(), 2);
         withoutShares.reorder(started, 2);
--- a/library/src/test/java/org/chivetally/queue/placement/FleetSimulation.java
+++ b/library/src/test/java/org/chivetally/queue/placement/FleetSimulation.java
@@ -9,10 +9,10 @@
 import java.util.Random;
 import java.util.Set;
 import java.util.SplittableRandom;
+import org.chivetally.queue.CompletionForecast;
 import org.chivetally.queue.Job;
 import org.chivetally.queue.JobPhase;
 import org.chivetally.queue.JobSpecification;
-import org.chivetally.queue.Outlook;
 import org.chivetally.queue.QueueTerms;
 import org.chivetally.queue.Room;
 import org.chivetally.queue.RunOutcome;
@@ -251,7 +251,7 @@
                 if (task.job().phase() == JobPhase.CANCELLED) {
                     continue;
                 }
-                if (task.job().outlook(nowNanos).reach() == Outlook.Reach.HOPELESS
+                if (task.job().completionForecast(nowNanos).timeliness() == CompletionForecast.Timeliness.TOO_LATE
                         && task.job().phase() == JobPhase.QUEUED) {
                     refuse(task.job());
                     continue;
@@ -275,7 +275,7 @@
             waiting.remove(task);
             long run = task.lastRun() + 1;
             Worker.SentStart sent = worker.send(task, run, nowNanos, policy.expectedMillis(task));
-            task.job().place(task, worker.process(), run);
+            task.job().recordPlacement(task, worker.process(), run);
             Agent agent = agents.get(workers.indexOf(worker));
             placements.add(new Placement(nowNanos, number, agent.number));
             schedule(FRAME_DELAY_NANOS, () -> agent.start(this, sent));
@@ -294,7 +294,7 @@
             }
             worker.remove(sent.task().key());
             Job job = sent.task().job();
-            for (Task ready : job.end(sent.task(), outcome, 0)) {
+            for (Task ready : job.recordRunEnd(sent.task(), outcome, 0)) {
                 waiting.add(ready, nowNanos);
             }
             if (job.phase().isFinal()) {
--- a/library/src/test/java/org/chivetally/queue/placement/OverloadSimulationTest.java
+++ b/library/src/test/java/org/chivetally/queue/placement/OverloadSimulationTest.java
@@ -16,10 +16,10 @@
 import java.util.Random;
 import java.util.Set;
 import java.util.SplittableRandom;
+import org.chivetally.queue.CompletionForecast;
 import org.chivetally.queue.Job;
 import org.chivetally.queue.JobPhase;
 import org.chivetally.queue.Jobs;
-import org.chivetally.queue.Outlook;
 import org.chivetally.queue.Room;
 import org.chivetally.queue.RunOutcome;
 import org.chivetally.queue.Task;
@@ -121,7 +121,7 @@
                 notRefused.remove(job);
             }
         }
-        notRefused.removeIf(job -> job.phase() != JobPhase.QUEUED || !job.isHopeless(nowNanos));
+        notRefused.removeIf(job -> job.phase() != JobPhase.QUEUED || !job.isTooLate(nowNanos));
         assertThat((double) inTime / (3 * perSecond), greaterThan(0.55));
         assertThat(notRefused, is(empty()));
     }
@@ -166,7 +166,7 @@
         }
         run.worker().remove(run.task().key());
         RunOutcome outcome = run.fails() ? RunOutcome.FAILED : RunOutcome.DONE;
-        for (Task ready : job.end(run.task(), outcome, 0)) {
+        for (Task ready : job.recordRunEnd(run.task(), outcome, 0)) {
             waiting.add(ready, nowNanos);
         }
         if (open && job.phase().isFinal()) {
@@ -182,7 +182,8 @@
         }
         PlacementPolicy.Pass pass = policy.newPass(workers, nowNanos);
         for (Task task : waiting.first("reports", TASKS_PER_WORKER)) {
-            if (task.job().phase().isFinal() || task.job().outlook(nowNanos).reach() == Outlook.Reach.HOPELESS) {
+            if (task.job().phase().isFinal()
+                    || task.job().completionForecast(nowNanos).timeliness() == CompletionForecast.Timeliness.TOO_LATE) {
                 waiting.remove(task);
                 continue;
             }
@@ -208,7 +209,7 @@
         waiting.remove(task);
         long run = task.lastRun() + 1;
         Worker.SentStart sent = worker.send(task, run, nowNanos);
-        task.job().place(task, worker.process(), run);
+        task.job().recordPlacement(task, worker.process(), run);
         boolean fails = worker.process().equals(failingWorker);
         long durationNanos =
                 fails ? MILLISECOND_NANOS : 90 * MILLISECOND_NANOS + random.nextInt((int) (20 * MILLISECOND_NANOS));
