--- a/library/src/main/java/org/chivetally/queue/placement/WaitingTask.java
+++ b/library/src/main/java/org/chivetally/queue/placement/WaitingTask.java
@@ -13,7 +13,8 @@
  * @param reachUntilNanos last moment at which that is so
  * @param jobStarted whether it goes before tasks of jobs of which nothing runs yet
  */
-record WaitingTask(Task task, int priority, CompletionForecast.Timeliness reach, long reachUntilNanos, boolean jobStarted) {
+record WaitingTask(
+        Task task, int priority, CompletionForecast.Timeliness reach, long reachUntilNanos, boolean jobStarted) {
     // Written out: comparators that are put together are serializable lambdas, which the JVM generates at each start.
     /** Order in which tasks are placed. */
     static final Comparator<WaitingTask> ORDER = WaitingTask::compare;
--- a/library/src/main/java/org/chivetally/queue/placement/WaitingTasks.java
+++ b/library/src/main/java/org/chivetally/queue/placement/WaitingTasks.java
@@ -139,8 +139,8 @@
         for (WaitingTask entry : inOrder) {
             Job job = entry.task().job();
             long waitNanos = spareMillicores <= 0 ? Long.MAX_VALUE : 1_000_000_000L * work / spareMillicores;
-            boolean overtaken =
-                    entry.reach() == CompletionForecast.Timeliness.LATE && entry.reachUntilNanos() - nowNanos < waitNanos;
+            boolean overtaken = entry.reach() == CompletionForecast.Timeliness.LATE
+                    && entry.reachUntilNanos() - nowNanos < waitNanos;
             if (overtaken && job.phase() == JobPhase.QUEUED) {
                 jobs.add(job);
             } else {
