--- a/library/src/main/java/org/chivetally/queue/placement/FairShareOrder.java
+++ b/library/src/main/java/org/chivetally/queue/placement/FairShareOrder.java
@@ -22,7 +22,7 @@
      */
     static final int MAXIMUM_MISSES_PER_QUEUE = 8;
 
-    private final List<QueueCursor> queues = new ArrayList<>();
+    private final List<QueueCursor> cursors = new ArrayList<>();
     private final int maximumTasks;
     private QueueCursor current;
     private Room unavailableRoom;
@@ -32,7 +32,7 @@
         this.maximumTasks = maximumTasks;
         for (Map.Entry<String, TaskBacklog> backlog : backlogs.entrySet()) {
             String queue = backlog.getKey();
-            queues.add(new QueueCursor(
+            cursors.add(new QueueCursor(
                     backlog.getValue(),
                     shares.ownShare(queue),
                     ownLoads.of(queue).runningMillicores()));
@@ -58,9 +58,9 @@
 
     private QueueCursor firstInOrder() {
         QueueCursor first = null;
-        for (QueueCursor queue : queues) {
-            if (queue.next != null && (first == null || queue.isBefore(first))) {
-                first = queue;
+        for (QueueCursor cursor : cursors) {
+            if (cursor.next != null && (first == null || cursor.isBefore(first))) {
+                first = cursor;
             }
         }
         return first;
@@ -107,8 +107,8 @@
         }
 
         private boolean isBefore(QueueCursor other) {
-            boolean hopeless = next.reach() == CompletionForecast.Timeliness.TOO_LATE;
-            if (hopeless != (other.next.reach() == CompletionForecast.Timeliness.TOO_LATE)) {
+            boolean hopeless = next.timeliness() == CompletionForecast.Timeliness.TOO_LATE;
+            if (hopeless != (other.next.timeliness() == CompletionForecast.Timeliness.TOO_LATE)) {
                 return !hopeless;
             }
             if (isBelowShare() != other.isBelowShare()) {
--- a/library/src/main/java/org/chivetally/queue/placement/SpeedCandidates.java
+++ b/library/src/main/java/org/chivetally/queue/placement/SpeedCandidates.java
@@ -70,7 +70,7 @@
         if (rank == NONE) {
             return PlacementDecision.noRoom();
         }
-        if (!task.isInTime(classes.stretch(rank))) {
+        if (!task.isOnTime(classes.stretch(rank))) {
             rank = fasterRank(rank, task, classes);
             if (isWorthWaiting(rank, task, classes, waitEstimator)) {
                 return PlacementDecision.waitForFaster();
@@ -125,7 +125,7 @@
             if (bestWorkers[fasterRank] == null) {
                 continue;
             }
-            if (task.isInTime(classes.stretch(fasterRank))) {
+            if (task.isOnTime(classes.stretch(fasterRank))) {
                 return fasterRank;
             }
             fastest = fasterRank;
@@ -149,7 +149,7 @@
             }
             long endAfterWaitNanos = task.endNanos(classes.stretch(fasterRank), waitEstimator.waitMillis(fasterRank));
             boolean meetsMore = endAfterWaitNanos <= task.objectiveNanos()
-                    || endNowNanos > task.limitNanos() && endAfterWaitNanos <= task.limitNanos();
+                    || endNowNanos > task.usefulUntilNanos() && endAfterWaitNanos <= task.usefulUntilNanos();
             if (endAfterWaitNanos < endNowNanos && meetsMore) {
                 waitEstimator.reserve(fasterRank);
                 return true;
--- a/library/src/main/java/org/chivetally/queue/placement/TaskBacklog.java
+++ b/library/src/main/java/org/chivetally/queue/placement/TaskBacklog.java
@@ -14,7 +14,7 @@
 final class TaskBacklog {
     private final NavigableSet<WaitingTask> inOrder = new TreeSet<>(WaitingTask.ORDER);
     /** Estimated processor milliseconds of the tasks that can end in time, by priority. */
-    private final NavigableMap<Integer, Long> inTimeWork = new TreeMap<>();
+    private final NavigableMap<Integer, Long> onTimeWork = new TreeMap<>();
 
     private long work;
     private long waitingMillicores;
@@ -32,8 +32,8 @@
     private void addToSums(WaitingTask entry, int sign) {
         work += sign * entry.work();
         waitingMillicores += (long) sign * entry.task().room().processorMillis();
-        if (entry.reach() == CompletionForecast.Timeliness.ON_TIME) {
-            inTimeWork.merge(entry.priority(), sign * entry.work(), Long::sum);
+        if (entry.timeliness() == CompletionForecast.Timeliness.ON_TIME) {
+            onTimeWork.merge(entry.priority(), sign * entry.work(), Long::sum);
         }
     }
 
@@ -61,9 +61,9 @@
     }
 
     /** Returns the estimated processor milliseconds of tasks that can end in time, up to a priority. */
-    long inTimeWork(int priority) {
+    long onTimeWork(int priority) {
         long sum = 0;
-        for (long part : inTimeWork.headMap(priority, true).values()) {
+        for (long part : onTimeWork.headMap(priority, true).values()) {
             sum += part;
         }
         return sum;
--- a/library/src/main/java/org/chivetally/queue/placement/TaskForecast.java
+++ b/library/src/main/java/org/chivetally/queue/placement/TaskForecast.java
@@ -10,9 +10,9 @@
  * @param expectedMillis duration to expect of the task in milliseconds, on a worker whose runs last as estimated
  * @param laterStepsMillis estimate of the steps after it in milliseconds
  * @param objectiveNanos when the job stops being in time
- * @param limitNanos when the job stops being worth anything
+ * @param usefulUntilNanos when the job stops being worth anything
  */
-record TaskForecast(long nowNanos, double expectedMillis, long laterStepsMillis, long objectiveNanos, long limitNanos) {
+record TaskForecast(long nowNanos, double expectedMillis, long laterStepsMillis, long objectiveNanos, long usefulUntilNanos) {
     /**
      * Factor on the expected duration. Estimates are off by 40% (standard deviation, log-normal): a run lasts longer
      * than expected in half of all cases, and longer than this in 29%.
@@ -42,7 +42,7 @@
         return nowNanos + (long) (1e6 * millis);
     }
 
-    boolean isInTime(double stretch) {
+    boolean isOnTime(double stretch) {
         return endNanos(stretch, 0) <= objectiveNanos;
     }
 }
--- a/library/src/main/java/org/chivetally/queue/placement/WaitingTask.java
+++ b/library/src/main/java/org/chivetally/queue/placement/WaitingTask.java
@@ -9,24 +9,24 @@
  *
  * @param task the task
  * @param priority priority of its queue
- * @param reach what its job can still reach
- * @param reachUntilNanos last moment at which that is so
+ * @param timeliness what its job can still reach
+ * @param timelinessUntilNanos last moment at which that is so
  * @param jobStarted whether it goes before tasks of jobs of which nothing runs yet
  */
 record WaitingTask(
-        Task task, int priority, CompletionForecast.Timeliness reach, long reachUntilNanos, boolean jobStarted) {
+        Task task, int priority, CompletionForecast.Timeliness timeliness, long timelinessUntilNanos, boolean jobStarted) {
     // Written out: comparators that are put together are serializable lambdas, which the JVM generates at each start.
     /** Order in which tasks are placed. */
     static final Comparator<WaitingTask> ORDER = WaitingTask::compare;
 
     /** Order in which tasks have to be looked at again. */
-    static final Comparator<WaitingTask> BY_REACH_EXPIRY = (left, right) -> {
-        int order = Long.compare(left.reachUntilNanos, right.reachUntilNanos);
+    static final Comparator<WaitingTask> BY_TIMELINESS_EXPIRY = (left, right) -> {
+        int order = Long.compare(left.timelinessUntilNanos, right.timelinessUntilNanos);
         return order != 0 ? order : compare(left, right);
     };
 
     private static int compare(WaitingTask left, WaitingTask right) {
-        int order = left.reach.compareTo(right.reach);
+        int order = left.timeliness.compareTo(right.timeliness);
         if (order == 0) {
             order = Integer.compare(left.priority, right.priority);
         }
--- a/library/src/main/java/org/chivetally/queue/placement/WaitingTasks.java
+++ b/library/src/main/java/org/chivetally/queue/placement/WaitingTasks.java
@@ -39,7 +39,7 @@
 
     private final boolean fairShares;
     private final Map<String, Map<String, TaskBacklog>> backlogs = new HashMap<>();
-    private final NavigableSet<WaitingTask> byReachExpiry = new TreeSet<>(WaitingTask.BY_REACH_EXPIRY);
+    private final NavigableSet<WaitingTask> byTimelinessExpiry = new TreeSet<>(WaitingTask.BY_TIMELINESS_EXPIRY);
     private final Map<Task, WaitingTask> waitingTasks = new HashMap<>();
 
     /** Creates an empty set of tasks whose queues have no shares. */
@@ -59,12 +59,12 @@
     /** Adds a task that may be placed. */
     public void add(Task task, long nowNanos) {
         remove(task);
-        CompletionForecast outlook = task.job().completionForecast(nowNanos);
+        CompletionForecast forecast = task.job().completionForecast(nowNanos);
         QueueTerms terms = task.job().specification().terms();
         WaitingTask entry = new WaitingTask(
-                task, terms.priority(), outlook.timeliness(), outlook.validUntilNanos(), hasStarted(task.job()));
+                task, terms.priority(), forecast.timeliness(), forecast.validUntilNanos(), hasStarted(task.job()));
         waitingTasks.put(task, entry);
-        byReachExpiry.add(entry);
+        byTimelinessExpiry.add(entry);
         backlogs.computeIfAbsent(terms.service(), name -> new TreeMap<>())
                 .computeIfAbsent(backlogName(terms), name -> new TaskBacklog())
                 .add(entry);
@@ -80,7 +80,7 @@
         if (entry == null) {
             return;
         }
-        byReachExpiry.remove(entry);
+        byTimelinessExpiry.remove(entry);
         QueueTerms terms = task.job().specification().terms();
         Map<String, TaskBacklog> ofService = backlogs.get(terms.service());
         TaskBacklog backlog = ofService.get(backlogName(terms));
@@ -116,8 +116,8 @@
     /** Moves the tasks whose jobs can reach less than when they were added; tells whether there were any. */
     public boolean refresh(long nowNanos) {
         boolean moved = false;
-        while (!byReachExpiry.isEmpty() && byReachExpiry.first().reachUntilNanos() < nowNanos) {
-            add(byReachExpiry.first().task(), nowNanos);
+        while (!byTimelinessExpiry.isEmpty() && byTimelinessExpiry.first().timelinessUntilNanos() < nowNanos) {
+            add(byTimelinessExpiry.first().task(), nowNanos);
             moved = true;
         }
         return moved;
@@ -139,9 +139,9 @@
         for (WaitingTask entry : inOrder) {
             Job job = entry.task().job();
             long waitNanos = spareMillicores <= 0 ? Long.MAX_VALUE : 1_000_000_000L * work / spareMillicores;
-            boolean overtaken = entry.reach() == CompletionForecast.Timeliness.LATE
-                    && entry.reachUntilNanos() - nowNanos < waitNanos;
-            if (overtaken && job.phase() == JobPhase.QUEUED) {
+            boolean unservable = entry.timeliness() == CompletionForecast.Timeliness.LATE
+                    && entry.timelinessUntilNanos() - nowNanos < waitNanos;
+            if (unservable && job.phase() == JobPhase.QUEUED) {
                 jobs.add(job);
             } else {
                 work += entry.work();
@@ -211,7 +211,7 @@
     public long workAhead(String service, int priority) {
         long work = 0;
         for (TaskBacklog backlog : backlogs(service).values()) {
-            work += backlog.inTimeWork(priority);
+            work += backlog.onTimeWork(priority);
         }
         return work;
     }
@@ -236,7 +236,7 @@
 
     /** Returns the estimated processor milliseconds of a queue that are placed before a new job of it. */
     public long workAhead(String service, String queue, int priority) {
-        return backlog(service, queue).inTimeWork(priority);
+        return backlog(service, queue).onTimeWork(priority);
     }
 
     /** Returns the estimated processor milliseconds of all waiting tasks of a queue. */
