--- a/library/src/main/java/org/chivetally/queue/crash/CrashCount.java
+++ b/library/src/main/java/org/chivetally/queue/crash/CrashCount.java
@@ -1,22 +1,23 @@
 package org.chivetally.queue.crash;
 
 /**
- * What is known of the crashes of one task.
+ * The recorded crashes of one task.
  *
- * @param crashes minions that crashed under it
- * @param latestRun number of the newest run that is counted, so that one crash told twice counts once
- * @param boundedStarts starts that were counted since the third crash
+ * @param crashes number of minions that crashed while they ran the task
+ * @param latestRun number of the latest run that is counted, so that a crash that is reported twice counts once
+ * @param boundedStarts starts since the crash from which on starts are counted, see
+ *     {@link CrashPolicy#CRASHES_BEFORE_BOUND}
  */
 public record CrashCount(int crashes, long latestRun, int boundedStarts) {
     /** No crash. */
     public static final CrashCount NONE = new CrashCount(0, 0, 0);
 
-    /** Returns the count with the crash of a run; the same if that is in it already. */
+    /** Returns the count with the crash of a run added; unchanged if the crash is already counted. */
     public CrashCount withCrash(long run) {
         return run <= latestRun ? this : new CrashCount(crashes + 1, run, boundedStarts);
     }
 
-    /** Returns the count with so many more starts, or fewer if negative. */
+    /** Returns the count with the number of bounded starts increased, or decreased for a negative argument. */
     public CrashCount withStarts(int more) {
         return new CrashCount(crashes, latestRun, Math.max(0, boundedStarts + more));
     }
--- a/library/src/main/java/org/chivetally/queue/crash/CrashPolicy.java
+++ b/library/src/main/java/org/chivetally/queue/crash/CrashPolicy.java
@@ -3,65 +3,72 @@
 import java.time.Duration;
 
 /**
- * Decides about tasks under which minions have crashed.
+ * Decides about tasks that minions were running when they crashed.
  *
- * <p>The load it answers: a few tasks crash every minion that starts them, each time with some twenty tasks of ten jobs
- * that run there. All of them are suspects then. Of suspects no two run on one worker, so that the next crash points at
- * one task, which is given up after as many crashes as the limit allows; the others end and are suspects no more.
+ * <p>A few tasks crash every minion that runs them, each time together with some twenty tasks of ten jobs that run
+ * there. All of these tasks are then suspects. No two suspects run on one worker, so that the next crash identifies a
+ * single task. That task is given up when its crashes reach the limit; a suspect whose run ends without a crash is no
+ * longer a suspect.
  *
- * <p>Whatever the limit, a task of a kept job is started at most three more times after its third crash.
+ * <p>Regardless of the limit, a task of a job that is kept in the log is started at most three more times after its
+ * third crash.
  *
- * @param limit minions that may crash under a task before it is given up; 0 for no limit, and then nobody is a suspect
+ * @param limit number of crashes after which a task is given up; 0 for no limit, in which case there are no suspects
  */
 public record CrashPolicy(int limit) {
     /** No limit. */
     public static final CrashPolicy NONE = new CrashPolicy(0);
 
-    /** Crashes after which the starts of a task are counted. */
+    /** Crashes of a task after which its starts are counted. */
     public static final int CRASHES_BEFORE_BOUND = 3;
 
-    /** Starts of a task after that, however they end. */
+    /** Greatest number of starts of a task after that, however they end. */
     public static final int STARTS_AFTER_BOUND = 3;
 
     /**
-     * Time before the last start in a caller's time from which a suspect isn't held back for a worker of its own.
-     * Several passes over the workers come within it.
+     * Time before a suspect's latest start, by its caller's deadline, from which on the suspect no longer waits for a
+     * worker without suspects. It is long enough for several placement passes.
      */
     static final Duration ISOLATION_MARGIN = Duration.ofMillis(50);
 
-    /** Tells whether a task may be the cause of a crash. */
+    /** Tells whether a task may have caused a crash. */
     public boolean isSuspect(int crashes) {
         return limit > 0 && crashes > 0;
     }
 
     /**
-     * Tells whether a task is to be given up for its crashes. One that shared the worker with other suspects, as there
-     * was no other, is most likely not the cause, and is given up for one more crash only.
+     * Tells whether a task is given up because of its crashes. A task that shared the worker with other suspects,
+     * because there was no other worker, is most likely not the cause and is allowed one more crash.
      *
-     * @param alone whether no other suspect was on the minion that crashed last
+     * @param alone whether no other suspect ran on the minion that crashed last
      */
     public boolean isGivenUp(int crashes, boolean alone) {
         return limit > 0 && crashes >= (alone ? limit : limit + 1);
     }
 
     /**
-     * Tells whether a suspect for which there is no worker without another one is placed like any other task. That is
-     * when its caller's time is nearly over: being a suspect is no reason to refuse its job. Not before, when its job
-     * is only late: one in twenty suspects is guilty and takes ten jobs with it, and a late job is worth a fifth.
+     * Tells whether a suspect is placed like any other task although there is no worker without a suspect. This is the
+     * case shortly before its caller's deadline can no longer be met, because being a suspect is no reason to refuse
+     * its job. It is not the case when the job would merely be late: one in twenty suspects causes another crash that
+     * affects ten jobs, while a late job is still worth a fifth.
      *
-     * @param lastStartNanos when it has to start for its job to end in its caller's time, by the steady clock
+     * @param nowNanos the time, by the steady clock
+     * @param lastStartNanos latest start with which the job can end by its caller's deadline, by the steady clock
      */
     public boolean isUrgent(long nowNanos, long lastStartNanos) {
         long remainingNanos = lastStartNanos - nowNanos;
         return remainingNanos >= 0 && remainingNanos <= ISOLATION_MARGIN.toNanos();
     }
 
-    /** Tells whether each start of a kept task has to be counted, and the count be stored, before it is made. */
+    /**
+     * Tells whether each start of a task of a kept job has to be counted, and the count be stored, before the start is
+     * sent.
+     */
     public static boolean isBounded(int crashes) {
         return crashes >= CRASHES_BEFORE_BOUND;
     }
 
-    /** Tells whether a kept task may be started no more. */
+    /** Tells whether a task of a kept job may not be started again. */
     public static boolean hasUsedUpStarts(int crashes, int boundedStarts) {
         return isBounded(crashes) && boundedStarts >= STARTS_AFTER_BOUND;
     }
--- a/library/src/main/java/org/chivetally/queue/crash/CrashTracker.java
+++ b/library/src/main/java/org/chivetally/queue/crash/CrashTracker.java
@@ -7,49 +7,53 @@
 import org.chivetally.queue.Job;
 import org.chivetally.queue.Task;
 
-/** The crashes that an entry has heard of: applies the policy, logs and counts. */
+/** Tracks the crashes that are reported to an entry: applies the policy, writes log lines and keeps counters. */
 public final class CrashTracker {
     private static final FluentLogger LOGGER = FluentLogger.forEnclosingClass();
 
     private final CrashPolicy policy;
     private final Set<Task> suspects = new HashSet<>();
-    /** Suspects whose run in progress has no other suspect beside it. */
+    /** Suspects whose run in progress shares its worker with no other suspect. */
     private final Set<Task> suspectsAlone = new HashSet<>();
 
     private long crashedRuns;
     private long givenUpTasks;
 
-    /** Creates a watch that has heard of no crash. */
+    /** Creates a tracker without any crash. */
     public CrashTracker(CrashPolicy policy) {
         this.policy = policy;
     }
 
-    /** Returns what decides. */
+    /** Returns the policy that decides about suspects. */
     public CrashPolicy policy() {
         return policy;
     }
 
-    /** Returns the runs under which minions crashed. */
+    /** Returns the number of runs during which a minion crashed. */
     public long crashedRuns() {
         return crashedRuns;
     }
 
-    /** Returns the tasks that were given up. */
+    /** Returns the number of tasks that were given up. */
     public long givenUpTasks() {
         return givenUpTasks;
     }
 
-    /** Returns the suspects whose jobs haven't ended and that aren't done. */
+    /** Returns the number of suspects that still need a run and whose jobs have not ended. */
     public int suspects() {
         return suspects.size();
     }
 
-    /** Tells whether a task may be the cause of a crash. */
+    /** Tells whether a task may have caused a crash. */
     public boolean isSuspect(Task task) {
         return policy.isSuspect(task.crashes().crashes());
     }
 
-    /** Notes a crash that is counted with its task; tells whether the task is given up by it. */
+    /**
+     * Records a crash that is already counted for its task.
+     *
+     * @return whether the task is given up because of it
+     */
     public boolean recordCrash(Task task, long run) {
         crashedRuns++;
         int crashes = task.crashes().crashes();
@@ -66,7 +70,11 @@
         return policy.isGivenUp(crashes, wasAlone);
     }
 
-    /** Notes that a start of a suspect goes out, and whether it goes to a worker without another one. */
+    /**
+     * Records a start of a suspect.
+     *
+     * @param isAlone whether no other suspect is on the worker
+     */
     public void recordStart(Task task, boolean isAlone) {
         if (isAlone) {
             suspects.add(task);
@@ -76,7 +84,7 @@
         }
     }
 
-    /** Notes that a task is given up. */
+    /** Records that a task is given up. */
     public void recordGivenUp(Task task) {
         givenUpTasks++;
         EventLine.of("task-given-up")
@@ -87,7 +95,7 @@
                 .log(LOGGER.atWarning());
     }
 
-    /** Notes that a task is done, or needs no more runs. */
+    /** Removes a task that is done or needs no further run. */
     public void removeTask(Task task) {
         if (!suspects.isEmpty()) {
             suspects.remove(task);
@@ -95,7 +103,7 @@
         }
     }
 
-    /** Notes that a job has ended. */
+    /** Removes the tasks of a job that has ended. */
     public void removeJob(Job job) {
         if (!suspects.isEmpty()) {
             suspects.removeIf(task -> task.job() == job);
--- a/library/src/main/java/org/chivetally/queue/placement/DecayingSum.java
+++ b/library/src/main/java/org/chivetally/queue/placement/DecayingSum.java
@@ -2,7 +2,7 @@
 
 import java.time.Duration;
 
-/** A sum whose parts lose weight with their age. */
+/** A sum whose addends decay exponentially with their age. */
 final class DecayingSum {
     private final Duration timeConstant;
     private double sum;
@@ -11,7 +11,7 @@
     /**
      * Creates an empty sum.
      *
-     * @param memory time in which the weight of a part falls to about a third
+     * @param timeConstant time in which the weight of an addend falls to 1/e, about a third
      */
     DecayingSum(Duration timeConstant) {
         this.timeConstant = timeConstant;
@@ -22,10 +22,10 @@
         sumAtNanos = nowNanos;
     }
 
-    /** Returns the sum at a moment, which is not before the last part. */
+    /** Returns the sum at a moment, which must not be before the last addition. */
     double at(long nowNanos) {
         if (sum == 0) {
-            // Empty, so there is no moment yet from which it would decay.
+            // An empty sum has no moment from which to decay.
             return 0;
         }
         return sum * Math.exp(-(double) (nowNanos - sumAtNanos) / timeConstant.toNanos());
--- a/library/src/main/java/org/chivetally/queue/placement/EntryCapacityShare.java
+++ b/library/src/main/java/org/chivetally/queue/placement/EntryCapacityShare.java
@@ -3,23 +3,28 @@
 import java.util.Map;
 
 /**
- * One entry's part of the processors that all entries place tasks on, by what each of them asks for.
+ * The part of a service's processors that one entry can count on, determined by the demand at each of the entries that
+ * place tasks on the same workers.
  *
- * <p>The load it answers: callers are spread unevenly, by zones of different size, a hash with few values, or an entry
- * that has just come back. With equal parts, an entry with more than its part of the callers takes the service for
- * overloaded, and refuses jobs as soon as they have to wait: with all callers of a load of 62% at one of three entries,
- * three of the six that came in a quarter of a second without an end.
+ * <p>Callers are distributed unevenly over the entries: failure domains differ in size, load balancers hash few values,
+ * or an entry has just restarted. If all entries assumed equal parts, an entry with more than its part of the callers
+ * would consider the service overloaded and refuse jobs as soon as they have to wait. With all callers of a load of 62%
+ * connected to one of three entries, it refused three of the six jobs that arrived within a quarter of a second in
+ * which no run ended.
  *
- * @param capacityMillicores processors of all workers that take starts, in thousandths
- * @param own what this entry asks for
- * @param others what all other entries ask for
+ * @param capacityMillicores processors of all workers that accept starts
+ * @param own demand at this entry
+ * @param others sum of the demands at all other entries
  */
 public record EntryCapacityShare(long capacityMillicores, ServiceDemand own, ServiceDemand others) {
     /**
-     * Creates the share.
+     * Determines the share of this entry.
      *
-     * @param told what other entries have told
-     * @param entries entries that place tasks, this one among them; those that have told nothing count as this one
+     * @param capacityMillicores processors of all workers that accept starts
+     * @param own demand at this entry
+     * @param reported demands that other entries have reported, by entry
+     * @param entries number of entries that place tasks, including this one; those without a report are assumed to have
+     *     the same demand as this one
      */
     public static EntryCapacityShare forEntry(
             long capacityMillicores, ServiceDemand own, Map<String, ServiceDemand> reported, int entries) {
@@ -27,24 +32,30 @@
         for (ServiceDemand demand : reported.values()) {
             others = others.plus(demand);
         }
-        for (int known = 1 + reported.size(); known < entries; known++) {
+        for (int counted = 1 + reported.size(); counted < entries; counted++) {
             others = others.plus(own);
         }
         return new EntryCapacityShare(capacityMillicores, own, others);
     }
 
-    /** Returns the processors, in thousandths, that work off this entry's backlog while nothing else comes. */
+    /** Returns the millicores available to this entry's backlog if no further jobs arrive anywhere. */
     public long backlogMillicores() {
         return (long) (capacityMillicores * backlogShare());
     }
 
-    /** Returns the processors, in thousandths, that what comes to all entries leaves to this entry's backlog. */
+    /**
+     * Returns the millicores available to this entry's backlog beside the jobs that arrive at all entries; negative
+     * when arriving jobs need more than there is.
+     */
     public long spareMillicores() {
         long spare = capacityMillicores - own.arrivingMillicores() - others.arrivingMillicores();
         return spare <= 0 ? spare : (long) (spare * backlogShare());
     }
 
-    /** Room that comes free goes to the entries about as they have tasks waiting for it. */
+    /**
+     * Returns this entry's share of the waiting work of all entries, at least that of one core millisecond. Room that
+     * becomes free is distributed about in these proportions.
+     */
     public double backlogShare() {
         long totalWork = own.waitingWork() + others.waitingWork();
         return totalWork == 0 ? 1 : (double) Math.max(1, own.waitingWork()) / totalWork;
--- a/library/src/main/java/org/chivetally/queue/placement/FairShareOrder.java
+++ b/library/src/main/java/org/chivetally/queue/placement/FairShareOrder.java
@@ -11,14 +11,16 @@
 import org.chivetally.queue.share.QueueLoads;
 
 /**
- * The order of one pass over the waiting tasks of a service whose queues share its processors: tasks of queues that
- * hold less than their share come before those of queues that hold more, hopeless ones last, and within these groups in
- * the usual order. Nothing is sorted for it: the first tasks of the queues are compared, of which there are few.
+ * Order in which one pass takes the waiting tasks of a service whose queues share its processors by weight: tasks of
+ * queues that use less than their share first, then those of the other queues, and last the tasks whose jobs would end
+ * too late. Within each group the order is {@link WaitingTask#ORDER}. The order is a merge of the queues' ordered
+ * backlogs, of which there are few, so nothing is sorted.
  */
 public final class FairShareOrder {
     /**
-     * Waiting tasks of one queue without a fitting worker after which the pass leaves that queue. Counted by queue, as
-     * tasks that no worker may run would otherwise end the pass for the queues after them too.
+     * Waiting tasks of one queue for which no worker was found, after which the pass skips the rest of that queue. The
+     * limit is per queue: with one limit for all, tasks that no worker may run would end the pass for the other queues
+     * too.
      */
     static final int MAXIMUM_MISSES_PER_QUEUE = 8;
 
@@ -39,7 +41,10 @@
         }
     }
 
-    /** Returns the task whose turn it is; the one before has been placed or missed. */
+    /**
+     * Returns the next task; empty when the pass is over. Call one of {@link #taskPlaced}, {@link #noWorkerFound} and
+     * {@link #taskDeferred} for each task before asking for the next.
+     */
     public Optional<Task> next() {
         while (examinedTasks < maximumTasks) {
             current = firstInOrder();
@@ -66,14 +71,15 @@
         return first;
     }
 
-    /** Notes that the task was placed, which its queue now holds. */
+    /** Records that the current task was placed. Its processors count against the share of its queue from now on. */
     public void taskPlaced() {
         current.advanceAfterPlacement();
     }
 
     /**
-     * Notes that no worker has room for the task. One that any worker may run tells the same of all that need as much:
-     * they are passed over without a look at the workers, of which a pass would otherwise do most when none has room.
+     * Records that no worker has room for the current task. If any worker may run the task, later tasks that need at
+     * least as much are skipped without trying the workers: when all workers are full, a pass would otherwise spend
+     * most of its time on that.
      */
     public void noWorkerFound() {
         Task task = current.next.task();
@@ -86,12 +92,15 @@
         current.advanceAfterMiss();
     }
 
-    /** Notes that the task waits for a faster worker although there is room, which says nothing of those after it. */
+    /**
+     * Records that the current task waits for a faster worker although there is room, or is deferred for another reason
+     * that says nothing about later tasks.
+     */
     public void taskDeferred() {
         current.advance();
     }
 
-    /** One queue's next task in the pass. */
+    /** Position of the pass in the backlog of one queue. */
     private static final class QueueCursor {
         private final TaskBacklog backlog;
         private final long shareMillicores;
@@ -107,9 +116,9 @@
         }
 
         private boolean isBefore(QueueCursor other) {
-            boolean hopeless = next.timeliness() == CompletionForecast.Timeliness.TOO_LATE;
-            if (hopeless != (other.next.timeliness() == CompletionForecast.Timeliness.TOO_LATE)) {
-                return !hopeless;
+            boolean tooLate = next.timeliness() == CompletionForecast.Timeliness.TOO_LATE;
+            if (tooLate != (other.next.timeliness() == CompletionForecast.Timeliness.TOO_LATE)) {
+                return !tooLate;
             }
             if (isBelowShare() != other.isBelowShare()) {
                 return isBelowShare();
--- a/library/src/main/java/org/chivetally/queue/placement/PlacementDecision.java
+++ b/library/src/main/java/org/chivetally/queue/placement/PlacementDecision.java
@@ -3,11 +3,11 @@
 import java.util.Optional;
 
 /**
- * Where a task goes.
+ * Decision where a task is placed.
  *
- * @param worker the worker; empty when the task waits on
- * @param bySpeed whether the learned speeds of the workers decided
- * @param deferred whether it waits for a faster worker although a slower one has room
+ * @param worker the chosen worker; empty when the task remains waiting
+ * @param bySpeed whether the decision is based on the learned speeds of the workers
+ * @param deferred whether the task waits for a faster worker although a slower one has room
  */
 public record PlacementDecision(Optional<Worker> worker, boolean bySpeed, boolean deferred) {
     private static final PlacementDecision NO_ROOM = new PlacementDecision(Optional.empty(), false, false);
@@ -21,12 +21,12 @@
         return new PlacementDecision(Optional.of(worker), true, false);
     }
 
-    /** Returns that no worker has room. */
+    /** Returns the decision for a task for which no worker has room. */
     static PlacementDecision noRoom() {
         return NO_ROOM;
     }
 
-    /** Returns that the task waits for a faster worker. */
+    /** Returns the decision for a task that waits for a faster worker. */
     static PlacementDecision waitForFaster() {
         return DEFERRED;
     }
--- a/library/src/main/java/org/chivetally/queue/placement/PlacementPolicy.java
+++ b/library/src/main/java/org/chivetally/queue/placement/PlacementPolicy.java
@@ -14,39 +14,45 @@
 import org.chivetally.queue.speed.SpeedClasses;
 
 /**
- * Chooses the worker of a task: one that may run it and is likely to run it well, and of these the one with the most
- * processors free. Spreading keeps every worker's queue of starts short; the tasks of the sheets fit ten times into a
- * worker, so packing them tightly would gain less than a tenth of a worker's room.
+ * Chooses the worker of a task: a worker that may run the task and is likely to run it well, and of these the one with
+ * the most free processors. Spreading tasks keeps the queue of starts at each worker short. Typical tasks fit ten times
+ * into a worker, so packing them tightly would gain less than a tenth of a worker's room.
  *
- * <p>Under load the workers have room for a task now and then, and each entry learns of it at the same moment. All
- * would choose the same worker, and all but one be refused: 30% of the starts were at 95% load. Among workers with
- * little room the choice is therefore random.
+ * <p>Under load, workers have room for a task only now and then, and all entries learn of it at the same moment. If all
+ * chose the same worker, all but one of their starts would be refused, as happened to 30% of the starts at 95% load.
+ * Among workers with little room the choice is therefore random.
  */
 public final class PlacementPolicy {
     /**
-     * At most one worker in so many is passed over for its health, or gives up its runs. Where more look bad, it is the
-     * tasks or the load, and the rest could not bear what comes.
+     * At most one in this many workers is avoided for its health or has its runs stopped. If more look unhealthy, the
+     * cause is the tasks or the load, and the remaining workers could not carry the load.
      */
     public static final int MINIMUM_WORKERS_PER_AVOIDED = 3;
 
-    /** Part of the capacity under which a worker's free room is contended. */
+    /**
+     * A worker's free room is scarce, and so contended by all entries, when it is less than the capacity divided by
+     * this.
+     */
     static final int SCARCE_ROOM_DIVISOR = 4;
 
     /**
-     * Part of the capacity by which a worker of the entry's own failure domain may be fuller than another and is still
-     * chosen: frames to it are not priced, and the way is a fifth as long.
+     * A worker in the entry's own failure domain is preferred to one with more free room if the difference is less than
+     * the capacity divided by this. Frames within a failure domain are free of charge and take a fifth of the time.
      */
     static final int SAME_DOMAIN_BONUS_DIVISOR = 8;
 
-    /** Penalty that outweighs all free room, as rooms stay below a thousand cores. */
+    /** Penalties outweigh all free room, as workers have fewer than a thousand cores. */
     private static final long OTHER_RACK_PENALTY_MILLICORES = 1_000_000_000L;
 
     private static final long UNHEALTHY_PENALTY_MILLICORES = 2_000_000_000L;
 
-    /** Penalty of a worker that holds a suspect: it outweighs all free room, and less than a bad worker does. */
+    /**
+     * Penalty of a worker that holds a suspect: outweighs all free room, but less than the penalty of an unhealthy
+     * worker.
+     */
     private static final long SUSPECT_PENALTY_MILLICORES = 500_000_000L;
 
-    /** Weight of what a worker holds over what it has free, in the choice for a suspect. */
+    /** Weight of a worker's used room relative to its free room when a worker is chosen for a suspect. */
     private static final long USED_ROOM_WEIGHT = 100;
 
     private final String failureDomain;
@@ -57,10 +63,10 @@
     private final CrashPolicy crashes;
 
     /**
-     * Creates the policy of one entry, to which all workers are equally fast and no task is suspect.
+     * Creates the policy of one entry that treats all workers as equally fast and no task as a suspect.
      *
-     * @param failureDomain the entry's own
-     * @param random differs from that of other entries
+     * @param failureDomain failure domain of the entry
+     * @param random source of random numbers, with a seed that differs between entries
      */
     public PlacementPolicy(String failureDomain, RandomGenerator random) {
         this(failureDomain, random, false, CrashPolicy.NONE);
@@ -69,10 +75,10 @@
     /**
      * Creates the policy of one entry.
      *
-     * @param failureDomain the entry's own
-     * @param random differs from that of other entries
-     * @param learnsSpeeds whether workers' speeds are learned from their runs, and decide where a task goes
-     * @param crashes decides which tasks are kept apart
+     * @param failureDomain failure domain of the entry
+     * @param random source of random numbers, with a seed that differs between entries
+     * @param learnsSpeeds whether tasks are placed by worker speeds learned from their runs
+     * @param crashes determines which tasks are suspects, to be kept apart from each other
      */
     public PlacementPolicy(String failureDomain, RandomGenerator random, boolean learnsSpeeds, CrashPolicy crashes) {
         this.crashes = crashes;
@@ -81,14 +87,14 @@
         this.learnsSpeeds = learnsSpeeds;
     }
 
-    /** Tells whether workers' speeds are learned from their runs. */
+    /** Tells whether the speeds of workers are learned from their runs. */
     public boolean learnsSpeeds() {
         return learnsSpeeds;
     }
 
     /**
-     * Returns the duration to expect of a task in milliseconds, on a worker whose runs last as estimated; 0 without an
-     * estimate. While speeds aren't learned it is the estimate.
+     * Returns the expected duration of a task in milliseconds on a worker of stretch 1; 0 without an estimate. While
+     * speeds aren't learned, it equals the estimate.
      */
     public double expectedMillis(Task task) {
         int estimate = Math.max(0, task.step().estimatedMillis());
@@ -97,7 +103,11 @@
                 : estimate;
     }
 
-    /** Notes that a run ended done, before it is removed from its worker. */
+    /**
+     * Records that a run has ended successfully. Must be called before the run is removed from its worker.
+     *
+     * @param nowNanos the time, by the steady clock
+     */
     public void recordEnd(Worker worker, Worker.SentStart start, long nowNanos) {
         worker.recordEnd(start, nowNanos);
         if (learnsSpeeds && start.number() > 0) {
@@ -108,28 +118,35 @@
         }
     }
 
-    /** Returns how many times as long the slowest open workers take as the fastest; 1 while speeds aren't learned. */
+    /**
+     * Returns the ratio of run durations between the slowest and the fastest accepting workers; 1 while speeds aren't
+     * learned.
+     */
     public double speedSpread() {
         return speeds.spread();
     }
 
-    /** Returns the choices that the workers allow at a moment, for one pass over the waiting tasks. */
+    /**
+     * Returns a placement pass over the given workers at one moment.
+     *
+     * @param nowNanos the time, by the steady clock
+     */
     public Pass newPass(Collection<Worker> workers, long nowNanos) {
         return new Pass(workers, nowNanos);
     }
 
     /**
-     * Tells whether a service's entries are after the same room: this one's waiting tasks need more than its part of
-     * what is free.
+     * Tells whether entries compete for the free room of a service: the waiting tasks of this entry need more than its
+     * share of that room.
      *
-     * @param waitingMillis processors in thousandths that the waiting tasks need
-     * @param part this entry's part of all that waits
+     * @param waitingMillicores processors that the waiting tasks of this entry need
+     * @param backlogShare this entry's share of the waiting work of all entries
      */
     public static boolean isContended(Pass pass, String service, long waitingMillicores, double backlogShare) {
         return backlogShare < 1 && waitingMillicores > backlogShare * pass.freeMillicores(service);
     }
 
-    /** Choices at one moment. */
+    /** Placement of tasks at one moment. */
     public final class Pass {
         private final long nowNanos;
         private final List<Worker> acceptingWorkers = new ArrayList<>();
@@ -168,19 +185,20 @@
 
         /**
          * Returns the best worker that has room for the task now; empty when none has. A task that failed on a worker
-         * waits for another one, as long as there is one: its attempts are few, and a worker that fails all has room at
-         * once.
+         * waits for a different one if there is any: it has few attempts, and a worker that fails all its runs has free
+         * room at once.
          */
         public Optional<Worker> choose(Task task) {
             return choose(task, 1);
         }
 
         /**
-         * Returns the best worker that has room for the task now, and of whose room this entry's starts on their way
-         * take no more than a part. When workers are few and all entries have a backlog, as after a loss of power, each
-         * would send a worker's whole room to it, and all but one be refused.
+         * Returns the best worker that has room for the task now, of whose free room this entry's unacknowledged starts
+         * take no more than the given share. When workers are few and all entries have a backlog, as after a loss of
+         * power, each entry would otherwise send starts for a worker's whole free room, and those of all but one would
+         * be refused.
          *
-         * @param part this entry's part of the room; 1 for no bound
+         * @param freeShare this entry's share of the free room; 1 for no bound
          */
         public Optional<Worker> choose(Task task, double freeShare) {
             boolean suspect = isSuspect(task);
@@ -213,11 +231,12 @@
         }
 
         /**
-         * Decides where a task goes, by the workers' speeds if these differ by more than the task's queue allows for: a
-         * worker that is slower than the fastest by more than the slack factor makes a job late by itself.
+         * Decides where a task is placed. The speeds of the workers count if they differ by more than the slack factor
+         * of the task's queue: a job is late on a worker that is slower than the fastest by more than that factor, even
+         * without any wait.
          *
-         * @param part this entry's part of the room; 1 for no bound
-         * @param share this entry's part of the room that comes free
+         * @param freeShare this entry's share of the free room; 1 for no bound
+         * @param releaseShare this entry's share of the room that becomes free
          */
         public PlacementDecision decide(Task task, double freeShare, double releaseShare) {
             double expectedMillis = expectedMillis(task);
@@ -269,20 +288,21 @@
             return !exceedsShare && task.room().fitsInto(free);
         }
 
-        /** Tells whether a worker's free room is contended. */
+        /** Tells whether all entries compete for a worker's free room. */
         private static boolean isScarce(Worker worker, long freeMillicores) {
             return SCARCE_ROOM_DIVISOR * freeMillicores
                     < worker.lastReport().capacity().processorMillis();
         }
 
-        /** Tells whether a task is kept apart from others that may be the cause of a crash. */
+        /** Tells whether the task may have crashed a minion and is kept apart from other such tasks. */
         private boolean isSuspect(Task task) {
             return crashes.isSuspect(task.crashes().crashes());
         }
 
         /**
-         * Returns what counts for or against a worker while suspects are kept apart: a suspect goes where little runs,
-         * and others keep away from suspects while there is room elsewhere, as they would crash together.
+         * Returns the part of a worker's score that keeps suspects apart. Other tasks avoid workers that hold a suspect
+         * as long as there is room elsewhere, and a suspect goes to the worker with the least used room, because all
+         * runs on a worker are lost when its minion crashes.
          */
         private long suspectScore(Worker worker, boolean isolated) {
             if (crashes.limit() == 0) {
@@ -295,7 +315,10 @@
             return -(capacity.processorMillis() - worker.freeRoom().processorMillis()) * USED_ROOM_WEIGHT;
         }
 
-        /** Tells whether there is a sound worker for the task where it has not just failed, with room or without. */
+        /**
+         * Tells whether there is a healthy worker that may run the task, other than the one where it last failed,
+         * whether it has room or not.
+         */
         private boolean hasHealthyAlternative(Task task) {
             if (task.lastFailedWorker().isEmpty()) {
                 return false;
@@ -309,8 +332,9 @@
         }
 
         /**
-         * Returns a score in which room counts by chance. All entries prefer the same few fast workers, and know their
-         * room as it was up to a heartbeat ago: all would send to the emptiest until the next one comes.
+         * Returns a score in which the free room is a random number up to its size. All entries prefer the same few
+         * fast workers and know their free room only as of the last heartbeat, so all would send their starts to the
+         * emptiest worker until the next heartbeat.
          */
         private long scoreInClass(Task task, Worker worker, long freeMillicores) {
             long score = score(task, worker, freeMillicores);
@@ -338,7 +362,7 @@
                 && task.lastFailedWorker().get().equals(worker.process());
     }
 
-    /** Tells whether a worker is allowed to run the task, whether it has room or not. */
+    /** Tells whether a worker may run the task, whether it has room or not. */
     private static boolean mayRun(Task task, Worker worker) {
         if (!worker.lastReport()
                 .service()
--- a/library/src/main/java/org/chivetally/queue/placement/ReleaseWaitEstimator.java
+++ b/library/src/main/java/org/chivetally/queue/placement/ReleaseWaitEstimator.java
@@ -2,7 +2,10 @@
 
 import java.util.List;
 
-/** At which rate room comes free in each class of speed of one service, going by this entry's own runs there. */
+/**
+ * Estimates the wait for room in each speed class of one service, from the rate at which this entry's own runs end
+ * there.
+ */
 final class ReleaseWaitEstimator implements SpeedCandidates.WaitEstimator {
     private final List<Worker> workers;
     private final String service;
@@ -13,9 +16,10 @@
     private double expectedMillis;
 
     /**
-     * Creates the rates of a service at one moment.
+     * Creates an estimator for one service at one moment.
      *
-     * @param classes number of classes of speed
+     * @param workers all workers that accept starts, of any service
+     * @param classCount number of speed classes of the service
      */
     ReleaseWaitEstimator(List<Worker> workers, String service, int classCount) {
         this.workers = workers;
@@ -29,11 +33,11 @@
     }
 
     /**
-     * Names the task that asks.
+     * Sets the task for which waits are estimated.
      *
-     * @param share this entry's part of the room that comes free
-     * @param roomMillis processors that the task needs, in thousandths
-     * @param taskMillis duration to expect of it in milliseconds
+     * @param releaseShare this entry's share of the room that becomes free
+     * @param taskMillicores processors that the task needs
+     * @param expectedMillis expected duration of the task on a worker of stretch 1
      */
     void setTask(double releaseShare, long taskMillicores, double expectedMillis) {
         this.releaseShare = releaseShare;
@@ -54,7 +58,10 @@
         reservedMillicores[rank] += taskMillicores;
     }
 
-    /** Returns the thousandths of processors that come free in a millisecond: each run frees its room once it ends. */
+    /**
+     * Returns the millicores that become free per millisecond, given that each run frees its room when it ends. The
+     * mean rate of this entry's own runs is applied to all used processors.
+     */
     private double releaseRate(int rank) {
         double usedMillicores = 0;
         double ownMillicores = 0;
--- a/library/src/main/java/org/chivetally/queue/placement/ServiceDemand.java
+++ b/library/src/main/java/org/chivetally/queue/placement/ServiceDemand.java
@@ -1,16 +1,16 @@
 package org.chivetally.queue.placement;
 
 /**
- * What one entry asks of a service's workers.
+ * Demand for a service's workers at one entry.
  *
- * @param arrivingMillicores processors in thousandths that the jobs coming to it keep busy
- * @param waitingWork processor milliseconds of the tasks that wait at it
+ * @param arrivingMillicores processors that the jobs arriving at the entry keep busy
+ * @param waitingWork core milliseconds of the tasks that wait at the entry
  */
 public record ServiceDemand(long arrivingMillicores, long waitingWork) {
-    /** Nothing asked. */
+    /** No demand. */
     public static final ServiceDemand NONE = new ServiceDemand(0, 0);
 
-    /** Refuses negative amounts. */
+    /** Rejects negative values. */
     public ServiceDemand {
         if (arrivingMillicores < 0 || waitingWork < 0) {
             throw new IllegalArgumentException("negative demand: " + arrivingMillicores + ", " + waitingWork);
--- a/library/src/main/java/org/chivetally/queue/placement/SpeedCandidates.java
+++ b/library/src/main/java/org/chivetally/queue/placement/SpeedCandidates.java
@@ -4,15 +4,15 @@
 import org.chivetally.queue.speed.SpeedClasses;
 
 /**
- * Chooses among the classes of speed that have room for a task.
+ * Chooses among the classes of worker speed that have room for a task.
  *
- * <p>The load it answers: workers that differ by 2.4 in speed and all have room. By free room alone 30% of the runs go
- * to the slow ones, and of four tasks of a job that just fits its objective one is late there. Tasks go to the fastest
- * workers that have room to spare, so that slow ones get what is left; and when the fast ones are nearly full, their
- * last room goes to tasks that would be late elsewhere, while those that have time take slow workers.
+ * <p>Workers may differ by a factor of 2.4 in speed while all have free room. Placed by free room alone, 30% of the
+ * runs go to slow workers, where one of the four tasks of a job that just fits its objective is late. Tasks therefore
+ * go to the fastest class with spare room, and slow workers get the remainder. When the fast classes are nearly full,
+ * their last room goes to tasks that would be late elsewhere, and tasks with enough time go to slow workers.
  */
 final class SpeedCandidates {
-    /** Scores that are further apart differ by a penalty, which outweighs speed as it does room. */
+    /** Scores that differ by more than this differ by a penalty, which outweighs both speed and free room. */
     private static final long PENALTY_GAP = 500_000_000L;
 
     private static final int NONE = -1;
@@ -24,9 +24,9 @@
     private int classCount;
 
     /**
-     * Creates candidates for one pass.
+     * Creates candidates for one placement pass.
      *
-     * @param most greatest number of classes
+     * @param maximumClasses greatest number of speed classes
      */
     SpeedCandidates(int maximumClasses) {
         this.bestWorkers = new Worker[maximumClasses];
@@ -35,7 +35,7 @@
         this.capacityMillicores = new long[maximumClasses];
     }
 
-    /** Begins with a new task. */
+    /** Discards the candidates of the previous task. */
     void reset(int classCount) {
         classCount = classCount;
         Arrays.fill(bestWorkers, 0, classCount, null);
@@ -43,14 +43,18 @@
         Arrays.fill(capacityMillicores, 0, classCount, 0);
     }
 
-    /** Notes a worker that may run the task, with room or without; what is free there in thousandths of a processor. */
+    /**
+     * Adds the capacity of a worker that may run the task, whether it has room or not.
+     *
+     * @param workerFreeMillicores free processors of the worker
+     */
     void addCapacity(Worker worker, long workerFreeMillicores) {
         int rank = worker.speed().rank();
         freeMillicores[rank] += Math.max(0, workerFreeMillicores);
         capacityMillicores[rank] += worker.lastReport().capacity().processorMillis();
     }
 
-    /** Adds a worker that has room. */
+    /** Adds a worker that has room for the task. */
     void addCandidate(Worker worker, long score) {
         int rank = worker.speed().rank();
         if (bestWorkers[rank] == null || score > bestScores[rank]) {
@@ -62,7 +66,7 @@
     /**
      * Chooses a worker, or decides to wait for a faster one.
      *
-     * @param waits tells how long it takes until a class has room
+     * @param waitEstimator estimates how long the task would wait for room in a class
      */
     PlacementDecision choose(TaskForecast task, SpeedClasses classes, WaitEstimator waitEstimator) {
         dropPenalized();
@@ -79,7 +83,7 @@
         return PlacementDecision.bySpeed(bestWorkers[rank]);
     }
 
-    /** Leaves out classes with only workers that nothing should go to while others have room. */
+    /** Removes classes that have only penalized workers, if another class has a worker without penalty. */
     private void dropPenalized() {
         long highest = Long.MIN_VALUE;
         for (int rank = 0; rank < classCount; rank++) {
@@ -93,8 +97,9 @@
     }
 
     /**
-     * Returns the fastest class with room to spare; without one the fastest with any room: whoever comes first then has
-     * the right to it, as under overload every queue would lose more on slow workers than the last one gains.
+     * Returns the fastest class with spare room; without one, the fastest class with any room. Under overload the first
+     * task in order gets that room: leaving it to later tasks would cost every queue more on slow workers than the last
+     * queue gains.
      */
     private int preferredRank() {
         int fastest = NONE;
@@ -111,14 +116,17 @@
     }
 
     /**
-     * Tells whether a class has more room than all entries compete for. By the class, not by the worker: while only one
-     * worker of it had room to spare, all entries would send to that one.
+     * Tells whether a class has more free room than all entries compete for. This is decided for the class and not for
+     * each worker: if only one worker of a class had spare room, all entries would send their tasks to that one.
      */
     private boolean hasSpareRoom(int rank) {
         return PlacementPolicy.SCARCE_ROOM_DIVISOR * freeMillicores[rank] >= capacityMillicores[rank];
     }
 
-    /** Returns the slowest of the faster classes with room where the task is in time; without one the fastest. */
+    /**
+     * Returns the slowest of the faster classes with room on which the task is on time; without one, the fastest class
+     * with room.
+     */
     private int fasterRank(int rank, TaskForecast task, SpeedClasses classes) {
         int fastest = rank;
         for (int fasterRank = rank - 1; fasterRank >= 0; fasterRank--) {
@@ -134,9 +142,11 @@
     }
 
     /**
-     * Tells whether a faster class will have room early enough for a task that is late on the given one. Late even
-     * without the margin, and early enough with it: others may take the room that comes free, and under overload most
-     * of the tasks that waited at the mere risk of being late were later for it.
+     * Tells whether waiting for a faster class is better than starting on the given one. Here the task must miss its
+     * objective even by its expected duration. There, with the margin on the duration, it must meet the objective, or
+     * at least end while that is worth something where it would not here. The conditions are this strict because other
+     * tasks may take the room that becomes free: under overload, most tasks that waited at a mere risk of being late
+     * ended later for it.
      */
     private boolean isWorthWaiting(int rank, TaskForecast task, SpeedClasses classes, WaitEstimator waitEstimator) {
         long endNowNanos = task.expectedEndNanos(classes.stretch(rank));
@@ -158,12 +168,12 @@
         return false;
     }
 
-    /** Tells how long a task waits for room in a class. */
+    /** Estimates how long a task waits for room in a speed class. */
     interface WaitEstimator {
         /** Returns the expected wait in milliseconds. */
         double waitMillis(int rank);
 
-        /** Notes that the task waits for that class, before those that come after it. */
+        /** Records that the current task waits for room in the class, ahead of later tasks. */
         void reserve(int rank);
     }
 }
--- a/library/src/main/java/org/chivetally/queue/placement/TaskBacklog.java
+++ b/library/src/main/java/org/chivetally/queue/placement/TaskBacklog.java
@@ -8,12 +8,13 @@
 import org.chivetally.queue.CompletionForecast;
 
 /**
- * Waiting tasks of one service, or of one queue of it, in order and with their sums. The sums are asked for with each
- * job that comes and each pass over the workers; added up anew each time, they would cost most when most tasks wait.
+ * Ordered waiting tasks of one service, or of one queue of it, with their totals. The totals are kept up to date
+ * because each arriving job and each placement pass asks for them: computing them on demand would take longest when the
+ * backlog is longest.
  */
 final class TaskBacklog {
     private final NavigableSet<WaitingTask> inOrder = new TreeSet<>(WaitingTask.ORDER);
-    /** Estimated processor milliseconds of the tasks that can end in time, by priority. */
+    /** Estimated core milliseconds of the tasks whose jobs can end on time, by priority. */
     private final NavigableMap<Integer, Long> onTimeWork = new TreeMap<>();
 
     private long work;
@@ -45,22 +46,25 @@
         return inOrder.size();
     }
 
-    /** Returns the tasks in order; a view. */
+    /** Returns the tasks in order, as an unmodifiable view. */
     NavigableSet<WaitingTask> inOrder() {
         return Collections.unmodifiableNavigableSet(inOrder);
     }
 
-    /** Returns the first task, or null. */
+    /** Returns the first task; null when there is none. */
     WaitingTask first() {
         return inOrder.isEmpty() ? null : inOrder.first();
     }
 
-    /** Returns the task after another one, which may have been removed, or null. */
+    /** Returns the task that follows the given one, which may have been removed; null when there is none. */
     WaitingTask next(WaitingTask entry) {
         return inOrder.higher(entry);
     }
 
-    /** Returns the estimated processor milliseconds of tasks that can end in time, up to a priority. */
+    /**
+     * Returns the estimated core milliseconds of the tasks whose jobs can end on time and whose priority comes no later
+     * than the given one.
+     */
     long onTimeWork(int priority) {
         long sum = 0;
         for (long part : onTimeWork.headMap(priority, true).values()) {
@@ -69,12 +73,12 @@
         return sum;
     }
 
-    /** Returns the estimated processor milliseconds of all tasks. */
+    /** Returns the estimated core milliseconds of all tasks. */
     long work() {
         return work;
     }
 
-    /** Returns the processors, in thousandths, that all tasks need. */
+    /** Returns the millicores that all tasks need together. */
     long waitingMillicores() {
         return waitingMillicores;
     }
--- a/library/src/main/java/org/chivetally/queue/placement/TaskForecast.java
+++ b/library/src/main/java/org/chivetally/queue/placement/TaskForecast.java
@@ -4,18 +4,20 @@
 import org.chivetally.queue.Task;
 
 /**
- * When a task's job would end, by the task's expected duration and the stretch of the worker.
+ * Forecast of the end of a task's job, from the expected duration of the task and the stretch of its worker. The
+ * stretch of a worker is the ratio of actual to estimated durations of its runs.
  *
  * @param nowNanos the time, by the steady clock
- * @param expectedMillis duration to expect of the task in milliseconds, on a worker whose runs last as estimated
- * @param laterStepsMillis estimate of the steps after it in milliseconds
- * @param objectiveNanos when the job stops being in time
- * @param usefulUntilNanos when the job stops being worth anything
+ * @param expectedMillis expected duration of the task on a worker of stretch 1
+ * @param laterStepsMillis estimated duration of the steps that follow
+ * @param objectiveNanos when the job stops being on time, by the steady clock
+ * @param usefulUntilNanos when the end of the job stops being worth anything, by the steady clock
  */
-record TaskForecast(long nowNanos, double expectedMillis, long laterStepsMillis, long objectiveNanos, long usefulUntilNanos) {
+record TaskForecast(
+        long nowNanos, double expectedMillis, long laterStepsMillis, long objectiveNanos, long usefulUntilNanos) {
     /**
      * Factor on the expected duration. Estimates are off by 40% (standard deviation, log-normal): a run lasts longer
-     * than expected in half of all cases, and longer than this in 29%.
+     * than expected in half of all cases, and longer than this factor in 29%.
      */
     static final double DURATION_MARGIN = 1.25;
 
@@ -30,13 +32,16 @@
     }
 
     /**
-     * Returns when the job ends, as likely sooner as later, if the task starts now on a worker of the given stretch.
+     * Returns the median end of the job, by the steady clock, if the task starts now on a worker of the given stretch.
      */
     long expectedEndNanos(double stretch) {
         return nowNanos + (long) (1e6 * (stretch * expectedMillis + laterStepsMillis));
     }
 
-    /** Returns when the job has most likely ended if the task starts after a wait on a worker of the given stretch. */
+    /**
+     * Returns when the job has ended with high probability, by the steady clock, if the task starts after a wait on a
+     * worker of the given stretch.
+     */
     long endNanos(double stretch, double waitMillis) {
         double millis = waitMillis + DURATION_MARGIN * stretch * expectedMillis + laterStepsMillis;
         return nowNanos + (long) (1e6 * millis);
--- a/library/src/main/java/org/chivetally/queue/placement/WaitingTask.java
+++ b/library/src/main/java/org/chivetally/queue/placement/WaitingTask.java
@@ -5,21 +5,27 @@
 import org.chivetally.queue.Task;
 
 /**
- * A waiting task with what its place in the order depends on, which may not change while it is in an ordered set.
+ * A waiting task with the values that determine its place in the order. It is immutable, as these values must not
+ * change while the task is in an ordered set.
  *
  * @param task the task
- * @param priority priority of its queue
- * @param timeliness what its job can still reach
- * @param timelinessUntilNanos last moment at which that is so
- * @param jobStarted whether it goes before tasks of jobs of which nothing runs yet
+ * @param priority priority of its queue; 0 comes first
+ * @param timeliness how its job can still end if the task starts now
+ * @param timelinessUntilNanos last moment at which that holds, by the steady clock
+ * @param jobStarted whether a task of its job has been started, which puts it before tasks of jobs not yet started
  */
 record WaitingTask(
-        Task task, int priority, CompletionForecast.Timeliness timeliness, long timelinessUntilNanos, boolean jobStarted) {
-    // Written out: comparators that are put together are serializable lambdas, which the JVM generates at each start.
+        Task task,
+        int priority,
+        CompletionForecast.Timeliness timeliness,
+        long timelinessUntilNanos,
+        boolean jobStarted) {
+    // A comparator composed with comparing() and thenComparing() is a serializable lambda, for which the JVM generates
+    // code at each start.
     /** Order in which tasks are placed. */
     static final Comparator<WaitingTask> ORDER = WaitingTask::compare;
 
-    /** Order in which tasks have to be looked at again. */
+    /** Order in which the timeliness of tasks has to be determined again. */
     static final Comparator<WaitingTask> BY_TIMELINESS_EXPIRY = (left, right) -> {
         int order = Long.compare(left.timelinessUntilNanos, right.timelinessUntilNanos);
         return order != 0 ? order : compare(left, right);
@@ -45,7 +51,7 @@
         return order != 0 ? order : Integer.compare(left.position(), right.position());
     }
 
-    /** Returns the estimated processor milliseconds. */
+    /** Returns the estimated work in core milliseconds. */
     long work() {
         return task.room().processorMillis() * task.step().estimatedMillis() / 1000;
     }
--- a/library/src/main/java/org/chivetally/queue/placement/WaitingTasks.java
+++ b/library/src/main/java/org/chivetally/queue/placement/WaitingTasks.java
@@ -20,21 +20,22 @@
 import org.chivetally.queue.share.QueueLoads;
 
 /**
- * Tasks that wait for room, by service, in the order in which they are placed: first those of jobs that can still end
- * within their objective, then those that will be late, then the hopeless; among these by the queue's priority, then
- * the oldest job first, and tasks of one job together, as a job is worth nothing until its last task ends.
+ * Tasks that wait for room, by service, in the order in which they are placed: tasks of jobs that can end within their
+ * objective, then of jobs that will be late, then of jobs that would end too late. Within each group, tasks are ordered
+ * by the priority of the queue and then by the age of the job. Tasks of one job stay together, as a job is worth
+ * nothing until its last task has ended.
  *
- * <p>The load it answers is a backlog that stays, as after an outage with little room to spare. Oldest first, every job
- * waits as long as the backlog is deep and all are a little late: half of the jobs for 14 s after a loss of power at
- * 95% load. Jobs that have missed their objective already give way instead, and the rest are served in time.
+ * <p>Jobs that will miss their objective come later because of persistent backlogs, as after an outage with little
+ * spare capacity. Served strictly by age, every job waits as long as the backlog is deep, and all are a little late:
+ * after a loss of power at 95% load, half of the jobs were late for 14 s.
  *
- * <p>Where queues share room by weight, each queue has an ordered set of its own, so that a pass can take tasks of the
- * queues below their shares first without sorting anything, and jobs of which a part runs go before those not begun.
+ * <p>With fair shares each queue has an ordered backlog of its own, so that a pass can take tasks of the queues below
+ * their shares first without sorting, and tasks of started jobs come before those of jobs that have not started.
  */
 public final class WaitingTasks {
     private static final TaskBacklog EMPTY = new TaskBacklog();
 
-    /** Name of the only line of a service whose queues share nothing. */
+    /** Key of the only backlog of a service without fair shares. */
     private static final String ALL_QUEUES = "";
 
     private final boolean fairShares;
@@ -42,7 +43,7 @@
     private final NavigableSet<WaitingTask> byTimelinessExpiry = new TreeSet<>(WaitingTask.BY_TIMELINESS_EXPIRY);
     private final Map<Task, WaitingTask> waitingTasks = new HashMap<>();
 
-    /** Creates an empty set of tasks whose queues have no shares. */
+    /** Creates an empty set for queues without fair shares. */
     public WaitingTasks() {
         this(false);
     }
@@ -50,13 +51,17 @@
     /**
      * Creates an empty set.
      *
-     * @param byQueue whether queues share room by weight
+     * @param fairShares whether queues share the processors by weight
      */
     public WaitingTasks(boolean fairShares) {
         this.fairShares = fairShares;
     }
 
-    /** Adds a task that may be placed. */
+    /**
+     * Adds a task that may be placed, or updates its place in the order.
+     *
+     * @param nowNanos the time, by the steady clock
+     */
     public void add(Task task, long nowNanos) {
         remove(task);
         CompletionForecast forecast = task.job().completionForecast(nowNanos);
@@ -74,7 +79,7 @@
         return fairShares ? terms.queue() : ALL_QUEUES;
     }
 
-    /** Removes a task; nothing happens when it doesn't wait. */
+    /** Removes a task; has no effect on a task that doesn't wait. */
     public void remove(Task task) {
         WaitingTask entry = waitingTasks.remove(task);
         if (entry == null) {
@@ -94,8 +99,8 @@
     }
 
     /**
-     * Puts the waiting tasks of a job where its phase says: before those of jobs that have not begun, or among them
-     * again when all its starts were turned down.
+     * Updates the place of a job's waiting tasks after a change of its phase: before those of jobs that have not
+     * started, or among them again when all starts of the job were refused.
      */
     public void reorder(Job job, long nowNanos) {
         if (!fairShares) {
@@ -113,7 +118,11 @@
         return fairShares && job.phase() == JobPhase.RUNNING;
     }
 
-    /** Moves the tasks whose jobs can reach less than when they were added; tells whether there were any. */
+    /**
+     * Updates the place of the tasks whose jobs can no longer end as early as when they were added.
+     *
+     * @return whether there were any
+     */
     public boolean refresh(long nowNanos) {
         boolean moved = false;
         while (!byTimelinessExpiry.isEmpty() && byTimelinessExpiry.first().timelinessUntilNanos() < nowNanos) {
@@ -124,10 +133,11 @@
     }
 
     /**
-     * Returns the jobs that have missed their objective without a start and won't get their turn while they are worth
-     * anything: all room goes to what comes after them. Told so at once, their callers don't wait in vain.
+     * Returns the jobs to refuse: none of their tasks has started, they will miss their objective, and all processors
+     * will go to tasks ahead of them until their end is worth nothing. Refused at once, their callers don't wait in
+     * vain.
      *
-     * @param spareMillis processors in thousandths that what comes leaves over
+     * @param spareMillicores processors that newly arriving jobs leave to the backlog
      */
     public List<Job> unservableJobs(String service, long spareMillicores, long nowNanos) {
         return unservableJobs(inOrder(service), spareMillicores, nowNanos);
@@ -168,16 +178,17 @@
     }
 
     /**
-     * Returns the order of one pass in which tasks of queues below their shares come first.
+     * Returns the order of one pass that takes tasks of queues below their shares first.
      *
-     * @param own what the entry's runs of each queue hold
-     * @param most tasks that the pass looks at
+     * @param shares the shares of the service's queues
+     * @param ownLoads loads of the queues at this entry
+     * @param maximumTasks number of tasks after which the pass ends
      */
     public FairShareOrder fairShareOrder(String service, FairShares shares, QueueLoads ownLoads, int maximumTasks) {
         return new FairShareOrder(backlogs(service), shares, ownLoads, maximumTasks);
     }
 
-    /** Adds what the waiting tasks need to a tally for each service. */
+    /** Adds the millicores that the waiting tasks need to the loads of each service. */
     public void addWaitingTo(Map<String, QueueLoads> byService) {
         for (Map.Entry<String, Map<String, TaskBacklog>> service : backlogs.entrySet()) {
             QueueLoads loads = byService.computeIfAbsent(service.getKey(), name -> new QueueLoads());
@@ -187,7 +198,7 @@
         }
     }
 
-    /** Returns the mean processors, in thousandths, of the waiting tasks of the queue with the smallest; 0 for none. */
+    /** Returns the smallest mean of millicores per waiting task of any queue of the service; 0 when nothing waits. */
     public long smallestMeanMillicores(String service) {
         long smallest = 0;
         for (TaskBacklog backlog : backlogs(service).values()) {
@@ -202,12 +213,14 @@
         return waitingTasks.size();
     }
 
-    /** Tells whether nothing waits. */
+    /** Tells whether there are no waiting tasks. */
     public boolean isEmpty() {
         return waitingTasks.isEmpty();
     }
 
-    /** Returns the estimated processor milliseconds that are placed before a new job of the given priority. */
+    /**
+     * Returns the estimated core milliseconds of the service that are placed before a new job of the given priority.
+     */
     public long workAhead(String service, int priority) {
         long work = 0;
         for (TaskBacklog backlog : backlogs(service).values()) {
@@ -216,7 +229,7 @@
         return work;
     }
 
-    /** Returns the processors, in thousandths, that all waiting tasks of a service need. */
+    /** Returns the millicores that all waiting tasks of a service need. */
     public long waitingMillicores(String service) {
         long sum = 0;
         for (TaskBacklog backlog : backlogs(service).values()) {
@@ -225,7 +238,7 @@
         return sum;
     }
 
-    /** Returns the estimated processor milliseconds of all waiting tasks of a service. */
+    /** Returns the estimated core milliseconds of all waiting tasks of a service. */
     public long work(String service) {
         long work = 0;
         for (TaskBacklog backlog : backlogs(service).values()) {
@@ -234,12 +247,12 @@
         return work;
     }
 
-    /** Returns the estimated processor milliseconds of a queue that are placed before a new job of it. */
+    /** Returns the estimated core milliseconds of a queue that are placed before a new job of that queue. */
     public long workAhead(String service, String queue, int priority) {
         return backlog(service, queue).onTimeWork(priority);
     }
 
-    /** Returns the estimated processor milliseconds of all waiting tasks of a queue. */
+    /** Returns the estimated core milliseconds of all waiting tasks of a queue. */
     public long work(String service, String queue) {
         return backlog(service, queue).work();
     }
@@ -262,7 +275,7 @@
         return merge(ofService.values());
     }
 
-    /** Merges lines that are each in order, which costs less than to sort them anew. */
+    /** Merges ordered backlogs, which takes less time than sorting all their tasks. */
     private static List<WaitingTask> merge(Collection<TaskBacklog> backlogs) {
         List<WaitingTask> merged = new ArrayList<>();
         List<Iterator<WaitingTask>> remaining = new ArrayList<>();
--- a/library/src/main/java/org/chivetally/queue/placement/Worker.java
+++ b/library/src/main/java/org/chivetally/queue/placement/Worker.java
@@ -15,7 +15,7 @@
 import org.chivetally.queue.share.QueueLoads;
 import org.chivetally.queue.speed.LearnedStretch;
 
-/** A worker as one owner sees it: what its agent last told, and the owner's own starts on top. */
+/** The state of a worker as known to one owner: the last report of its agent, and the owner's own starts since then. */
 public final class Worker {
     private final String process;
     private final Map<TaskKey, SentStart> startsInProgress = new LinkedHashMap<>();
@@ -33,7 +33,12 @@
     private long pausedUntilNanos;
     private int reportedSuspectRuns;
 
-    /** Creates a worker of which nothing is known yet. */
+    /**
+     * Creates a worker without a report or a link.
+     *
+     * @param process name of the agent's process
+     * @param nowNanos the time, by the steady clock
+     */
     public Worker(String process, long nowNanos) {
         this.process = process;
         this.lastReportAtNanos = nowNanos;
@@ -42,16 +47,16 @@
     }
 
     /**
-     * What an agent tells about its worker.
+     * Report of an agent about its worker.
      *
-     * @param minion start of its minion; empty while there is none
+     * @param minion boot identifier of the worker's minion; empty while there is none
      * @param service service of the minion
-     * @param capacity room of the worker
-     * @param free capacity less all that is held
-     * @param accepting whether it takes starts
-     * @param labels kind and rack
-     * @param failureDomain failure domain
-     * @param startsSeen number of the newest start that this reflects
+     * @param capacity total room of the worker
+     * @param free capacity less the room of all runs
+     * @param accepting whether the worker accepts starts
+     * @param labels kind and rack of the worker
+     * @param failureDomain failure domain of the worker
+     * @param startsSeen number of the owner's latest start that the report takes into account
      */
     public record Report(
             String minion,
@@ -62,7 +67,7 @@
             List<String> labels,
             String failureDomain,
             long startsSeen) {
-        /** Nothing known. */
+        /** No report yet. */
         public static final Report NONE = new Report("", "", Room.NONE, Room.NONE, false, List.of(), "", 0);
 
         /** Copies the labels. */
@@ -72,26 +77,30 @@
     }
 
     /**
-     * A start that was sent.
+     * A start that was sent to the agent.
      *
      * @param task the task
      * @param run number of the run
-     * @param link the link it went out on
-     * @param number its number on that link
-     * @param atNanos when, by the steady clock
-     * @param expectedMillis duration to expect in milliseconds, where runs last as estimated; 0 without an estimate
+     * @param link the link on which the start was sent
+     * @param number number of the start on that link, from 1; 0 for an adopted run
+     * @param atNanos when it was sent, by the steady clock
+     * @param expectedMillis expected duration in milliseconds on a worker of stretch 1; 0 without an estimate
      */
     public record SentStart(Task task, long run, Object link, long number, long atNanos, double expectedMillis) {
-        /** Lasting this many times the estimate is no chance: estimates are off by 40% (standard deviation). */
+        /**
+         * A run is overdue after this multiple of its expected duration. Estimates are off by 40% (standard deviation),
+         * so a run hardly ever lasts this long by chance.
+         */
         private static final int OVERDUE_FACTOR = 3;
 
-        /** What start and end may take on top, in milliseconds. */
+        /** Allowance for the transmission of start and end, in milliseconds. */
         private static final int OVERDUE_MARGIN_MILLIS = 80;
 
         /**
-         * Tells whether the run lasts far longer than expected; never so without an estimate.
+         * Tells whether the run lasts far longer than expected; always false without an estimate.
          *
-         * @param stretch duration over estimate that is usual for the kind of worker
+         * @param nowNanos the time, by the steady clock
+         * @param stretch ratio of actual to estimated durations that is usual for the worker's kind
          */
         public boolean isOverdue(long nowNanos, double stretch) {
             double expected = expectedMillis * stretch;
@@ -105,7 +114,7 @@
         return process;
     }
 
-    /** Returns what the agent last told. */
+    /** Returns the last report of the agent. */
     public Report lastReport() {
         return lastReport;
     }
@@ -115,32 +124,32 @@
         return lastReport.labels().isEmpty() ? "" : lastReport.labels().getFirst();
     }
 
-    /** Notes what the agent tells about its worker's speed. */
+    /** Records the stretch that the agent reports for its worker. */
     public void learnedStretch(LearnedStretch reported) {
         learnedStretch = reported;
     }
 
-    /** Returns what the agent last told about its worker's speed. */
+    /** Returns the stretch that the agent last reported for its worker. */
     LearnedStretch learnedStretch() {
         return learnedStretch;
     }
 
-    /** Returns how fast the worker is among the others. */
+    /** Returns the speed of the worker relative to the others. */
     WorkerSpeed speed() {
         return speed;
     }
 
-    /** Notes how fast the worker is among the others. */
+    /** Sets the speed of the worker relative to the others. */
     void speed(WorkerSpeed next) {
         speed = next;
     }
 
-    /** Returns the duration of its runs over their estimates, as far as learned. */
+    /** Returns the ratio of actual to estimated durations of the worker's runs; 1 while it is unknown. */
     public double stretch() {
         return speed.stretch();
     }
 
-    /** Returns the processors, in thousandths, of this owner's runs here that have an estimate. */
+    /** Returns the millicores used here by this owner's runs that have an estimate. */
     double estimatedRunMillicores() {
         double millicores = 0;
         for (SentStart start : startsInProgress.values()) {
@@ -149,7 +158,7 @@
         return millicores;
     }
 
-    /** Returns the processors, in thousandths, that these runs free in a millisecond. */
+    /** Returns the millicores that these runs free per millisecond. */
     double releaseRate() {
         double rate = 0;
         for (SentStart start : startsInProgress.values()) {
@@ -159,19 +168,20 @@
         return rate;
     }
 
-    /** Returns how its runs end. */
+    /** Returns the health of the worker, as determined from the ends of its runs. */
     public WorkerHealth health() {
         return health;
     }
 
-    /** Returns when the agent was last heard, by the steady clock. */
+    /** Returns when the agent last reported, by the steady clock. */
     public long lastReportAtNanos() {
         return lastReportAtNanos;
     }
 
     /**
-     * Returns the time since the agent was last heard or last sent a start. A start tells the agent that this owner
-     * relied on it when the start was sent, and the agent keeps all of this owner's runs going from then on.
+     * Returns the time since the agent last reported or was last sent a start, in nanoseconds. A start counts because
+     * it confirms to the agent that this owner was active when it was sent: from then on the agent keeps all runs of
+     * this owner.
      */
     public long nanosSinceContact(long nowNanos) {
         return nowNanos - Math.max(lastReportAtNanos, lastStartAtNanos);
@@ -182,7 +192,7 @@
         return link != null;
     }
 
-    /** Notes a new link; starts on it are numbered from 1. */
+    /** Records a new link. Starts on it are numbered from 1. */
     public void linkOpened(Object newLink) {
         link = newLink;
         lastNumber = 0;
@@ -191,7 +201,7 @@
         lastReport = Report.NONE;
     }
 
-    /** Notes that the link is gone. */
+    /** Records that the link was closed. */
     public void linkClosed() {
         link = null;
         unacknowledgedRoom = Room.NONE;
@@ -199,7 +209,11 @@
         lastReport = Report.NONE;
     }
 
-    /** Notes a report. */
+    /**
+     * Records a report of the agent.
+     *
+     * @param nowNanos the time, by the steady clock
+     */
     public void recordReport(Report report, long nowNanos) {
         lastReportAtNanos = nowNanos;
         lastReport = report;
@@ -211,34 +225,34 @@
         }
     }
 
-    /** Notes how many runs of suspects the agent holds, for whichever entry. */
+    /** Records how many runs of suspects the agent holds, for all owners together. */
     public void recordSuspectRuns(int runs) {
         reportedSuspectRuns = runs;
     }
 
-    /** Notes that a start that was sent is one of a suspect. */
+    /** Records that a start that was sent belongs to a suspect. */
     public void addSuspect(TaskKey task) {
         sentSuspects.add(task);
     }
 
-    /** Tells whether a suspect runs here or is on its way. */
+    /** Tells whether a suspect runs here or has been sent here. */
     public boolean holdsSuspect() {
         return reportedSuspectRuns > 0 || !sentSuspects.isEmpty();
     }
 
-    /** Tells whether the agent may not have had a start yet when it last reported. */
+    /** Tells whether the agent's last report may not take the start into account yet. */
     public boolean isUnacknowledged(SentStart start) {
         return start.link() == link && start.number() > lastReport.startsSeen();
     }
 
-    /** Returns the room that is free as far as known, with the owner's starts on their way taken off. */
+    /** Returns the free room of the last report less the room of this owner's unacknowledged starts. */
     public Room freeRoom() {
         return lastReport.free().minus(unacknowledgedRoom);
     }
 
     /**
-     * Tells whether this owner's starts on their way and one more would take over a part of the room that the agent
-     * last told. One start is never over it.
+     * Tells whether this owner's unacknowledged starts and one more would exceed a share of the free room of the last
+     * report. A single start never does.
      */
     boolean exceedsShare(Room next, double share) {
         long unacknowledgedMillicores = unacknowledgedRoom.processorMillis();
@@ -247,25 +261,36 @@
                         > share * lastReport.free().processorMillis();
     }
 
-    /** Takes no starts until a moment, after the agent has refused one for a reason that takes time to go. */
+    /**
+     * Sends no starts until the given time, because the agent has refused one for a reason that persists for a while.
+     *
+     * @param untilNanos end of the pause, by the steady clock
+     */
     public void pauseStarts(long untilNanos) {
         pausedUntilNanos = untilNanos;
     }
 
-    /** Tells whether a start may be sent now. */
+    /** Tells whether a start may be sent to the worker now. */
     public boolean acceptsStarts(long nowNanos) {
         return link != null && lastReport.accepting() && nowNanos - pausedUntilNanos >= 0;
     }
 
-    /** Notes that a start goes out; returns it with its number. */
+    /**
+     * Records a start that is being sent, with the caller's estimate as its expected duration.
+     *
+     * @param nowNanos the time, by the steady clock
+     * @return the start with its number
+     */
     public SentStart send(Task task, long run, long nowNanos) {
         return send(task, run, nowNanos, task.step().estimatedMillis());
     }
 
     /**
-     * Notes that a start goes out; returns it with its number.
+     * Records a start that is being sent.
      *
-     * @param expectedMillis duration to expect in milliseconds, where runs last as estimated; 0 without an estimate
+     * @param nowNanos the time, by the steady clock
+     * @param expectedMillis expected duration in milliseconds on a worker of stretch 1; 0 without an estimate
+     * @return the start with its number
      */
     public SentStart send(Task task, long run, long nowNanos, double expectedMillis) {
         lastNumber++;
@@ -276,19 +301,23 @@
         return start;
     }
 
-    /** Notes a run that the agent holds and that somebody else sent. */
+    /**
+     * Records a run that the agent holds and that another owner has started.
+     *
+     * @param nowNanos the time, by the steady clock
+     */
     public void adopt(Task task, long run, long nowNanos) {
         startsInProgress.put(
                 task.key(),
                 new SentStart(task, run, link, 0, nowNanos, task.step().estimatedMillis()));
     }
 
-    /** Returns the start of a task that is in progress here. */
+    /** Returns the start of the given task if it is in progress here. */
     public Optional<SentStart> inProgress(TaskKey task) {
         return Optional.ofNullable(startsInProgress.get(task));
     }
 
-    /** Tells whether any start is in progress here. */
+    /** Tells whether any run is in progress here. */
     public boolean hasRuns() {
         return !startsInProgress.isEmpty();
     }
@@ -298,7 +327,7 @@
         return List.copyOf(startsInProgress.values());
     }
 
-    /** Adds what this owner's runs here hold to a tally for each service. */
+    /** Adds the processors that this owner's runs use here to the loads of each service. */
     public void addRunsTo(Map<String, QueueLoads> byService) {
         for (SentStart start : startsInProgress.values()) {
             QueueTerms terms = start.task().job().specification().terms();
@@ -311,12 +340,17 @@
         }
     }
 
-    /** Tells whether a run is in progress here that may still end in time. */
+    /** Tells whether a run is in progress here that is not overdue. */
     public boolean hasRunsNotOverdue() {
         return startsInProgress.size() > overdueTasks.size();
     }
 
-    /** Returns the runs that have become overdue since the last look, and notes them. */
+    /**
+     * Finds and marks the runs that have become overdue since the last call.
+     *
+     * @param nowNanos the time, by the steady clock
+     * @return the newly overdue runs
+     */
     public List<SentStart> markNewlyOverdue(long nowNanos) {
         List<SentStart> newlyOverdue = new ArrayList<>();
         for (SentStart start : startsInProgress.values()) {
@@ -329,11 +363,12 @@
     }
 
     private boolean isOverdue(SentStart start, long nowNanos) {
-        // By its kind, not by the worker itself: one that has become slow is to be found out.
+        // Compares with the stretch of the worker's kind, not with its own: that would hide a worker that has become
+        // slow.
         return start.isOverdue(nowNanos, speed.kindStretch());
     }
 
-    /** Returns all runs that are overdue. */
+    /** Returns all runs that are marked overdue. */
     public List<SentStart> overdue() {
         List<SentStart> overdue = new ArrayList<>();
         for (TaskKey key : overdueTasks) {
@@ -342,7 +377,11 @@
         return overdue;
     }
 
-    /** Notes that a run ended by itself. */
+    /**
+     * Records that a run has completed, in time or overdue.
+     *
+     * @param nowNanos the time, by the steady clock
+     */
     public void recordEnd(SentStart start, long nowNanos) {
         if (isOverdue(start, nowNanos)) {
             if (overdueTasks.add(start.task().key())) {
@@ -353,7 +392,7 @@
         }
     }
 
-    /** Notes that a start is no longer in progress here. */
+    /** Records that the run of a task is no longer in progress here. */
     public void remove(TaskKey task) {
         overdueTasks.remove(task);
         sentSuspects.remove(task);
--- a/library/src/main/java/org/chivetally/queue/placement/WorkerHealth.java
+++ b/library/src/main/java/org/chivetally/queue/placement/WorkerHealth.java
@@ -3,34 +3,40 @@
 import java.time.Duration;
 
 /**
- * Tells whether a worker is to be avoided.
+ * Decides whether a worker is to be avoided because its runs fail or last too long.
  *
- * <p>One that fails what it starts is told from jobs that fail wherever they run by the share of its runs that fail, of
- * different jobs. As it ends runs at once it always has room, and under load it would draw every task that waits: one
- * such worker of eleven failed a quarter of all runs for 6 s.
+ * <p>A failing worker is recognized by the share of failed runs, counting different jobs only, because some jobs fail
+ * on every worker. A failing worker ends its runs at once and so always has free room. Under load it would attract
+ * every waiting task: one such worker of eleven failed a quarter of all runs for 6 s.
  *
- * <p>One that is slow, or whose tasks stand still, is told by runs that last far longer than estimated, more of them
- * lately than runs that end in time. A job of eight tasks waits for its slowest: with one worker in six slowed, three
- * jobs in four would have a task there.
+ * <p>A slow worker, or one whose tasks hang, is recognized by recent runs that last far longer than estimated and
+ * outnumber those that end in time. A job of eight tasks waits for its slowest task: if one worker in six is slow,
+ * three jobs in four have a task there.
  *
- * <p>Either gets nothing for a while and then one run at a time, until one ends as it should.
+ * <p>Such a worker gets no starts for a while, and then one run at a time until one ends in time.
  */
 public final class WorkerHealth {
-    /** Runs that fail or last too long, weighted by age, that count; fewer come by chance, as estimates are off. */
+    /**
+     * Failed or overdue runs, weighted by age, from which on they count. Fewer occur by chance, as estimates are
+     * inaccurate.
+     */
     static final double MINIMUM_BAD_RUNS = 2.5;
 
     /**
-     * Share of failed runs that makes a worker failing. Callers' own tasks fail in 0.2% of runs, and at the height of a
-     * flood of jobs that can't be done about 20% of the runs fail on every worker.
+     * Greatest share of failed runs of a healthy worker. Tasks of callers fail in 0.2% of runs, but at the peak of a
+     * flood of jobs that cannot succeed, about 20% of the runs fail on every worker.
      */
     static final double MAXIMUM_FAILED_SHARE = 0.4;
 
     /**
-     * Time in which the weight of a run falls to about a third: a bad spell lasts 5 to 7 s and has to be seen early.
+     * Time in which the weight of a run falls to 1/e. Periods of failure last 5 to 7 s and have to be detected early.
      */
     static final Duration TIME_CONSTANT = Duration.ofMillis(1_500);
 
-    /** How long a bad worker gets nothing: such spells last 5 to 7 s, and a probe costs one attempt of a task. */
+    /**
+     * Time during which an unhealthy worker gets no starts. Periods of failure last 5 to 7 s, and a trial run costs a
+     * task one of its attempts.
+     */
     static final Duration AVOIDANCE_TIME = Duration.ofSeconds(3);
 
     private enum State {
@@ -46,7 +52,11 @@
     private final DecayingSum failedRuns = new DecayingSum(TIME_CONSTANT);
     private String lastFailedJob = "";
 
-    /** Notes that a run ended done, no later than can be expected. */
+    /**
+     * Records a run that ended successfully and was not overdue.
+     *
+     * @param nowNanos the time, by the steady clock
+     */
     public void recordInTimeRun(long nowNanos) {
         if (isOnProbation(nowNanos)) {
             state = State.HEALTHY;
@@ -57,7 +67,13 @@
         inTimeRuns.add(1, nowNanos);
     }
 
-    /** Notes that a run of a job ended failed; tells whether the worker is avoided because of it. */
+    /**
+     * Records a run that failed. Consecutive failures of the same job count once.
+     *
+     * @param jobId job of the run
+     * @param nowNanos the time, by the steady clock
+     * @return whether the worker is avoided from now on because of it
+     */
     public boolean recordFailedRun(String jobId, long nowNanos) {
         if (jobId.equals(lastFailedJob)) {
             return false;
@@ -70,7 +86,11 @@
         return updateState(bad, State.FAILING, nowNanos);
     }
 
-    /** Notes that a run lasts longer than can be expected. */
+    /**
+     * Records a run that is overdue.
+     *
+     * @param nowNanos the time, by the steady clock
+     */
     public void recordOverdueRun(long nowNanos) {
         overdueRuns.add(1, nowNanos);
         boolean bad =
@@ -78,7 +98,11 @@
         updateState(bad, State.SLOW, nowNanos);
     }
 
-    /** Avoids the worker from now on if it turns out bad, or did not stand its trial; tells whether it does. */
+    /**
+     * Starts to avoid the worker if it is found unhealthy, or if its trial run did not end in time.
+     *
+     * @return whether the worker is avoided from now on
+     */
     private boolean updateState(boolean bad, State badState, long nowNanos) {
         boolean startsAvoidance = state == State.HEALTHY ? bad : isOnProbation(nowNanos);
         if (startsAvoidance) {
@@ -88,17 +112,17 @@
         return startsAvoidance;
     }
 
-    /** Tells whether runs last too long here, as far as known. */
+    /** Tells whether the worker is considered slow. */
     public boolean isSlow() {
         return state == State.SLOW;
     }
 
-    /** Tells whether the worker is to get nothing now. */
+    /** Tells whether the worker gets no starts now. */
     public boolean isAvoided(long nowNanos) {
         return state != State.HEALTHY && nowNanos - avoidedUntilNanos < 0;
     }
 
-    /** Tells whether the worker is to get one run at a time, to show itself. */
+    /** Tells whether the worker gets one run at a time, to find out whether it is healthy again. */
     public boolean isOnProbation(long nowNanos) {
         return state != State.HEALTHY && nowNanos - avoidedUntilNanos >= 0;
     }
--- a/library/src/main/java/org/chivetally/queue/placement/WorkerSpeed.java
+++ b/library/src/main/java/org/chivetally/queue/placement/WorkerSpeed.java
@@ -1,14 +1,14 @@
 package org.chivetally.queue.placement;
 
 /**
- * How fast a worker is, as an entry has learned.
+ * The speed of a worker, as one entry has learned it.
  *
- * @param stretch duration of its runs over their estimates
- * @param kindStretch the same for all workers of its kind
- * @param rank its class of speed among the workers of its service, 0 for the fastest
- * @param version computation that this belongs to; ranks of different ones can't be compared
+ * @param stretch ratio of actual to estimated durations of its runs
+ * @param kindStretch the same ratio for all workers of its kind
+ * @param rank its speed class among the workers of its service; 0 for the fastest
+ * @param version number of the computation that produced this; only ranks of the same computation are comparable
  */
 record WorkerSpeed(double stretch, double kindStretch, int rank, long version) {
-    /** Nothing learned: runs last as long as estimated. */
+    /** Nothing is known, so runs are assumed to last as long as estimated. */
     static final WorkerSpeed UNKNOWN = new WorkerSpeed(1, 1, 0, 0);
 }
--- a/library/src/main/java/org/chivetally/queue/placement/WorkerSpeeds.java
+++ b/library/src/main/java/org/chivetally/queue/placement/WorkerSpeeds.java
@@ -9,13 +9,13 @@
 import org.chivetally.queue.speed.SpeedClasses;
 
 /**
- * Keeps each worker's speed and class of speed up to date, for all services.
+ * Keeps the speed and speed class of each worker up to date, for all services.
  *
- * <p>Reports come hundreds of times a second at a small entry, and passes over the waiting tasks as often. Speeds
- * change slowly, so they are computed anew at intervals, not for each of these, and never for each task.
+ * <p>Even a small entry receives hundreds of reports per second and makes as many placement passes. As speeds change
+ * slowly, they are computed at intervals and not for each report, pass or task.
  */
 final class WorkerSpeeds {
-    /** Age from which the speeds are computed anew: a worker that turns slow shows after about a second. */
+    /** Age after which the speeds are computed again. A worker that becomes slow is detected after about a second. */
     static final Duration REFRESH_INTERVAL = Duration.ofMillis(50);
 
     private final Map<String, ServiceSpeeds> services = new HashMap<>();
@@ -24,7 +24,11 @@
     private int refreshedWorkers;
     private double spread = 1;
 
-    /** Brings the speeds of the open workers up to date, unless they are. */
+    /**
+     * Updates the speeds of the given workers unless they are up to date.
+     *
+     * @param nowNanos the time, by the steady clock
+     */
     void refresh(List<Worker> workers, long nowNanos) {
         boolean current = version > 0
                 && nowNanos - refreshedAtNanos < REFRESH_INTERVAL.toNanos()
@@ -55,7 +59,7 @@
         spread = greatestSpread;
     }
 
-    /** Tells whether there is a worker that the last computation did not cover. */
+    /** Tells whether there is a worker that the last computation did not include. */
     private boolean hasUncoveredWorker(List<Worker> workers) {
         for (Worker worker : workers) {
             if (worker.speed().version() != version) {
@@ -65,18 +69,21 @@
         return false;
     }
 
-    /** Returns the classes of a service's open workers. */
+    /** Returns the speed classes of a service's workers as of the last computation. */
     SpeedClasses classesOf(String service) {
         ServiceSpeeds known = services.get(service);
         return known == null ? ServiceSpeeds.NO_CLASSES : known.classes;
     }
 
-    /** Returns the greatest spread of any service at the last computation; 1 where all workers are equally fast. */
+    /**
+     * Returns the greatest ratio of run durations between slow and fast workers of one service; 1 if all workers are
+     * equally fast.
+     */
     double spread() {
         return spread;
     }
 
-    /** The workers of one service. */
+    /** The workers of one service and their speed classes. */
     private static final class ServiceSpeeds {
         private static final SpeedClasses NO_CLASSES = SpeedClasses.of(new double[0]);
 
--- a/library/src/main/java/org/chivetally/queue/placement/package-info.java
+++ b/library/src/main/java/org/chivetally/queue/placement/package-info.java
@@ -1,2 +1,2 @@
-/** Decisions of an owner under load: whether to take a job, which task comes next, and where it goes. No I/O. */
+/** Decisions of an entry under load: whether to accept a job, which task is next and which worker runs it. No I/O. */
 package org.chivetally.queue.placement;
--- a/library/src/main/java/org/chivetally/queue/share/FairShares.java
+++ b/library/src/main/java/org/chivetally/queue/share/FairShares.java
@@ -4,11 +4,11 @@
 import java.util.TreeMap;
 
 /**
- * How one service's processors are divided among its queues at a moment, as one entry knows it. All entries divide the
- * same capacity by the same demands, so their divisions differ only by the age of what they were told.
+ * Max-min fair shares of one service's processors for its queues at one moment, as computed by one entry. All entries
+ * compute them from the same capacity and demands, so the results differ only by the age of the reports.
  */
 public final class FairShares {
-    /** Weight of each queue; the configuration of queues names none. */
+    /** Weight of each queue; the configuration of queues has no weights. */
     private static final long WEIGHT = 1;
 
     private final long capacityMillicores;
@@ -21,11 +21,11 @@
     private long demandMillicores;
 
     /**
-     * Divides.
+     * Computes the shares.
      *
-     * @param capacityMillis processors in thousandths that the entries told of can use together
-     * @param own what this entry's runs use and its waiting tasks need
-     * @param elsewhere the same of the other entries
+     * @param capacityMillicores processors that this entry and those with a valid report can use together
+     * @param own loads of the queues at this entry
+     * @param others sum of the loads that the other entries report
      */
     public FairShares(long capacityMillicores, QueueLoads own, QueueLoads others) {
         this.capacityMillicores = capacityMillicores;
@@ -48,41 +48,41 @@
         this.shares = MaxMinFairness.allocate(capacityMillicores, demands, weights);
     }
 
-    /** Tells whether the queues together need more than there is. */
+    /** Tells whether the total demand of all queues exceeds the capacity. */
     public boolean isContended() {
         return demandMillicores > capacityMillicores;
     }
 
-    /** Returns the processors, in thousandths, that are divided. */
+    /** Returns the millicores that are shared. */
     public long capacityMillicores() {
         return capacityMillicores;
     }
 
-    /** Returns the processors, in thousandths, that all queues together can use. */
+    /** Returns the millicores that all queues together can use. */
     public long demandMillicores() {
         return demandMillicores;
     }
 
-    /** Returns a queue's share of the service in thousandths of a processor; 0 for a queue that needs nothing. */
+    /** Returns a queue's share of the service in millicores; 0 for a queue without demand. */
     public long share(String queue) {
         int index = indexOf(queue);
         return index < 0 ? 0 : shares[index];
     }
 
-    /** Tells whether a queue's share is all that it can use. */
+    /** Tells whether a queue's share covers its whole demand. */
     public boolean isSatisfied(String queue) {
         int index = indexOf(queue);
         return index < 0 || shares[index] >= demands[index];
     }
 
-    /** Returns this entry's part of a queue's share, by its part of the queue's demand. */
+    /** Returns this entry's part of a queue's share in millicores, proportional to its part of the queue's demand. */
     public long ownShare(String queue) {
         return ownFraction(queue, share(queue));
     }
 
     /**
-     * Returns the processors, in thousandths, that this entry can use for a queue while its backlog lasts: its part of
-     * the queue's share, and of what the other queues don't use of theirs.
+     * Returns the millicores that this entry can use for a queue while it has a backlog: its part of the queue's share
+     * and of the capacity that the other queues leave unused.
      */
     public long ownAvailableMillicores(String queue) {
         int index = indexOf(queue);
@@ -97,7 +97,7 @@
     private long ownFraction(String queue, long millicores) {
         long demand = total.of(queue).demandMillicores();
         long ownDemand = own.of(queue).demandMillicores();
-        // An entry that needs all of it gets all of it, without a loss by rounding.
+        // The only entry with demand gets everything, without rounding.
         return demand == ownDemand ? millicores : (long) ((double) millicores * ownDemand / demand);
     }
 
@@ -110,7 +110,7 @@
         return -1;
     }
 
-    /** Returns share and demand of each queue in whole processors, for log lines. */
+    /** Returns share and demand of each queue in whole cores, for log lines. */
     @Override
     public String toString() {
         Map<String, String> sharesAndDemands = new TreeMap<>();
--- a/library/src/main/java/org/chivetally/queue/share/MaxMinFairness.java
+++ b/library/src/main/java/org/chivetally/queue/share/MaxMinFairness.java
@@ -1,21 +1,23 @@
 package org.chivetally.queue.share;
 
 /**
- * Weighted max-min division of a capacity: what one claimant doesn't use is divided among the others by their weights.
+ * Weighted max-min fair allocation: capacity that one claimant does not use is allocated to the others by their
+ * weights.
  *
- * <p>The load it answers is a burst of one queue that asks for more than is left, while the other queues keep their
- * demand: the burst then waits, and not the others.
+ * <p>When one queue has a burst that demands more than the remaining capacity while the demand of the others is
+ * unchanged, the tasks of the burst wait, and not those of the other queues.
  */
 public final class MaxMinFairness {
     private MaxMinFairness() {}
 
     /**
-     * Divides a capacity. No claimant gets more than it demands, and everything is given out when the demands suffice.
+     * Allocates a capacity. No claimant gets more than its demand, and the whole capacity is allocated if the demands
+     * suffice.
      *
-     * @param capacity what there is; negative counts as nothing
-     * @param demands what each claimant can use, none negative; unchanged
+     * @param capacity available amount; a negative amount counts as zero
+     * @param demands amount that each claimant can use, not negative; remains unchanged
      * @param weights weight of each claimant, at least 1
-     * @return the share of each claimant, in units of the capacity
+     * @return the share of each claimant, in the unit of the capacity
      */
     public static long[] allocate(long capacity, long[] demands, long[] weights) {
         long[] shares = new long[demands.length];
@@ -28,7 +30,7 @@
         boolean changed = true;
         while (changed && unsatisfiedWeight > 0) {
             changed = false;
-            // The level is fixed for one round: an increase within it would favour claimants that come later.
+            // The level stays the same during one round: raising it within the round would favor later claimants.
             double level = (double) remaining / unsatisfiedWeight;
             for (int claimant = 0; claimant < demands.length; claimant++) {
                 if (!satisfied[claimant] && demands[claimant] <= level * weights[claimant]) {
@@ -45,8 +47,9 @@
     }
 
     /**
-     * Divides what is left among claimants that could each use more than their part. Each gets its part in whole units;
-     * the rest, less than a unit for each, goes to the first, which keeps all within their demands.
+     * Allocates the remaining capacity to the claimants that can each use more than their part. Each gets its part
+     * rounded down; the remainder, less than one unit for each claimant, goes to the first ones, which stay within
+     * their demands.
      */
     private static void allocateByWeight(
             long capacity, long unsatisfiedWeight, boolean[] satisfied, long[] weights, long[] shares) {
--- a/library/src/main/java/org/chivetally/queue/share/PeerLoads.java
+++ b/library/src/main/java/org/chivetally/queue/share/PeerLoads.java
@@ -6,37 +6,40 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** What the other entries have told of their queues, with its age. */
+/** The loads of queues that other entries report, with the times of the reports. */
 public final class PeerLoads {
     /**
-     * Age up to which what an entry has told counts. Entries tell every 250 ms, and a link that was cut is replaced
-     * within 1.5 s; an older report may be several times the duration of a task old.
+     * Age up to which a report is used. Entries report every 250 ms, and a broken link is replaced within 1.5 s. A
+     * report beyond this age may be older than several task durations.
      */
     public static final Duration REPORT_VALIDITY = Duration.ofSeconds(2);
 
-    /** Age after which an entry that was last heard then is taken for gone, rather than out of reach. */
+    /** Age of its last report after which an entry is considered stopped instead of unreachable. */
     public static final Duration ENTRY_RETENTION = Duration.ofSeconds(30);
 
     private final Map<String, LoadReport> reports = new LinkedHashMap<>();
-    /** What is known by service until something is told or gets too old: passes ask several times as often. */
+    /**
+     * Snapshots by service, valid until a report arrives or expires: passes ask for them several times as often as that
+     * happens.
+     */
     private final Map<String, ServiceSnapshot> snapshots = new HashMap<>();
 
     private long snapshotsValidUntilNanos;
 
-    /** What an entry told when. */
+    /** The last report of an entry. */
     private record LoadReport(Map<String, QueueLoads> byService, long receivedAtNanos, boolean leaving) {}
 
     /**
-     * What is known of the other entries at a moment.
+     * Loads of the other entries at one moment.
      *
-     * @param loads what the entries that are heard need of the service
-     * @param reachable number of entries that are heard, this one among them
-     * @param unreachable number of entries that are out of reach
+     * @param loads sum of the loads of the service at the reachable entries
+     * @param reachable number of entries with a valid report, including this one
+     * @param unreachable number of entries whose last report has expired
      */
     public record ServiceSnapshot(QueueLoads loads, int reachable, int unreachable) {
         /**
-         * Returns the part of a capacity that the entries that are heard divide: those out of reach have callers too,
-         * and take equal parts. An entry that hears no other one keeps its equal part.
+         * Returns the part of a capacity that the reachable entries share, in the unit of the argument. Unreachable
+         * entries have callers too and use an equal part each. An entry that reaches no other keeps its own equal part.
          */
         public long reachableCapacity(long totalMillicores) {
             return totalMillicores * reachable / (reachable + unreachable);
@@ -44,17 +47,22 @@
     }
 
     /**
-     * Notes what an entry tells.
+     * Records a report of another entry.
      *
-     * @param byService what its queues use and need, by service
-     * @param leaving whether it is about to stop, so that nothing is kept for it once it is silent
+     * @param byService loads of its queues, by service
+     * @param leaving whether the entry is about to stop, so that no part is reserved for it when its reports end
+     * @param nowNanos the time, by the steady clock
      */
     public void recordReport(String entry, Map<String, QueueLoads> byService, boolean leaving, long nowNanos) {
         reports.put(entry, new LoadReport(byService, nowNanos, leaving));
         snapshots.clear();
     }
 
-    /** Returns what is known of a service. */
+    /**
+     * Returns the loads of a service at the other entries.
+     *
+     * @param nowNanos the time, by the steady clock
+     */
     public ServiceSnapshot of(String service, long nowNanos) {
         if (nowNanos - snapshotsValidUntilNanos > 0) {
             snapshots.clear();
@@ -88,7 +96,11 @@
         return new ServiceSnapshot(loads, reachable, unreachable);
     }
 
-    /** Forgets entries that have been silent for so long that they are gone. */
+    /**
+     * Removes entries whose last report is so old that they are considered stopped.
+     *
+     * @param nowNanos the time, by the steady clock
+     */
     public void removeExpired(long nowNanos) {
         Iterator<LoadReport> iterator = reports.values().iterator();
         while (iterator.hasNext()) {
--- a/library/src/main/java/org/chivetally/queue/share/QueueAdmission.java
+++ b/library/src/main/java/org/chivetally/queue/share/QueueAdmission.java
@@ -5,60 +5,63 @@
 import org.chivetally.queue.Job;
 
 /**
- * Decides whether a job of a queue that has a share is taken on, by the forecast of its own queue: what waits before it
- * there, worked off by what the queue can use.
+ * Decides whether a job of a queue with a fair share is accepted, by a forecast for its own queue: the work that waits
+ * ahead of it there, at the capacity that the queue can use.
  *
- * <p>The load it answers is a burst of one queue. By the backlog of all queues together, jobs of the others would be
- * refused for work that is placed after theirs.
+ * <p>With the backlog of all queues together, a burst of one queue would cause jobs of the others to be refused because
+ * of work that is placed after theirs.
  */
 public final class QueueAdmission {
     /**
-     * Share of a new job's time that the forecast may reach. Estimates are off by 40% (standard deviation), so a job at
-     * the limit itself would miss it half of the time.
+     * Greatest forecast duration of an accepted new job, as a share of the time until its latest useful end. Estimates
+     * are off by 40% (standard deviation), so a job whose forecast just reaches its latest useful end would miss it
+     * half of the time.
      */
     static final double MAXIMUM_SHARE_OF_LIMIT = 0.8;
 
     /**
-     * The same for a job that comes back after a refusal: more than for a new one, so that whenever it is refused, a
-     * new one of its queue would be refused too.
+     * The same for a job that is retried after a refusal. It is greater than for a new job, so that whenever a retry is
+     * refused, a new job of the same queue would be refused as well.
      */
     static final double MAXIMUM_SHARE_OF_LIMIT_ON_RETRY = 1.0;
 
-    /** Fewest different values that are told to callers refused at one moment. */
+    /** Least number of different retry delays, in whole seconds, for jobs that are refused together. */
     private static final int MINIMUM_SPREAD_SECONDS = 2;
 
     private QueueAdmission() {}
 
     /**
-     * Decides.
+     * Decides about a job.
      *
-     * @param workAhead processor milliseconds of the job's queue that are placed before it
-     * @param reachMillis processors in thousandths that work them off; 0 while no worker is known
-     * @param returning whether the job was refused lately
-     * @return when to come back, if the job is refused
+     * @param nowNanos the time, by the steady clock
+     * @param workAhead core milliseconds of the job's queue that are placed before it
+     * @param availableMillicores processors that the job's queue can use; 0 while no worker is known
+     * @param retried whether the job was refused recently
+     * @return delay after which the caller should retry; empty when the job is accepted
      */
     public static Optional<Duration> refuse(
             Job job, long nowNanos, long workAhead, long availableMillicores, boolean retried) {
         if (availableMillicores <= 0) {
-            // No worker is known, which is so for a moment after an entry's start. The job waits like any other.
+            // No worker is known for a moment after the start of an entry. The job waits like any other.
             return Optional.empty();
         }
         double waitMillis = 1000.0 * workAhead / availableMillicores;
-        double leftMillis = (job.usefulUntilNanos() - nowNanos) / 1e6;
+        double remainingMillis = (job.usefulUntilNanos() - nowNanos) / 1e6;
         double share = retried ? MAXIMUM_SHARE_OF_LIMIT_ON_RETRY : MAXIMUM_SHARE_OF_LIMIT;
-        if (waitMillis + job.specification().criticalPathMillis() <= share * leftMillis) {
+        if (waitMillis + job.specification().criticalPathMillis() <= share * remainingMillis) {
             return Optional.empty();
         }
         return Optional.of(retryAfter(job.specification().id(), workAhead, availableMillicores));
     }
 
     /**
-     * Returns when a refused caller fares better: after the time in which the work that waits in its queue is done, in
-     * whole seconds as on the wire. Callers refused at one moment are told different times, by the id of the job: they
-     * would otherwise come back together and be refused together.
+     * Returns the delay after which a refused job should be retried: the time in which the waiting work of its queue is
+     * done, rounded up to whole seconds as in the HTTP response and limited to 30 s, plus a part that depends on the
+     * identifier of the job. Without that part, jobs that are refused together would be retried together and refused
+     * again.
      *
-     * @param waitingWork processor milliseconds that wait in the job's queue
-     * @param reachMillis processors in thousandths that work them off
+     * @param waitingWork core milliseconds that wait in the job's queue
+     * @param availableMillicores processors that the queue can use
      */
     public static Duration retryAfter(String jobId, long waitingWork, long availableMillicores) {
         long drainSeconds = availableMillicores <= 0 ? 1 : Math.ceilDiv(waitingWork, availableMillicores);
--- a/library/src/main/java/org/chivetally/queue/share/QueueLoads.java
+++ b/library/src/main/java/org/chivetally/queue/share/QueueLoads.java
@@ -5,13 +5,13 @@
 import java.util.Set;
 
 /**
- * A tally of what each queue uses and needs of one service, at one entry or at several. It is made anew for each pass
- * over the waiting tasks, from each run in progress, so its sums are changed in place.
+ * Mutable loads of the queues of one service, at one entry or summed over several. They are computed for each placement
+ * pass from all runs in progress, so the sums are updated in place.
  */
 public final class QueueLoads {
     private final Map<String, Sums> byQueue = new HashMap<>();
 
-    /** Adds to what a queue uses and needs, in thousandths of a processor. */
+    /** Adds to the load of a queue, in millicores. */
     public void add(String queue, long runningMillicores, long waitingMillicores) {
         Sums sums = byQueue.get(queue);
         if (sums == null) {
@@ -22,20 +22,20 @@
         sums.waitingMillicores += waitingMillicores;
     }
 
-    /** Adds all of another tally. */
+    /** Adds all loads of another instance. */
     public void add(QueueLoads other) {
         for (Map.Entry<String, Sums> load : other.byQueue.entrySet()) {
             add(load.getKey(), load.getValue().runningMillicores, load.getValue().waitingMillicores);
         }
     }
 
-    /** Returns what a queue uses and needs. */
+    /** Returns the load of a queue. */
     public QueueLoad of(String queue) {
         Sums sums = byQueue.get(queue);
         return sums == null ? QueueLoad.NONE : new QueueLoad(sums.runningMillicores, sums.waitingMillicores);
     }
 
-    /** Returns the queues that use or need something. */
+    /** Returns the queues with a load. */
     public Set<String> queues() {
         return byQueue.keySet();
     }
--- a/library/src/main/java/org/chivetally/queue/share/RecentlyRefusedJobs.java
+++ b/library/src/main/java/org/chivetally/queue/share/RecentlyRefusedJobs.java
@@ -5,17 +5,27 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** Jobs that were refused a short time ago, so that a caller that comes back as told is known. Bounded in number. */
+/** Jobs that were refused recently, to recognize their retries. Their number is limited. */
 public final class RecentlyRefusedJobs {
-    /** Time in which a caller that comes back is known: the longest Retry-After and as much again. */
+    /**
+     * Time for which a refused job is remembered: twice the 30 s to which retry delays are limited before the part that
+     * depends on the job.
+     */
     static final Duration RETENTION = Duration.ofSeconds(60);
 
-    /** Jobs that are known at most; at 600 refusals a second those of the last 7 s, and a few hundred kilobytes. */
+    /**
+     * Greatest number of jobs. At 600 refusals per second these are the refusals of the last 7 s, and they take a few
+     * hundred kilobytes.
+     */
     static final int MAXIMUM_JOBS = 4_096;
 
     private final Map<String, Long> refusedAtNanos = new LinkedHashMap<>();
 
-    /** Notes that a job was refused. */
+    /**
+     * Adds a job that was refused.
+     *
+     * @param nowNanos the time, by the steady clock
+     */
     public void add(String jobId, long nowNanos) {
         refusedAtNanos.remove(jobId);
         refusedAtNanos.put(jobId, nowNanos);
@@ -26,7 +36,11 @@
         }
     }
 
-    /** Tells whether a job was refused lately. */
+    /**
+     * Tells whether a job was refused recently.
+     *
+     * @param nowNanos the time, by the steady clock
+     */
     public boolean contains(String jobId, long nowNanos) {
         Long atNanos = refusedAtNanos.get(jobId);
         return atNanos != null && nowNanos - atNanos <= RETENTION.toNanos();
--- a/library/src/main/java/org/chivetally/queue/share/package-info.java
+++ b/library/src/main/java/org/chivetally/queue/share/package-info.java
@@ -1,2 +1,2 @@
-/** Division of a service's processors among queues that together ask for more than there is. No I/O. */
+/** Fair shares of a service's processors for queues that together demand more than there is. No I/O. */
 package org.chivetally.queue.share;
--- a/library/src/main/java/org/chivetally/queue/speed/EstimateCalibrator.java
+++ b/library/src/main/java/org/chivetally/queue/speed/EstimateCalibrator.java
@@ -5,34 +5,36 @@
 import java.util.Map;
 
 /**
- * How far the estimates of a queue's callers can be relied on: the part of an estimate's deviation from the queue's
- * usual one that shows in the duration of the run. Expected durations are estimates corrected by it.
+ * Corrects the estimates of each queue's callers by how far they predict durations. A regression over past runs gives
+ * the part of an estimate's deviation from the queue's mean estimate that shows in the duration of the run; expected
+ * durations keep only that part of the deviation.
  *
- * <p>The load it answers: estimates are off by 40% while the tasks of a queue are much alike. Taken as they are, tasks
- * that were estimated too short look as if a slow worker could still do them in time. The slow workers then get just
- * these, seem ever slower by the ratio of duration to estimate, and get only worse ones: in a replay, workers of
- * stretch 1.5 were taken for 3 to 4.
+ * <p>Estimates are off by 40% while the tasks of a queue are much alike. With uncorrected estimates, tasks that are
+ * estimated too short seem to end in time even on a slow worker. The slow workers then get exactly these tasks, their
+ * ratio of durations to estimates rises, and they get even more of them: in a simulation, workers of stretch 1.5 were
+ * measured at 3 to 4.
  */
 public final class EstimateCalibrator {
-    /** Time in which the weight of a run falls to about a third; what a queue's callers know changes slowly. */
+    /** Time in which the weight of a run falls to 1/e. The accuracy of a queue's callers changes slowly. */
     static final Duration TIME_CONSTANT = Duration.ofSeconds(60);
 
-    /** Runs' worth of trust in the estimates as they are, before anything is learned. */
+    /** Weight of the prior assumption that the estimates are accurate, in runs. */
     static final double PRIOR_RUNS = 30;
 
-    /** Variance of the logarithm of estimates, that of an error of 40%; the prior's runs are taken to have it. */
+    /** Variance of the logarithm of estimates in the prior, which equals an error of 40%. */
     static final double PRIOR_VARIANCE = 0.16;
 
-    /** Most queues that are learned of; the configuration has a handful. */
+    /** Greatest number of queues; a configuration has a handful. */
     private static final int MAXIMUM_QUEUES = 1_000;
 
     private final Map<String, Regression> regressions = new HashMap<>();
 
     /**
-     * Notes a run that ended done.
+     * Records a run that ended successfully.
      *
      * @param estimatedMillis its caller's estimate, in milliseconds
-     * @param durationMillis its duration on a worker of average speed, in milliseconds
+     * @param durationMillis its duration on a worker of stretch 1, in milliseconds
+     * @param nowNanos the time, by the steady clock
      */
     public void recordRun(String queue, int estimatedMillis, double durationMillis, long nowNanos) {
         if (estimatedMillis <= 0 || durationMillis <= 0) {
@@ -49,7 +51,11 @@
         regression.add(Math.log(estimatedMillis), Math.log(durationMillis), nowNanos);
     }
 
-    /** Returns the duration to expect of a task, in milliseconds, on a worker whose runs last as estimated. */
+    /**
+     * Returns the expected duration of a task in milliseconds on a worker of stretch 1.
+     *
+     * @param estimatedMillis its caller's estimate, in milliseconds; 0 without one
+     */
     public double expectedMillis(String queue, int estimatedMillis) {
         Regression regression = regressions.get(queue);
         if (regression == null || estimatedMillis <= 0) {
@@ -58,7 +64,9 @@
         return regression.expectedMillis(estimatedMillis);
     }
 
-    /** A line through the logarithms of estimates and durations, by least squares, in which old runs lose weight. */
+    /**
+     * Least-squares regression of the logarithm of durations on that of estimates, in which the weight of runs decays.
+     */
     private static final class Regression {
         private double runs;
         private double meanEstimate;
@@ -80,7 +88,8 @@
         }
 
         /**
-         * Corrects only deviations from the usual estimate: how long runs last on the whole is the workers' stretch.
+         * Returns the expected duration in milliseconds. Only the deviation from the mean estimate is corrected: the
+         * general ratio of durations to estimates is part of the workers' stretch.
          */
         private double expectedMillis(int estimatedMillis) {
             double prior = PRIOR_RUNS * PRIOR_VARIANCE;
--- a/library/src/main/java/org/chivetally/queue/speed/KindStretches.java
+++ b/library/src/main/java/org/chivetally/queue/speed/KindStretches.java
@@ -6,44 +6,45 @@
 import java.util.Map;
 
 /**
- * How long runs last on workers of each kind, compared with their estimates, and on one worker among them. What a
- * worker's few runs tell is drawn towards its kind, and what a kind's few runs tell towards all kinds.
+ * The stretch of each kind of worker, and of single workers compared with their kind. The stretch is the ratio of
+ * actual to estimated durations of runs. With few runs, the stretch of a worker is shrunk towards that of its kind, and
+ * the stretch of a kind towards the mean of all kinds.
  *
- * <p>The load it answers: estimates are off by 40% (standard deviation), so the mean of ten runs is off by 13%, and the
- * fastest of seventeen equal workers would look a quarter faster than the slowest.
+ * <p>Estimates are off by 40% (standard deviation), so the mean of ten runs is off by 13%. Without shrinkage, the
+ * fastest of seventeen equal workers would seem a quarter faster than the slowest.
  *
- * <p>A kind is remembered for minutes after its last runs. While the slow kind gets no work its workers tell nothing;
- * forgotten as fast as a worker is, it would count as average after some seconds, get a share of all work, and be found
- * slow again, over and over.
+ * <p>A kind is retained for minutes after its last runs, because workers of a slow kind report nothing new while they
+ * get no work. If a kind were forgotten as fast as a worker's runs are, it would count as average after some seconds,
+ * get a share of all work, and be found slow again, over and over.
  */
 public final class KindStretches {
     /**
-     * Runs of its kind that a worker's own runs are weighed against. The error of a worker's stretch is then at most
-     * 5%, while eight runs that last five times as long raise it by half.
+     * Weight of the kind's stretch, in runs, when a worker's own runs are shrunk towards it. The error of a worker's
+     * stretch is then at most 5%, while eight runs that last five times as long raise it by half.
      */
     static final double WORKER_PRIOR_RUNS = 16;
 
-    /** Runs of all kinds that a kind's runs are weighed against. */
+    /** Weight of the mean of all kinds, in runs, when a kind's runs are shrunk towards it. */
     static final double KIND_PRIOR_RUNS = 2;
 
     /**
-     * Factor by which a worker differs from its kind before that counts. It is five times the error, so that none of
-     * seventy equal workers stands out by chance.
+     * Factor by which a worker must differ from its kind to be rated by its own stretch. It is five times the error, so
+     * that none of seventy equal workers differs by chance.
      */
     static final double DISTINCT_FACTOR = 1.3;
 
     private static final double DISTINCT_LOGARITHM = Math.log(DISTINCT_FACTOR);
 
-    /** Weight of a worker's mean whose runs all ended long ago, in runs: it still tells something of its kind. */
+    /** Weight of a worker's mean whose runs all ended long ago, in runs: it still says something about its kind. */
     static final double EXPIRED_MEAN_WEIGHT = 1;
 
-    /** Greatest weight at which a kind is remembered, in runs, so that a kind that has changed is learned again. */
+    /** Greatest weight of a retained kind, in runs, so that a change of the kind is learned. */
     static final double MAXIMUM_RETAINED_RUNS = 100;
 
-    /** Time in which the weight of a remembered kind falls to about a third. */
+    /** Time in which the weight of a retained kind falls to 1/e. */
     static final Duration KIND_TIME_CONSTANT = Duration.ofMinutes(10);
 
-    /** Weight under which a kind is forgotten, as workers of a kind may be gone for good. */
+    /** Weight in runs below which a kind is removed, as there may be no workers of that kind any more. */
     private static final double MINIMUM_RETAINED_RUNS = 0.1;
 
     private final Map<String, Kind> kinds = new HashMap<>();
@@ -51,7 +52,11 @@
     private double slowestLogarithm;
     private long decayedAtNanos;
 
-    /** Begins to take reports of all workers. */
+    /**
+     * Starts a round of reports of all workers.
+     *
+     * @param nowNanos the time, by the steady clock
+     */
     public void begin(long nowNanos) {
         double decay = Math.exp(-Math.max(0, (double) (nowNanos - decayedAtNanos)) / KIND_TIME_CONSTANT.toNanos());
         decayedAtNanos = nowNanos;
@@ -62,7 +67,7 @@
         }
     }
 
-    /** Takes the newest report of one worker. */
+    /** Adds the latest report of one worker. */
     public void add(String kind, LearnedStretch worker) {
         if (!worker.isKnown()) {
             return;
@@ -77,7 +82,7 @@
         known.reportedLogarithmSum += runs * worker.logarithm();
     }
 
-    /** Ends the reports; the stretches are those of them from now on. */
+    /** Ends the round of reports; from now on the stretches include them. */
     public void finish() {
         double runs = 0;
         double logarithmSum = 0;
@@ -101,15 +106,16 @@
         }
     }
 
-    /** Returns the stretch of a kind; that of all kinds for one that is unknown, and 1 while nothing is known. */
+    /** Returns the stretch of a kind; the mean of all kinds for an unknown kind, and 1 while nothing is known. */
     public double stretch(String kind) {
         return Math.exp(logarithm(kind));
     }
 
     /**
-     * Returns the stretch of a worker of a kind: that of its kind, unless its own is distinct. One that has fallen
-     * behind its kind counts as slower than the slowest kind: what its runs tell lags behind what it has become, and it
-     * would be taken for the best after those of its kind, and get all that these leave.
+     * Returns the stretch of a worker: that of its kind, unless its own differs by more than {@link #DISTINCT_FACTOR}.
+     * A worker that is slower than its kind is rated slower than the slowest kind, because its mean lags behind its
+     * current speed. Otherwise it would be rated next to the best after those of its kind, and get all the work that
+     * these leave.
      */
     public double stretch(String kind, LearnedStretch worker) {
         double expected = logarithm(kind);
@@ -134,14 +140,14 @@
         return (own * runs + prior * priorRuns) / (runs + priorRuns);
     }
 
-    /** What is known of a kind: what its workers have told, and what is remembered. */
+    /** The retained stretch of a kind and the reports of its workers in this round. */
     private static final class Kind {
         private double reportedRuns;
         private double reportedLogarithmSum;
         private double retainedRuns;
         private double retainedLogarithm;
 
-        /** Replaces what is remembered as far as what was told outweighs it. */
+        /** Merges the reports into the retained mean, or replaces it if the reports weigh at least as much. */
         private void mergeReports() {
             if (reportedRuns == 0) {
                 return;
--- a/library/src/main/java/org/chivetally/queue/speed/RunStretch.java
+++ b/library/src/main/java/org/chivetally/queue/speed/RunStretch.java
@@ -3,17 +3,17 @@
 import java.time.Duration;
 
 /**
- * How long the runs of one worker last, compared with their estimates: a geometric mean in which a run loses weight
- * with its age.
+ * The stretch of one worker: the ratio of actual to estimated durations of its runs, as a geometric mean in which the
+ * weight of a run decays with its age.
  *
- * <p>The load it answers: workers whose speeds differ by 2.4 while estimates are off by 40% (standard deviation,
- * log-normal). The logarithm of a ratio has the same spread on a fast and a slow worker, and 3% of runs that take seven
- * times as long raise its mean by 6%, where they would raise a plain mean by 18%.
+ * <p>Speeds of workers differ by a factor of 2.4 while estimates are off by 40% (standard deviation, log-normal). The
+ * logarithm of the ratio has the same spread on fast and slow workers. If 3% of the runs take seven times as long, its
+ * mean rises by 6%, where an arithmetic mean would rise by 18%.
  */
 public final class RunStretch {
     /**
-     * Time in which the weight of a run falls to about a third. A loaded worker ends about 36 runs a second, so the
-     * mean is good to 6%, and a worker that turns slow shows after little more than a second.
+     * Time in which the weight of a run falls to 1/e. A loaded worker ends about 36 runs per second, so the error of
+     * the mean is 6%, and a worker that becomes slow is detected after little more than a second.
      */
     static final Duration TIME_CONSTANT = Duration.ofMillis(1_500);
 
@@ -22,9 +22,11 @@
     private long decayedAtNanos;
 
     /**
-     * Notes a run that ended done.
+     * Records a run that ended successfully.
      *
-     * @param estimatedMillis its caller's estimate in milliseconds; without one it tells nothing
+     * @param durationNanos actual duration, in nanoseconds
+     * @param estimatedMillis its caller's estimate in milliseconds; a run without one is ignored
+     * @param nowNanos the time, by the steady clock
      */
     public void recordRun(long durationNanos, int estimatedMillis, long nowNanos) {
         if (estimatedMillis <= 0 || durationNanos <= 0) {
@@ -36,18 +38,22 @@
         decayedAtNanos = nowNanos;
     }
 
-    /** Returns the mean with its weight at a moment, which is not before the last end. */
+    /**
+     * Returns the mean and its weight.
+     *
+     * @param nowNanos the time, by the steady clock, not before the end of the last run
+     */
     public LearnedStretch at(long nowNanos) {
         if (runWeight == 0) {
             return LearnedStretch.UNKNOWN;
         }
-        // Both sums decay alike, so the mean stays as it is and only its weight falls.
+        // Both sums decay by the same factor, so the mean stays the same and only its weight falls.
         long permille = Math.round(1000 * Math.exp(logarithmSum / runWeight));
         return new LearnedStretch(
                 (int) Math.clamp(permille, 1, Integer.MAX_VALUE), (int) Math.round(runWeight * decay(nowNanos)));
     }
 
-    /** Forgets all runs, as they were those of another minion. */
+    /** Discards all runs, as they belong to another minion. */
     public void clear() {
         runWeight = 0;
         logarithmSum = 0;
--- a/library/src/main/java/org/chivetally/queue/speed/SpeedClasses.java
+++ b/library/src/main/java/org/chivetally/queue/speed/SpeedClasses.java
@@ -3,20 +3,26 @@
 import java.util.Arrays;
 
 /**
- * Workers sorted into classes of similar speed, the fastest class first. Within a class other things decide than the
- * speed, as differences of some percent are within the error of what is learned.
+ * Classes of workers with similar speed, the fastest class first. Within a class, workers are chosen by other criteria,
+ * as differences of some percent are within the error of learned speeds.
  */
 public final class SpeedClasses {
-    /** Stretches that lie closer together than this factor are of one class. */
+    /** Greatest ratio of the stretches of neighboring workers of one class. */
     static final double MAXIMUM_NEIGHBOR_RATIO = 1.15;
 
-    /** Greatest factor within a class: many workers of slightly different speed must not chain all into one. */
+    /**
+     * Greatest ratio of stretches within a class, so that many workers of slightly different speed don't form a single
+     * class.
+     */
     static final double MAXIMUM_CLASS_RATIO = MAXIMUM_NEIGHBOR_RATIO * MAXIMUM_NEIGHBOR_RATIO;
 
-    /** Factor by which the spread has to exceed a bound, as it is learned with an error of some percent itself. */
+    /** Factor by which the spread must exceed a bound, as the spread is learned with an error of some percent. */
     static final double SPREAD_ERROR_MARGIN = 1.1;
 
-    /** Low bits of a stretch that make room for the place of its worker; its other 36 bits are precise enough. */
+    /**
+     * Low bits of a stretch that are replaced by the index of its worker; the other 36 bits of the mantissa are precise
+     * enough.
+     */
     private static final long INDEX_MASK = 0xFFFF;
 
     private final int[] ranks;
@@ -28,7 +34,7 @@
     }
 
     /**
-     * Sorts workers into classes.
+     * Groups workers into classes.
      *
      * @param stretches stretch of each worker, positive; fewer than 65,536 workers
      */
@@ -36,7 +42,7 @@
         int count = stretches.length;
         long[] order = new long[count];
         for (int index = 0; index < count; index++) {
-            // Positive numbers are ordered as their bits are.
+            // Positive floating-point numbers have the order of their bit patterns.
             order[index] = Double.doubleToLongBits(stretches[index]) & ~INDEX_MASK | index;
         }
         Arrays.sort(order);
@@ -72,7 +78,7 @@
         return means.length;
     }
 
-    /** Returns the class of a worker, by its place; 0 is the fastest. */
+    /** Returns the class of a worker by its index; 0 is the fastest. */
     public int rank(int index) {
         return ranks[index];
     }
@@ -83,14 +89,16 @@
     }
 
     /**
-     * Returns how many times as long the slowest class takes as the fastest. By the means of classes, as the extremes
-     * of many equal workers differ by chance.
+     * Returns the ratio of run durations between the slowest and the fastest class. It is taken from the means of the
+     * classes, as the extremes of many equal workers differ by chance.
      */
     public double spread() {
         return means.length == 0 ? 1 : means[means.length - 1] / means[0];
     }
 
-    /** Tells whether the slowest class takes certainly more than so many times as long as the fastest. */
+    /**
+     * Tells whether the ratio of run durations between the slowest and the fastest class certainly exceeds a factor.
+     */
     public boolean spreadExceeds(double factor) {
         return spread() > SPREAD_ERROR_MARGIN * factor;
     }
--- a/library/src/main/java/org/chivetally/queue/speed/package-info.java
+++ b/library/src/main/java/org/chivetally/queue/speed/package-info.java
@@ -1,2 +1,2 @@
-/** What is learned of the workers' speeds from the durations of their runs. No I/O; the time is an argument. */
+/** Speeds of workers, learned from the durations of their runs. No I/O; the time is an argument. */
 package org.chivetally.queue.speed;
--- a/library/src/test/java/org/chivetally/queue/placement/FairShareOrderTest.java
+++ b/library/src/test/java/org/chivetally/queue/placement/FairShareOrderTest.java
@@ -86,7 +86,7 @@
 
     /** Jobs that nobody counts as served any more must not take the room of others by their queue's share. */
     @Test
-    void hopelessTasksComeLastRegardlessOfShares() {
+    void tooLateTasksComeLastRegardlessOfShares() {
         ownLoads.add("queue-0", 6 * TASK_MILLICORES, 0);
         job("burst", 0, 2, 0);
         addWaiting(new Job(Jobs.of("hopeless", 1, 1, 100), 0, SECOND_NANOS / 100));
--- a/library/src/test/java/org/chivetally/queue/placement/PlacementDecisionsTest.java
+++ b/library/src/test/java/org/chivetally/queue/placement/PlacementDecisionsTest.java
@@ -223,12 +223,12 @@
      * priority and age; without that, the whole backlog would be late one after the other.
      */
     @Test
-    void placesJobsThatCanEndInTimeBeforeHopelessOnes() {
+    void placesJobsThatCanEndInTimeBeforeThoseTooLate() {
         WaitingTasks waiting = new WaitingTasks();
-        Job hopeless = new Job(Jobs.of("old", 1, 0, 100), 0, SECOND_NANOS);
+        Job tooLate = new Job(Jobs.of("old", 1, 0, 100), 0, SECOND_NANOS);
         Job urgent = new Job(Jobs.of("urgent", 1, 0, 100), 2 * SECOND_NANOS - SECOND_NANOS / 10, 9 * SECOND_NANOS);
         Job usual = new Job(Jobs.of("usual", 1, 1, 100), 2 * SECOND_NANOS - SECOND_NANOS / 5, 9 * SECOND_NANOS);
-        for (Job job : List.of(hopeless, usual, urgent)) {
+        for (Job job : List.of(tooLate, usual, urgent)) {
             waiting.add(job.tasks().getFirst(), 2 * SECOND_NANOS);
         }
         List<String> order = new ArrayList<>();
