--- a/library/src/main/java/org/chivetally/queue/CompletionForecast.java
+++ b/library/src/main/java/org/chivetally/queue/CompletionForecast.java
@@ -1,19 +1,20 @@
 package org.chivetally.queue;
 
 /**
- * What a job can still reach if its next task starts now, going by the estimates.
+ * Forecast of whether a job will end in time if its next task starts now, based on the estimated durations.
  *
- * @param timeliness what it can reach
- * @param validUntilNanos last moment at which that is so, by the steady clock of the process
+ * @param timeliness the forecast
+ * @param validUntilNanos latest start of the next task for which the forecast holds, in nanoseconds on the monotonic
+ *     clock of the process
  */
 public record CompletionForecast(Timeliness timeliness, long validUntilNanos) {
-    /** What the end of a job is worth to its caller, the best first. */
+    /** How useful the end of a job will be to its caller, best first. */
     public enum Timeliness {
-        /** It ends within its objective. */
+        /** The job meets its objective. */
         ON_TIME,
-        /** It ends after its objective, which is worth a fifth of that by the callers' sheets. */
+        /** The job ends after its objective, which callers value at a fifth of an end on time. */
         LATE,
-        /** It ends when nobody counts it as served any more. */
+        /** The job ends so late that its caller counts it as not served. */
         TOO_LATE
     }
 }
--- a/library/src/main/java/org/chivetally/queue/Job.java
+++ b/library/src/main/java/org/chivetally/queue/Job.java
@@ -9,19 +9,22 @@
 import java.util.TreeMap;
 import org.chivetally.queue.crash.CrashCount;
 
-/** An accepted job and its tasks. Its phase is final from the moment an end is decided, before that is stored. */
+/**
+ * An accepted job and its tasks. The phase becomes final as soon as the job's end is decided, even if that end has not
+ * been stored yet.
+ */
 public final class Job {
-    /** An end after this many objectives counts as not served, by the callers' own reckoning. */
+    /** Callers count a job as not served if it ends later than this many times its objective after acceptance. */
     static final int USEFUL_OBJECTIVES = 3;
 
     /**
-     * Share of the wait allowed by its objective after which a job that has not started gives way to fresher ones.
-     * Under a standing backlog all jobs wait about that long, and estimates are off by 40% (standard deviation): of
-     * jobs that start after half of the wait, 98% end within their objective, after the whole wait only half.
+     * Share of the queueing time allowed by its objective after which a queued job yields to newer jobs. Under a
+     * persistent backlog all jobs wait about that long, and estimates have a standard deviation of 40%: 98% of the jobs
+     * that start after half of the allowed time meet their objective, but only half of those that use up all of it.
      */
     static final double ON_TIME_WAIT_SHARE = 0.5;
 
-    /** Objective of a job without estimates: longer than any caller waits. */
+    /** Objective of a job without estimates. It exceeds the timeout of every caller. */
     static final Duration DEFAULT_OBJECTIVE = Duration.ofHours(1);
 
     private final JobSpecification specification;
@@ -32,16 +35,18 @@
     private final boolean durable;
     private final List<Task> tasks = new ArrayList<>();
     private final int[] unfinishedInStep;
-    private int unfinished;
+    private int unfinishedTasks;
     private boolean anyRunStarted;
     private JobPhase phase = JobPhase.QUEUED;
     private JobPhase reportedPhase = JobPhase.QUEUED;
     private long endedAtMillis;
 
     /**
-     * Creates a job none of whose tasks has run.
+     * Creates a durable job, which is stored in the log, in its initial state.
      *
-     * @param acceptedAtNanos when this process took the job on, by its steady clock
+     * @param specification the accepted job
+     * @param acceptedAtNanos time on the monotonic clock, in nanoseconds, at which this process accepted or loaded the
+     *     job
      */
     public Job(JobSpecification specification, long acceptedAtNanos) {
         this(
@@ -53,10 +58,11 @@
     }
 
     /**
-     * Creates a job that is kept in this process only.
+     * Creates a job that is held only in the memory of this process, in its initial state.
      *
-     * @param acceptedAtNanos when this process took the job on, by its steady clock
-     * @param deadlineNanos when its caller gives up, by that clock
+     * @param specification the accepted job
+     * @param acceptedAtNanos time on the monotonic clock, in nanoseconds, at which this process accepted the job
+     * @param deadlineNanos time on the monotonic clock, in nanoseconds, at which the caller's request times out
      */
     public Job(JobSpecification specification, long acceptedAtNanos, long deadlineNanos) {
         this(
@@ -77,15 +83,15 @@
         this.durable = durable;
         this.specification = specification;
         this.acceptedAtNanos = acceptedAtNanos;
-        this.objectiveNanos = Math.min(usefulUntilNanos, acceptedAtNanos + objectiveNanos(specification));
+        this.objectiveNanos = Math.min(usefulUntilNanos, acceptedAtNanos + objectiveDurationNanos(specification));
         this.usefulUntilNanos = usefulUntilNanos;
         this.unfinishedInStep = new int[specification.steps().size()];
         createTasks();
     }
 
-    private static long objectiveNanos(JobSpecification specification) {
+    private static long objectiveDurationNanos(JobSpecification specification) {
         if (specification.criticalPathMillis() == 0) {
-            // Nothing is known of the work, so nothing can be said of its end.
+            // Without estimates, the job's end can't be predicted.
             return DEFAULT_OBJECTIVE.toNanos();
         }
         double millis = specification.terms().slackFactor() * specification.criticalPathMillis()
@@ -94,48 +100,48 @@
     }
 
     private static long usefulDurationNanos(JobSpecification specification) {
-        return USEFUL_OBJECTIVES * objectiveNanos(specification);
+        return USEFUL_OBJECTIVES * objectiveDurationNanos(specification);
     }
 
     private void createTasks() {
         for (int step = 0; step < unfinishedInStep.length; step++) {
-            StepSpecification specified = specification.steps().get(step);
-            unfinishedInStep[step] = specified.count();
-            Task.Status status = specified.after().isEmpty() ? Task.Status.WAITING : Task.Status.BLOCKED;
-            for (int index = 0; index < specified.count(); index++) {
+            StepSpecification stepSpecification = specification.steps().get(step);
+            unfinishedInStep[step] = stepSpecification.count();
+            Task.Status status = stepSpecification.after().isEmpty() ? Task.Status.WAITING : Task.Status.BLOCKED;
+            for (int index = 0; index < stepSpecification.count(); index++) {
                 TaskKey key = new TaskKey(specification.id(), 0, step, index);
                 tasks.add(new Task(this, key, tasks.size(), status));
             }
         }
-        unfinished = tasks.size();
+        unfinishedTasks = tasks.size();
     }
 
-    /** Returns what was accepted. */
+    /** Returns the specification of the job. */
     public JobSpecification specification() {
         return specification;
     }
 
-    /** Returns when this process took the job on, by its steady clock. */
+    /** Returns when this process accepted or loaded the job, in nanoseconds on its monotonic clock. */
     public long acceptedAtNanos() {
         return acceptedAtNanos;
     }
 
-    /** Tells whether the job is kept in the log, and so outlives this process. */
+    /** Returns whether the job is stored in the log, and so survives the end of this process. */
     public boolean isDurable() {
         return durable;
     }
 
-    /** Returns when the job's end is worth nothing any more, by this process's steady clock. */
+    /** Returns the time after which the job's end is of no use to its caller, in nanoseconds on the monotonic clock. */
     public long usefulUntilNanos() {
         return usefulUntilNanos;
     }
 
-    /** Returns when the job's end is no longer in time, by this process's steady clock. */
+    /** Returns the time by which the job has to end to meet its objective, in nanoseconds on the monotonic clock. */
     public long objectiveNanos() {
         return objectiveNanos;
     }
 
-    /** Returns the estimated milliseconds of the steps that are open after a task's own. */
+    /** Returns the estimated duration of the unfinished steps that remain after the step of a task, in milliseconds. */
     public long remainingMillisAfter(Task task) {
         if (unfinishedInStep.length == 1) {
             return 0;
@@ -144,7 +150,11 @@
         return Math.max(0, remaining - task.step().estimatedMillis());
     }
 
-    /** Returns what the job can still reach if its next task starts now. */
+    /**
+     * Returns whether the job will end in time if its next task starts now, according to the estimates.
+     *
+     * @param nowNanos current time on the monotonic clock, in nanoseconds
+     */
     public CompletionForecast completionForecast(long nowNanos) {
         long remaining = Duration.ofMillis(specification.criticalPathMillis(place -> unfinishedInStep[place] > 0))
                 .toNanos();
@@ -162,8 +172,8 @@
     }
 
     /**
-     * Returns the last moment at which a task may start for the job to end before its caller gives up, by the
-     * estimates; never for a job that is kept.
+     * Returns the latest time at which the next task can start for the job to end before its caller's request times
+     * out, according to the estimates, in nanoseconds on the monotonic clock. A durable job has no such limit.
      */
     public long latestStartNanos() {
         long remaining = Duration.ofMillis(specification.criticalPathMillis(place -> unfinishedInStep[place] > 0))
@@ -171,32 +181,37 @@
         return deadlineNanos - remaining;
     }
 
-    /** Tells whether a job that goes on now can't end before its limit, going by the estimates. */
+    /**
+     * Returns whether the job would end too late to be of use to its caller even if its next task started now,
+     * according to the estimates.
+     *
+     * @param nowNanos current time on the monotonic clock, in nanoseconds
+     */
     public boolean isTooLate(long nowNanos) {
         return completionForecast(nowNanos).timeliness() == CompletionForecast.Timeliness.TOO_LATE;
     }
 
-    /** Returns all tasks, in the order of steps and indexes. */
+    /** Returns all tasks, ordered by step and index. */
     public List<Task> tasks() {
         return List.copyOf(tasks);
     }
 
-    /** Returns the phase as decided, stored or not. */
+    /** Returns the current phase, whether it is stored or not. */
     public JobPhase phase() {
         return phase;
     }
 
-    /** Returns the phase that callers may be told: an end only after it is stored. */
+    /** Returns the phase to report to callers: a final phase only after it has been stored. */
     public JobPhase reportedPhase() {
         return reportedPhase;
     }
 
-    /** Returns when the job ended, in milliseconds since 1970; 0 while it hasn't. */
+    /** Returns when the job ended, in milliseconds since the Unix epoch; 0 before its end. */
     public long endedAtMillis() {
         return endedAtMillis;
     }
 
-    /** Returns the task of that name, if the job has it. */
+    /** Returns the task with the given key, if the job has it. */
     public Optional<Task> task(TaskKey key) {
         for (Task task : tasks) {
             if (task.key().equals(key)) {
@@ -206,7 +221,7 @@
         return Optional.empty();
     }
 
-    /** Returns the tasks in the given status. */
+    /** Returns the tasks with the given status. */
     public List<Task> tasksIn(Task.Status status) {
         List<Task> found = new ArrayList<>();
         for (Task task : tasks) {
@@ -217,7 +232,13 @@
         return found;
     }
 
-    /** Notes that a start of a task was sent to a worker, or that a worker has told of one. */
+    /**
+     * Records that a run of a task was sent to a worker or was reported by one.
+     *
+     * @param task the task
+     * @param worker name of the worker
+     * @param run number of the run
+     */
     public void recordPlacement(Task task, String worker, long run) {
         task.recordPlacement(worker, run);
         if (phase == JobPhase.QUEUED) {
@@ -226,20 +247,23 @@
         }
     }
 
-    /** Notes that an earlier owner may have started the task. */
+    /** Records that a previous owner of the job may have started the task. */
     public void markUncertain(Task task) {
         task.changeStatus(Task.Status.UNCERTAIN);
     }
 
-    /** Notes that no run of the task is in progress, so that it may be placed again. */
+    /** Records that no run of the task is in progress, so that it can be placed again. */
     public void markWaiting(Task task) {
         task.changeStatus(Task.Status.WAITING);
     }
 
     /**
-     * Notes the end of the task's newest run.
+     * Records the end of the latest run of a task.
      *
-     * @return tasks that have become ready to be placed by it
+     * @param task the task
+     * @param outcome how the run ended
+     * @param nowMillis time of day in milliseconds since the Unix epoch
+     * @return the tasks that can be placed as a result
      */
     public List<Task> recordRunEnd(Task task, RunOutcome outcome, long nowMillis) {
         if (task.status() == Task.Status.DONE) {
@@ -263,7 +287,7 @@
                 && !anyRunStarted
                 && phase == JobPhase.RUNNING
                 && tasksIn(Task.Status.PLACED).isEmpty()) {
-            // Its starts were all turned down, so that it can still be refused as not run when its turn doesn't come.
+            // Workers rejected all starts, so the job can still be refused as not run if it gets no capacity in time.
             phase = JobPhase.QUEUED;
             reportedPhase = JobPhase.QUEUED;
         }
@@ -272,10 +296,10 @@
 
     private List<Task> completeTask(Task task, long nowMillis) {
         task.changeStatus(Task.Status.DONE);
-        unfinished--;
+        unfinishedTasks--;
         int step = task.key().step();
         unfinishedInStep[step]--;
-        if (unfinished == 0 && !phase.isFinal()) {
+        if (unfinishedTasks == 0 && !phase.isFinal()) {
             finish(JobPhase.COMPLETED, nowMillis);
         }
         return unfinishedInStep[step] == 0 ? unblockTasks() : List.of();
@@ -301,18 +325,23 @@
         return true;
     }
 
-    /** Ends the job; its tasks in progress are to be stopped. */
+    /**
+     * Ends the job. The caller has to stop the runs that are in progress.
+     *
+     * @param end the final phase
+     * @param nowMillis time of day in milliseconds since the Unix epoch
+     */
     public void finish(JobPhase end, long nowMillis) {
         phase = end;
         endedAtMillis = nowMillis;
     }
 
-    /** Notes that the end is stored, so that callers may be told. */
+    /** Records that the end is stored, so that it can be reported to callers. */
     public void markEndStored() {
         reportedPhase = phase;
     }
 
-    /** Returns what the log has to keep of the job's course so far. */
+    /** Returns the progress of the job, to be stored in the log. */
     public JobProgress progress() {
         BitSet done = new BitSet(tasks.size());
         Map<Integer, Integer> failures = new TreeMap<>();
@@ -332,10 +361,11 @@
     }
 
     /**
-     * Takes over what the log kept. Tasks that aren't done and whose turn has come are uncertain afterwards: the owner
-     * before may have started them without a trace in the log.
+     * Restores the progress stored in the log. Tasks that are ready but not done become uncertain, because the previous
+     * owner may have started them without a record in the log.
      *
-     * @param firstRun lowest number that no run of an earlier owner can have
+     * @param stored progress from the log
+     * @param firstRun lowest run number that no previous owner can have used
      */
     public void restore(JobProgress stored, long firstRun) {
         for (Task task : tasks) {
--- a/library/src/main/java/org/chivetally/queue/JobAnswer.java
+++ b/library/src/main/java/org/chivetally/queue/JobAnswer.java
@@ -3,16 +3,16 @@
 import java.time.Duration;
 import java.util.Objects;
 
-/** What a caller is told about a job. */
+/** Answer to a caller's request to submit, query or cancel a job. */
 public sealed interface JobAnswer {
-    /** The job is stored and will run. */
+    /** The job is stored in the log and will run. */
     record Accepted() implements JobAnswer {}
 
     /**
-     * The job is not stored and will never run by this request.
+     * The job was not accepted, and this request will not cause it to run.
      *
-     * @param reason why, for logs and the caller
-     * @param retryAfter when another request may fare better
+     * @param reason reason for logs and the caller
+     * @param retryAfter time after which a retry is more likely to succeed
      */
     record Refused(RefusalReason reason, Duration retryAfter) implements JobAnswer {
         /** Refuses missing parts. */
@@ -23,29 +23,29 @@
     }
 
     /**
-     * Whether the job is stored could not be found out in time.
+     * Whether the job was stored could not be determined in time.
      *
-     * @param reason why, for logs
+     * @param reason reason for logs
      */
     record Undecided(String reason) implements JobAnswer {}
 
     /**
-     * The state of jobs can't be read now.
+     * The state of the job can't be read at present.
      *
-     * @param reason why, for logs
+     * @param reason reason for logs
      */
     record Unavailable(String reason) implements JobAnswer {}
 
-    /** The one that was asked does not own the job's partition. */
+    /** The process that received the request does not own the job's partition. */
     record NotOwner() implements JobAnswer {}
 
-    /** No job of that id is kept. */
+    /** No job with this id is known. */
     record UnknownJob() implements JobAnswer {}
 
     /**
-     * How far the job is.
+     * The current state of the job.
      *
-     * @param phase its phase
+     * @param phase phase of the job
      */
     record State(JobPhase phase) implements JobAnswer {
         /** Refuses a missing phase. */
@@ -54,6 +54,6 @@
         }
     }
 
-    /** The job starts no more tasks, or had ended before. */
+    /** The job was cancelled and starts no more tasks, or it had already ended. */
     record Cancelled() implements JobAnswer {}
 }
--- a/library/src/main/java/org/chivetally/queue/JobCodec.java
+++ b/library/src/main/java/org/chivetally/queue/JobCodec.java
@@ -15,11 +15,13 @@
 import org.chivetally.wire.v1.StoredProgress;
 import org.chivetally.wire.v1.StoredStep;
 
-/** Translates jobs and their progress to the messages that the log keeps, and back. */
+/**
+ * Encodes jobs, their progress and their parts as protocol buffer messages for the log and the wire, and decodes them.
+ */
 public final class JobCodec {
     private JobCodec() {}
 
-    /** Writes an accepted job. */
+    /** Encodes an accepted job. */
     public static StoredJob encode(JobSpecification job) {
         QueueTerms terms = job.terms();
         StoredJob.Builder stored = StoredJob.newBuilder()
@@ -58,7 +60,7 @@
                 .build();
     }
 
-    /** Writes a room. */
+    /** Encodes an amount of resources. */
     public static org.chivetally.wire.v1.Room encode(Room room) {
         return org.chivetally.wire.v1.Room.newBuilder()
                 .setProcessorMillis(room.processorMillis())
@@ -67,12 +69,12 @@
                 .build();
     }
 
-    /** Reads a room. */
+    /** Decodes an amount of resources. */
     public static Room decode(org.chivetally.wire.v1.Room room) {
         return new Room(room.getProcessorMillis(), room.getMemoryMegabytes(), room.getAccelerators());
     }
 
-    /** Writes evacuations. */
+    /** Encodes evacuations. */
     public static org.chivetally.wire.v1.Evacuations encode(Evacuations evacuations) {
         return org.chivetally.wire.v1.Evacuations.newBuilder()
                 .setVersion(evacuations.version())
@@ -80,12 +82,12 @@
                 .build();
     }
 
-    /** Reads evacuations. */
+    /** Decodes evacuations. */
     public static Evacuations decode(org.chivetally.wire.v1.Evacuations evacuations) {
         return new Evacuations(evacuations.getVersion(), Set.copyOf(evacuations.getFailureDomainsList()));
     }
 
-    /** Reads an accepted job. */
+    /** Decodes an accepted job. */
     public static JobSpecification decode(StoredJob stored) {
         List<StepSpecification> steps = new ArrayList<>();
         for (StoredStep step : stored.getStepsList()) {
@@ -117,16 +119,16 @@
                 step.getCount(), decode(step.getRoom()), step.getEstimatedMillis(), step.getAfterList(), traits);
     }
 
-    /** Reads an accepted job out of a record of the log, or throws {@link ErrorCode#INTERNAL}. */
+    /** Decodes an accepted job from a log record; throws {@link ErrorCode#INTERNAL} if the record is malformed. */
     public static JobSpecification decodeJob(byte[] record) {
         try {
             return decode(StoredJob.parseFrom(record));
         } catch (InvalidProtocolBufferException e) {
-            throw new ChivetallyException(ErrorCode.INTERNAL, "a job's record can't be read", e);
+            throw new ChivetallyException(ErrorCode.INTERNAL, "the stored record of a job is malformed", e);
         }
     }
 
-    /** Writes the progress of a job. */
+    /** Encodes the progress of a job. */
     public static byte[] encode(JobProgress progress) {
         StoredProgress.Builder stored = StoredProgress.newBuilder();
         progress.crashes()
@@ -141,7 +143,7 @@
                 .toByteArray();
     }
 
-    /** Reads the progress of a job out of a record of the log, or throws {@link ErrorCode#INTERNAL}. */
+    /** Decodes the progress of a job from a log record; throws {@link ErrorCode#INTERNAL} if it is malformed. */
     public static JobProgress decodeProgress(byte[] record) {
         try {
             StoredProgress stored = StoredProgress.parseFrom(record);
@@ -152,7 +154,7 @@
                     crashes(stored),
                     stored.getEndedAtMillis());
         } catch (InvalidProtocolBufferException e) {
-            throw new ChivetallyException(ErrorCode.INTERNAL, "a job's progress can't be read", e);
+            throw new ChivetallyException(ErrorCode.INTERNAL, "the stored progress of a job is malformed", e);
         }
     }
 
@@ -168,7 +170,7 @@
         return crashes;
     }
 
-    /** Writes a phase. */
+    /** Encodes a job phase. */
     public static org.chivetally.wire.v1.JobPhase encode(JobPhase phase) {
         return switch (phase) {
             case QUEUED -> org.chivetally.wire.v1.JobPhase.JOB_PHASE_QUEUED;
@@ -179,7 +181,7 @@
         };
     }
 
-    /** Reads a phase, or throws {@link ErrorCode#INTERNAL} for one that no release writes. */
+    /** Decodes a job phase; throws {@link ErrorCode#INTERNAL} for a phase that this release does not define. */
     public static JobPhase decode(org.chivetally.wire.v1.JobPhase phase) {
         return switch (phase) {
             case JOB_PHASE_QUEUED -> JobPhase.QUEUED;
@@ -188,7 +190,7 @@
             case JOB_PHASE_FAILED -> JobPhase.FAILED;
             case JOB_PHASE_CANCELLED -> JobPhase.CANCELLED;
             case JOB_PHASE_UNSPECIFIED, UNRECOGNIZED ->
-                throw new ChivetallyException(ErrorCode.INTERNAL, "a job's phase is not known: " + phase);
+                throw new ChivetallyException(ErrorCode.INTERNAL, "unknown phase of a stored job: " + phase);
         };
     }
 }
--- a/library/src/main/java/org/chivetally/queue/JobPhase.java
+++ b/library/src/main/java/org/chivetally/queue/JobPhase.java
@@ -1,19 +1,19 @@
 package org.chivetally.queue;
 
-/** What callers are told about a job. */
+/** Phase of a job, as reported to callers. */
 public enum JobPhase {
-    /** Accepted; no task has started. */
+    /** Accepted, but no task has been started. */
     QUEUED,
-    /** At least one task has started. */
+    /** At least one task has been started. */
     RUNNING,
     /** All tasks are done. */
     COMPLETED,
-    /** A task has used up its attempts. */
+    /** A task has failed as often as its queue allows. */
     FAILED,
     /** Cancelled by the caller. */
     CANCELLED;
 
-    /** Tells whether the phase never changes again. */
+    /** Returns whether the phase can no longer change. */
     public boolean isFinal() {
         return this == COMPLETED || this == FAILED || this == CANCELLED;
     }
--- a/library/src/main/java/org/chivetally/queue/JobProgress.java
+++ b/library/src/main/java/org/chivetally/queue/JobProgress.java
@@ -6,13 +6,13 @@
 import org.chivetally.queue.crash.CrashCount;
 
 /**
- * What has become of a job, as it is kept in the log.
+ * Progress of a job, as stored in the log. Tasks are identified by their position among all tasks of the job.
  *
  * @param phase phase of the job
- * @param done places of the tasks that are done
- * @param failures failed runs by place of the task
- * @param crashes crashes by place of the task
- * @param endedAtMillis when the job ended, in milliseconds since 1970; 0 while it hasn't
+ * @param done positions of the tasks that are done
+ * @param failures number of failed runs, by position of the task
+ * @param crashes minion crashes, by position of the task
+ * @param endedAtMillis when the job ended, in milliseconds since the Unix epoch; 0 before its end
  */
 public record JobProgress(
         JobPhase phase,
@@ -20,7 +20,7 @@
         Map<Integer, Integer> failures,
         Map<Integer, CrashCount> crashes,
         long endedAtMillis) {
-    /** Copies the collections. */
+    /** Requires a phase and copies the collections. */
     public JobProgress {
         Objects.requireNonNull(phase, "phase");
         done = (BitSet) done.clone();
@@ -28,7 +28,7 @@
         crashes = Map.copyOf(crashes);
     }
 
-    /** Returns the progress of a job of which the log knows only that it was accepted. */
+    /** Returns the progress of a job of which only the acceptance is stored. */
     public static JobProgress none() {
         return new JobProgress(JobPhase.QUEUED, new BitSet(), Map.of(), Map.of(), 0);
     }
--- a/library/src/main/java/org/chivetally/queue/JobSpecification.java
+++ b/library/src/main/java/org/chivetally/queue/JobSpecification.java
@@ -5,17 +5,17 @@
 import java.util.function.IntPredicate;
 
 /**
- * An accepted job, as it is kept in the log.
+ * The immutable description of an accepted job, as stored in the log.
  *
- * @param id 16 hexadecimal digits that the caller chose; the same id is the same job
- * @param terms terms of its queue
- * @param payload text handed to every task
- * @param acceptedAtMillis when the job was accepted, in milliseconds since 1970
- * @param steps its steps, at least one
+ * @param id 16 hexadecimal digits chosen by the caller; requests with the same id mean the same job
+ * @param terms parameters of the job's queue
+ * @param payload text passed to every task
+ * @param acceptedAtMillis when the job was accepted, in milliseconds since the Unix epoch
+ * @param steps steps of the job, at least one
  */
 public record JobSpecification(
         String id, QueueTerms terms, String payload, long acceptedAtMillis, List<StepSpecification> steps) {
-    /** Copies the steps and refuses a job without any. */
+    /** Requires an id, terms, a payload and at least one step, and copies the steps. */
     public JobSpecification {
         Objects.requireNonNull(id, "id");
         Objects.requireNonNull(terms, "terms");
@@ -26,7 +26,7 @@
         }
     }
 
-    /** Returns the number of tasks in all steps. */
+    /** Returns the number of tasks of all steps. */
     public int taskCount() {
         int count = 0;
         for (StepSpecification step : steps) {
@@ -35,15 +35,15 @@
         return count;
     }
 
-    /** Returns the estimated milliseconds of the longest chain of steps. */
+    /** Returns the estimated duration of the critical path through the steps, in milliseconds. */
     public long criticalPathMillis() {
         return criticalPathMillis(position -> true);
     }
 
     /**
-     * Returns the estimated milliseconds of the longest chain of steps.
+     * Returns the estimated duration of the critical path through some of the steps, in milliseconds.
      *
-     * @param counts whether the step at a place counts; the others take no time
+     * @param included whether to include the step at a position; the other steps count as taking no time
      */
     public long criticalPathMillis(IntPredicate included) {
         long[] ends = new long[steps.size()];
@@ -59,7 +59,7 @@
         return longest;
     }
 
-    /** Returns the processor milliseconds of all tasks, by their estimates. */
+    /** Returns the estimated processor time of all tasks, in milliseconds of one core. */
     public long estimatedCoreMillis() {
         long coreMillis = 0;
         for (StepSpecification step : steps) {
--- a/library/src/main/java/org/chivetally/queue/QueueConfiguration.java
+++ b/library/src/main/java/org/chivetally/queue/QueueConfiguration.java
@@ -5,7 +5,7 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** One version of the operators' configuration, as far as jobs go by it. */
+/** The routes to queues in one version of the operators' configuration. */
 public final class QueueConfiguration {
     private final long version;
     private final Map<String, Map<String, QueueRoute>> byHost = new HashMap<>();
@@ -13,7 +13,8 @@
     /**
      * Creates a configuration.
      *
-     * @param version grows with each change
+     * @param version version number, which increases with each change
+     * @param routes routes to the queues
      */
     public QueueConfiguration(long version, List<QueueRoute> routes) {
         this.version = version;
@@ -22,15 +23,20 @@
         }
     }
 
-    /** Returns the version. */
+    /** Returns the version number. */
     public long version() {
         return version;
     }
 
-    /** Returns the route of a request: the longest prefix that its path begins with. */
+    /**
+     * Returns the route with the longest prefix of a request's path, if there is one.
+     *
+     * @param host host named in the request, without port
+     * @param path path of the request
+     */
     public Optional<QueueRoute> route(String host, String path) {
         Map<String, QueueRoute> byPrefix = byHost.getOrDefault(host, Map.of());
-        // Looked up by each beginning of the path that ends in a slash, as there may be hundreds of routes.
+        // Looks up each prefix of the path that ends in a slash; a scan would be slow with hundreds of routes.
         for (int end = path.lastIndexOf('/'); end >= 0; end = path.lastIndexOf('/', end - 1)) {
             QueueRoute route = byPrefix.get(path.substring(0, end + 1));
             if (route != null) {
--- a/library/src/main/java/org/chivetally/queue/QueueRoute.java
+++ b/library/src/main/java/org/chivetally/queue/QueueRoute.java
@@ -3,16 +3,16 @@
 import java.util.Objects;
 
 /**
- * How callers reach a queue.
+ * Maps the host and path of requests to a queue.
  *
- * @param host host that the request names, without port
- * @param prefix beginning of the path, with a slash at its end
- * @param terms terms for jobs that come by it
- * @param timeoutMillis longest time that a caller waits for an answer unless it says otherwise
- * @param advised whether only an adviser knows which workers may run its steps
+ * @param host host named in the request, without port
+ * @param prefix prefix of the path, ending in a slash
+ * @param terms parameters of the queue, which apply to jobs submitted by this route
+ * @param timeoutMillis default timeout of a request, in milliseconds
+ * @param advised whether only an external recommendation service can determine which workers may run its steps
  */
 public record QueueRoute(String host, String prefix, QueueTerms terms, long timeoutMillis, boolean advised) {
-    /** Refuses missing parts. */
+    /** Requires a host, a prefix and terms. */
     public QueueRoute {
         Objects.requireNonNull(host, "host");
         Objects.requireNonNull(prefix, "prefix");
--- a/library/src/main/java/org/chivetally/queue/QueueTerms.java
+++ b/library/src/main/java/org/chivetally/queue/QueueTerms.java
@@ -3,24 +3,24 @@
 import java.util.Objects;
 
 /**
- * What the configuration in force said about a job's queue when the job was accepted. Kept with the job, so that a
- * later configuration changes neither its attempts nor its service.
+ * Parameters of a queue under which a job was accepted. They are stored with the job, so that a later change of the
+ * configuration affects neither its attempts nor its service.
  *
  * @param queue name of the queue
- * @param service service whose minions run its tasks
- * @param maximumAttempts runs of one task that may end failed before the job fails
- * @param priority 0 comes first
- * @param slackFactor factor on the longest chain of work in the job's objective
- * @param targetLatencyMillis milliseconds that the objective allows beyond that
+ * @param service service whose minions run the tasks
+ * @param maximumAttempts number of failed runs of one task after which the job fails
+ * @param priority priority of the queue; 0 is the highest
+ * @param slackFactor factor by which the job's objective multiplies the duration of the critical path
+ * @param targetLatencyMillis time in milliseconds that the objective adds to that product
  */
 public record QueueTerms(
         String queue, String service, int maximumAttempts, int priority, double slackFactor, int targetLatencyMillis) {
-    /** Refuses missing names and a queue without attempts. */
+    /** Requires the names of the queue and its service, and at least one attempt. */
     public QueueTerms {
         Objects.requireNonNull(queue, "queue");
         Objects.requireNonNull(service, "service");
         if (maximumAttempts < 1) {
-            throw new IllegalArgumentException("queue " + queue + " allows no attempt");
+            throw new IllegalArgumentException("queue " + queue + " must allow at least one attempt");
         }
     }
 }
--- a/library/src/main/java/org/chivetally/queue/RefusalReason.java
+++ b/library/src/main/java/org/chivetally/queue/RefusalReason.java
@@ -2,23 +2,23 @@
 
 import java.util.Arrays;
 
-/** Why a job was not taken on, or given back before anything of it had started. */
+/** Why a job was not accepted, or was refused before any of its tasks had run. */
 public enum RefusalReason {
-    /** What waits already takes longer than the caller allows. */
+    /** The queued work takes longer than the caller's timeout. */
     BACKLOG("backlog", true),
-    /** All room goes to jobs that can still end within their objective. */
+    /** All capacity goes to jobs that can still meet their objective. */
     DEPRIORITIZED("overtaken", true),
-    /** There was no room until it was too late. */
+    /** No capacity became available before the latest useful start. */
     NOT_STARTED_IN_TIME("not started in time", true),
-    /** The process stops before the job could end. */
+    /** The process is stopping and would end before the job. */
     STOPPING("stopping", false),
-    /** The process stood still, and the caller may have sent the job again elsewhere meanwhile. */
+    /** The process was stalled, and the caller may have submitted the job to another entry in the meantime. */
     STALLED("stood still", false),
-    /** Operators have evacuated all failure domains that have workers for the job. */
+    /** All failure domains with workers for the job are evacuated. */
     EVACUATED("evacuated", false),
-    /** The log takes no writes now, so the job can't be kept. */
+    /** The log accepts no writes, so the job can't be stored. */
     LOG_UNAVAILABLE("log takes no writes", false),
-    /** The owner of the job's partition could not be reached. */
+    /** The owner of the job's partition is unreachable. */
     OWNER_UNAVAILABLE("no owner", false);
 
     private final String text;
@@ -29,17 +29,19 @@
         this.overload = overload;
     }
 
-    /** Returns the reason in words, as in logs, in frames and to callers. */
+    /** Returns the text of the reason, as used in logs, in frames and in responses to callers. */
     public String text() {
         return text;
     }
 
-    /** Tells whether the service has more to do than it can, rather than that something is away. */
+    /** Returns whether the service is overloaded, as opposed to a part of the system being unavailable. */
     public boolean isOverload() {
         return overload;
     }
 
-    /** Returns the reason of these words; words that a newer process may use mean that it could not serve the job. */
+    /**
+     * Returns the reason with the given text; {@link #OWNER_UNAVAILABLE} for an unknown text, as of a newer release.
+     */
     public static RefusalReason of(String text) {
         return Arrays.stream(values())
                 .filter(reason -> reason.text.equals(text))
--- a/library/src/main/java/org/chivetally/queue/Room.java
+++ b/library/src/main/java/org/chivetally/queue/Room.java
@@ -1,17 +1,17 @@
 package org.chivetally.queue;
 
 /**
- * An amount of a worker's resources.
+ * An amount of resources, such as the capacity of a worker or the requirements of a task.
  *
- * @param processorMillis processors, in thousandths of a core
+ * @param processorMillis processor capacity, in thousandths of a core
  * @param memoryMegabytes memory, in megabytes
- * @param accelerators whole accelerators
+ * @param accelerators number of accelerators
  */
 public record Room(long processorMillis, long memoryMegabytes, long accelerators) {
-    /** No room at all. */
+    /** No resources. */
     public static final Room NONE = new Room(0, 0, 0);
 
-    /** Returns the sum of both. */
+    /** Returns the sum of this amount and another. */
     public Room plus(Room other) {
         return new Room(
                 processorMillis + other.processorMillis,
@@ -19,7 +19,9 @@
                 accelerators + other.accelerators);
     }
 
-    /** Returns what is left after taking the other away; parts may be negative when a worker shrank. */
+    /**
+     * Returns this amount minus another; components are negative if the capacity of a worker was reduced below its use.
+     */
     public Room minus(Room other) {
         return new Room(
                 processorMillis - other.processorMillis,
@@ -27,7 +29,7 @@
                 accelerators - other.accelerators);
     }
 
-    /** Tells whether this much fits into the given room. */
+    /** Returns whether no component of this amount exceeds that of another. */
     public boolean fitsInto(Room room) {
         return processorMillis <= room.processorMillis
                 && memoryMegabytes <= room.memoryMegabytes
--- a/library/src/main/java/org/chivetally/queue/RunKey.java
+++ b/library/src/main/java/org/chivetally/queue/RunKey.java
@@ -3,13 +3,13 @@
 import java.util.Objects;
 
 /**
- * Names one start of a task.
+ * Identifies one run of a task.
  *
- * @param task the task
- * @param run number of the start, from 1; rises with each start of the task
+ * @param task key of the task
+ * @param run number of the run, from 1; increases with each run of the task
  */
 public record RunKey(TaskKey task, long run) {
-    /** Refuses a missing task. */
+    /** Requires a task. */
     public RunKey {
         Objects.requireNonNull(task, "task");
     }
--- a/library/src/main/java/org/chivetally/queue/RunOutcome.java
+++ b/library/src/main/java/org/chivetally/queue/RunOutcome.java
@@ -2,22 +2,22 @@
 
 /** How a run ended. */
 public enum RunOutcome {
-    /** The task is finished. */
+    /** The task is done. */
     DONE,
-    /** The task ended with an error; counts against the queue's attempts. */
+    /** The run ended with an error; it counts towards the queue's maximum number of attempts. */
     FAILED,
-    /** Stopped by request. */
+    /** The run was stopped by request. */
     STOPPED,
-    /** Its lease was not renewed in time. */
+    /** The lease of the run expired because it was not renewed in time. */
     LAPSED,
-    /** Another member of its gang ended. */
+    /** Another task of the run's gang ended. */
     BROKEN,
-    /** The other members of its gang did not come in time. */
+    /** The other tasks of the run's gang were not started in time. */
     ALONE,
-    /** Its minion is gone, and everything that ran there. */
+    /** The minion is gone, together with everything that ran on it. */
     LOST,
-    /** The start was not carried out and never will be. */
+    /** The run was not started and never will be. */
     NEVER_STARTED,
-    /** Its minion ended without notice while it ran there. */
+    /** The minion ended unexpectedly during the run. */
     CRASHED
 }
--- a/library/src/main/java/org/chivetally/queue/StepSpecification.java
+++ b/library/src/main/java/org/chivetally/queue/StepSpecification.java
@@ -4,22 +4,22 @@
 import java.util.Objects;
 
 /**
- * A group of equal tasks of a job.
+ * A step of a job: a group of identical tasks.
  *
  * @param count number of tasks
- * @param room what each task needs
- * @param estimatedMillis caller's rough estimate of a task's duration in milliseconds; 0 when none was given
- * @param after places of earlier steps that must be done first
- * @param traits what else the tasks ask for
+ * @param room resources that each task requires
+ * @param estimatedMillis caller's estimate of the duration of one task, in milliseconds; 0 if there is none
+ * @param after positions of the steps that have to be done first; all of them precede this step
+ * @param traits further requirements and preferences of the tasks
  */
 public record StepSpecification(int count, Room room, int estimatedMillis, List<Integer> after, StepTraits traits) {
-    /** Copies the list and refuses a step without tasks. */
+    /** Requires resources, traits and at least one task, and copies the list. */
     public StepSpecification {
         Objects.requireNonNull(room, "room");
         Objects.requireNonNull(traits, "traits");
         after = List.copyOf(after);
         if (count < 1) {
-            throw new IllegalArgumentException("a step needs at least one task, not " + count);
+            throw new IllegalArgumentException("a step must have at least one task, but count is " + count);
         }
     }
 }
--- a/library/src/main/java/org/chivetally/queue/StepTraits.java
+++ b/library/src/main/java/org/chivetally/queue/StepTraits.java
@@ -3,18 +3,18 @@
 import java.util.Objects;
 
 /**
- * Wishes of a step beyond its room.
+ * Requirements and preferences of the tasks of a step, other than the amount of resources.
  *
- * @param checkpointing whether its tasks save checkpoints to resume from
- * @param gang whether its tasks only work when all run at once
- * @param sameRack whether its tasks are slower when spread over racks
- * @param requiredLabel label that a worker must carry; empty for none
- * @param preferredRack rack that holds its data; empty for none
- * @param maximumPerWorker most tasks of the step on one worker; 0 for no limit
- * @param duplicatesAllowed whether copies of a task may run at the same time
- * @param usesIdleCapacity whether it runs on what other tasks leave unused
- * @param image what its tasks run
- * @param tailLatencyTargetMillis bound of its users' response time tail in milliseconds; 0 for none
+ * @param checkpointing whether the tasks save checkpoints from which they can resume
+ * @param gang whether the tasks make progress only while all of them run at the same time
+ * @param sameRack whether the tasks are slower if they are spread over several racks
+ * @param requiredLabel label that a worker must have; empty for none
+ * @param preferredRack rack that holds the data of the step; empty for none
+ * @param maximumPerWorker maximum number of tasks of the step on one worker; 0 for no limit
+ * @param duplicatesAllowed whether several runs of a task may be in progress at the same time
+ * @param usesIdleCapacity whether the tasks run on capacity that other tasks leave unused
+ * @param image name of the image that the tasks run
+ * @param tailLatencyTargetMillis upper bound for the tail latency of the step's users, in milliseconds; 0 for none
  */
 public record StepTraits(
         boolean checkpointing,
@@ -27,10 +27,10 @@
         boolean usesIdleCapacity,
         String image,
         int tailLatencyTargetMillis) {
-    /** No wishes. */
+    /** No requirements or preferences. */
     public static final StepTraits NONE = new StepTraits(false, false, false, "", "", 0, false, false, "", 0);
 
-    /** Refuses missing texts. */
+    /** Requires all texts. */
     public StepTraits {
         Objects.requireNonNull(requiredLabel, "requiredLabel");
         Objects.requireNonNull(preferredRack, "preferredRack");
--- a/library/src/main/java/org/chivetally/queue/Task.java
+++ b/library/src/main/java/org/chivetally/queue/Task.java
@@ -3,19 +3,21 @@
 import java.util.Optional;
 import org.chivetally.queue.crash.CrashCount;
 
-/** One task of a job: whether it waits, runs or is done. Changed only by its {@link Job}. */
+/** A task of a job, with its status and its counts of failures and crashes. Only its {@link Job} changes the status. */
 public final class Task {
-    /** Where a task stands. */
+    /** Status of a task. */
     public enum Status {
-        /** Earlier steps aren't done. */
+        /** A step that has to be done first is not done yet. */
         BLOCKED,
-        /** It may be placed. */
+        /** The task can be placed on a worker. */
         WAITING,
-        /** An earlier owner may have started it; where is being asked. */
+        /**
+         * A previous owner of the job may have started the task, and the agents have not yet reported whether it runs.
+         */
         UNCERTAIN,
-        /** A start was sent to a worker, and its end isn't known. */
+        /** A start was sent to a worker, and the end of the run has not been reported. */
         PLACED,
-        /** Done for good. */
+        /** The task is done and will not run again. */
         DONE
     }
 
@@ -36,69 +38,78 @@
         this.status = status;
     }
 
-    /** Returns the job. */
+    /** Returns the job of the task. */
     public Job job() {
         return job;
     }
 
-    /** Returns the name. */
+    /** Returns the key of the task. */
     public TaskKey key() {
         return key;
     }
 
-    /** Returns the place among all tasks of the job, in the order of steps and indexes. */
+    /** Returns the position among all tasks of the job, ordered by step and index, from 0. */
     public int position() {
         return position;
     }
 
-    /** Returns where the task stands. */
+    /** Returns the status of the task. */
     public Status status() {
         return status;
     }
 
-    /** Returns the room that each run needs. */
+    /** Returns the resources that each run requires. */
     public Room room() {
         return step().room();
     }
 
-    /** Returns the step. */
+    /** Returns the step of the task. */
     public StepSpecification step() {
         return job.specification().steps().get(key.step());
     }
 
-    /** Returns the worker of the run in progress; empty when none is. */
+    /** Returns the worker on which a run is in progress, if there is one. */
     public Optional<String> worker() {
         return worker.isEmpty() ? Optional.empty() : Optional.of(worker);
     }
 
-    /** Returns the worker where the last failed run was, so that the next one may go elsewhere; empty for none. */
+    /** Returns the worker of the latest failed run, so that the next run can use another worker; empty for none. */
     public Optional<String> lastFailedWorker() {
         return lastFailedWorker.isEmpty() ? Optional.empty() : Optional.of(lastFailedWorker);
     }
 
-    /** Returns the number of the newest run. */
+    /** Returns the number of the latest run; 0 before the first. */
     public long lastRun() {
         return lastRun;
     }
 
-    /** Returns how many runs ended failed. */
+    /** Returns the number of failed runs. */
     public int failures() {
         return failures;
     }
 
-    /** Returns the minions that crashed under it. */
+    /** Returns the count of minions that crashed while they ran the task. */
     public CrashCount crashes() {
         return crashes;
     }
 
-    /** Notes that a minion crashed under a run; tells whether that was not known. */
+    /**
+     * Records that a minion crashed during a run.
+     *
+     * @param run number of the run
+     * @return whether this crash had not been recorded before
+     */
     public boolean recordCrash(long run) {
         CrashCount before = crashes;
         crashes = crashes.plus(run);
         return crashes != before;
     }
 
-    /** Counts starts after the third crash, or takes back what was counted and not carried out. */
+    /**
+     * Adjusts the count of starts since the third crash.
+     *
+     * @param change number of new starts; negative to subtract starts that were counted but not carried out
+     */
     public void adjustBoundedStarts(int change) {
         crashes = crashes.withStarts(change);
     }
--- a/library/src/main/java/org/chivetally/queue/TaskKey.java
+++ b/library/src/main/java/org/chivetally/queue/TaskKey.java
@@ -4,26 +4,26 @@
 import java.util.Optional;
 
 /**
- * Names one task for good.
+ * Unique and permanent identifier of a task.
  *
- * @param jobId id of the job, as its caller chose it
- * @param occurrence which repetition of a scheduled job, from 0; 0 for a job that runs once
- * @param step place of the step in the job, from 0
- * @param index place of the task in its step, from 0
+ * @param jobId id of the job, as chosen by its caller
+ * @param occurrence number of the repetition of a scheduled job, from 0; 0 for a job that runs once
+ * @param step position of the step in the job, from 0
+ * @param index position of the task in its step, from 0
  */
 public record TaskKey(String jobId, int occurrence, int step, int index) {
     private static final int HASH_FACTOR = 31;
     private static final int DECIMAL = 10;
 
-    /** Refuses a missing id and negative places. */
+    /** Requires a job id and numbers that are not negative. */
     public TaskKey {
         Objects.requireNonNull(jobId, "jobId");
         if (occurrence < 0 || step < 0 || index < 0) {
-            throw new IllegalArgumentException("negative place in task " + jobId);
+            throw new IllegalArgumentException("negative number in a task key of job " + jobId);
         }
     }
 
-    /** Reads the form that {@link #toString()} gives; empty when the text names no task. */
+    /** Parses the format of {@link #toString()}; empty if the text is not a task key. */
     public static Optional<TaskKey> parse(String text) {
         int first = text.indexOf('.');
         int second = text.indexOf('.', first + 1);
@@ -39,12 +39,15 @@
                     Integer.parseInt(text, second + 1, third, DECIMAL),
                     Integer.parseInt(text, third + 1, text.length(), DECIMAL)));
         } catch (IllegalArgumentException malformed) {
-            // Not a number, or a negative one: the caller decides what a name of another kind means.
+            // A part is not a number or is negative; the caller decides how to handle a text that is no task key.
             return Optional.empty();
         }
     }
 
-    /** As by default, but written out: the default of a record took a twentieth of an agent's processor time. */
+    /**
+     * Compares all components, like the default implementation for records, which took a twentieth of an agent's
+     * processor time.
+     */
     @Override
     public boolean equals(Object other) {
         return other instanceof TaskKey key
@@ -54,7 +57,7 @@
                 && jobId.equals(key.jobId);
     }
 
-    /** As by default, but written out, for the reason that {@link #equals} has. */
+    /** Combines all components; written out for the same reason as {@link #equals}. */
     @Override
     public int hashCode() {
         return HASH_FACTOR * (HASH_FACTOR * (HASH_FACTOR * jobId.hashCode() + occurrence) + step) + index;
--- a/library/src/main/java/org/chivetally/queue/package-info.java
+++ b/library/src/main/java/org/chivetally/queue/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Jobs that outlive the request that brought them: what a job is, what its tasks go through, and how both are written
- * into the platform's log. Free of input and output.
+ * The job model: specifications of jobs and their steps, the state of jobs and tasks, and the encoding of both for the
+ * platform log. The classes perform no input or output.
  */
 package org.chivetally.queue;
