--- a/library/src/main/java/org/chivetally/queue/log/PartitionWriter.java
+++ b/library/src/main/java/org/chivetally/queue/log/PartitionWriter.java
@@ -148,7 +148,7 @@
         List<Write> next = new ArrayList<>();
         int bytes = 0;
         while (!queued.isEmpty()) {
-            bytes += queued.peek().bytes();
+            bytes += queued.peek().approximateBytes();
             if (!next.isEmpty() && bytes > MAXIMUM_BATCH_BYTES) {
                 break;
             }
@@ -280,10 +280,10 @@
 
     /** Records that go together, and whom to tell. */
     private record Write(List<KeyedRecord> records, boolean refusable, long queuedAtNanos, Consumer<Result> callback) {
-        private int bytes() {
+        private int approximateBytes() {
             int bytes = 0;
-            for (KeyedRecord entry : records) {
-                bytes += entry.approximateBytes();
+            for (KeyedRecord record : records) {
+                bytes += record.approximateBytes();
             }
             return bytes;
         }
--- a/library/src/main/java/org/chivetally/queue/log/StreamTail.java
+++ b/library/src/main/java/org/chivetally/queue/log/StreamTail.java
@@ -88,13 +88,13 @@
         readAppended(from);
     }
 
-    private void deliver(KeyedRecord entry) {
-        if (entry.isTombstone()) {
-            liveKeys.remove(entry.key());
+    private void deliver(KeyedRecord record) {
+        if (record.isTombstone()) {
+            liveKeys.remove(record.key());
         } else {
-            liveKeys.add(entry.key());
+            liveKeys.add(record.key());
         }
-        listener.accept(entry);
+        listener.accept(record);
     }
 
     private void readAppended(long from) {
--- a/library/src/main/java/org/chivetally/queue/warmup/DiscardingLog.java
+++ b/library/src/main/java/org/chivetally/queue/warmup/DiscardingLog.java
@@ -28,25 +28,25 @@
 
     @Override
     public void append(
-            LogStream stream, Optional<AppendId> stamp, List<KeyedRecord> records, Consumer<AppendOutcome> answer) {
+            LogStream stream, Optional<AppendId> id, List<KeyedRecord> records, Consumer<AppendOutcome> callback) {
         endOffset += records.size();
         AppendOutcome appended = new AppendOutcome.Appended(endOffset);
-        timers.after(ANSWER_DELAY, () -> answer.accept(appended));
+        timers.after(ANSWER_DELAY, () -> callback.accept(appended));
     }
 
     @Override
-    public void readNewest(LogStream stream, String afterKey, Consumer<NewestOutcome> answer) {
-        timers.after(ANSWER_DELAY, () -> answer.accept(new NewestOutcome.Page(List.of(), false, 0)));
+    public void readNewest(LogStream stream, String afterKey, Consumer<NewestOutcome> callback) {
+        timers.after(ANSWER_DELAY, () -> callback.accept(new NewestOutcome.Page(List.of(), false, 0)));
     }
 
     @Override
-    public void read(LogStream stream, long from, Duration wait, Consumer<ReadOutcome> answer) {
-        timers.after(wait.plus(ANSWER_DELAY), () -> answer.accept(new ReadOutcome.Records(from, List.of())));
+    public void read(LogStream stream, long from, Duration maximumWait, Consumer<ReadOutcome> callback) {
+        timers.after(maximumWait.plus(ANSWER_DELAY), () -> callback.accept(new ReadOutcome.Records(from, List.of())));
     }
 
     @Override
-    public void join(String member, long generation, Duration timeToLive, Consumer<JoinOutcome> answer) {
-        timers.after(ANSWER_DELAY, () -> answer.accept(new JoinOutcome.Joined(1, Set.of(0))));
+    public void join(String member, long generation, Duration timeToLive, Consumer<JoinOutcome> callback) {
+        timers.after(ANSWER_DELAY, () -> callback.accept(new JoinOutcome.Joined(1, Set.of(0))));
     }
 
     @Override
--- a/library/src/main/java/org/chivetally/queue/warmup/SimulatedMinion.java
+++ b/library/src/main/java/org/chivetally/queue/warmup/SimulatedMinion.java
@@ -30,10 +30,10 @@
     }
 
     @Override
-    public void start(String boot, StartOrder order, Consumer<StartAnswer> answer) {
+    public void start(String boot, StartOrder order, Consumer<StartAnswer> callback) {
         running.add(order.run());
         timers.after(RUN_DURATION, () -> finishRun(order.run()));
-        timers.after(ANSWER_DELAY, () -> answer.accept(new StartAnswer.Started(clockMillis())));
+        timers.after(ANSWER_DELAY, () -> callback.accept(new StartAnswer.Started(clockMillis())));
     }
 
     private void finishRun(RunKey run) {
@@ -44,18 +44,18 @@
     }
 
     @Override
-    public void stop(String boot, RunKey run, long token, Consumer<Boolean> answer) {
+    public void stop(String boot, RunKey run, long token, Consumer<Boolean> callback) {
         running.remove(run);
-        timers.after(ANSWER_DELAY, () -> answer.accept(true));
+        timers.after(ANSWER_DELAY, () -> callback.accept(true));
     }
 
     @Override
-    public void look(String boot, LookOrder order, Consumer<LookAnswer> answer) {
+    public void look(String boot, LookOrder order, Consumer<LookAnswer> callback) {
         ends.headMap(order.keptThrough(), true).clear();
         Duration wait = order.longestWait().isZero() ? ANSWER_DELAY : RUN_DURATION;
         timers.after(
                 wait,
-                () -> answer.accept(
+                () -> callback.accept(
                         new LookAnswer.Lists(clockMillis(), List.copyOf(running), List.copyOf(ends.values()))));
     }
 }
--- a/library/src/main/java/org/chivetally/queue/warmup/WarmUp.java
+++ b/library/src/main/java/org/chivetally/queue/warmup/WarmUp.java
@@ -64,14 +64,14 @@
         });
     }
 
-    private void scheduleRound(Runnable round, int number) {
+    private void scheduleRound(Runnable round, int roundNumber) {
         timers.after(ROUND_INTERVAL, () -> {
-            if (number > ROUNDS || !idle.getAsBoolean()) {
-                EventLine.of("warmed-up").with("rounds", number - 1).log(LOGGER.atInfo());
+            if (roundNumber > ROUNDS || !idle.getAsBoolean()) {
+                EventLine.of("warmed-up").with("rounds", roundNumber - 1).log(LOGGER.atInfo());
                 return;
             }
             logSuppressor.accept(round);
-            scheduleRound(round, number + 1);
+            scheduleRound(round, roundNumber + 1);
         });
     }
 }
--- a/library/src/test/java/org/chivetally/queue/JobTest.java
+++ b/library/src/test/java/org/chivetally/queue/JobTest.java
@@ -12,7 +12,7 @@
     private static final String ID = "00000000000000a1";
 
     @Test
-    void isCompletedWhenItsLastTaskIsDoneAndShownSoOnlyOnceStored() {
+    void reportsCompletionOnlyAfterItIsStored() {
         Job job = new Job(Jobs.of(ID, 2), 0);
         for (Task task : job.tasks()) {
             job.recordPlacement(task, "agent", 1);
@@ -25,7 +25,7 @@
     }
 
     @Test
-    void failsWhenOneTaskHasUsedUpItsAttempts() {
+    void failsAfterTheMaximumNumberOfFailedRunsOfATask() {
         Job job = new Job(Jobs.of(ID, 2), 0);
         Task task = job.tasks().getFirst();
         job.recordPlacement(task, "agent", 1);
@@ -36,7 +36,7 @@
     }
 
     @Test
-    void countsNoAttemptForRunsThatWereStoppedLapsedOrLost() {
+    void countsStoppedLapsedAndLostRunsNotAsFailures() {
         Job job = new Job(Jobs.of(ID, 1), 0);
         Task task = job.tasks().getFirst();
         for (RunOutcome outcome :
@@ -53,7 +53,7 @@
      * start may have been carried out, that would be a guess.
      */
     @Test
-    void isQueuedAgainOnlyWhenNoStartCanHaveBeenCarriedOut() {
+    void returnsToQueuedOnlyIfNoRunCanHaveStarted() {
         Job job = new Job(Jobs.of(ID, 2), 0, 9_000_000_000L);
         Task first = job.tasks().getFirst();
         Task second = job.tasks().getLast();
@@ -69,14 +69,14 @@
     }
 
     @Test
-    void releasesALaterStepOnlyWhenAllOfTheEarlierOneIsDone() {
+    void unblocksAStepOnlyAfterAllTasksOfThePrecedingStepAreDone() {
         Job job = new Job(Jobs.chain(ID, 2, 3), 0);
         assertThat(job.tasksIn(Task.Status.WAITING), hasSize(2));
-        List<Task> first = job.tasksIn(Task.Status.WAITING);
-        job.recordPlacement(first.get(0), "agent", 1);
-        assertThat(job.recordRunEnd(first.get(0), RunOutcome.DONE, 5), is(empty()));
-        job.recordPlacement(first.get(1), "agent", 1);
-        assertThat(job.recordRunEnd(first.get(1), RunOutcome.DONE, 6), hasSize(3));
+        List<Task> firstStep = job.tasksIn(Task.Status.WAITING);
+        job.recordPlacement(firstStep.get(0), "agent", 1);
+        assertThat(job.recordRunEnd(firstStep.get(0), RunOutcome.DONE, 5), is(empty()));
+        job.recordPlacement(firstStep.get(1), "agent", 1);
+        assertThat(job.recordRunEnd(firstStep.get(1), RunOutcome.DONE, 6), hasSize(3));
     }
 
     /**
@@ -84,22 +84,22 @@
      * waiting, or they would run twice; and its run numbers must be higher than all of the owner before.
      */
     @Test
-    void isUncertainAboutUnfinishedTasksAfterARestore() {
-        Job before = new Job(Jobs.chain(ID, 2, 1), 0);
-        Task done = before.tasks().getFirst();
-        before.recordPlacement(done, "agent", 1);
-        before.recordRunEnd(done, RunOutcome.DONE, 5);
+    void marksReadyTasksAsUncertainAfterARestore() {
+        Job original = new Job(Jobs.chain(ID, 2, 1), 0);
+        Task done = original.tasks().getFirst();
+        original.recordPlacement(done, "agent", 1);
+        original.recordRunEnd(done, RunOutcome.DONE, 5);
 
-        Job after = new Job(Jobs.chain(ID, 2, 1), 0);
-        after.restore(JobCodec.decodeProgress(JobCodec.encode(before.progress())), 129);
-        assertThat(after.tasks().get(0).status(), is(Task.Status.DONE));
-        assertThat(after.tasks().get(1).status(), is(Task.Status.UNCERTAIN));
-        assertThat(after.tasks().get(2).status(), is(Task.Status.BLOCKED));
-        assertThat(after.tasks().get(1).lastRun(), is(128L));
+        Job restored = new Job(Jobs.chain(ID, 2, 1), 0);
+        restored.restore(JobCodec.decodeProgress(JobCodec.encode(original.progress())), 129);
+        assertThat(restored.tasks().get(0).status(), is(Task.Status.DONE));
+        assertThat(restored.tasks().get(1).status(), is(Task.Status.UNCERTAIN));
+        assertThat(restored.tasks().get(2).status(), is(Task.Status.BLOCKED));
+        assertThat(restored.tasks().get(1).lastRun(), is(128L));
     }
 
     @Test
-    void survivesItsWayThroughTheLog() {
+    void specificationSurvivesEncodingAndDecoding() {
         JobSpecification job = Jobs.chain(ID, 2, 1);
         assertThat(JobCodec.decodeJob(JobCodec.encode(job).toByteArray()), is(job));
     }
--- a/library/src/test/java/org/chivetally/queue/ManualTimers.java
+++ b/library/src/test/java/org/chivetally/queue/ManualTimers.java
@@ -14,7 +14,7 @@
     }
 
     /** Runs what is due now. */
-    public void settle() {
+    public void runDue() {
         advance(Duration.ZERO);
     }
 
--- a/library/src/test/java/org/chivetally/queue/agent/AgentNodeTest.java
+++ b/library/src/test/java/org/chivetally/queue/agent/AgentNodeTest.java
@@ -174,7 +174,7 @@
         entry.start("job", 1, true);
         timers.advance(Duration.ofMillis(300));
         assertThat(minion.running.keySet(), contains(run("job", 1)));
-        network.cut("agent", "entry-1", true);
+        network.setCut("agent", "entry-1", true);
         timers.advance(Duration.ofMillis(1_150));
         assertThat(minion.running.keySet(), is(empty()));
     }
--- a/library/src/test/java/org/chivetally/queue/entry/CancellationBoundTest.java
+++ b/library/src/test/java/org/chivetally/queue/entry/CancellationBoundTest.java
@@ -81,7 +81,7 @@
             again.settle();
             again.cluster.submit(again.cluster.entries.get(again.owner()), Jobs.of(ID, 1));
             again.cluster.advance(500 + phase);
-            again.cluster.network.cut(again.runner(), again.owner(), true);
+            again.cluster.network.setCut(again.runner(), again.owner(), true);
             again.cancelAcknowledged(again.cluster.entries.get(again.owner()));
             again.cluster.advance(BOUND_MILLIS);
             assertThat("runs at phase " + phase, again.isRunning(), is(false));
--- a/library/src/test/java/org/chivetally/queue/entry/Cluster.java
+++ b/library/src/test/java/org/chivetally/queue/entry/Cluster.java
@@ -112,10 +112,10 @@
         network.kill(name);
         log.setDisconnected(name, true);
         for (String other : entries.keySet()) {
-            network.cut(name, other, true);
+            network.setCut(name, other, true);
         }
         for (String other : agents.keySet()) {
-            network.cut(name, other, true);
+            network.setCut(name, other, true);
         }
         entries.remove(name);
     }
--- a/library/src/test/java/org/chivetally/queue/entry/ContentionReplay.java
+++ b/library/src/test/java/org/chivetally/queue/entry/ContentionReplay.java
@@ -162,7 +162,7 @@
         boolean ends = millis == LONGEST_WORK.untilMillis() || millis == SHORTEST_WORK.untilMillis();
         for (int one = 0; one < CUT_OFF && (begins || ends); one++) {
             for (int other = one + 1; other < ENTRIES; other++) {
-                cluster.network.cut("entry-" + one, "entry-" + other, begins);
+                cluster.network.setCut("entry-" + one, "entry-" + other, begins);
             }
         }
     }
--- a/library/src/test/java/org/chivetally/queue/entry/DurableJobsTest.java
+++ b/library/src/test/java/org/chivetally/queue/entry/DurableJobsTest.java
@@ -138,7 +138,7 @@
                 .orElseThrow()
                 .getKey();
         for (String entry : List.of("entry-1", "entry-2", "entry-3")) {
-            cluster.network.cut(agent, entry, true);
+            cluster.network.setCut(agent, entry, true);
         }
         for (int step = 0; step < 1_000; step++) {
             cluster.advance(10);
@@ -151,7 +151,7 @@
     /** Cuts the owner of a job off from the agent that runs it; that agent goes on with jobs of the other owners. */
     private String cutOwnerFromRunner(EntryNode owner) {
         String agent = runnerOf(ID);
-        cluster.network.cut(agent, nameOf(owner), true);
+        cluster.network.setCut(agent, nameOf(owner), true);
         return agent;
     }
 
@@ -212,7 +212,7 @@
         cluster.finish(ID, RunOutcome.DONE);
         keepBusy(owner, 70, () -> {});
         assertThat(cluster.running(ID), hasSize(1));
-        cluster.network.cut(agent, nameOf(owner), false);
+        cluster.network.setCut(agent, nameOf(owner), false);
         keepBusy(owner, 30, () -> {});
         assertThat(
                 cluster.minions.get(agent).noted.stream()
@@ -235,7 +235,7 @@
         cluster.finish(ID, RunOutcome.DONE);
         cluster.advance(7_000);
         assertThat(cluster.running(ID), hasSize(1));
-        cluster.network.cut(agent, nameOf(owner), false);
+        cluster.network.setCut(agent, nameOf(owner), false);
         cluster.advance(3_000);
         assertThat(cluster.running(ID), is(empty()));
         assertThat(cluster.query(owner, ID), contains(new JobAnswer.State(JobPhase.COMPLETED)));
@@ -264,7 +264,7 @@
         String runner = runnerOf(ID);
         String other = "agent-1".equals(runner) ? "agent-2" : "agent-1";
         for (String entry : cluster.entries.keySet()) {
-            cluster.network.cut(other, entry, true);
+            cluster.network.setCut(other, entry, true);
         }
         cluster.kill(nameOf(old));
         cluster.advance(3_500);
@@ -291,15 +291,15 @@
         String other = "agent-1".equals(runner) ? "agent-2" : "agent-1";
         cluster.log.setDisconnected(oldName, true);
         for (String entry : cluster.entries.keySet()) {
-            cluster.network.cut(oldName, entry, true);
-            cluster.network.cut(other, entry, !entry.equals(oldName));
+            cluster.network.setCut(oldName, entry, true);
+            cluster.network.setCut(other, entry, !entry.equals(oldName));
         }
-        cluster.network.cut(runner, oldName, true);
+        cluster.network.setCut(runner, oldName, true);
         cluster.advance(3_500);
         cluster.finish(ID, RunOutcome.DONE);
         cluster.advance(300);
         assertThat(cluster.query(ownerBeside(old), ID), contains(new JobAnswer.State(JobPhase.COMPLETED)));
-        cluster.network.cut(runner, oldName, false);
+        cluster.network.setCut(runner, oldName, false);
         cluster.advance(1_500);
         assertThat(starts(), is(1));
         assertThat(old.localOwner(Partitions.of(ID, Cluster.PARTITIONS)).isPresent(), is(false));
--- a/library/src/test/java/org/chivetally/queue/entry/IdleFleetTest.java
+++ b/library/src/test/java/org/chivetally/queue/entry/IdleFleetTest.java
@@ -74,7 +74,7 @@
     void agentsNoticeTheDeathOfAnIdleEntry() {
         idle(2, 4);
         for (String agent : cluster.agents.keySet()) {
-            cluster.network.cut("entry-1", agent, true);
+            cluster.network.setCut("entry-1", agent, true);
         }
 
         cluster.advance(1_501);
@@ -92,7 +92,7 @@
     void entriesNoticeAnIdleAgentThatIsCutOff() {
         EntryNode entry = idle(2, 4);
         for (String name : cluster.entries.keySet()) {
-            cluster.network.cut(name, "agent-1", true);
+            cluster.network.setCut(name, "agent-1", true);
         }
         cluster.advance(1_750);
 
@@ -120,7 +120,7 @@
                     .filter(name -> !cluster.minions.get(name).running.isEmpty())
                     .findFirst()
                     .orElseThrow();
-            cluster.network.cut("entry-1", agent, true);
+            cluster.network.setCut("entry-1", agent, true);
             int most = 0;
             for (int step = 0; step < 500; step++) {
                 cluster.advance(10);
@@ -130,7 +130,7 @@
             assertThat("started again", cluster.running(id).size(), is(1));
             cluster.finish(id, RunOutcome.DONE);
             cluster.minions.get(agent).running.clear();
-            cluster.network.cut("entry-1", agent, false);
+            cluster.network.setCut("entry-1", agent, false);
             cluster.advance(IDLE_MILLIS + 90L * round);
         }
     }
--- a/library/src/test/java/org/chivetally/queue/entry/InMemoryJobsTest.java
+++ b/library/src/test/java/org/chivetally/queue/entry/InMemoryJobsTest.java
@@ -223,7 +223,7 @@
                 .findFirst()
                 .orElseThrow()
                 .getKey();
-        cluster.network.cut("entry-1", agent, true);
+        cluster.network.setCut("entry-1", agent, true);
         for (int step = 0; step < 350; step++) {
             cluster.advance(10);
             assertThat(cluster.running(ID).size() <= 1, is(true));
--- a/library/src/test/java/org/chivetally/queue/entry/QueueSharesTest.java
+++ b/library/src/test/java/org/chivetally/queue/entry/QueueSharesTest.java
@@ -59,14 +59,14 @@
     @Test
     void entriesThatDoNotReachEachOtherKeepToEqualParts() {
         contend();
-        cluster.network.cut("entry-1", "entry-2", true);
+        cluster.network.setCut("entry-1", "entry-2", true);
         cluster.advance(1_700);
         assertThat(division(first).share("queue-0"), is(6 * TASK));
         cluster.advance(600);
         assertThat(division(first).capacityMillis(), is(4 * TASK));
         assertThat(first.unreachableEntries(), is(1));
         assertThat(division(first).share("queue-0"), is(4 * TASK));
-        cluster.network.cut("entry-1", "entry-2", false);
+        cluster.network.setCut("entry-1", "entry-2", false);
         cluster.advance(3_000);
         assertThat(division(first).share("queue-0"), is(6 * TASK));
     }
--- a/library/src/test/java/org/chivetally/queue/link/MemoryNetwork.java
+++ b/library/src/test/java/org/chivetally/queue/link/MemoryNetwork.java
@@ -29,7 +29,7 @@
     private BiConsumer<String, String> arrivalListener = (host, cause) -> {};
     private final Set<String> cutPaths = new HashSet<>();
     private final Set<String> stopped = new HashSet<>();
-    private final List<Endpoint> ends = new ArrayList<>();
+    private final List<Endpoint> endpoints = new ArrayList<>();
 
     /** Creates a network without processes. */
     public MemoryNetwork(Timers timers) {
@@ -53,9 +53,9 @@
     }
 
     /** Loses everything between two hosts, without an error, until it is undone. */
-    public void cut(String one, String other, boolean off) {
+    public void setCut(String one, String other, boolean cut) {
         for (String path : List.of(one + ">" + other, other + ">" + one)) {
-            if (off) {
+            if (cut) {
                 cutPaths.add(path);
             } else {
                 cutPaths.remove(path);
@@ -67,7 +67,7 @@
     public void kill(String host) {
         listeners.remove(host);
         stopped.add(host);
-        for (Endpoint end : List.copyOf(ends)) {
+        for (Endpoint end : List.copyOf(endpoints)) {
             if (end.from.equals(host)) {
                 end.reset();
             }
@@ -81,14 +81,14 @@
             return;
         }
         timers.after(ONE_WAY_DELAY, () -> {
-            Endpoint near = new Endpoint(from, to, dialling);
-            Endpoint far = new Endpoint(to, from, accepting);
-            near.other = far;
-            far.other = near;
-            ends.add(near);
-            ends.add(far);
-            accepting.connected(far);
-            dialling.connected(near);
+            Endpoint dialler = new Endpoint(from, to, dialling);
+            Endpoint acceptor = new Endpoint(to, from, accepting);
+            dialler.other = acceptor;
+            acceptor.other = dialler;
+            endpoints.add(dialler);
+            endpoints.add(acceptor);
+            accepting.connected(acceptor);
+            dialling.connected(dialler);
         });
     }
 
@@ -132,7 +132,7 @@
                 return;
             }
             open = false;
-            ends.remove(this);
+            endpoints.remove(this);
             listener.disconnected(this, "closed");
             if (!cutPaths.contains(from + ">" + to)) {
                 timers.after(ONE_WAY_DELAY, other::reset);
--- a/library/src/test/java/org/chivetally/queue/link/StallDetectorTest.java
+++ b/library/src/test/java/org/chivetally/queue/link/StallDetectorTest.java
@@ -17,7 +17,7 @@
      * reached it before.
      */
     @Test
-    void doubtsNobodyBecauseTheProcessIsSlowToStart() {
+    void acceptsRequestsAfterASlowStart() {
         timers.stall(Duration.ofMillis(1_700));
         detector.markListening();
 
@@ -29,7 +29,7 @@
      * and be about to come again elsewhere, so what is read then is doubtful, however young the process is.
      */
     @Test
-    void doubtsWhatWaitedInAProcessThatHasJustBegunToListen() {
+    void detectsAStallShortlyAfterTheProcessStartedListening() {
         detector.markListening();
         timers.stall(Duration.ofMillis(800));
 
@@ -37,7 +37,7 @@
     }
 
     @Test
-    void doubtsWhatWaitedInAProcessThatHasServedForLong() {
+    void detectsAStallAfterLongOperation() {
         detector.markListening();
         for (int number = 0; number < 20; number++) {
             timers.advance(Duration.ofMillis(250));
--- a/library/src/test/java/org/chivetally/queue/log/PartitionWriterTest.java
+++ b/library/src/test/java/org/chivetally/queue/log/PartitionWriterTest.java
@@ -28,15 +28,15 @@
         return writer;
     }
 
-    private static List<KeyedRecord> entry(String key) {
+    private static List<KeyedRecord> recordWithKey(String key) {
         return List.of(new KeyedRecord(key, key.getBytes(StandardCharsets.UTF_8)));
     }
 
     @Test
-    void writesWhatComesMeanwhileInOneAppend() {
+    void batchesWritesThatArriveDuringAnAppend() {
         PartitionWriter writer = open(1);
         for (String key : List.of("a", "b", "c", "d")) {
-            writer.write(entry(key), true, results::add);
+            writer.write(recordWithKey(key), true, results::add);
         }
         timers.advance(Duration.ofMillis(20));
         assertThat(results, hasSize(5));
@@ -49,10 +49,10 @@
      * neither appended twice nor told to its caller as refused.
      */
     @Test
-    void repeatsAnAppendWhoseAnswerWasLostUntilItsFateIsKnown() {
+    void repeatsAnAppendWithALostResponseUntilItsOutcomeIsKnown() {
         PartitionWriter writer = open(1);
         log.appendBehavior = ScriptedKeyedLog.AppendBehavior.ANSWERS_LOST;
-        writer.write(entry("a"), true, results::add);
+        writer.write(recordWithKey("a"), true, results::add);
         timers.advance(Duration.ofMillis(700));
         assertThat(results, contains(Result.STORED));
         log.appendBehavior = ScriptedKeyedLog.AppendBehavior.ACCEPTING;
@@ -63,11 +63,11 @@
 
     /** The log refuses everything: work that may be refused is, within the callers' time, and is truly not there. */
     @Test
-    void refusesWhatCanNotBeWrittenAndKeepsWhatMust() {
+    void refusesRefusableWritesAndRetriesOthersDuringAnOutage() {
         PartitionWriter writer = open(1);
         log.appendBehavior = ScriptedKeyedLog.AppendBehavior.REFUSING;
-        writer.write(entry("job"), true, results::add);
-        writer.write(entry("progress"), false, results::add);
+        writer.write(recordWithKey("job"), true, results::add);
+        writer.write(recordWithKey("progress"), false, results::add);
         timers.advance(Duration.ofMillis(500));
         assertThat(results, contains(Result.STORED, Result.REFUSED));
         assertThat(writer.isStalled(), is(true));
@@ -80,10 +80,10 @@
 
     /** Refusals come after an append whose fate is open. Refusing it could be untrue, so it isn't. */
     @Test
-    void neverRefusesAnAppendThatMayHaveBeenCarriedOut() {
+    void neverRefusesAnAppendWithUnknownOutcome() {
         PartitionWriter writer = open(1);
         log.appendBehavior = ScriptedKeyedLog.AppendBehavior.ANSWERS_LOST;
-        writer.write(entry("a"), true, results::add);
+        writer.write(recordWithKey("a"), true, results::add);
         timers.advance(Duration.ofMillis(100));
         log.appendBehavior = ScriptedKeyedLog.AppendBehavior.REFUSING;
         timers.advance(Duration.ofSeconds(3));
@@ -96,9 +96,9 @@
     /** Another entry has taken the partition over: the old owner's writes go nowhere, and it learns so. */
     @Test
     void isFencedByAWriterWithAHigherEpoch() {
-        PartitionWriter old = open(1);
+        PartitionWriter previous = open(1);
         open(2);
-        old.write(entry("late"), true, results::add);
+        previous.write(recordWithKey("late"), true, results::add);
         timers.advance(Duration.ofMillis(20));
         assertThat(results, contains(Result.STORED, Result.STORED, Result.FENCED));
         assertThat(log.newest(STREAM).keySet(), is(empty()));
--- a/library/src/test/java/org/chivetally/queue/log/ScriptedKeyedLog.java
+++ b/library/src/test/java/org/chivetally/queue/log/ScriptedKeyedLog.java
@@ -52,8 +52,8 @@
     }
 
     /** Cuts one caller off, or lets it through again. */
-    public void setDisconnected(String caller, boolean off) {
-        if (off) {
+    public void setDisconnected(String caller, boolean disconnect) {
+        if (disconnect) {
             disconnected.add(caller);
         } else {
             disconnected.remove(caller);
@@ -82,12 +82,12 @@
     /** Deletes all records of a partition but the newest value of each key. */
     public void expireHistory(LogStream stream) {
         Partition partition = partition(stream);
-        partition.firstKept = partition.records.size();
+        partition.firstRetained = partition.records.size();
     }
 
     private static final class Partition {
         private final List<KeyedRecord> records = new ArrayList<>();
-        private long firstKept;
+        private long firstRetained;
         private final TreeMap<String, byte[]> newest = new TreeMap<>();
         private final Map<String, Long> epochs = new HashMap<>();
         private final Map<String, Long> sequences = new HashMap<>();
@@ -101,68 +101,69 @@
             this.caller = caller;
         }
 
-        private boolean isCut() {
+        private boolean isDisconnected() {
             return disconnected.contains(caller);
         }
 
         @Override
         public void append(
-                LogStream stream, Optional<AppendId> stamp, List<KeyedRecord> records, Consumer<AppendOutcome> answer) {
-            if (isCut() || appendBehavior == AppendBehavior.SILENT) {
-                timers.after(Duration.ofMillis(600), () -> answer.accept(new AppendOutcome.Unknown("silent")));
+                LogStream stream, Optional<AppendId> id, List<KeyedRecord> records, Consumer<AppendOutcome> callback) {
+            if (isDisconnected() || appendBehavior == AppendBehavior.SILENT) {
+                timers.after(Duration.ofMillis(600), () -> callback.accept(new AppendOutcome.Unknown("silent")));
                 return;
             }
             if (appendBehavior == AppendBehavior.REFUSING) {
-                timers.after(ANSWER_DELAY, () -> answer.accept(new AppendOutcome.Refused("busy")));
+                timers.after(ANSWER_DELAY, () -> callback.accept(new AppendOutcome.Refused("busy")));
                 return;
             }
-            boolean lost = appendBehavior == AppendBehavior.ANSWERS_LOST;
+            boolean responseLost = appendBehavior == AppendBehavior.ANSWERS_LOST;
             timers.after(ANSWER_DELAY, () -> {
-                AppendOutcome outcome = carryOut(stream, stamp, records);
-                if (lost) {
-                    timers.after(Duration.ofMillis(600), () -> answer.accept(new AppendOutcome.Unknown("answer lost")));
+                AppendOutcome outcome = applyAppend(stream, id, records);
+                if (responseLost) {
+                    timers.after(
+                            Duration.ofMillis(600), () -> callback.accept(new AppendOutcome.Unknown("answer lost")));
                 } else {
-                    answer.accept(outcome);
+                    callback.accept(outcome);
                 }
             });
         }
 
-        private AppendOutcome carryOut(LogStream stream, Optional<AppendId> stamp, List<KeyedRecord> records) {
+        private AppendOutcome applyAppend(LogStream stream, Optional<AppendId> id, List<KeyedRecord> records) {
             Partition partition = partition(stream);
-            if (stamp.isPresent()) {
-                AppendId writer = stamp.get();
-                long epoch = partition.epochs.getOrDefault(writer.writer(), -1L);
-                if (writer.epoch() < epoch) {
+            if (id.isPresent()) {
+                AppendId appendId = id.get();
+                long epoch = partition.epochs.getOrDefault(appendId.writer(), -1L);
+                if (appendId.epoch() < epoch) {
                     return new AppendOutcome.Fenced();
                 }
-                long last = partition.sequences.getOrDefault(writer.writer(), 0L);
-                if (writer.epoch() == epoch && !records.isEmpty()) {
-                    if (writer.sequence() <= last && writer.sequence() > last - 5) {
+                long lastSequence = partition.sequences.getOrDefault(appendId.writer(), 0L);
+                if (appendId.epoch() == epoch && !records.isEmpty()) {
+                    if (appendId.sequence() <= lastSequence && appendId.sequence() > lastSequence - 5) {
                         return new AppendOutcome.Appended(partition.records.size());
                     }
-                    if (writer.sequence() != last + 1) {
-                        return new AppendOutcome.OutOfSequence(last + 1);
+                    if (appendId.sequence() != lastSequence + 1) {
+                        return new AppendOutcome.OutOfSequence(lastSequence + 1);
                     }
                 }
-                partition.epochs.put(writer.writer(), writer.epoch());
-                partition.sequences.put(writer.writer(), writer.sequence());
+                partition.epochs.put(appendId.writer(), appendId.epoch());
+                partition.sequences.put(appendId.writer(), appendId.sequence());
             }
             appends.add(stream);
-            for (KeyedRecord entry : records) {
-                partition.records.add(entry);
-                if (entry.isTombstone()) {
-                    partition.newest.remove(entry.key());
+            for (KeyedRecord record : records) {
+                partition.records.add(record);
+                if (record.isTombstone()) {
+                    partition.newest.remove(record.key());
                 } else {
-                    partition.newest.put(entry.key(), entry.value());
+                    partition.newest.put(record.key(), record.value());
                 }
             }
             return new AppendOutcome.Appended(partition.records.size());
         }
 
         @Override
-        public void readNewest(LogStream stream, String afterKey, Consumer<NewestOutcome> answer) {
-            if (isCut()) {
-                timers.after(Duration.ofMillis(600), () -> answer.accept(new NewestOutcome.Unavailable("cut off")));
+        public void readNewest(LogStream stream, String afterKey, Consumer<NewestOutcome> callback) {
+            if (isDisconnected()) {
+                timers.after(Duration.ofMillis(600), () -> callback.accept(new NewestOutcome.Unavailable("cut off")));
                 return;
             }
             timers.after(ANSWER_DELAY, () -> {
@@ -172,49 +173,48 @@
                         .newest
                         .tailMap(afterKey, false)
                         .forEach((key, value) -> items.add(new KeyedRecord(key, value)));
-                answer.accept(new NewestOutcome.Page(items, false, partition.records.size()));
+                callback.accept(new NewestOutcome.Page(items, false, partition.records.size()));
             });
         }
 
         @Override
-        public void read(LogStream stream, long from, Duration wait, Consumer<ReadOutcome> answer) {
-            if (isCut()) {
-                timers.after(Duration.ofMillis(600), () -> answer.accept(new ReadOutcome.Unavailable("cut off")));
+        public void read(LogStream stream, long from, Duration maximumWait, Consumer<ReadOutcome> callback) {
+            if (isDisconnected()) {
+                timers.after(Duration.ofMillis(600), () -> callback.accept(new ReadOutcome.Unavailable("cut off")));
                 return;
             }
             Partition partition = partition(stream);
             timers.after(partition.records.size() > from ? ANSWER_DELAY : Duration.ofMillis(50), () -> {
-                if (from < partition.firstKept) {
-                    answer.accept(new ReadOutcome.Expired());
+                if (from < partition.firstRetained) {
+                    callback.accept(new ReadOutcome.Expired());
                     return;
                 }
                 List<KeyedRecord> records =
                         List.copyOf(partition.records.subList((int) from, partition.records.size()));
-                answer.accept(new ReadOutcome.Records(from + records.size(), records));
+                callback.accept(new ReadOutcome.Records(from + records.size(), records));
             });
         }
 
         @Override
-        public void join(String member, long known, Duration timeToLive, Consumer<JoinOutcome> answer) {
-            if (isCut() || appendBehavior == AppendBehavior.SILENT) {
-                timers.after(Duration.ofMillis(600), () -> answer.accept(new JoinOutcome.Unavailable("silent")));
+        public void join(String member, long knownGeneration, Duration timeToLive, Consumer<JoinOutcome> callback) {
+            if (isDisconnected() || appendBehavior == AppendBehavior.SILENT) {
+                timers.after(Duration.ofMillis(600), () -> callback.accept(new JoinOutcome.Unavailable("silent")));
                 return;
             }
             timers.after(ANSWER_DELAY, () -> {
                 memberExpiries.put(member, timers.nanos() + timeToLive.toNanos());
                 reassign();
-                if (known >= generation) {
+                if (knownGeneration >= generation) {
                     // The member has learned what it has lost, so that can be dealt on.
-                    owners.replaceAll(
-                            (partition, holder) -> holder.equals(member) ? assignment.get(partition) : holder);
+                    owners.replaceAll((partition, owner) -> owner.equals(member) ? assignment.get(partition) : owner);
                 }
-                Set<Integer> own = new HashSet<>();
-                assignment.forEach((partition, next) -> {
-                    if (next.equals(member) && owners.get(partition).equals(member)) {
-                        own.add(partition);
+                Set<Integer> assigned = new HashSet<>();
+                assignment.forEach((partition, assignee) -> {
+                    if (assignee.equals(member) && owners.get(partition).equals(member)) {
+                        assigned.add(partition);
                     }
                 });
-                answer.accept(new JoinOutcome.Joined(generation, own));
+                callback.accept(new JoinOutcome.Joined(generation, assigned));
             });
         }
 
@@ -229,18 +229,18 @@
     }
 
     private void reassign() {
-        memberExpiries.values().removeIf(until -> until < timers.nanos());
+        memberExpiries.values().removeIf(expiryNanos -> expiryNanos < timers.nanos());
         List<String> members = new ArrayList<>(memberExpiries.keySet());
-        Map<Integer, String> next = new HashMap<>();
+        Map<Integer, String> newAssignment = new HashMap<>();
         for (int partition = 0; partition < partitionCount && !members.isEmpty(); partition++) {
-            next.put(partition, members.get(partition % members.size()));
+            newAssignment.put(partition, members.get(partition % members.size()));
         }
-        if (!next.equals(assignment)) {
+        if (!newAssignment.equals(assignment)) {
             assignment.clear();
-            assignment.putAll(next);
+            assignment.putAll(newAssignment);
             generation++;
         }
         assignment.forEach((partition, member) ->
-                owners.compute(partition, (same, holder) -> members.contains(holder) ? holder : member));
+                owners.compute(partition, (same, owner) -> members.contains(owner) ? owner : member));
     }
 }
--- a/library/src/test/java/org/chivetally/queue/log/StreamTailTest.java
+++ b/library/src/test/java/org/chivetally/queue/log/StreamTailTest.java
@@ -17,16 +17,16 @@
 
     private final ManualTimers timers = new ManualTimers();
     private final ScriptedKeyedLog log = new ScriptedKeyedLog(timers, 1);
-    private final List<String> told = new ArrayList<>();
+    private final List<String> delivered = new ArrayList<>();
     private final StreamTail tail = new StreamTail(
-            log.access("reader"), timers, STREAM, Duration.ofSeconds(1), entry -> told.add(describe(entry)));
+            log.access("reader"), timers, STREAM, Duration.ofSeconds(1), entry -> delivered.add(describe(entry)));
 
-    private static String describe(KeyedRecord entry) {
-        return (entry.isTombstone() ? "-" : "+") + entry.key();
+    private static String describe(KeyedRecord record) {
+        return (record.isTombstone() ? "-" : "+") + record.key();
     }
 
-    private void append(KeyedRecord entry) {
-        log.access("writer").append(STREAM, Optional.empty(), List.of(entry), outcome -> {});
+    private void append(KeyedRecord record) {
+        log.access("writer").append(STREAM, Optional.empty(), List.of(record), outcome -> {});
         timers.advance(Duration.ofMillis(100));
     }
 
@@ -34,14 +34,14 @@
      * The offset that a record is told with is behind the record, so that two readers can tell who has read further.
      */
     @Test
-    void tellsRecordsWithTheOffsetBehindThem() {
+    void advancesTheOffsetPastEachDeliveredRecord() {
         append(new KeyedRecord("a", VALUE));
         tail.start();
         timers.advance(Duration.ofMillis(100));
         assertThat(tail.offset(), is(1L));
         append(KeyedRecord.tombstone("a"));
         assertThat(tail.offset(), is(2L));
-        assertThat(told, contains("+a", "-a"));
+        assertThat(delivered, contains("+a", "-a"));
     }
 
     /**
@@ -49,7 +49,7 @@
      * newest values don't show the drop; without being told, the reader would keep the value for ever.
      */
     @Test
-    void tellsOfKeysThatWereDroppedInLostHistory() {
+    void deliversTombstonesForKeysDeletedInExpiredHistory() {
         append(new KeyedRecord("a", VALUE));
         append(new KeyedRecord("b", VALUE));
         tail.start();
@@ -60,6 +60,6 @@
         timers.advance(Duration.ofSeconds(2));
         log.setDisconnected("reader", false);
         timers.advance(Duration.ofSeconds(2));
-        assertThat(told, contains("+a", "+b", "+b", "-a"));
+        assertThat(delivered, contains("+a", "+b", "+b", "-a"));
     }
 }
--- a/library/src/test/java/org/chivetally/queue/warmup/WarmUpTest.java
+++ b/library/src/test/java/org/chivetally/queue/warmup/WarmUpTest.java
@@ -10,41 +10,41 @@
 class WarmUpTest {
     private final ManualTimers timers = new ManualTimers();
     private boolean idle = true;
-    private int quiet;
+    private int actionsWithoutLogging;
 
-    private void begin() {
+    private void startWarmUp() {
         new WarmUp(timers, () -> new AgentWarmUpLoad()::runRound, () -> idle, action -> {
-                    quiet++;
+                    actionsWithoutLogging++;
                     action.run();
                 })
                 .start();
     }
 
     @Test
-    void anEntryDoesEachRoundToItsEnd() {
-        EntryWarmUpLoad exercise = new EntryWarmUpLoad();
+    void entryCompletesEveryRound() {
+        EntryWarmUpLoad load = new EntryWarmUpLoad();
 
         for (int number = 1; number <= WarmUp.ROUNDS; number++) {
-            assertThat(exercise.runRound(), is(number));
+            assertThat(load.runRound(), is(number));
         }
     }
 
     @Test
-    void anAgentDoesEachRoundToItsEnd() {
-        AgentWarmUpLoad exercise = new AgentWarmUpLoad();
+    void agentCompletesEveryRound() {
+        AgentWarmUpLoad load = new AgentWarmUpLoad();
 
         for (int number = 1; number <= WarmUp.ROUNDS; number++) {
-            assertThat(exercise.runRound(), is(number));
+            assertThat(load.runRound(), is(number));
         }
     }
 
     @Test
-    void endsAfterItsRounds() {
-        begin();
+    void stopsAfterTheConfiguredRounds() {
+        startWarmUp();
 
         timers.advance(Duration.ofMinutes(1));
 
-        assertThat(quiet, is(1 + WarmUp.ROUNDS));
+        assertThat(actionsWithoutLogging, is(1 + WarmUp.ROUNDS));
     }
 
     /**
@@ -52,24 +52,24 @@
      * it leaves the practice to their jobs.
      */
     @Test
-    void doesNothingInAProcessThatHasWorkFromItsStart() {
+    void doesNothingInAProcessThatHasWorkFromTheStart() {
         idle = false;
-        begin();
+        startWarmUp();
 
         timers.advance(Duration.ofMinutes(1));
 
-        assertThat(quiet, is(0));
+        assertThat(actionsWithoutLogging, is(0));
     }
 
     @Test
-    void endsWithTheFirstRealWork() {
-        begin();
+    void stopsWhenRealWorkArrives() {
+        startWarmUp();
         timers.advance(
                 WarmUp.INITIAL_DELAY.plus(WarmUp.ROUND_INTERVAL.multipliedBy(4)).plusMillis(1));
         idle = false;
 
         timers.advance(Duration.ofMinutes(1));
 
-        assertThat(quiet, is(1 + 4));
+        assertThat(actionsWithoutLogging, is(1 + 4));
     }
 }
