--- a/library/src/main/java/org/chivetally/queue/entry/EntryNode.java
+++ b/library/src/main/java/org/chivetally/queue/entry/EntryNode.java
@@ -210,11 +210,11 @@
 
     /** Tells whether most partitions have an owner that this entry can ask. */
     public boolean canServe() {
-        int known = 0;
+        int reachable = 0;
         for (int partition = 0; partition < options.partitions(); partition++) {
-            known += localOwner(partition).isPresent() || linkToOwner(partition).isPresent() ? 1 : 0;
+            reachable += localOwner(partition).isPresent() || linkToOwner(partition).isPresent() ? 1 : 0;
         }
-        return 2 * known > options.partitions();
+        return 2 * reachable > options.partitions();
     }
 
     /** Returns the number of accepted jobs of a queue none of whose tasks has started, in all partitions. */
@@ -372,8 +372,8 @@
         }
         remotePending.put(process, counts);
         Map<String, ServiceDemand> demand = new HashMap<>();
-        for (Demand told : beat.getDemandList()) {
-            demand.put(told.getService(), new ServiceDemand(told.getArrivingMillis(), told.getWaitingWork()));
+        for (Demand reported : beat.getDemandList()) {
+            demand.put(reported.getService(), new ServiceDemand(reported.getArrivingMillis(), reported.getWaitingWork()));
         }
         runs.shares().updateRemoteDemand(process, demand);
         if (runs.queueShares().isPresent()) {
@@ -389,8 +389,8 @@
     }
 
     private void updateRemoteOwner(String process, OwnedPartition owned) {
-        RemoteOwner known = remoteOwners.get(owned.getPartition());
-        if (known == null || known.epoch() <= owned.getEpoch()) {
+        RemoteOwner current = remoteOwners.get(owned.getPartition());
+        if (current == null || current.epoch() <= owned.getEpoch()) {
             remoteOwners.put(owned.getPartition(), new RemoteOwner(process, owned.getEpoch()));
         }
         PartitionOwner own = partitions.get(owned.getPartition());
--- a/library/src/test/java/org/chivetally/queue/entry/CancellationBoundTest.java
+++ b/library/src/test/java/org/chivetally/queue/entry/CancellationBoundTest.java
@@ -25,7 +25,7 @@
 
     private final Cluster cluster = new Cluster();
 
-    private void settle() {
+    private void startCluster() {
         for (String name : List.of("entry-1", "entry-2", "entry-3")) {
             cluster.entry(name);
         }
@@ -34,7 +34,7 @@
         cluster.awaitLinks();
     }
 
-    private String owner() {
+    private String ownerName() {
         int partition = Partitions.of(ID, Cluster.PARTITIONS);
         return cluster.entries.entrySet().stream()
                 .filter(entry -> entry.getValue().localOwner(partition).isPresent())
@@ -75,14 +75,14 @@
      * reaches it. The agent stops the run by itself.
      */
     @Test
-    void aRunWhoseAgentNoStopReachesStopsInTime() {
+    void runStopsInTimeWhenNoStopReachesItsAgent() {
         for (int phase = 0; phase < 250; phase += 25) {
             CancellationBoundTest again = new CancellationBoundTest();
-            again.settle();
-            again.cluster.submit(again.cluster.entries.get(again.owner()), Jobs.of(ID, 1));
+            again.startCluster();
+            again.cluster.submit(again.cluster.entries.get(again.ownerName()), Jobs.of(ID, 1));
             again.cluster.advance(500 + phase);
-            again.cluster.network.cut(again.runner(), again.owner(), true);
-            again.cancelAcknowledged(again.cluster.entries.get(again.owner()));
+            again.cluster.network.cut(again.runner(), again.ownerName(), true);
+            again.cancelAcknowledged(again.cluster.entries.get(again.ownerName()));
             again.cluster.advance(BOUND_MILLIS);
             assertThat("runs at phase " + phase, again.isRunning(), is(false));
         }
@@ -90,24 +90,24 @@
 
     /** The entry that started the task is gone for good; whoever owns the job then is asked to cancel it. */
     @Test
-    void aRunWhoseStarterIsGoneForGoodStopsInTime() {
-        settle();
-        cluster.submit(cluster.entries.get(owner()), Jobs.of(ID, 1));
+    void runStopsInTimeAfterItsOwnerDied() {
+        startCluster();
+        cluster.submit(cluster.entries.get(ownerName()), Jobs.of(ID, 1));
         cluster.advance(500);
-        cluster.kill(owner());
+        cluster.kill(ownerName());
         advanceUntil(() -> cluster.entries.values().stream()
                 .anyMatch(entry ->
                         entry.localOwner(Partitions.of(ID, Cluster.PARTITIONS)).isPresent()));
-        cancelAcknowledged(cluster.entries.get(owner()));
+        cancelAcknowledged(cluster.entries.get(ownerName()));
         cluster.advance(BOUND_MILLIS);
         assertThat(isRunning(), is(false));
     }
 
     /** No entry is left at all: the agent stops what runs, as nobody could tell it of a cancel. */
     @Test
-    void aRunStopsWhenNoEntryIsLeft() {
-        settle();
-        cluster.submit(cluster.entries.get(owner()), Jobs.of(ID, 1));
+    void runStopsWhenAllEntriesAreDown() {
+        startCluster();
+        cluster.submit(cluster.entries.get(ownerName()), Jobs.of(ID, 1));
         cluster.advance(500);
         for (String name : List.of("entry-1", "entry-2", "entry-3")) {
             cluster.kill(name);
@@ -121,19 +121,19 @@
      * the run as soon as the minion answers again.
      */
     @Test
-    void aStartThatIsCarriedOutAfterTheCancelIsStopped() {
-        settle();
+    void stopsAStartExecutedAfterTheCancellation() {
+        startCluster();
         for (ModelMinion minion : cluster.minions.values()) {
             minion.startsHeldUp = true;
         }
-        cluster.submit(cluster.entries.get(owner()), Jobs.of(ID, 1));
+        cluster.submit(cluster.entries.get(ownerName()), Jobs.of(ID, 1));
         cluster.advance(60);
         ModelMinion minion = cluster.minions.values().stream()
                 .filter(known -> !known.starts.isEmpty())
                 .findFirst()
                 .orElseThrow();
         minion.silent = true;
-        cancelAcknowledged(cluster.entries.get(owner()));
+        cancelAcknowledged(cluster.entries.get(ownerName()));
         cluster.advance(200);
         minion.carryOut(minion.starts.getFirst());
         assertThat(minion.running.keySet(), hasSize(1));
@@ -144,19 +144,19 @@
 
     /** The same, but the minion crashes in between and another incarnation under its id carries the start out. */
     @Test
-    void aCancelledStartThatAnotherIncarnationCarriesOutIsStopped() {
-        settle();
+    void stopsACancelledStartExecutedByTheNextIncarnation() {
+        startCluster();
         cluster.minions.values().forEach(minion -> minion.reborn(1_700_000_000_000L));
         for (ModelMinion minion : cluster.minions.values()) {
             minion.startsHeldUp = true;
         }
-        cluster.submit(cluster.entries.get(owner()), Jobs.of(ID, 1));
+        cluster.submit(cluster.entries.get(ownerName()), Jobs.of(ID, 1));
         cluster.advance(60);
         ModelMinion minion = cluster.minions.values().stream()
                 .filter(known -> !known.starts.isEmpty())
                 .findFirst()
                 .orElseThrow();
-        cancelAcknowledged(cluster.entries.get(owner()));
+        cancelAcknowledged(cluster.entries.get(ownerName()));
         minion.reborn(1_800_000_000_000L);
         minion.carryOut(minion.starts.getFirst());
         assertThat(minion.running.keySet(), hasSize(1));
--- a/library/src/test/java/org/chivetally/queue/entry/Cluster.java
+++ b/library/src/test/java/org/chivetally/queue/entry/Cluster.java
@@ -145,7 +145,7 @@
     }
 
     /** Returns the minion that runs anything of a job. */
-    Optional<ModelMinion> runner(String jobId) {
+    Optional<ModelMinion> minionRunning(String jobId) {
         return minions.values().stream()
                 .filter(minion -> minion.running.keySet().stream()
                         .anyMatch(run -> run.task().jobId().equals(jobId)))
--- a/library/src/test/java/org/chivetally/queue/entry/ContentionReplay.java
+++ b/library/src/test/java/org/chivetally/queue/entry/ContentionReplay.java
@@ -32,7 +32,7 @@
     private static final double SCALE = 21.0 / 70;
 
     private static final int ENTRIES = 6;
-    private static final int CUT_OFF = ENTRIES / 3;
+    private static final int DISCONNECTED_ENTRIES = ENTRIES / 3;
     private static final double ESTIMATE_ERROR = 0.4;
     private static final double SLACK = 1.6;
     private static final int LATENCY_MILLIS = 60;
@@ -132,15 +132,15 @@
             cluster.awaitLinks();
             double[] next = new double[loads.size()];
             for (int millis = 0; millis < END_MILLIS + DRAIN_MILLIS; millis++) {
-                cutOff(millis);
+                switchNetworkPartition(millis);
                 for (int place = 0; place < next.length && millis < END_MILLIS; place++) {
                     while (next[place] <= millis) {
-                        arrive(loads.get(place));
+                        submitNewJob(loads.get(place));
                         next[place] += gapMillis(loads.get(place), millis);
                     }
                 }
                 cluster.advance(1);
-                followStarts();
+                scheduleRunEnds();
             }
         } finally {
             logger.setLevel(before);
@@ -157,17 +157,17 @@
     }
 
     /** A third of the entries can't reach the others during the bursts; all of them reach the agents. */
-    private void cutOff(int millis) {
+    private void switchNetworkPartition(int millis) {
         boolean begins = millis == LONGEST_WORK.fromMillis() || millis == SHORTEST_WORK.fromMillis();
         boolean ends = millis == LONGEST_WORK.untilMillis() || millis == SHORTEST_WORK.untilMillis();
-        for (int one = 0; one < CUT_OFF && (begins || ends); one++) {
+        for (int one = 0; one < DISCONNECTED_ENTRIES && (begins || ends); one++) {
             for (int other = one + 1; other < ENTRIES; other++) {
                 cluster.network.cut("entry-" + one, "entry-" + other, begins);
             }
         }
     }
 
-    private void arrive(Load load) {
+    private void submitNewJob(Load load) {
         String id = "%016x".formatted(++jobs);
         double millis = load.taskMillis() * (0.8 + 0.4 * random.nextDouble());
         int estimate = (int) Math.max(1, millis * Math.exp(ESTIMATE_ERROR * random.nextGaussian()));
@@ -201,11 +201,11 @@
             return;
         }
         boolean done = answer instanceof JobAnswer.State state && state.phase() == JobPhase.COMPLETED;
-        long lasted = now - caller.firstNanos();
+        long elapsed = now - caller.firstNanos();
         if (!done || now > caller.limitNanos()) {
             count(caller, Result.FAILED);
         } else {
-            count(caller, lasted <= caller.objectiveNanos() ? Result.IN_TIME : Result.LATE);
+            count(caller, elapsed <= caller.objectiveNanos() ? Result.IN_TIME : Result.LATE);
         }
     }
 
@@ -214,7 +214,7 @@
     }
 
     /** Ends each run that has started when its work is done. */
-    private void followStarts() {
+    private void scheduleRunEnds() {
         for (Map.Entry<String, ModelMinion> entry : cluster.minions.entrySet()) {
             ModelMinion minion = entry.getValue();
             for (int place = startsSeen.get(entry.getKey()); place < minion.starts.size(); place++) {
--- a/library/src/test/java/org/chivetally/queue/entry/ContentionReplayTest.java
+++ b/library/src/test/java/org/chivetally/queue/entry/ContentionReplayTest.java
@@ -29,9 +29,9 @@
      * begun.
      */
     @Test
-    void inAShortageTheWorstServedQueueIsServedBetterAndNoFewerJobsAreServed() {
-        List<ContentionReplay> plain = play(SchedulingSettings.NONE, SHORT_OF_WORKERS, 2);
-        List<ContentionReplay> fair = play(Cluster.FAIR_SHARES, SHORT_OF_WORKERS, 2);
+    void fairSharesServeTheWorstServedQueueBetterInAShortage() {
+        List<ContentionReplay> plain = replay(SchedulingSettings.NONE, SHORT_OF_WORKERS, 2);
+        List<ContentionReplay> fair = replay(Cluster.FAIR_SHARES, SHORT_OF_WORKERS, 2);
         assertThat(servedOfWorst(fair), greaterThan(servedOfWorst(plain)));
         assertThat(part(fair, QUEUES, Result.FAILED), lessThan(part(plain, QUEUES, Result.FAILED)));
         assertThat(served(fair, QUEUES), greaterThanOrEqualTo(served(plain, QUEUES)));
@@ -40,9 +40,9 @@
 
     /** With all workers there is room for nearly all: shares must then cost nothing that shows. */
     @Test
-    void withAllWorkersNoFewerJobsAreServed() {
-        List<ContentionReplay> plain = play(SchedulingSettings.NONE, WHOLE_FLEET, 1);
-        List<ContentionReplay> fair = play(Cluster.FAIR_SHARES, WHOLE_FLEET, 1);
+    void fairSharesServeNoFewerJobsWithAllWorkers() {
+        List<ContentionReplay> plain = replay(SchedulingSettings.NONE, WHOLE_FLEET, 1);
+        List<ContentionReplay> fair = replay(Cluster.FAIR_SHARES, WHOLE_FLEET, 1);
         assertThat(served(fair, QUEUES), greaterThan(served(plain, QUEUES) - TOLERANCE));
         assertThat(
                 part(fair, QUEUES, Result.IN_TIME), greaterThan(part(plain, QUEUES, Result.IN_TIME) - 2 * TOLERANCE));
@@ -57,7 +57,7 @@
         assertThat(fair.served("wide"), greaterThan(fair.served("narrow") - 0.05));
     }
 
-    private static List<ContentionReplay> play(SchedulingSettings scheduling, int workers, int seeds) {
+    private static List<ContentionReplay> replay(SchedulingSettings scheduling, int workers, int seeds) {
         List<ContentionReplay> replays = new ArrayList<>();
         for (long seed = 1; seed <= seeds; seed++) {
             ContentionReplay replay =
--- a/library/src/test/java/org/chivetally/queue/entry/CrashingMinions.java
+++ b/library/src/test/java/org/chivetally/queue/entry/CrashingMinions.java
@@ -14,35 +14,35 @@
 
 /** Minions that carry tasks out, and that crash under some of them and come back under the same id. */
 final class CrashingMinions {
-    private static final long BORN = 1_800_000_000_000L;
+    private static final long FIRST_START_EPOCH_MILLIS = 1_800_000_000_000L;
     private static final long STEP_MILLIS = 5;
     private static final long HEARTBEAT_MILLIS = 1_500;
 
     final Map<TaskKey, Integer> crashes =
             new TreeMap<>((one, other) -> one.toString().compareTo(other.toString()));
     private final Cluster cluster;
-    private final Set<String> guiltyJobs;
-    private final Map<String, Map<RunKey, Long>> seenAt = new HashMap<>();
-    private final Map<String, Long> backAt = new HashMap<>();
+    private final Set<String> crashingJobs;
+    private final Map<String, Map<RunKey, Long>> firstSeenAt = new HashMap<>();
+    private final Map<String, Long> restartAt = new HashMap<>();
     private final Map<String, Long> sequences = new HashMap<>();
     long workMillis = 90;
     long crashAfterMillis = 30;
-    long awayMillis = 3_000;
+    long downMillis = 3_000;
     private long nowMillis;
 
-    CrashingMinions(Cluster cluster, Set<String> guiltyJobs) {
+    CrashingMinions(Cluster cluster, Set<String> crashingJobs) {
         this.cluster = cluster;
-        this.guiltyJobs = guiltyJobs;
+        this.crashingJobs = crashingJobs;
     }
 
     void agent(String name) {
         cluster.agentWithoutMinion(name);
-        seenAt.put(name, new HashMap<>());
-        cluster.minions.get(name).reborn(BORN);
-        beat(name);
+        firstSeenAt.put(name, new HashMap<>());
+        cluster.minions.get(name).reborn(FIRST_START_EPOCH_MILLIS);
+        sendHeartbeat(name);
     }
 
-    private void beat(String name) {
+    private void sendHeartbeat(String name) {
         ModelMinion minion = cluster.minions.get(name);
         long sequence = sequences.merge(name, 1L, Long::sum);
         cluster.agents
@@ -62,30 +62,30 @@
         for (long passed = 0; passed < millis; passed += STEP_MILLIS) {
             cluster.advance(STEP_MILLIS);
             nowMillis += STEP_MILLIS;
-            for (String name : seenAt.keySet()) {
+            for (String name : firstSeenAt.keySet()) {
                 step(name, cluster.minions.get(name));
             }
         }
     }
 
     private void step(String name, ModelMinion minion) {
-        if (backAt.getOrDefault(name, Long.MAX_VALUE) <= nowMillis) {
-            backAt.remove(name);
+        if (restartAt.getOrDefault(name, Long.MAX_VALUE) <= nowMillis) {
+            restartAt.remove(name);
             sequences.remove(name);
-            minion.reborn(BORN + nowMillis);
-            beat(name);
+            minion.reborn(FIRST_START_EPOCH_MILLIS + nowMillis);
+            sendHeartbeat(name);
         }
-        if (backAt.containsKey(name)) {
+        if (restartAt.containsKey(name)) {
             return;
         }
         if (nowMillis % HEARTBEAT_MILLIS == 0) {
-            beat(name);
+            sendHeartbeat(name);
         }
-        Map<RunKey, Long> seen = seenAt.get(name);
-        seen.keySet().retainAll(minion.running.keySet());
+        Map<RunKey, Long> firstSeen = firstSeenAt.get(name);
+        firstSeen.keySet().retainAll(minion.running.keySet());
         for (RunKey run : List.copyOf(minion.running.keySet())) {
-            long age = nowMillis - seen.computeIfAbsent(run, key -> nowMillis);
-            if (guiltyJobs.contains(run.task().jobId()) && age >= crashAfterMillis) {
+            long age = nowMillis - firstSeen.computeIfAbsent(run, key -> nowMillis);
+            if (crashingJobs.contains(run.task().jobId()) && age >= crashAfterMillis) {
                 crash(name, minion, run);
                 return;
             }
@@ -100,7 +100,7 @@
         minion.running.clear();
         minion.ends.clear();
         minion.down = true;
-        backAt.put(name, nowMillis + awayMillis);
+        restartAt.put(name, nowMillis + downMillis);
     }
 
     /** Returns how many different runs of a job's tasks minions have started. */
--- a/library/src/test/java/org/chivetally/queue/entry/CrashingTasksTest.java
+++ b/library/src/test/java/org/chivetally/queue/entry/CrashingTasksTest.java
@@ -26,24 +26,24 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 class CrashingTasksTest {
-    private static final String GUILTY = "00000000000000c1";
+    private static final String CRASHING_JOB = "00000000000000c1";
     private static final JobAnswer FAILED = new JobAnswer.State(JobPhase.FAILED);
     private static final JobAnswer COMPLETED = new JobAnswer.State(JobPhase.COMPLETED);
 
     private Cluster cluster;
-    private CrashingMinions load;
+    private CrashingMinions minions;
 
-    private void begin(int crashLimit, int agents, Set<String> guilty) {
+    private void startCluster(int crashLimit, int agents, Set<String> crashingJobs) {
         cluster = new Cluster(new SchedulingSettings(false, false, crashLimit));
         cluster.capacity = new Room(60_000, 65_536, 0);
-        load = new CrashingMinions(cluster, guilty);
+        minions = new CrashingMinions(cluster, crashingJobs);
         for (int number = 1; number <= 3; number++) {
             cluster.entry("entry-" + number);
         }
         for (int number = 1; number <= agents; number++) {
-            load.agent("agent-" + number);
+            minions.agent("agent-" + number);
         }
-        load.advance(3_000);
+        minions.advance(3_000);
     }
 
     private EntryNode entry(int number) {
@@ -51,7 +51,7 @@
     }
 
     private String ownerName() {
-        int partition = Partitions.of(GUILTY, Cluster.PARTITIONS);
+        int partition = Partitions.of(CRASHING_JOB, Cluster.PARTITIONS);
         return cluster.entries.entrySet().stream()
                 .filter(entry -> entry.getValue().localOwner(partition).isPresent())
                 .findFirst()
@@ -60,14 +60,14 @@
     }
 
     private void advanceToCrash(int count) {
-        for (int step = 0; crashed() < count; step++) {
+        for (int step = 0; crashCount() < count; step++) {
             assertThat("crash " + count + " within 20 s", step < 4_000, is(true));
-            load.advance(5);
+            minions.advance(5);
         }
     }
 
-    private int crashed() {
-        return load.crashes.values().stream().mapToInt(Integer::intValue).sum();
+    private int crashCount() {
+        return minions.crashes.values().stream().mapToInt(Integer::intValue).sum();
     }
 
     /**
@@ -76,86 +76,86 @@
      */
     @ParameterizedTest
     @ValueSource(ints = {0, 1, 2, 3, 4})
-    void givesUpTheGuiltyAndNobodyElse(int variant) {
-        List<String> guilty = List.of("00000000000000d1", "00000000000000d2", "00000000000000d3", "00000000000000d4");
-        begin(2, 12, Set.copyOf(guilty));
-        load.advance(35L * variant);
+    void failsOnlyJobsWhoseTasksCrashMinions(int variant) {
+        List<String> crashingJobs = List.of("00000000000000d1", "00000000000000d2", "00000000000000d3", "00000000000000d4");
+        startCluster(2, 12, Set.copyOf(crashingJobs));
+        minions.advance(35L * variant);
         Map<String, List<JobAnswer>> answers = new LinkedHashMap<>();
         for (int number = 0; number < 400; number++) {
             String id = String.format("%016x", 0xe000 + 1_000 * variant + number);
             answers.put(id, cluster.submitInMemory(entry(1 + number % 3), Jobs.of(id, 4, 0, 300), 4_000));
             if (number % 80 == 40) {
-                String job = guilty.get(number / 80 % guilty.size());
+                String job = crashingJobs.get(number / 80 % crashingJobs.size());
                 answers.computeIfAbsent(job, key -> cluster.submitInMemory(entry(2), Jobs.of(key, 1, 0, 300), 4_000));
             }
-            load.advance(20);
+            minions.advance(20);
         }
-        load.advance(6_000);
-        for (String job : guilty) {
+        minions.advance(6_000);
+        for (String job : crashingJobs) {
             assertThat(answers.remove(job), contains(FAILED));
         }
         List<JobAnswer> others = new ArrayList<>();
         answers.values().forEach(others::addAll);
         assertThat(others, hasSize(400));
         assertThat(others, everyItem(is(COMPLETED)));
-        assertThat(load.crashes.values(), everyItem(lessThanOrEqualTo(2)));
-        assertThat(crashed(), is(8));
+        assertThat(minions.crashes.values(), everyItem(lessThanOrEqualTo(2)));
+        assertThat(crashCount(), is(8));
     }
 
     /** All tasks of a job crash their minions at the same moment, with hundreds of suspects for few workers. */
     @ParameterizedTest
     @ValueSource(ints = {0, 1, 2, 3, 4})
-    void givesUpAJobAllOfWhoseTasksCrash(int variant) {
-        begin(2, 12, Set.of(GUILTY));
-        load.advance(35L * variant);
+    void failsAJobAllOfWhoseTasksCrash(int variant) {
+        startCluster(2, 12, Set.of(CRASHING_JOB));
+        minions.advance(35L * variant);
         List<JobAnswer> others = new ArrayList<>();
-        List<JobAnswer> guilty = List.of();
+        List<JobAnswer> crashing = List.of();
         for (int number = 0; number < 300; number++) {
             String id = String.format("%016x", 0xe000 + 1_000 * variant + number);
             entry(1 + number % 3)
                     .inMemoryJobs()
                     .submit(Jobs.of(id, 4, 0, 300), cluster.timers.nanos() + 4_000_000_000L, others::add);
             if (number == 50) {
-                guilty = cluster.submitInMemory(entry(1), Jobs.of(GUILTY, 6, 0, 300), 4_000);
+                crashing = cluster.submitInMemory(entry(1), Jobs.of(CRASHING_JOB, 6, 0, 300), 4_000);
             }
-            load.advance(20);
+            minions.advance(20);
         }
-        load.advance(6_000);
-        assertThat(guilty, contains(FAILED));
-        assertThat(load.crashes.values(), everyItem(lessThanOrEqualTo(2)));
+        minions.advance(6_000);
+        assertThat(crashing, contains(FAILED));
+        assertThat(minions.crashes.values(), everyItem(lessThanOrEqualTo(2)));
         assertThat(others, hasSize(300));
         assertThat(others.stream().filter(FAILED::equals).toList(), is(empty()));
     }
 
     /** Without a limit such a task goes on, as before, until its caller gives up. */
     @Test
-    void withoutALimitNothingIsGivenUp() {
-        begin(0, 6, Set.of(GUILTY));
-        List<JobAnswer> answers = cluster.submitInMemory(entry(1), Jobs.of(GUILTY, 1, 0, 3_000), 9_000);
-        load.advance(10_000);
+    void retriesACrashingTaskWithoutALimit() {
+        startCluster(0, 6, Set.of(CRASHING_JOB));
+        List<JobAnswer> answers = cluster.submitInMemory(entry(1), Jobs.of(CRASHING_JOB, 1, 0, 3_000), 9_000);
+        minions.advance(10_000);
         assertThat(answers.contains(FAILED), is(false));
-        assertThat(crashed(), is(greaterThan(3)));
+        assertThat(crashCount(), is(greaterThan(3)));
     }
 
     /** Whatever the settings, a kept task starts three times after its third crash, and then its job has failed. */
     @Test
-    void boundsTheStartsOfAKeptTaskWithoutALimit() {
-        begin(0, 8, Set.of(GUILTY));
-        cluster.submit(entry(1), Jobs.of(GUILTY, 1, 0, 100));
-        load.advance(20_000);
-        assertThat(load.starts(GUILTY), is(6L));
-        assertThat(crashed(), is(6));
-        assertThat(cluster.query(entry(2), GUILTY), contains(FAILED));
+    void boundsTheStartsOfADurableTaskWithoutALimit() {
+        startCluster(0, 8, Set.of(CRASHING_JOB));
+        cluster.submit(entry(1), Jobs.of(CRASHING_JOB, 1, 0, 100));
+        minions.advance(20_000);
+        assertThat(minions.starts(CRASHING_JOB), is(6L));
+        assertThat(crashCount(), is(6));
+        assertThat(cluster.query(entry(2), CRASHING_JOB), contains(FAILED));
     }
 
     /** With the limit, a kept job is given up like any other, and its callers are told. */
     @Test
-    void givesAKeptJobUpAtTheLimit() {
-        begin(2, 6, Set.of(GUILTY));
-        cluster.submit(entry(1), Jobs.of(GUILTY, 1, 0, 100));
-        load.advance(8_000);
-        assertThat(crashed(), is(2));
-        assertThat(cluster.query(entry(2), GUILTY), contains(FAILED));
+    void failsADurableJobAtTheLimit() {
+        startCluster(2, 6, Set.of(CRASHING_JOB));
+        cluster.submit(entry(1), Jobs.of(CRASHING_JOB, 1, 0, 100));
+        minions.advance(8_000);
+        assertThat(crashCount(), is(2));
+        assertThat(cluster.query(entry(2), CRASHING_JOB), contains(FAILED));
     }
 
     /**
@@ -164,42 +164,42 @@
      */
     @Test
     void countsACrashWhoseOwnerDiesBeforeItIsStored() {
-        begin(0, 8, Set.of(GUILTY));
-        cluster.submit(entry(1), Jobs.of(GUILTY, 1, 0, 100));
+        startCluster(0, 8, Set.of(CRASHING_JOB));
+        cluster.submit(entry(1), Jobs.of(CRASHING_JOB, 1, 0, 100));
         for (int deaths = 0; deaths < 2; deaths++) {
-            advanceToCrash(crashed() + 1);
+            advanceToCrash(crashCount() + 1);
             cluster.log.mood = ScriptedKeyedLog.Mood.SILENT;
-            load.advance(1_500);
+            minions.advance(1_500);
             cluster.kill(ownerName());
             cluster.log.mood = ScriptedKeyedLog.Mood.WELL;
         }
-        load.advance(30_000);
-        assertThat(load.starts(GUILTY), lessThanOrEqualTo(6L));
-        assertThat(cluster.query(entry(Integer.parseInt(ownerName().substring(6))), GUILTY), contains(FAILED));
+        minions.advance(30_000);
+        assertThat(minions.starts(CRASHING_JOB), lessThanOrEqualTo(6L));
+        assertThat(cluster.query(entry(Integer.parseInt(ownerName().substring(6))), CRASHING_JOB), contains(FAILED));
     }
 
     /** The store is down when the third minion has crashed: nothing starts before the count is stored. */
     @Test
-    void startsNothingAfterTheThirdCrashWhileTheStoreIsDown() {
-        begin(0, 8, Set.of(GUILTY));
-        cluster.submit(entry(1), Jobs.of(GUILTY, 1, 0, 100));
+    void startsNothingAfterTheThirdCrashWhileTheLogIsDown() {
+        startCluster(0, 8, Set.of(CRASHING_JOB));
+        cluster.submit(entry(1), Jobs.of(CRASHING_JOB, 1, 0, 100));
         advanceToCrash(3);
         cluster.log.mood = ScriptedKeyedLog.Mood.SILENT;
-        load.advance(6_000);
-        assertThat(load.starts(GUILTY), is(3L));
+        minions.advance(6_000);
+        assertThat(minions.starts(CRASHING_JOB), is(3L));
         cluster.log.mood = ScriptedKeyedLog.Mood.WELL;
-        load.advance(30_000);
-        assertThat(load.starts(GUILTY), is(6L));
+        minions.advance(30_000);
+        assertThat(minions.starts(CRASHING_JOB), is(6L));
     }
 
     /** The minions are back before anybody has missed them, each under its id: the crashes count all the same. */
     @Test
-    void countsCrashesOfMinionsThatAreBackAtOnce() {
-        begin(2, 6, Set.of(GUILTY));
-        load.awayMillis = 5;
-        List<JobAnswer> answers = cluster.submitInMemory(entry(1), Jobs.of(GUILTY, 1, 0, 300), 4_000);
-        load.advance(2_000);
+    void countsCrashesOfMinionsThatRestartAtOnce() {
+        startCluster(2, 6, Set.of(CRASHING_JOB));
+        minions.downMillis = 5;
+        List<JobAnswer> answers = cluster.submitInMemory(entry(1), Jobs.of(CRASHING_JOB, 1, 0, 300), 4_000);
+        minions.advance(2_000);
         assertThat(answers, contains(FAILED));
-        assertThat(crashed(), is(2));
+        assertThat(crashCount(), is(2));
     }
 }
--- a/library/src/test/java/org/chivetally/queue/entry/DurableJobsTest.java
+++ b/library/src/test/java/org/chivetally/queue/entry/DurableJobsTest.java
@@ -45,14 +45,14 @@
     }
 
     private int starts() {
-        return total(minion -> minion.starts.size());
+        return sumOverMinions(minion -> minion.starts.size());
     }
 
-    private int total(ToIntFunction<ModelMinion> figure) {
+    private int sumOverMinions(ToIntFunction<ModelMinion> figure) {
         return cluster.minions.values().stream().mapToInt(figure).sum();
     }
 
-    private void three() {
+    private void startCluster() {
         for (String name : List.of("entry-1", "entry-2", "entry-3")) {
             cluster.entry(name);
         }
@@ -63,7 +63,7 @@
 
     @Test
     void servesAJobThroughAnyEntryAndShowsItsEnd() {
-        three();
+        startCluster();
         for (EntryNode entry : cluster.entries.values()) {
             List<JobAnswer> answers = cluster.submit(entry, Jobs.of(ID, 2));
             cluster.advance(50);
@@ -85,7 +85,7 @@
      */
     @Test
     void runsNoTaskTwiceWhenTheOwnerDies() {
-        three();
+        startCluster();
         EntryNode owner = ownerOf(ID);
         cluster.submit(owner, Jobs.of(ID, 3));
         cluster.advance(100);
@@ -106,15 +106,15 @@
      * more.
      */
     @Test
-    void forgetsNoEndThatIsNotStoredYet() {
-        three();
+    void acknowledgesNoEndBeforeItIsStored() {
+        startCluster();
         EntryNode owner = ownerOf(ID);
         cluster.submit(owner, Jobs.of(ID, 1));
         cluster.advance(100);
         cluster.log.mood = ScriptedKeyedLog.Mood.SILENT;
         cluster.finish(ID, RunOutcome.DONE);
         cluster.advance(1_200);
-        assertThat(total(minion -> minion.ends.size()), is(1));
+        assertThat(sumOverMinions(minion -> minion.ends.size()), is(1));
         cluster.kill(nameOf(owner));
         cluster.log.mood = ScriptedKeyedLog.Mood.WELL;
         cluster.advance(9_000);
@@ -128,7 +128,7 @@
      */
     @Test
     void startsTasksOfALostAgentAgainOnlyAfterItsLease() {
-        three();
+        startCluster();
         EntryNode owner = ownerOf(ID);
         cluster.submit(owner, Jobs.of(ID, 1));
         cluster.advance(100);
@@ -186,8 +186,8 @@
      * time and starts the task elsewhere: by then the old run must have ended, or the task runs twice.
      */
     @Test
-    void endsARunWhoseOwnerIsCutOffThoughOthersKeepTheWorkerBusy() {
-        three();
+    void stopsARunWhoseOwnerIsCutOffWhileOtherOwnersUseItsWorker() {
+        startCluster();
         EntryNode owner = ownerOf(ID);
         cluster.submit(owner, Jobs.of(ID, 1));
         cluster.advance(100);
@@ -204,7 +204,7 @@
      */
     @Test
     void noEndCountsAfterItsTaskWasStartedAgain() {
-        three();
+        startCluster();
         EntryNode owner = ownerOf(ID);
         cluster.submit(owner, Jobs.of(ID, 1));
         cluster.advance(100);
@@ -226,8 +226,8 @@
      * is done with that: the second run is stopped, since a caller must not have the work done twice.
      */
     @Test
-    void stopsTheSecondRunWhenTheFirstTurnsOutToBeDone() {
-        three();
+    void stopsTheSecondRunWhenTheFirstHasSucceeded() {
+        startCluster();
         EntryNode owner = ownerOf(ID);
         cluster.submit(owner, Jobs.of(ID, 1));
         cluster.advance(100);
@@ -242,7 +242,7 @@
     }
 
     /** Returns the entry that owns the partition of a job now, other than one that thinks so still. */
-    private EntryNode ownerBeside(EntryNode old) {
+    private EntryNode otherOwnerThan(EntryNode old) {
         int partition = Partitions.of(ID, Cluster.PARTITIONS);
         return cluster.entries.values().stream()
                 .filter(entry -> entry != old && entry.localOwner(partition).isPresent())
@@ -256,8 +256,8 @@
      * old owner may have started it there, as that agent takes its starts still.
      */
     @Test
-    void startsNoNextStepBeforeAllAgentsAreHeard() {
-        three();
+    void startsNoNextStepBeforeAllAgentsHaveReported() {
+        startCluster();
         EntryNode old = ownerOf(ID);
         cluster.submit(old, Jobs.chain(ID, 1, 1));
         cluster.advance(100);
@@ -281,8 +281,8 @@
      * run nor its end there. It must not take the run for lost and start the task at the other agent.
      */
     @Test
-    void anOwnerThatWasReplacedStartsNothingAgain() {
-        three();
+    void aSupersededOwnerRestartsNothing() {
+        startCluster();
         EntryNode old = ownerOf(ID);
         String oldName = nameOf(old);
         cluster.submit(old, Jobs.of(ID, 1));
@@ -298,7 +298,7 @@
         cluster.advance(3_500);
         cluster.finish(ID, RunOutcome.DONE);
         cluster.advance(300);
-        assertThat(cluster.query(ownerBeside(old), ID), contains(new JobAnswer.State(JobPhase.COMPLETED)));
+        assertThat(cluster.query(otherOwnerThan(old), ID), contains(new JobAnswer.State(JobPhase.COMPLETED)));
         cluster.network.cut(runner, oldName, false);
         cluster.advance(1_500);
         assertThat(starts(), is(1));
@@ -312,8 +312,8 @@
      * is stopped.
      */
     @Test
-    void takesAnEndThatAMinionTellsAfterItsLeaseHasEnded() {
-        three();
+    void acceptsAnEndReportedAfterTheLeaseHasExpired() {
+        startCluster();
         EntryNode owner = ownerOf(ID);
         cluster.submit(owner, Jobs.of(ID, 1));
         cluster.advance(100);
@@ -337,8 +337,8 @@
      * The log takes nothing: the caller is refused at once with a time to come back, and the job is truly not there.
      */
     @Test
-    void refusesAJobThatTheLogDoesNotTake() {
-        three();
+    void refusesAJobWhenTheLogRejectsWrites() {
+        startCluster();
         cluster.log.mood = ScriptedKeyedLog.Mood.REFUSING;
         List<JobAnswer> answers = cluster.submit(ownerOf(ID), Jobs.of(ID, 1));
         cluster.advance(600);
@@ -351,7 +351,7 @@
 
     @Test
     void cancelsAJobAndStopsItsRuns() {
-        three();
+        startCluster();
         EntryNode owner = ownerOf(ID);
         cluster.submit(owner, Jobs.of(ID, 2));
         cluster.advance(100);
@@ -373,8 +373,8 @@
      * agents.
      */
     @Test
-    void opensOnlyThePartitionsThatStayWithItWhenAllStartTogether() {
-        three();
+    void opensEachPartitionOnceWhenAllEntriesStartTogether() {
+        startCluster();
         List<LogStream> opened = cluster.log.appends().stream()
                 .filter(stream -> "jobs".equals(stream.name()))
                 .toList();
@@ -383,8 +383,8 @@
 
     /** All power is lost, and the minions live on. The new agents know them from the log and run what was accepted. */
     @Test
-    void findsTheMinionsAgainBeforeTheyAnnounceThemselves() {
-        three();
+    void restoresMinionsFromTheLogBeforeTheirAnnouncement() {
+        startCluster();
         for (String name : List.copyOf(cluster.entries.keySet())) {
             cluster.kill(name);
         }
@@ -400,8 +400,8 @@
 
     /** An agent starts again and finds its minion in the log: its announcement costs one call, not one for each. */
     @Test
-    void announcesAnAgentOnceThatFindsItsMinionAgain() {
-        three();
+    void announcesARestartedAgentOnce() {
+        startCluster();
         cluster.network.kill("agent-1");
         cluster.advance(1_000);
         long before = announcements();
@@ -418,8 +418,8 @@
 
     /** All power is lost right after a job was accepted. A fresh fleet finds it in the log and runs it. */
     @Test
-    void findsAcceptedJobsAgainAfterEverythingWasLost() {
-        three();
+    void runsAcceptedJobsAfterATotalPowerLoss() {
+        startCluster();
         List<JobAnswer> answers = cluster.submit(ownerOf(ID), Jobs.of(ID, 1));
         cluster.advance(10);
         assertThat(answers, hasItem(new JobAnswer.Accepted()));
--- a/library/src/test/java/org/chivetally/queue/entry/EvacuationTest.java
+++ b/library/src/test/java/org/chivetally/queue/entry/EvacuationTest.java
@@ -49,14 +49,14 @@
      * that is left: the agents tell the second one that they take nothing, so none of its starts has to be refused.
      */
     @Test
-    void anEntryWithoutTheLogLearnsFromTheAgentsWhatIsEvacuated() {
-        EntryNode reader = cluster.entry("entry-1");
+    void appliesAnEvacuationReportedByAgentsWithoutTheLog() {
+        EntryNode connected = cluster.entry("entry-1");
         EntryNode cutOff = cluster.entry("entry-2");
         cluster.agent("agent-1");
         cluster.agentIn("south", "agent-2");
         cluster.awaitLinks();
         cluster.log.cut("entry-2", true);
-        reader.updateEvacuations(NORTH);
+        connected.updateEvacuations(NORTH);
         cluster.advance(20);
         for (int number = 0; number < 2; number++) {
             cluster.submitInMemory(cutOff, Jobs.of("%016x".formatted(number), 1), 2_000);
--- a/library/src/test/java/org/chivetally/queue/entry/FleetCostTest.java
+++ b/library/src/test/java/org/chivetally/queue/entry/FleetCostTest.java
@@ -30,7 +30,7 @@
 
     private final Cluster cluster = new Cluster();
 
-    private void fleet(int entries, int agents) {
+    private void startFleet(int entries, int agents) {
         for (int number = 1; number <= entries; number++) {
             cluster.entry("entry-" + number);
         }
@@ -47,8 +47,8 @@
      * agent woke up sixty times a second for nothing: no lease depends on what an entry without runs has heard.
      */
     @Test
-    void agentsWithoutRunsAreRarelyToldThatTheyWereHeard() {
-        fleet(3, 4);
+    void agentsWithoutRunsRarelyReceiveEchoes() {
+        startFleet(3, 4);
 
         cluster.advance(10_000);
 
@@ -58,8 +58,8 @@
 
     /** The same agents with a run: they are told often enough that no run is stopped, however long it lasts. */
     @Test
-    void runsGoOnWhileTheirAgentIsHeard() {
-        fleet(3, 4);
+    void runsContinueWhileTheirAgentSendsHeartbeats() {
+        startFleet(3, 4);
         EntryNode entry = cluster.entries.get("entry-1");
         List<JobAnswer> answers = cluster.submitInMemory(entry, Jobs.of(ID, 4, 0, 8_000), 12_000);
 
@@ -76,7 +76,7 @@
      * room again and again, and takes the processor from what would free some.
      */
     @Test
-    void passesThatFindNoRoomAreFarApart() {
+    void limitsPassesWhileNoWorkerHasRoom() {
         ManualTimers timers = new ManualTimers();
         List<Long> passes = new ArrayList<>();
         RunCoordinator runs = new RunCoordinator(
--- a/library/src/test/java/org/chivetally/queue/entry/IdleCostTest.java
+++ b/library/src/test/java/org/chivetally/queue/entry/IdleCostTest.java
@@ -17,7 +17,7 @@
     private final Cluster cluster = new Cluster();
     private final WakeUpCounter wakeUps = new WakeUpCounter(cluster.timers, cluster.network);
 
-    private void fleet() {
+    private void startFleet() {
         cluster.timersOf = (name, shared) -> wakeUps.of(name);
         // Processes don't start in the same millisecond; if they did, their heartbeats would share wake-ups.
         for (int number = 1; number <= ENTRIES; number++) {
@@ -46,8 +46,8 @@
      * idle entry up 310 times a second and an idle agent 17 times.
      */
     @Test
-    void idleProcessesAreRarelyWokenUp() {
-        fleet();
+    void idleProcessesRarelyWakeUp() {
+        startFleet();
 
         print("entry-1");
         print("agent-1");
--- a/library/src/test/java/org/chivetally/queue/entry/IdleFleetTest.java
+++ b/library/src/test/java/org/chivetally/queue/entry/IdleFleetTest.java
@@ -20,7 +20,7 @@
 
     private final Cluster cluster = new Cluster();
 
-    private EntryNode idle(int entries, int agents) {
+    private EntryNode startIdleFleet(int entries, int agents) {
         for (int number = 1; number <= entries; number++) {
             cluster.entry("entry-" + number);
             cluster.advance(61);
@@ -39,8 +39,8 @@
      * would be refused, and its task would wait for a quarter of a second; at any time between two heartbeats it isn't.
      */
     @Test
-    void theFirstJobsStartAtOnce() {
-        EntryNode entry = idle(2, 4);
+    void firstJobsStartAtOnce() {
+        EntryNode entry = startIdleFleet(2, 4);
         for (int round = 0; round < 16; round++) {
             String id = String.format("%016x", 100 + round);
             List<JobAnswer> answers = cluster.submitInMemory(entry, Jobs.of(id, 4, 0, 1_000), 3_000);
@@ -56,8 +56,8 @@
 
     /** The first runs after idleness last long; no agent may stop them because its owner heard it long ago. */
     @Test
-    void theFirstRunsGoOn() {
-        EntryNode entry = idle(2, 4);
+    void firstRunsContinue() {
+        EntryNode entry = startIdleFleet(2, 4);
         for (int round = 0; round < 8; round++) {
             String id = String.format("%016x", 100 + round);
             List<JobAnswer> answers = cluster.submitInMemory(entry, Jobs.of(id, 4, 0, 8_000), 12_000);
@@ -71,8 +71,8 @@
 
     /** An entry vanishes without an error: agents close their links to it after the time that always holds. */
     @Test
-    void agentsNoticeTheDeathOfAnIdleEntry() {
-        idle(2, 4);
+    void agentsDetectAFailedIdleEntry() {
+        startIdleFleet(2, 4);
         for (String agent : cluster.agents.keySet()) {
             cluster.network.cut("entry-1", agent, true);
         }
@@ -89,8 +89,8 @@
 
     /** An idle agent is cut off: its entries send it nothing once the silence and one look are over. */
     @Test
-    void entriesNoticeAnIdleAgentThatIsCutOff() {
-        EntryNode entry = idle(2, 4);
+    void entriesDetectAnUnreachableIdleAgent() {
+        EntryNode entry = startIdleFleet(2, 4);
         for (String name : cluster.entries.keySet()) {
             cluster.network.cut(name, "agent-1", true);
         }
@@ -110,7 +110,7 @@
      */
     @Test
     void noTaskRunsTwiceWhenAnAgentIsCutOffAfterItsFirstStart() {
-        EntryNode entry = idle(1, 2);
+        EntryNode entry = startIdleFleet(1, 2);
         cluster.minions.values().forEach(minion -> minion.stopsLost = true);
         for (int round = 0; round < 8; round++) {
             String id = String.format("%016x", 100 + round);
@@ -137,8 +137,8 @@
 
     /** Idle processes keep all their links, and tell each other hardly anything. */
     @Test
-    void linksOutlastIdleness() {
-        idle(3, 4);
+    void linksStayOpenWhileIdle() {
+        startIdleFleet(3, 4);
         cluster.advance(60_000);
 
         assertThat(cluster.network.sent.getOrDefault(Frame.BodyCase.LINK_HELLO, 0), is(0));
--- a/library/src/test/java/org/chivetally/queue/entry/InMemoryJobsTest.java
+++ b/library/src/test/java/org/chivetally/queue/entry/InMemoryJobsTest.java
@@ -34,7 +34,7 @@
     }
 
     @Test
-    void answersTheCallerWithTheEndAndStoresNothing() {
+    void answersTheCallerWithTheOutcomeAndStoresNothing() {
         agents(1);
         List<JobAnswer> answers = cluster.submitInMemory(entry, Jobs.of(ID, 2), 2_000);
         cluster.advance(50);
@@ -72,7 +72,7 @@
 
     /** The caller hangs up. Its work would go on for nobody, and keep others from the room; it is stopped at once. */
     @Test
-    void stopsTheWorkOfACallerThatHasGone() {
+    void stopsTheRunsOfADisconnectedCaller() {
         agents(1);
         List<JobAnswer> answers = new ArrayList<>();
         Consumer<JobAnswer> caller = answers::add;
@@ -89,7 +89,7 @@
      * more, which is true, and the caller doesn't wait for the rest of its time in vain.
      */
     @Test
-    void refusesAWaitingJobAsSoonAsItCanNotMakeIt() {
+    void refusesAWaitingJobOnceItCannotMeetItsDeadline() {
         agents(1);
         cluster.submitInMemory(entry, Jobs.of(OTHER, 2, 0, 5_000), 9_000);
         cluster.advance(50);
@@ -107,7 +107,7 @@
      * those.
      */
     @Test
-    void startsNothingThatItReadsJustAfterItStoodStill() {
+    void startsNothingReadJustAfterASuspension() {
         agents(1);
         cluster.advance(2_000);
         cluster.timers.stall(Duration.ofSeconds(3));
@@ -127,7 +127,7 @@
      * the entry keeps up, it serves again.
      */
     @Test
-    void startsNothingWhileItStillReadsWhatWaited() {
+    void startsNothingWhileReadingQueuedRequests() {
         agents(1);
         cluster.advance(2_000);
         cluster.timers.stall(Duration.ofSeconds(3));
@@ -167,7 +167,7 @@
      * again elsewhere; the entry hears of that only once it has read its sockets, and starts nothing before.
      */
     @Test
-    void startsNothingThatWaitedUntilItHasReadItsSockets() {
+    void startsNoWaitingJobBeforeItsSocketsAreRead() {
         agents(1);
         cluster.submitInMemory(entry, Jobs.of(OTHER, 2, 0, 5_000), 9_000);
         cluster.advance(50);
@@ -189,7 +189,7 @@
      * seconds; refused for that, callers would be turned away though the other agents come a moment later.
      */
     @Test
-    void refusesNothingWhileTheAgentsAreStillComing() {
+    void refusesNothingWhileAgentsAreConnecting() {
         cluster.agent("agent-1");
         cluster.advance(700);
         List<JobAnswer> answers = new ArrayList<>();
@@ -201,7 +201,7 @@
 
     /** The caller's time ends while its job runs: that it has not run can't be said, and its runs are stopped. */
     @Test
-    void doesNotSayThatAStartedJobHasNotRun() {
+    void reportsAStartedJobAsUndecidedAtItsDeadline() {
         agents(1);
         List<JobAnswer> answers = cluster.submitInMemory(entry, Jobs.of(ID, 1), 1_000);
         cluster.advance(1_100);
@@ -234,13 +234,13 @@
     }
 
     @Test
-    void triesAFailedTaskOnceMoreOnAnotherWorker() {
+    void retriesAFailedTaskOnAnotherWorker() {
         agents(2);
         List<JobAnswer> answers = cluster.submitInMemory(entry, Jobs.of(ID, 1), 9_000);
         cluster.advance(50);
-        var first = cluster.runner(ID).orElseThrow();
+        var first = cluster.minionRunning(ID).orElseThrow();
         cluster.finish(ID, RunOutcome.FAILED);
-        assertThat(cluster.runner(ID).orElseThrow() != first, is(true));
+        assertThat(cluster.minionRunning(ID).orElseThrow() != first, is(true));
         cluster.finish(ID, RunOutcome.FAILED);
         assertThat(answers, contains(new JobAnswer.State(JobPhase.FAILED)));
     }
@@ -250,7 +250,7 @@
      * the end is refused at once as not run; a short one is served.
      */
     @Test
-    void takesOnlyJobsOnThatEndBeforeItStops() {
+    void acceptsOnlyJobsThatEndBeforeShutdown() {
         agents(1);
         entry.inMemoryJobs().stopAt(cluster.timers.nanos() + 1_000_000_000L);
         List<JobAnswer> longer = cluster.submitInMemory(entry, Jobs.of(ID, 1, 0, 700), 5_000);
@@ -263,7 +263,7 @@
 
     /** The entry's time is over while a job runs: its caller is told so, instead of a connection that breaks. */
     @Test
-    void answersWhoeverStillWaitsWhenTheProcessEnds() {
+    void answersWaitingCallersAtShutdown() {
         agents(1);
         List<JobAnswer> answers = cluster.submitInMemory(entry, Jobs.of(ID, 1), 5_000);
         cluster.advance(50);
@@ -276,7 +276,7 @@
      * on another worker, so that their callers still get an answer.
      */
     @Test
-    void movesRunsFromAWorkerWhereTasksStandStill() {
+    void movesRunsFromAStalledWorker() {
         cluster.capacity = new Room(36_000, 10_000, 0);
         agents(3);
         List<String> ids = new ArrayList<>();
@@ -286,15 +286,15 @@
             answers.add(cluster.submitInMemory(entry, Jobs.of(ids.getLast(), 1, 0, 100), 9_000));
         }
         cluster.advance(50);
-        var still = cluster.minions.get("agent-1");
-        assertThat(still.running.keySet(), hasSize(4));
+        var stalled = cluster.minions.get("agent-1");
+        assertThat(stalled.running.keySet(), hasSize(4));
         for (var minion : cluster.minions.values()) {
-            if (minion != still) {
+            if (minion != stalled) {
                 List.copyOf(minion.running.keySet()).forEach(run -> minion.end(run, RunOutcome.DONE));
             }
         }
         cluster.advance(900);
-        assertThat(still.running.keySet(), is(empty()));
+        assertThat(stalled.running.keySet(), is(empty()));
         ids.forEach(id -> cluster.finish(id, RunOutcome.DONE));
         for (List<JobAnswer> answer : answers) {
             assertThat(answer, contains(new JobAnswer.State(JobPhase.COMPLETED)));
--- a/library/src/test/java/org/chivetally/queue/entry/QueueSharesTest.java
+++ b/library/src/test/java/org/chivetally/queue/entry/QueueSharesTest.java
@@ -24,7 +24,7 @@
     private final EntryNode second = cluster.entry("entry-2");
 
     /** One worker with room for eight tasks; eight of a burst of ten run, and two jobs of another queue wait. */
-    private void contend() {
+    private void createContention() {
         cluster.capacity = new Room(8 * TASK, 10_000, 0);
         cluster.agent("agent-1");
         cluster.awaitLinks();
@@ -40,8 +40,8 @@
 
     /** Entries that divide by what only they know would each take another queue for the one that is below its share. */
     @Test
-    void allEntriesDivideByWhatAllOfThemRunAndNeed() {
-        contend();
+    void allEntriesDivideByTheLoadsOfAllEntries() {
+        createContention();
         for (EntryNode entry : cluster.entries.values()) {
             assertThat(division(entry).share("queue-0"), is(6 * TASK));
             assertThat(division(entry).share("queue-1"), is(2 * TASK));
@@ -57,8 +57,8 @@
      * other one goes on with its own callers.
      */
     @Test
-    void entriesThatDoNotReachEachOtherKeepToEqualParts() {
-        contend();
+    void entriesThatCannotReachEachOtherUseEqualParts() {
+        createContention();
         cluster.network.cut("entry-1", "entry-2", true);
         cluster.advance(1_700);
         assertThat(division(first).share("queue-0"), is(6 * TASK));
@@ -73,8 +73,8 @@
 
     /** An entry that takes its leave runs nothing more; a part left to it would be used by nobody. */
     @Test
-    void nothingIsLeftToAnEntryThatHasLeft() {
-        contend();
+    void reservesNoCapacityForAnEntryThatHasLeft() {
+        createContention();
         second.leave(() -> {});
         cluster.advance(100);
         cluster.kill("entry-2");
@@ -85,7 +85,7 @@
     /** The service is told as contended only while it is, or operators would look for a cause that is gone. */
     @Test
     void theServiceIsNoLongerContendedAfterTheBurst() {
-        contend();
+        createContention();
         cluster.minions.get("agent-1").running.keySet().stream()
                 .toList()
                 .forEach(run -> cluster.minions.get("agent-1").end(run, RunOutcome.DONE));
@@ -117,7 +117,7 @@
     }
 
     @Test
-    void withoutTheSettingNothingIsShared() {
+    void hasNoSharesWithoutTheSetting() {
         Cluster plain = new Cluster();
         EntryNode entry = plain.entry("entry-1");
         assertThat(entry.queueShares(), is(Optional.empty()));
@@ -128,7 +128,7 @@
      * A heartbeat of another implementation may hold amounts that make no sense; taken as they are, shares overflow.
      */
     @Test
-    void negativeAmountsCountAsNothing() {
+    void countsNegativeAmountsAsZero() {
         EntryBeat beat = EntryBeat.newBuilder()
                 .addQueueDemand(QueueDemand.newBuilder()
                         .setService(SERVICE)
--- a/library/src/test/java/org/chivetally/queue/entry/UnevenLoadTest.java
+++ b/library/src/test/java/org/chivetally/queue/entry/UnevenLoadTest.java
@@ -32,7 +32,7 @@
      * workers for overloaded and turn these callers away, though the room for them comes free at once.
      */
     @Test
-    void oneEntryWithAllTheCallersTurnsNobodyAwayBesideRoom() {
+    void refusesNothingWhenOneEntryReceivesAllJobsAndWorkersHaveRoom() {
         EntryNode busy = cluster.entry("entry-1");
         cluster.entry("entry-2");
         cluster.entry("entry-3");
@@ -43,11 +43,11 @@
             String id = "%016x".formatted(number);
             List<JobAnswer> answers = cluster.submitInMemory(busy, Jobs.of(id, 1), 2_000);
             boolean stalled = number >= 50 && number < 56;
-            work(stalled ? Integer.MAX_VALUE : TASK_MILLIS);
+            advanceOneArrival(stalled ? Integer.MAX_VALUE : TASK_MILLIS);
             answersOf.add(answers);
         }
         for (int round = 0; round < 30; round++) {
-            work(TASK_MILLIS);
+            advanceOneArrival(TASK_MILLIS);
         }
         for (List<JobAnswer> answers : answersOf) {
             answers.stream()
@@ -58,7 +58,7 @@
     }
 
     /** Lets the time of one arrival pass, and ends the tasks that have run long enough. */
-    private void work(int taskMillis) {
+    private void advanceOneArrival(int taskMillis) {
         for (int step = 0; step < ARRIVAL_MILLIS / 10; step++) {
             cluster.advance(10);
             nowMillis += 10;
@@ -86,7 +86,7 @@
      * with refusing them.
      */
     @Test
-    void entriesWithABacklogDoNotAllSendTheirsToTheFirstWorker() {
+    void entriesWithABacklogDoNotAllFillTheFirstWorker() {
         List<EntryNode> entries = new ArrayList<>();
         for (int number = 1; number <= 6; number++) {
             entries.add(cluster.entry("entry-" + number));
--- a/library/src/test/java/org/chivetally/queue/entry/UnevenSpeedsTest.java
+++ b/library/src/test/java/org/chivetally/queue/entry/UnevenSpeedsTest.java
@@ -24,7 +24,7 @@
     private final Map<RunKey, Integer> ranMillis = new HashMap<>();
 
     /** Ends the runs of agent-1 after 60 ms and all others after 240, while a job of 100 ms comes every 60 ms. */
-    private void work(EntryNode entry, int firstJob, int jobs) {
+    private void submitJobs(EntryNode entry, int firstJob, int jobs) {
         for (int number = firstJob; number < firstJob + jobs; number++) {
             cluster.submitInMemory(entry, Jobs.of("%016x".formatted(number), 1), 2_000);
             for (int step = 0; step < 6; step++) {
@@ -66,11 +66,11 @@
         cluster.scheduling = new SchedulingSettings(true, false, 0);
         EntryNode first = cluster.entry("entry-1");
         startAgents();
-        work(first, 0, 60);
+        submitJobs(first, 0, 60);
         assertThat(first.speedSpread(), is(greaterThan(1.8)));
         assertThat(first.startsBySpeed(), is(greaterThan(0L)));
         int before = slowStarts();
-        work(first, 60, 20);
+        submitJobs(first, 60, 20);
         assertThat(slowStarts() - before, is(lessThan(10)));
 
         EntryNode second = cluster.entry("entry-2");
@@ -83,10 +83,10 @@
     }
 
     @Test
-    void agentsLearnNothingWhereTheSettingIsOff() {
+    void agentsLearnNothingWithoutTheSetting() {
         EntryNode entry = cluster.entry("entry-1");
         startAgents();
-        work(entry, 0, 10);
+        submitJobs(entry, 0, 10);
         assertThat(cluster.agents.get("agent-1").stretch(), is(LearnedStretch.UNKNOWN));
         assertThat(entry.speedSpread(), is(1.0));
         assertThat(entry.startsBySpeed(), is(0L));
--- a/library/src/test/java/org/chivetally/queue/entry/WakeUpCounter.java
+++ b/library/src/test/java/org/chivetally/queue/entry/WakeUpCounter.java
@@ -22,7 +22,7 @@
 
     /** Returns timers of a process that are counted by their delay. */
     Timers of(String process) {
-        return new Counted(process);
+        return new CountingTimers(process);
     }
 
     void clear() {
@@ -45,10 +45,10 @@
         instants.computeIfAbsent(process, name -> new HashSet<>()).add(shared.nanos());
     }
 
-    private final class Counted implements Timers {
+    private final class CountingTimers implements Timers {
         private final String process;
 
-        private Counted(String process) {
+        private CountingTimers(String process) {
             this.process = process;
         }
 
