--- a/library/src/main/java/org/chivetally/queue/entry/AgentAnnouncement.java
+++ b/library/src/main/java/org/chivetally/queue/entry/AgentAnnouncement.java
@@ -7,8 +7,8 @@
 import org.chivetally.queue.link.Peer;
 
 /**
- * The announcement of an agent in the log, with the minion that it has. The agent's next start finds the minion there:
- * nothing lasts on its own machine.
+ * Publishes an agent and the state of its minion in the log, so that the agent finds its minion again after a restart.
+ * The agent keeps no state on its own machine.
  */
 public final class AgentAnnouncement {
     private final MemberDirectory directory;
@@ -25,9 +25,10 @@
     }
 
     /**
-     * Reads the announcements of all processes, takes up the minion of this agent's last life, and announces the agent.
+     * Reads the announcements of all processes, restores the minion that this agent announced before its restart, and
+     * announces the agent.
      *
-     * @param met told about each process
+     * @param listener receives each process that is read from the log
      */
     public void start(Consumer<Peer> listener) {
         agent.whenMinionChanges(this::minionChanged);
@@ -49,8 +50,9 @@
     }
 
     /**
-     * Compares what a restart needs to know: not the clock, which goes on all the time, and of the capacity only that
-     * no more is announced than there is, so that one that goes up and down is written once.
+     * Compares only what a restart needs. The minion's clock is ignored, since it changes all the time. A capacity that
+     * is at least the announced one needs no new record, so that a fluctuating capacity is written only once, at its
+     * minimum.
      */
     private boolean isUpToDate(Optional<MinionState> minion) {
         if (minion.isEmpty() || announced.isEmpty()) {
--- a/library/src/main/java/org/chivetally/queue/entry/EntryNode.java
+++ b/library/src/main/java/org/chivetally/queue/entry/EntryNode.java
@@ -43,53 +43,62 @@
 import org.chivetally.wire.v1.QueueCount;
 import org.chivetally.wire.v1.QueueDemand;
 
-/** An entry among its peers and agents: brings ownership, runs and callers together. */
+/**
+ * An entry and its links to other entries and agents: connects partition ownership, run coordination and the answering
+ * of callers.
+ */
 public final class EntryNode implements LinkListener, PartitionEvents, Ownership.Listener, JobRouter.OwnerDirectory {
     /**
-     * Interval of heartbeats to entries, and of all else that is looked at regularly: six fit into the silence after
-     * which a link is closed.
+     * Interval of heartbeats to other entries and of all other periodic checks. Six intervals fit into the silence of
+     * 1.5 s after which a link is closed.
      */
     static final Duration HEARTBEAT_INTERVAL = Duration.ofMillis(250);
 
-    /** Intervals to a heartbeat to entries while this one has no work: two of them fit into the silence. */
+    /**
+     * Intervals per heartbeat to other entries while this entry is idle: two such heartbeats fit into the silence after
+     * which a link is closed.
+     */
     static final int IDLE_TICKS_PER_HEARTBEAT = 3;
 
-    /** Time without work after which an entry counts as idle: under load the next job comes long before. */
+    /** Time without work after which an entry counts as idle: under load the next job arrives long before. */
     static final Duration IDLE_AFTER = Duration.ofSeconds(2);
 
     /**
-     * Least time between two heartbeats to an agent. They are sent in answer to its own in place of an echo, so that
-     * they need no wake-up of either process.
+     * Minimum time between two heartbeats to an agent. They are sent in reply to the agent's own heartbeats, in place
+     * of an echo, so that they cause no extra wake-up of either process.
      */
     static final Duration AGENT_HEARTBEAT_INTERVAL = Duration.ofMillis(1_000);
 
     /**
-     * Least time between two echoes to an agent that has runs of this entry. With heartbeats every 0.25 s the agent's
-     * knowledge is half a second old at most, inside the 0.8 s after which it stops runs.
+     * Minimum time between two echoes to an agent with runs of this entry. As agents send heartbeats every 0.25 s, the
+     * newest echo at the agent is at most 0.5 s old; the agent stops runs when it is older than 0.8 s.
      */
     static final Duration ECHO_INTERVAL = Duration.ofMillis(150);
 
     /**
-     * The same for other agents, where it only keeps the link from being closed as silent after 1.5 s. Under the
-     * interval of an idle agent's heartbeats, so that each of these is answered.
+     * Minimum time between two echoes to other agents, which only keep the link from being closed after 1.5 s of
+     * silence. It is shorter than the heartbeat interval of an idle agent, so that each of those heartbeats is
+     * answered.
      */
     static final Duration IDLE_ECHO_INTERVAL = Duration.ofMillis(450);
 
-    /** Intervals of heartbeats after which ended jobs are looked through for those that nobody may ask for any more. */
+    /** Heartbeat intervals between two purges of ended jobs whose retention time has passed. */
     static final int TICKS_PER_PURGE = 20;
 
-    /** Margin on the time for which ended jobs are kept, over clocks that differ between instances. */
+    /** Added to the retention time of ended jobs, as the clocks of instances differ. */
     static final Duration RETENTION_MARGIN = Duration.ofSeconds(10);
 
     /**
-     * Time from the start in which the opening of partitions waits. After a loss of all power the first entry in the
-     * group gets all of them, and gives most back to the others a fifth of a second later.
+     * Time after the start in which the opening of assigned partitions is delayed. After a power loss of the whole
+     * deployment, the first entry in the group is assigned all partitions and returns most of them to the others 0.2 s
+     * later.
      */
     static final Duration REBALANCE_WINDOW = Duration.ofMillis(500);
 
     /**
-     * Pause before a partition that came in this time is opened. Opening sixteen at once held the cold code of an entry
-     * for half a second in which agents could not be linked, and ten of them were given back.
+     * Delay before a partition that was assigned in the {@link #REBALANCE_WINDOW} is opened. Without it, a freshly
+     * started entry opened sixteen partitions at once: this blocked it for 0.5 s, in which no agent could connect, and
+     * ten of the partitions were then reassigned.
      */
     static final Duration OPENING_DELAY = Duration.ofMillis(250);
 
@@ -116,7 +125,7 @@
     private long ticks;
     private long busyAtNanos;
 
-    /** Creates an entry that does nothing yet. */
+    /** Creates an entry that does nothing until {@link #start}. */
     public EntryNode(
             Peer self, Timers timers, Dialer dialer, KeyedLog log, OwnershipGroup group, EntryOptions options) {
         this.self = self;
@@ -150,7 +159,7 @@
         this.busyAtNanos = startedAtNanos;
     }
 
-    /** Announces the entry, follows the other processes and begins to own partitions. */
+    /** Announces the entry, follows the announcements of other processes and joins the ownership group. */
     public void start() {
         directory.announce(self);
         directory.follow(this::peerDiscovered);
@@ -158,66 +167,71 @@
         timers.every(HEARTBEAT_INTERVAL, this::tick);
     }
 
-    /** Notes that callers can reach the entry from now on. */
+    /** Records that callers can connect from now on. */
     public void endpointOpened() {
         stall.opened();
     }
 
-    /** Returns where callers are answered. */
+    /** Returns the router of callers' requests about durable jobs. */
     public JobRouter jobRouter() {
         return jobRouter;
     }
 
-    /** Returns the jobs that only this entry knows. */
+    /** Returns the jobs that are held in the memory of this entry only. */
     public InMemoryJobs inMemoryJobs() {
         return runs.inMemoryJobs();
     }
 
-    /** Returns how many times as long the slowest workers take as the fastest; 1 while speeds aren't learned. */
+    /**
+     * Returns the ratio of the task durations on the slowest and the fastest workers; 1 while speeds aren't learned.
+     */
     public double speedSpread() {
         return runs.speedSpread();
     }
 
-    /** Returns how many starts went to a worker that was chosen by its speed. */
+    /** Returns the number of starts for which the worker was chosen by its learned speed. */
     public long startsBySpeed() {
         return runs.startsBySpeed();
     }
 
-    /** Returns the number of services whose queues ask for more than there is; 0 unless queues have shares. */
+    /** Returns the number of services whose queues demand more than the capacity; 0 unless fair shares are enabled. */
     public int contendedServices() {
         return runs.queueShares().map(QueueShares::contendedServices).orElse(0);
     }
 
-    /** Returns the number of entries that are out of reach and keep their parts; 0 unless queues have shares. */
+    /**
+     * Returns the number of unreachable entries for which capacity stays reserved; 0 unless fair shares are enabled.
+     */
     public int unreachableEntries() {
         return runs.queueShares().map(QueueShares::unreachableEntries).orElse(0);
     }
 
-    /** Returns how queues share the workers; empty unless that is switched on. */
+    /** Returns the fair shares of queues; empty unless they are enabled. */
     Optional<QueueShares> queueShares() {
         return runs.queueShares();
     }
 
-    /** Returns the crashes of minions that this entry has heard of. */
+    /** Returns the record of minion crashes that were reported to this entry. */
     public CrashWatch crashes() {
         return crashes;
     }
 
-    /** Returns who is told about connections that other processes open. */
+    /** Returns the listener for connections that other processes open. */
     public FrameListener acceptor() {
         return links.acceptor();
     }
 
-    /** Tells whether most partitions have an owner that this entry can ask. */
+    /** Returns whether most partitions have an owner that this entry can reach. */
     public boolean canServe() {
         int reachable = 0;
         for (int partition = 0; partition < options.partitions(); partition++) {
-            reachable += localOwner(partition).isPresent() || linkToOwner(partition).isPresent() ? 1 : 0;
+            reachable +=
+                    localOwner(partition).isPresent() || linkToOwner(partition).isPresent() ? 1 : 0;
         }
         return 2 * reachable > options.partitions();
     }
 
-    /** Returns the number of accepted jobs of a queue none of whose tasks has started, in all partitions. */
+    /** Returns the number of accepted jobs of a queue without a started task, over all partitions. */
     public long pending(String queue) {
         long count = localPending().getOrDefault(queue, 0L);
         for (Map<String, Long> counts : remotePending.values()) {
@@ -227,7 +241,8 @@
     }
 
     /**
-     * Notes what operators want to be left alone, and tells the agents at once if that is another domain than before.
+     * Applies the evacuations that operators have requested, and sends them to the agents at once if the set of failure
+     * domains has changed.
      */
     public void updateEvacuations(Evacuations latest) {
         Evacuations before = evacuations;
@@ -242,7 +257,7 @@
         }
     }
 
-    /** Hands the partitions over and takes no new ones; callers are answered as before. */
+    /** Hands the partitions over and takes no new ones. Callers are still answered. */
     public void leave(Runnable done) {
         leaving = true;
         ownership.leave(() -> {
@@ -255,7 +270,8 @@
     }
 
     private void peerDiscovered(Peer peer) {
-        // One of each pair of entries dials, the later by name, so that two dials don't replace each other for ever.
+        // Of each pair of entries only the one with the greater name dials. If both did, each new connection would
+        // replace the other's, again and again.
         boolean dials = !peer.agent() && peer.process().compareTo(self.process()) < 0;
         if (dials) {
             links.dial(peer);
@@ -289,7 +305,7 @@
         sendHeartbeat(link, link.peer().agent() ? List.of() : queueDemand());
     }
 
-    /** Lets agents hear of an entry that has come with the answer to their next heartbeat. */
+    /** Makes the reply to each agent's next heartbeat a full heartbeat, which lists the new entry. */
     private void invalidateAgentHeartbeats() {
         for (PeerLink other : links.links()) {
             if (other.peer().agent()) {
@@ -341,8 +357,9 @@
     }
 
     /**
-     * Tells an agent that it was heard, unless a start or a heartbeat has just told it. Half of an idle agent's
-     * wake-ups and an entry's frames to agents were echoes; only an agent that has runs of this entry needs them soon.
+     * Echoes an agent's heartbeat, unless a start or a full heartbeat has just done so. Echoes used to cause half of an
+     * idle agent's wake-ups and half of an entry's frames to agents; only an agent with runs of this entry needs them
+     * often.
      */
     private void answerHeartbeat(PeerLink link) {
         long now = timers.nanos();
@@ -373,7 +390,8 @@
         remotePending.put(process, counts);
         Map<String, ServiceDemand> demand = new HashMap<>();
         for (Demand reported : beat.getDemandList()) {
-            demand.put(reported.getService(), new ServiceDemand(reported.getArrivingMillis(), reported.getWaitingWork()));
+            demand.put(
+                    reported.getService(), new ServiceDemand(reported.getArrivingMillis(), reported.getWaitingWork()));
         }
         runs.shares().updateRemoteDemand(process, demand);
         if (runs.queueShares().isPresent()) {
@@ -562,7 +580,7 @@
             ownership.markLost(owner.partition());
             runs.partitionLost(owner);
             owner.close();
-            // It may have been dealt away and back between two calls; then it is this entry's again at once.
+            // The partition may have been reassigned to this entry already; if so, the next join returns it at once.
             ownership.join();
         }
     }
@@ -594,7 +612,7 @@
         runs.ended(job);
     }
 
-    // ---- owners for callers ----
+    // ---- owner directory ----
 
     @Override
     public Optional<PartitionOwner> localOwner(int partition) {
--- a/library/src/main/java/org/chivetally/queue/entry/EntryOptions.java
+++ b/library/src/main/java/org/chivetally/queue/entry/EntryOptions.java
@@ -5,24 +5,24 @@
 import org.chivetally.settings.SchedulingSettings;
 
 /**
- * What an entry of the queue path is told.
+ * Options of an entry.
  *
- * @param stream name of the stream that keeps the jobs
- * @param memberStream name of the stream that keeps the processes' addresses
- * @param partitions partitions of the job stream; the same in every process, for good
- * @param statusRetention how long an ended job's state is kept
- * @param scheduling parts of scheduling that are switched on
+ * @param stream name of the log stream that stores the jobs
+ * @param memberStream name of the log stream that stores the addresses of the processes
+ * @param partitions number of partitions of the job stream; it must be the same in every process and must never change
+ * @param statusRetention how long the state of an ended job is kept
+ * @param scheduling optional scheduling features that are enabled
  */
 public record EntryOptions(
         String stream, String memberStream, int partitions, Duration statusRetention, SchedulingSettings scheduling) {
-    /** Refuses missing names and a stream without partitions. */
+    /** Rejects missing values and a stream without partitions. */
     public EntryOptions {
         Objects.requireNonNull(stream, "stream");
         Objects.requireNonNull(memberStream, "memberStream");
         Objects.requireNonNull(statusRetention, "statusRetention");
         Objects.requireNonNull(scheduling, "scheduling");
         if (partitions < 1) {
-            throw new IllegalArgumentException("no partitions");
+            throw new IllegalArgumentException("partitions must be at least 1");
         }
     }
 }
--- a/library/src/main/java/org/chivetally/queue/entry/InMemoryJobs.java
+++ b/library/src/main/java/org/chivetally/queue/entry/InMemoryJobs.java
@@ -22,16 +22,17 @@
 import org.chivetally.time.Timers;
 
 /**
- * Jobs that nobody asks for later: their callers wait for the end, and send them again when this entry fails them. They
- * are kept in memory only, so neither the log nor another entry stands between a caller and its tasks.
+ * Jobs that are held in memory only ({@code unkept} in messages and metrics): their callers wait for the outcome,
+ * nobody queries them later, and a caller whose entry fails submits its job again elsewhere. So these jobs depend
+ * neither on the log nor on another entry.
  */
 public final class InMemoryJobs implements JobOwner {
-    /** When to come back after a job could not be started in its caller's time. */
+    /** Retry delay sent to a caller whose job could not be started before its deadline. */
     static final Duration RETRY_AFTER = Duration.ofSeconds(1);
 
     /**
-     * How many times its estimate a job must have left when it comes while the entry stops. Estimates are off by 40%
-     * (standard deviation), and one that is cut off at the end has run in vain.
+     * Multiple of its estimate that a job must have left when it arrives during shutdown. Estimates are off by 40%
+     * (standard deviation), and a job that shutdown cuts off has run in vain.
      */
     static final int STOPPING_ESTIMATE_FACTOR = 2;
 
@@ -49,35 +50,42 @@
         this.scheduler = scheduler;
     }
 
-    /** What these jobs ask of and tell to the entry around them. */
+    /** Admits jobs and places their tasks. */
     interface Scheduler {
-        /** Tells whether what is read now may be so old that its caller has sent it again elsewhere. */
+        /**
+         * Returns whether requests that are read now may be so old that their callers have submitted them again
+         * elsewhere.
+         */
         boolean mayReadStaleRequests();
 
-        /** Decides whether a job is taken on; returns what its caller is told if it isn't. */
+        /** Returns the refusal for the job's caller; empty if the job is accepted. */
         Optional<JobAnswer.Refused> refuse(Job job);
 
-        /** Returns when the caller of a job that is given back without a start should come back. */
+        /**
+         * Returns the retry delay for the caller of an accepted job that is refused before any of its tasks has
+         * started.
+         */
         Duration retryAfter(Job job);
 
-        /** Tasks may be placed. */
+        /** Tasks are ready to be placed. */
         void ready(List<Task> tasks);
 
-        /** The job has ended; its tasks in progress are to be stopped and its waiting ones dropped. */
+        /** The job has ended; its running tasks have to be stopped and its waiting tasks removed. */
         void ended(Job job);
     }
 
     /**
-     * Runs a job. The same id again, while the job runs, waits for the same end.
+     * Runs a job. If a job of the same id is still running, the caller waits for the outcome of that one.
      *
-     * @param deadlineNanos when the caller gives up, by the steady clock
-     * @param answer told once: the final phase, or that the job has not run, or that it wasn't done in time
+     * @param deadlineNanos end of the caller's wait, in nanoseconds of the monotonic clock
+     * @param answer receives one answer: the final phase, a refusal if no task has started, or that the outcome is
+     *     undecided at the deadline
      */
     public void submit(JobSpecification specification, long deadlineNanos, Consumer<JobAnswer> answer) {
         String id = specification.id();
-        OpenJob known = openJobs.get(id);
-        if (known != null) {
-            known.callers.add(answer);
+        OpenJob existing = openJobs.get(id);
+        if (existing != null) {
+            existing.callers.add(answer);
             return;
         }
         Job job = new Job(specification, timers.nanos(), deadlineNanos);
@@ -87,10 +95,10 @@
             answer.accept(refusal.get());
             return;
         }
-        OpenJob fresh = new OpenJob(job, answer);
-        openJobs.put(id, fresh);
+        OpenJob openJob = new OpenJob(job, answer);
+        openJobs.put(id, openJob);
         Duration left = Duration.ofNanos(Math.max(0, deadlineNanos - timers.nanos()));
-        fresh.timer = timers.after(left, () -> expire(fresh));
+        openJob.timer = timers.after(left, () -> expire(openJob));
         log("job-accepted", job, "unkept");
         scheduler.ready(job.tasksIn(Task.Status.WAITING));
     }
@@ -112,29 +120,35 @@
         return timers.nanos() + estimate > limitNanos;
     }
 
-    /** Takes only jobs on that will have ended by the time at which the process stops. */
+    /**
+     * From now on accepts only jobs that can end before the process stops.
+     *
+     * @param nanos when the process stops, in nanoseconds of the monotonic clock
+     */
     public void stopAt(long nanos) {
         stopsAtNanos = OptionalLong.of(nanos);
     }
 
-    /** Answers all callers that still wait, as the process ends now; a reset would leave them guessing longer. */
+    /**
+     * Answers all waiting callers before the process ends, as a connection reset would leave them uncertain for longer.
+     */
     public void expireAll() {
-        for (OpenJob last : new ArrayList<>(openJobs.values())) {
-            expire(last);
+        for (OpenJob openJob : new ArrayList<>(openJobs.values())) {
+            expire(openJob);
         }
     }
 
-    /** Notes that a caller has gone; a job without callers is cancelled. */
+    /** Removes a caller that has disconnected; a job without callers is cancelled. */
     public void callerDisconnected(String id, Consumer<JobAnswer> answer) {
-        OpenJob known = openJobs.get(id);
-        if (known == null || !known.callers.remove(answer) || !known.callers.isEmpty()) {
+        OpenJob openJob = openJobs.get(id);
+        if (openJob == null || !openJob.callers.remove(answer) || !openJob.callers.isEmpty()) {
             return;
         }
-        known.job.finish(JobPhase.CANCELLED, timers.epochMillis());
-        close(known, "caller left");
+        openJob.job.finish(JobPhase.CANCELLED, timers.epochMillis());
+        close(openJob, "caller disconnected");
     }
 
-    /** Refuses jobs of which nothing has started and that can't end in their callers' time any more. */
+    /** Refuses the jobs without a started task that can no longer end before their deadlines. */
     void refuseInfeasible() {
         long now = timers.nanos();
         for (OpenJob candidate : new ArrayList<>(openJobs.values())) {
@@ -144,7 +158,9 @@
         }
     }
 
-    /** Refuses a job of which nothing has started and that others go before for too long; not one that is kept. */
+    /**
+     * Refuses a job without a started task that would wait too long behind other jobs. Has no effect on a durable job.
+     */
     void refuseOvertaken(Job job) {
         OpenJob candidate = openJobs.get(job.specification().id());
         if (candidate != null && candidate.job == job) {
@@ -164,10 +180,10 @@
         }
         boolean started = expired.job.phase() != JobPhase.QUEUED;
         expired.job.finish(JobPhase.CANCELLED, timers.epochMillis());
-        close(expired, "time limit");
+        close(expired, "deadline exceeded");
         expired.answerCallers(
                 started
-                        ? new JobAnswer.Undecided("not done in time")
+                        ? new JobAnswer.Undecided("not finished before the deadline")
                         : new JobAnswer.Refused(RefusalReason.NOT_STARTED_IN_TIME, RETRY_AFTER));
     }
 
@@ -192,15 +208,15 @@
 
     @Override
     public Optional<Task> task(TaskKey key) {
-        return Optional.ofNullable(openJobs.get(key.jobId())).flatMap(known -> known.job.task(key));
+        return Optional.ofNullable(openJobs.get(key.jobId())).flatMap(openJob -> openJob.job.task(key));
     }
 
     @Override
     public void ended(Task task, RunOutcome outcome, Runnable acknowledge) {
         acknowledge.run();
-        OpenJob known = openJobs.get(task.key().jobId());
+        OpenJob openJob = openJobs.get(task.key().jobId());
         List<Task> ready = task.job().end(task, outcome, timers.epochMillis());
-        if (known == null || known.job != task.job()) {
+        if (openJob == null || openJob.job != task.job()) {
             return;
         }
         if (outcome == RunOutcome.CRASHED && crashes.crashed(task, task.lastRun())) {
@@ -208,8 +224,8 @@
             task.job().finish(JobPhase.FAILED, timers.epochMillis());
         }
         if (task.job().phase().isFinal()) {
-            close(known, "done");
-            known.answerCallers(new JobAnswer.State(task.job().phase()));
+            close(openJob, "done");
+            openJob.answerCallers(new JobAnswer.State(task.job().phase()));
         } else if (!ready.isEmpty()) {
             scheduler.ready(ready);
         }
@@ -230,7 +246,7 @@
         return openJobs.size();
     }
 
-    /** A job that hasn't ended, and who waits for it. */
+    /** A job that hasn't ended, with the callers that wait for its outcome. */
     private static final class OpenJob {
         private final Job job;
         private final List<Consumer<JobAnswer>> callers = new ArrayList<>();
--- a/library/src/main/java/org/chivetally/queue/entry/JobOwner.java
+++ b/library/src/main/java/org/chivetally/queue/entry/JobOwner.java
@@ -5,46 +5,48 @@
 import org.chivetally.queue.Task;
 import org.chivetally.queue.TaskKey;
 
-/** Where the jobs of runs are known. */
+/** Owner of jobs: handles the ends of their runs. */
 interface JobOwner {
     /** Returns a task of a job that hasn't ended. */
     Optional<Task> task(TaskKey key);
 
     /**
-     * Notes the end of a task's newest run.
+     * Handles the end of the latest run of a task.
      *
-     * @param kept run once the minion may forget the end
+     * @param acknowledge run once the minion may discard the end
      */
     void ended(Task task, RunOutcome outcome, Runnable acknowledge);
 
     /**
-     * Notes that an end was told that changes nothing any more: it was told before, or its run was given up.
+     * Handles a reported end that has no effect any more, since it was reported before or its run was given up as lost.
      *
-     * @param kept run once the minion may forget the end; never, if it is to be told again
+     * @param acknowledge run once the minion may discard the end; not run if the end has to be reported again
      */
     void reportedAgain(Task task, Runnable acknowledge);
 
     /**
-     * Notes that a minion crashed under a run that nobody here follows any more.
+     * Handles the crash of a minion under a run that is no longer tracked here.
      *
-     * @param kept run once the agent may forget the crash
+     * @param run number of that run
+     * @param acknowledge run once the agent may discard the crash
      */
     default void earlierRunCrashed(Task task, long run, Runnable acknowledge) {
         reportedAgain(task, acknowledge);
     }
 
-    /** Returns what agents check orders for these runs by. */
+    /** Returns the token that agents check before they execute orders for these runs. */
     FencingToken fencingToken();
 
     /**
-     * By what right runs are started and stopped.
+     * Ownership under which runs are started and stopped. Agents reject the orders of an owner that has been
+     * superseded.
      *
-     * @param partition partition of the job; 0 where the job isn't kept
-     * @param epoch epoch of the partition's owner; 0 where the job isn't kept
-     * @param inMemory whether only this entry knows the job
+     * @param partition partition of the job; 0 for an in-memory job
+     * @param epoch epoch of the partition's owner; 0 for an in-memory job
+     * @param inMemory whether the job is held in the memory of the sending entry only
      */
     record FencingToken(int partition, long epoch, boolean inMemory) {
-        /** Right of the entry that alone knows a job. */
+        /** Token of all in-memory jobs, which have no partition. */
         static final FencingToken IN_MEMORY = new FencingToken(0, 0, true);
     }
 }
--- a/library/src/main/java/org/chivetally/queue/entry/JobReplyCodec.java
+++ b/library/src/main/java/org/chivetally/queue/entry/JobReplyCodec.java
@@ -7,7 +7,7 @@
 import org.chivetally.wire.v1.JobReply;
 import org.chivetally.wire.v1.JobVerdict;
 
-/** Translates answers about jobs to frames and back. */
+/** Converts answers about jobs to and from the frames between entries. */
 final class JobReplyCodec {
     private JobReplyCodec() {}
 
@@ -23,7 +23,7 @@
             case JobAnswer.State state ->
                 reply.setVerdict(JobVerdict.JOB_VERDICT_STATE).setPhase(JobCodec.encode(state.phase()));
             case JobAnswer.Cancelled cancelled -> reply.setVerdict(JobVerdict.JOB_VERDICT_CANCELLED);
-            // What another owner may know better is passed on as such; the asking entry looks for that owner.
+            // Where another owner may have the answer, the requesting entry is sent to look for that owner.
             case JobAnswer.NotOwner other -> reply.setVerdict(JobVerdict.JOB_VERDICT_NOT_OWNER);
             case JobAnswer.Undecided undecided -> reply.setVerdict(JobVerdict.JOB_VERDICT_NOT_OWNER);
             case JobAnswer.Unavailable unavailable -> reply.setVerdict(JobVerdict.JOB_VERDICT_NOT_OWNER);
--- a/library/src/main/java/org/chivetally/queue/entry/JobRouter.java
+++ b/library/src/main/java/org/chivetally/queue/entry/JobRouter.java
@@ -22,14 +22,18 @@
 import org.chivetally.wire.v1.JobSubmission;
 
 /**
- * Answers callers of this entry: asks the owner of the job's partition, here or at another entry, and asks again when
- * the owner changes meanwhile. All three calls may be repeated, as the owner knows a job by its id.
+ * Answers callers' requests about durable jobs. Each request is sent to the owner of the job's partition, in this
+ * process or at another entry, and sent again if the owner changes before it answers. Resending is safe, as the owner
+ * identifies a job by its id.
  */
 public final class JobRouter {
-    /** When to come back while a partition has no owner: a failover takes two to three seconds. */
+    /** Retry delay sent to callers while a partition has no owner: a failover takes two to three seconds. */
     static final Duration OWNER_RETRY_AFTER = Duration.ofSeconds(2);
 
-    /** Pause before an owner that denied it is asked again; its beat with the new owner comes meanwhile. */
+    /**
+     * Delay before a request is sent again after the receiver answered that it isn't the owner. The heartbeat that
+     * names the new owner arrives in this time.
+     */
     static final Duration RETRY_DELAY = Duration.ofMillis(60);
 
     private static final FluentLogger LOGGER = FluentLogger.forEnclosingClass();
@@ -46,174 +50,187 @@
         this.owners = owners;
     }
 
-    /** Who owns a partition, as far as this entry knows. */
+    /** The owners of partitions, as far as this entry has been informed of them. */
     interface OwnerDirectory {
-        /** Returns this entry's own partition when it is ready for callers. */
+        /** Returns the owner in this process; empty if this entry doesn't own the partition or hasn't loaded it yet. */
         Optional<PartitionOwner> localOwner(int partition);
 
-        /** Returns the link to the entry that owns the partition. */
+        /** Returns the link to the other entry that owns the partition, if there is one. */
         Optional<PeerLink> linkToOwner(int partition);
 
-        /** Tells whether this entry may say that a job does not exist. */
+        /**
+         * Returns whether this entry may answer that a job does not exist: only while its ownership is confirmed.
+         */
         boolean mayReportUnknownJob();
     }
 
     /**
      * Submits a job.
      *
-     * @param deadlineNanos when the caller gives up, by the steady clock
+     * @param deadlineNanos end of the caller's wait, in nanoseconds of the monotonic clock
+     * @param answer receives the answer once
      */
     public void submit(JobSpecification job, long deadlineNanos, Consumer<JobAnswer> answer) {
         Frame frame = Frame.newBuilder()
                 .setJobSubmission(JobSubmission.newBuilder().setJob(JobCodec.encode(job)))
                 .build();
         route(new PendingRequest(
-                job.id(), frame, deadlineNanos, answer, (owner, told) -> owner.submit(job, told), true));
+                job.id(), frame, deadlineNanos, answer, (owner, reply) -> owner.submit(job, reply), true));
     }
 
-    /** Asks how far a job is. */
+    /**
+     * Queries the phase of a job.
+     *
+     * @param deadlineNanos end of the caller's wait, in nanoseconds of the monotonic clock
+     * @param answer receives the answer once
+     */
     public void query(String jobId, long deadlineNanos, Consumer<JobAnswer> answer) {
         Frame frame = Frame.newBuilder()
                 .setJobQuery(JobQuery.newBuilder().setJobId(jobId))
                 .build();
         route(new PendingRequest(
-                jobId, frame, deadlineNanos, answer, (owner, told) -> told.accept(state(owner, jobId)), false));
+                jobId, frame, deadlineNanos, answer, (owner, reply) -> reply.accept(state(owner, jobId)), false));
     }
 
-    /** Cancels a job. */
+    /**
+     * Cancels a job.
+     *
+     * @param deadlineNanos end of the caller's wait, in nanoseconds of the monotonic clock
+     * @param answer receives the answer once
+     */
     public void cancel(String jobId, long deadlineNanos, Consumer<JobAnswer> answer) {
         Frame frame = Frame.newBuilder()
                 .setJobCancellation(JobCancellation.newBuilder().setJobId(jobId))
                 .build();
         route(new PendingRequest(
-                jobId, frame, deadlineNanos, answer, (owner, told) -> owner.cancel(jobId, told), false));
+                jobId, frame, deadlineNanos, answer, (owner, reply) -> owner.cancel(jobId, reply), false));
     }
 
     private JobAnswer state(PartitionOwner owner, String jobId) {
         JobAnswer answer = owner.query(jobId);
         if (answer instanceof JobAnswer.UnknownJob && !owners.mayReportUnknownJob()) {
-            // Another entry may have taken the partition over, and jobs with it, without this one having noticed.
+            // Another entry may have taken over the partition and accepted the job, undetected by this one.
             return new JobAnswer.NotOwner();
         }
         return answer;
     }
 
-    private void route(PendingRequest question) {
+    private void route(PendingRequest request) {
         lastId++;
-        question.id = lastId;
-        pending.put(question.id, question);
-        boolean asked = send(question);
-        if (!asked && pending.containsKey(question.id)) {
-            finish(question, notSent(question, "no owner"));
+        request.id = lastId;
+        pending.put(request.id, request);
+        boolean sent = send(request);
+        if (!sent && pending.containsKey(request.id)) {
+            finish(request, notSent(request, "no owner"));
             return;
         }
-        long left = question.deadlineNanos - timers.nanos();
-        question.timer = timers.after(Duration.ofNanos(Math.max(0, left)), () -> expire(question));
-        if (!pending.containsKey(question.id)) {
-            question.timer.cancel();
+        long left = request.deadlineNanos - timers.nanos();
+        request.timer = timers.after(Duration.ofNanos(Math.max(0, left)), () -> expire(request));
+        if (!pending.containsKey(request.id)) {
+            request.timer.cancel();
         }
     }
 
-    private void expire(PendingRequest question) {
-        if (question.sent) {
-            finish(question, notAnswered(question, "no answer in time"));
+    private void expire(PendingRequest request) {
+        if (request.sent) {
+            finish(request, notAnswered(request, "no answer in time"));
         } else {
-            finish(question, notSent(question, "no owner in time"));
+            finish(request, notSent(request, "no owner in time"));
         }
     }
 
-    private static JobAnswer notSent(PendingRequest question, String reason) {
-        return question.submission
+    private static JobAnswer notSent(PendingRequest request, String reason) {
+        return request.submission
                 ? new JobAnswer.Refused(RefusalReason.OWNER_UNAVAILABLE, OWNER_RETRY_AFTER)
                 : new JobAnswer.Unavailable(reason);
     }
 
-    private static JobAnswer notAnswered(PendingRequest question, String reason) {
-        return question.submission ? new JobAnswer.Undecided(reason) : new JobAnswer.Unavailable(reason);
+    private static JobAnswer notAnswered(PendingRequest request, String reason) {
+        return request.submission ? new JobAnswer.Undecided(reason) : new JobAnswer.Unavailable(reason);
     }
 
-    /** Asks the owner; tells whether there was one to ask. */
-    private boolean send(PendingRequest question) {
-        int partition = Partitions.of(question.jobId, partitionCount);
+    /** Sends the request to the owner; returns whether there was one. */
+    private boolean send(PendingRequest request) {
+        int partition = Partitions.of(request.jobId, partitionCount);
         Optional<PartitionOwner> local = owners.localOwner(partition);
         if (local.isPresent()) {
-            question.sent = true;
-            question.sentTo = "";
-            question.call.call(local.get(), answer -> receiveAnswer(question, answer));
+            request.sent = true;
+            request.sentTo = "";
+            request.call.call(local.get(), answer -> receiveAnswer(request, answer));
             return true;
         }
         Optional<PeerLink> remote = owners.linkToOwner(partition);
         if (remote.isEmpty()) {
             return false;
         }
-        question.sent = true;
-        question.sentTo = remote.get().peer().process();
-        remote.get().send(question.frame.toBuilder().setRequestId(question.id).build());
+        request.sent = true;
+        request.sentTo = remote.get().peer().process();
+        remote.get().send(request.frame.toBuilder().setRequestId(request.id).build());
         return true;
     }
 
-    private void receiveAnswer(PendingRequest question, JobAnswer answer) {
-        if (!pending.containsKey(question.id)) {
+    private void receiveAnswer(PendingRequest request, JobAnswer answer) {
+        if (!pending.containsKey(request.id)) {
             return;
         }
         if (answer instanceof JobAnswer.NotOwner) {
-            timers.after(RETRY_DELAY, () -> retry(question));
+            timers.after(RETRY_DELAY, () -> retry(request));
             return;
         }
-        finish(question, answer);
+        finish(request, answer);
     }
 
-    private void retry(PendingRequest question) {
-        if (pending.containsKey(question.id) && !send(question)) {
-            // Nobody owns the partition for the moment. The question stays open until its deadline, as what was asked
-            // may already be stored.
-            timers.after(RETRY_DELAY, () -> retry(question));
+    private void retry(PendingRequest request) {
+        if (pending.containsKey(request.id) && !send(request)) {
+            // The partition has no owner at the moment. The request stays pending until its deadline, as an earlier
+            // owner may already have stored its effect.
+            timers.after(RETRY_DELAY, () -> retry(request));
         }
     }
 
-    private void finish(PendingRequest question, JobAnswer answer) {
-        if (pending.remove(question.id) == null) {
+    private void finish(PendingRequest request, JobAnswer answer) {
+        if (pending.remove(request.id) == null) {
             return;
         }
-        if (question.timer != null) {
-            question.timer.cancel();
+        if (request.timer != null) {
+            request.timer.cancel();
         }
         if (!(answer instanceof JobAnswer.State)) {
             EventLine.of("caller-answered")
-                    .with("job", question.jobId)
+                    .with("job", request.jobId)
                     .with("answer", answer)
-                    .with("owner", question.sentTo)
-                    .with("left_ms", (question.deadlineNanos - timers.nanos()) / 1_000_000)
+                    .with("owner", request.sentTo)
+                    .with("left_ms", (request.deadlineNanos - timers.nanos()) / 1_000_000)
                     .log(LOGGER.atInfo());
         }
-        question.answer.accept(answer);
+        request.answer.accept(answer);
     }
 
-    /** Asks again what was asked at a process whose link is gone. */
+    /** Sends the requests again that were sent over a link that is now closed. */
     void linkLost(String process) {
-        for (PendingRequest question : new ArrayList<>(pending.values())) {
-            if (process.equals(question.sentTo)) {
-                retry(question);
+        for (PendingRequest request : new ArrayList<>(pending.values())) {
+            if (process.equals(request.sentTo)) {
+                retry(request);
             }
         }
     }
 
-    /** Answers all callers that still wait, as the process ends now. */
+    /** Answers all pending requests before the process ends. */
     public void expireAll() {
-        for (PendingRequest question : new ArrayList<>(pending.values())) {
-            expire(question);
+        for (PendingRequest request : new ArrayList<>(pending.values())) {
+            expire(request);
         }
     }
 
-    /** Takes the answer of another entry. */
+    /** Handles the reply of another entry. */
     void receiveReply(long id, JobReply reply) {
-        PendingRequest question = pending.get(id);
-        if (question != null) {
-            receiveAnswer(question, JobReplyCodec.decode(reply));
+        PendingRequest request = pending.get(id);
+        if (request != null) {
+            receiveAnswer(request, JobReplyCodec.decode(reply));
         }
     }
 
-    /** Answers a question that another entry passed on. */
+    /** Answers a request that another entry forwarded. */
     void serve(PeerLink link, Frame frame) {
         long id = frame.getRequestId();
         Consumer<JobAnswer> reply = answer -> link.send(Frame.newBuilder()
@@ -249,12 +266,12 @@
         return pending.size();
     }
 
-    /** How an owner in this process is asked. */
+    /** A request to an owner in this process. */
     private interface LocalCall {
         void call(PartitionOwner owner, Consumer<JobAnswer> answer);
     }
 
-    /** A caller that waits. */
+    /** A request whose caller has not been answered yet. */
     private static final class PendingRequest {
         private final String jobId;
         private final Frame frame;
--- a/library/src/main/java/org/chivetally/queue/entry/MemberDirectory.java
+++ b/library/src/main/java/org/chivetally/queue/entry/MemberDirectory.java
@@ -25,11 +25,16 @@
 import org.chivetally.wire.v1.StoredMember;
 import org.chivetally.wire.v1.StoredMinion;
 
-/** The processes that have announced themselves in the log, by name. Some may be gone. */
+/**
+ * Directory of the processes that have announced themselves in the log, by name. It may list processes that have ended.
+ */
 public final class MemberDirectory {
     private static final FluentLogger LOGGER = FluentLogger.forEnclosingClass();
 
-    /** Longest wait of one read of announcements; a silent connection hides a new process for about as long. */
+    /**
+     * Longest wait of one read for new announcements. If a connection stalls silently, a new process goes undetected
+     * for about as long.
+     */
     private static final Duration POLL_TIMEOUT = Duration.ofMillis(2_500);
 
     private static final Duration RETRY_DELAY = Duration.ofMillis(200);
@@ -48,12 +53,12 @@
         this.stream = new LogStream(stream, 0);
     }
 
-    /** Announces this process, and tries on until the log has taken it. */
+    /** Announces this process, and retries until the log has stored the announcement. */
     public void announce(Peer self) {
         announce(self, Optional.empty());
     }
 
-    /** Announces this process with the minion that it has, and tries on until the log has taken it. */
+    /** Announces this process with its minion, and retries until the log has stored the announcement. */
     public void announce(Peer self, Optional<MinionState> minion) {
         StoredMember.Builder member = StoredMember.newBuilder()
                 .setIncarnation(self.incarnation())
@@ -68,10 +73,10 @@
 
     private void write(KeyedRecord record, long number) {
         if (number != newestAnnouncement) {
-            // A newer announcement is on its way.
+            // A newer announcement has replaced this one.
             return;
         }
-        // Written without a stamp: a repeat writes the same value once more, which changes nothing.
+        // No deduplication stamp is needed: a retry writes the same value again, which changes nothing.
         log.append(stream, Optional.empty(), List.of(record), outcome -> {
             if (!(outcome instanceof AppendOutcome.Appended)) {
                 timers.after(RETRY_DELAY, () -> write(record, number));
@@ -102,27 +107,40 @@
                 0);
     }
 
-    /** Follows the announcements from now on. */
+    /**
+     * Follows the announcements, old and new, from now on.
+     *
+     * @param listener receives each announced process
+     */
     public void follow(Consumer<Peer> listener) {
-        new StreamTail(log, timers, stream, POLL_TIMEOUT, entry -> apply(entry, listener)).start();
+        new StreamTail(log, timers, stream, POLL_TIMEOUT, record -> apply(record, listener)).start();
     }
 
-    /** Reads the announcements once, and tries on until the log has answered. */
+    /**
+     * Reads the announcements once, and retries until the log has answered.
+     *
+     * @param listener receives each announced process
+     */
     public void readOnce(Consumer<Peer> listener) {
         readOnce(listener, () -> {});
     }
 
-    /** Reads the announcements once, tries on until the log has answered, and then tells that all were read. */
+    /**
+     * Reads the announcements once, and retries until the log has answered.
+     *
+     * @param listener receives each announced process
+     * @param done run after all announcements have been read
+     */
     public void readOnce(Consumer<Peer> listener, Runnable done) {
-        new NewestValues(log, timers, stream, RETRY_DELAY, () -> true, entry -> apply(entry, listener), done).start();
+        new NewestValues(log, timers, stream, RETRY_DELAY, () -> true, record -> apply(record, listener), done).start();
     }
 
-    /** Returns the minion with which a process was announced, as last read. */
+    /** Returns the minion in the announcement of a process that was read last. */
     public Optional<MinionState> minionOf(String process) {
         return Optional.ofNullable(minions.get(process));
     }
 
-    /** Returns the processes as last read. */
+    /** Returns the announced processes as of the last read. */
     public Collection<Peer> members() {
         return List.copyOf(members.values());
     }
--- a/library/src/main/java/org/chivetally/queue/entry/Ownership.java
+++ b/library/src/main/java/org/chivetally/queue/entry/Ownership.java
@@ -10,19 +10,20 @@
 import org.chivetally.time.Timers;
 
 /**
- * Keeps this entry in the group and learns which partitions are its own. What it learns is only a hint: safety rests on
- * the epochs that the log and the agents check.
+ * Membership of this entry in the ownership group of the platform, which assigns partitions to entries. The assignment
+ * is only a hint: safety rests on the epochs that the log and the agents check.
  */
 final class Ownership {
     /**
-     * How long a member counts without a call: an entry that dies is replaced after it. The platform takes 1 s or more.
+     * Time after its last join call at which a member is removed, so that the partitions of a failed entry are
+     * reassigned. The platform requires 1 s or more.
      */
     static final Duration TIME_TO_LIVE = Duration.ofMillis(1_500);
 
-    /** Interval of calls: three fit into the time to live, so one lost answer does not cost the membership. */
+    /** Interval of join calls: three fit into the time to live, so that one lost answer does not end the membership. */
     static final Duration JOIN_INTERVAL = Duration.ofMillis(450);
 
-    /** Age of the last confirmation up to which this entry may tell callers that a job does not exist. */
+    /** Age of the latest confirmation up to which this entry may answer callers that a job does not exist. */
     static final Duration CONFIRMATION_VALIDITY = Duration.ofMillis(1_200);
 
     private static final FluentLogger LOGGER = FluentLogger.forEnclosingClass();
@@ -46,12 +47,12 @@
         this.listener = listener;
     }
 
-    /** Told which partitions came and went. */
+    /** Receives changes of the assignment. */
     interface Listener {
-        /** A partition is this entry's from a generation on. */
+        /** A partition is assigned to this entry as of a generation of the group. */
         void gained(int partition, long generation);
 
-        /** A partition is no longer this entry's. */
+        /** A partition is no longer assigned to this entry. */
         void lost(int partition);
     }
 
@@ -60,7 +61,7 @@
         join();
     }
 
-    /** Asks for the partitions now, as something has probably changed. */
+    /** Requests the current assignment now, as it has probably changed. */
     void join() {
         if (joinInFlight || left) {
             return;
@@ -107,7 +108,7 @@
                     .with("generation", generation)
                     .with("partitions", owned.size())
                     .log(LOGGER.atInfo());
-            // The platform deals a partition on only when the member that loses it has called with the new generation.
+            // The platform reassigns a partition only after its former member has called with the new generation.
             join();
         }
     }
@@ -119,30 +120,35 @@
         }
     }
 
-    /** Notes that a partition turned out to be somebody else's, so that it is gained anew if it is dealt back. */
+    /**
+     * Records that another entry owns a partition, so that the partition is reported as gained if it is assigned to
+     * this entry again.
+     */
     void markLost(int partition) {
         Set<Integer> remaining = new HashSet<>(owned);
         remaining.remove(partition);
         owned = Set.copyOf(remaining);
     }
 
-    /** Takes the last confirmation back, after the machine stood still. */
+    /** Invalidates the latest confirmation after the machine was suspended, and requests a new one. */
     void invalidateConfirmation() {
         confirmed = false;
         join();
     }
 
-    /** Tells whether the platform has confirmed the membership lately. */
+    /** Returns whether the platform has confirmed the membership within {@link #CONFIRMATION_VALIDITY}. */
     boolean isRecentlyConfirmed() {
         return confirmed && timers.nanos() - confirmedAtNanos <= CONFIRMATION_VALIDITY.toNanos();
     }
 
-    /** Tells whether the platform has confirmed the membership at least once since the last doubt. */
+    /**
+     * Returns whether the platform has confirmed the membership since the last call of {@link #invalidateConfirmation}.
+     */
     boolean hasConfirmation() {
         return confirmed;
     }
 
-    /** Leaves the group for good. */
+    /** Leaves the group permanently. */
     void leave(Runnable done) {
         left = true;
         group.leave(member, done);
--- a/library/src/main/java/org/chivetally/queue/entry/PartitionEvents.java
+++ b/library/src/main/java/org/chivetally/queue/entry/PartitionEvents.java
@@ -6,18 +6,18 @@
 import org.chivetally.queue.JobAnswer;
 import org.chivetally.queue.Task;
 
-/** What a {@link PartitionOwner} asks of and tells to the entry around it. */
+/** Callbacks of a {@link PartitionOwner} into its entry. */
 interface PartitionEvents {
-    /** Decides whether a job is taken on; returns what its caller is told if it isn't. */
+    /** Returns the refusal for the job's caller; empty if the job is accepted. */
     Optional<JobAnswer.Refused> refuse(Job job);
 
-    /** The jobs are read; agents are to be asked what they hold of them. */
+    /** The jobs of the partition are loaded; agents have to report which of their runs they hold. */
     void loaded(PartitionOwner partition);
 
-    /** Tasks may be placed. */
+    /** Tasks are ready to be placed. */
     void ready(Collection<Task> tasks);
 
-    /** The job has ended; its tasks in progress are to be stopped and its waiting ones dropped. */
+    /** The job has ended; its running tasks have to be stopped and its waiting tasks removed. */
     void ended(Job job);
 
     /** Another process owns the partition. */
--- a/library/src/main/java/org/chivetally/queue/entry/package-info.java
+++ b/library/src/main/java/org/chivetally/queue/entry/package-info.java
@@ -1,5 +1,6 @@
 /**
- * The entry: owns partitions of jobs as the platform deals them out, keeps their jobs in the log, places their tasks,
- * and answers callers, for partitions of other entries by asking those.
+ * The entry: accepts jobs, stores durable jobs in the log, places tasks on workers and coordinates their runs. It owns
+ * the partitions of durable jobs that the platform assigns to it, and forwards requests about other partitions to the
+ * entries that own these.
  */
 package org.chivetally.queue.entry;
--- a/library/src/test/java/org/chivetally/queue/entry/CrashingTasksTest.java
+++ b/library/src/test/java/org/chivetally/queue/entry/CrashingTasksTest.java
@@ -77,7 +77,8 @@
     @ParameterizedTest
     @ValueSource(ints = {0, 1, 2, 3, 4})
     void failsOnlyJobsWhoseTasksCrashMinions(int variant) {
-        List<String> crashingJobs = List.of("00000000000000d1", "00000000000000d2", "00000000000000d3", "00000000000000d4");
+        List<String> crashingJobs =
+                List.of("00000000000000d1", "00000000000000d2", "00000000000000d3", "00000000000000d4");
         startCluster(2, 12, Set.copyOf(crashingJobs));
         minions.advance(35L * variant);
         Map<String, List<JobAnswer>> answers = new LinkedHashMap<>();
