--- a/library/src/main/java/org/chivetally/queue/entry/EntryNode.java
+++ b/library/src/main/java/org/chivetally/queue/entry/EntryNode.java
@@ -71,7 +71,8 @@
 
     /**
      * Minimum time between two echoes to an agent with runs of this entry. As agents send heartbeats every 0.25 s, the
-     * newest echo at the agent is at most 0.5 s old; the agent stops runs when it is older than 0.8 s.
+     * latest heartbeat with an echo at the agent is at most 0.5 s old. The agent stops runs of in-memory jobs when it
+     * is 0.8 s old.
      */
     static final Duration ECHO_INTERVAL = Duration.ofMillis(150);
 
--- a/library/src/main/java/org/chivetally/queue/entry/JobRouter.java
+++ b/library/src/main/java/org/chivetally/queue/entry/JobRouter.java
@@ -58,9 +58,7 @@
         /** Returns the link to the other entry that owns the partition, if there is one. */
         Optional<PeerLink> linkToOwner(int partition);
 
-        /**
-         * Returns whether this entry may answer that a job does not exist: only while its ownership is confirmed.
-         */
+        /** Returns whether this entry may answer that a job does not exist: only while its ownership is confirmed. */
         boolean mayReportUnknownJob();
     }
 
--- a/library/src/main/java/org/chivetally/queue/entry/PartitionOwner.java
+++ b/library/src/main/java/org/chivetally/queue/entry/PartitionOwner.java
@@ -33,29 +33,29 @@
 import org.chivetally.time.Timers;
 
 /**
- * The jobs of one partition, at the entry that owns it.
+ * The jobs of one partition at the entry that owns it.
  *
- * <p>Each job has up to two keys in the log: the job as accepted, until it has ended, and its progress. An end that
- * counts is written before the agent is told that it is kept, and before callers see its effect; so whatever a later
- * owner finds in the log is all that was promised.
+ * <p>A job has up to two records in the log: the job as accepted, removed once it has ended, and its progress. An end
+ * that counts is written before it is acknowledged to the agent and before callers see its effect, so that the next
+ * owner finds everything that was promised.
  */
 final class PartitionOwner implements JobOwner {
-    /** Prefix of the key that holds a job as accepted. */
+    /** Prefix of the key of an accepted job. */
     static final String JOB_PREFIX = "j";
 
-    /** Prefix of the key that holds a job's progress. */
+    /** Prefix of the key of a job's progress. */
     static final String PROGRESS_PREFIX = "p";
 
-    /** Name under which owners write; the log fences writers of the same name by their epochs. */
+    /** Writer name of all owners; the log fences writers of the same name by their epochs. */
     static final String WRITER_NAME = "owner";
 
     /**
-     * Numbers that an owner may use for a task's runs. Runs aren't written to the log, so the next owner's numbers
-     * begin above all that this one can have used; a task is started a handful of times.
+     * Run numbers of a task per owner. Runs aren't written to the log, so the next owner's numbers start above all that
+     * this owner can have used; a task is started only a handful of times.
      */
     static final long RUNS_PER_EPOCH = 64;
 
-    /** When to come back after a refusal because the log takes nothing: outages last seconds. */
+    /** Retry delay sent to callers that are refused because the log takes no writes: outages last seconds. */
     static final Duration LOG_RETRY_AFTER = Duration.ofSeconds(2);
 
     private static final FluentLogger LOGGER = FluentLogger.forEnclosingClass();
@@ -71,11 +71,11 @@
     private final Map<String, Job> jobs = new LinkedHashMap<>();
     private final Map<String, EndedJob> endedJobs = new LinkedHashMap<>();
     private final Map<String, List<Consumer<JobAnswer>>> pendingSubmissions = new HashMap<>();
-    /** Writes in progress by job. */
+    /** Number of writes in progress by job id. */
     private final Map<String, Integer> pendingWrites = new HashMap<>();
 
     private final Set<String> unreportedAgents = new HashSet<>();
-    /** Tasks with a crash that is not stored yet. */
+    /** Tasks with a crash that is not stored in the log yet. */
     private final Set<Task> tasksWithUnstoredCrash = new HashSet<>();
 
     private final long openedAtNanos;
@@ -94,7 +94,7 @@
         this.openedAtNanos = timers.nanos();
     }
 
-    /** Fences earlier owners and reads the jobs. */
+    /** Fences earlier owners and loads the jobs. */
     void open() {
         writer.open(result -> {
             if (closed) {
@@ -103,7 +103,7 @@
             if (result == PartitionWriter.Result.STORED) {
                 load();
             } else {
-                loseOwnership("fenced at opening");
+                loseOwnership("fenced while opening");
             }
         });
     }
@@ -134,7 +134,7 @@
         return new FencingToken(partition(), epoch, false);
     }
 
-    /** Ends the ownership here; callers in progress are told to ask another owner. */
+    /** Ends the ownership. Requests in progress are answered with {@link JobAnswer.NotOwner}. */
     void close() {
         if (closed) {
             return;
@@ -156,9 +156,9 @@
         events.lost(this);
     }
 
-    /** Ends the ownership, as an agent has heard of a later owner. */
+    /** Ends the ownership after an agent has reported an owner with a higher epoch. */
     void superseded(long byEpoch) {
-        loseOwnership("replaced by epoch " + byEpoch);
+        loseOwnership("superseded by epoch " + byEpoch);
     }
 
     private void load() {
@@ -208,7 +208,10 @@
         }
     }
 
-    /** Names the agents that may hold runs of the loaded jobs; those tasks wait until each has told or can't tell. */
+    /**
+     * Sets the agents that may hold runs of the loaded jobs. Tasks that may be running are not started until each of
+     * these agents has reported its runs, or has been unreachable for so long that they must have ended.
+     */
     void awaitAgents(Collection<String> agents) {
         unreportedAgents.addAll(agents);
         releaseWhenAllReported();
@@ -222,7 +225,7 @@
         return openedAtNanos;
     }
 
-    /** Notes that all of an agent's runs are known, or that none of them can go on. */
+    /** Records that an agent has reported all its runs, or that none of them can still be running. */
     void agentReported(String agent) {
         if (unreportedAgents.remove(agent)) {
             releaseWhenAllReported();
@@ -252,7 +255,7 @@
         }
     }
 
-    /** Takes a job on; the same id again gets the same answer. */
+    /** Accepts a job; a repeated submission of the same id gets the same answer. */
     void submit(JobSpecification specification, Consumer<JobAnswer> answer) {
         String id = specification.id();
         if (!isReady()) {
@@ -322,7 +325,7 @@
         }
     }
 
-    /** Tells how far a job is. */
+    /** Returns the phase of a job. */
     JobAnswer query(String id) {
         if (!isReady()) {
             return new JobAnswer.NotOwner();
@@ -338,7 +341,7 @@
         return pendingSubmissions.containsKey(id) ? new JobAnswer.State(JobPhase.QUEUED) : new JobAnswer.UnknownJob();
     }
 
-    /** Cancels a job; answers once that is stored. */
+    /** Cancels a job, and answers after the cancellation is stored. */
     void cancel(String id, Consumer<JobAnswer> answer) {
         if (!isReady()) {
             answer.accept(new JobAnswer.NotOwner());
@@ -394,8 +397,8 @@
     }
 
     /**
-     * Has tasks placed whose turn has come; while agents aren't heard they wait for these like all that was loaded. The
-     * owner before may have been told the same end, and have started them at an agent that takes its starts still.
+     * Has ready tasks placed, or holds them like the loaded ones while agents have not reported. The previous owner may
+     * have received the same end and started these tasks at an agent that still accepts its starts.
      */
     private void placeWhenAllReported(List<Task> tasks) {
         if (unreportedAgents.isEmpty()) {
@@ -417,7 +420,7 @@
         boolean overLimit = crashes.crashed(task, run);
         if (task.status() == Task.Status.PLACED
                 && CrashPolicy.isBounded(task.crashes().crashes())) {
-            // It was started before anybody here knew of this crash.
+            // Its current run was started before this crash was reported here.
             task.countStarts(1);
         }
         if (overLimit) {
@@ -430,8 +433,8 @@
     }
 
     /**
-     * Stores the crashes of a task before it is started again: each run under which a minion crashed is then in the log
-     * before the next one exists, whichever owner hears of it.
+     * Stores the crash of a task before the task is started again. So each run that crashed a minion is in the log
+     * before the next run exists, whichever owner receives the report.
      */
     private void storeCrash(Task task, Runnable acknowledge) {
         tasksWithUnstoredCrash.add(task);
@@ -452,7 +455,9 @@
         });
     }
 
-    /** Gives a task up that has crashed as many minions as are allowed, or that may be started no more. */
+    /**
+     * Fails the job of a task that has crashed as many minions as the crash limit allows, or that has no starts left.
+     */
     private void applyCrashLimits(Task task, RunOutcome outcome) {
         if (outcome == RunOutcome.NEVER_STARTED
                 && CrashPolicy.isBounded(task.crashes().crashes())) {
@@ -480,7 +485,7 @@
         task.job().finish(JobPhase.FAILED, timers.epochMillis());
     }
 
-    /** Has tasks placed, those whose starts are bounded only once the start is counted in the log. */
+    /** Has tasks placed; a task whose starts are limited is placed only after its start is counted in the log. */
     private void place(List<Task> tasks) {
         List<Task> unbounded = new ArrayList<>();
         for (Task task : tasks) {
@@ -516,9 +521,10 @@
     }
 
     /**
-     * Keeps an end only while nothing of its job is being written. Agents tell open ends again every half second, also
-     * while the log takes no writes: kept then, the minion forgets an end that no log has, and the next owner starts
-     * the task again. What is left out here is told again.
+     * Acknowledges a repeated end only while no write of its job is in progress. Agents repeat unacknowledged ends
+     * every 0.5 s, also while the log takes no writes. If such an end were acknowledged, the minion would discard an
+     * end that is in no log, and the next owner would start the task again. An end that is not acknowledged here is
+     * reported again.
      */
     @Override
     public void reportedAgain(Task task, Runnable acknowledge) {
@@ -567,7 +573,11 @@
         return new KeyedRecord(PROGRESS_PREFIX + job.specification().id(), JobCodec.encode(job.progress()));
     }
 
-    /** Forgets jobs that ended longer ago than their state has to be kept. */
+    /**
+     * Removes the jobs that ended before a time, as their state need not be kept any longer.
+     *
+     * @param millis the time, in milliseconds since the epoch
+     */
     void purgeEndedBefore(long millis) {
         List<KeyedRecord> drops = new ArrayList<>();
         endedJobs.entrySet().removeIf(entry -> {
@@ -582,6 +592,6 @@
         }
     }
 
-    /** How and when a job ended. */
+    /** Final phase of a job, and when it ended. */
     private record EndedJob(JobPhase phase, long atMillis) {}
 }
--- a/library/src/main/java/org/chivetally/queue/entry/PlacementPasses.java
+++ b/library/src/main/java/org/chivetally/queue/entry/PlacementPasses.java
@@ -19,18 +19,20 @@
 import org.chivetally.queue.share.QueueLoads;
 import org.chivetally.time.Timers;
 
-/** Places the entry's waiting tasks, in passes over all that may be placed at a moment. */
+/** Places the entry's waiting tasks in passes, each over the tasks that can be placed at that moment. */
 final class PlacementPasses {
-    /** Waiting tasks looked at in one pass; the first that don't fit hardly ever hide one that does behind so many. */
+    /**
+     * Waiting tasks that one pass considers. After so many tasks that don't fit, there is hardly ever one that fits.
+     */
     static final int TASKS_PER_PASS = 64;
 
     /** Waiting tasks without a fitting worker after which a pass ends. */
     static final int MISSES_PER_PASS = 8;
 
     /**
-     * Least time between two passes while tasks wait for room. Under a backlog dozens of agents report almost every
-     * millisecond, and without the pause each report would begin a pass over all of them. It is small beside the 60 ms
-     * that callers allow beyond the work.
+     * Minimum time between two passes while tasks wait for room. Under a backlog dozens of agents report almost every
+     * millisecond, and each report would otherwise start a pass over all workers. The delay is small compared with the
+     * 60 ms that callers allow beyond the work.
      */
     static final Duration PASS_INTERVAL = Duration.ofMillis(5);
 
@@ -48,9 +50,10 @@
     /**
      * Creates the passes of an entry.
      *
-     * @param waiting the entry's waiting tasks, kept up by the entry
-     * @param workers all workers that it knows, kept up by the entry
-     * @param queueShares how queues share the workers; empty unless that is switched on
+     * @param waiting the entry's waiting tasks, updated by the entry
+     * @param workers all known workers, updated by the entry
+     * @param queueShares the fair shares of queues; empty unless they are enabled
+     * @param starter starts the placed tasks
      */
     PlacementPasses(
             Timers timers,
@@ -71,19 +74,27 @@
         this.starter = starter;
     }
 
-    /** What a pass asks of the entry around it. */
+    /** Callbacks of a pass into its entry. */
     interface RunStarter {
-        /** Tells whether the entry is sure enough of its ownership to start anything. */
+        /** Returns whether the entry's ownership is certain enough to start tasks. */
         boolean mayStart();
 
-        /** Starts a task on a worker; tells by {@code bySpeed} whether the worker was chosen by its speed. */
+        /**
+         * Starts a task on a worker.
+         *
+         * @param bySpeed whether the worker was chosen by its learned speed
+         */
         void start(Worker worker, Task task, boolean bySpeed);
 
-        /** Some waiting jobs can reach less than before. */
+        /**
+         * Some waiting jobs can no longer meet their objective or deadline.
+         *
+         * @param nowNanos the time, in nanoseconds of the monotonic clock
+         */
         void forecastsChanged(long nowNanos);
     }
 
-    /** Has the waiting tasks placed soon, if there are any. */
+    /** Schedules a pass if tasks are waiting and none is scheduled yet. */
     void schedule() {
         if (!scheduled && !waiting.isEmpty()) {
             scheduled = true;
@@ -91,7 +102,7 @@
         }
     }
 
-    /** Returns the rest of the pause after a pass that left tasks waiting; none if it left nothing. */
+    /** Returns the rest of {@link #PASS_INTERVAL} after a pass that left tasks waiting; zero if it left none. */
     private Duration delayBeforePass() {
         if (unplacedAtNanos.isEmpty()) {
             return Duration.ZERO;
@@ -136,7 +147,7 @@
 
     private void placeInOrder(PlacementPolicy.Pass choices, String service, double bound, double part) {
         int misses = 0;
-        // Suspects that wait for a worker of their own don't keep those behind them waiting.
+        // Suspects that wait for a worker without other suspects don't hold back the tasks behind them.
         for (Task task : waiting.first(service, TASKS_PER_PASS + crashes.suspects())) {
             Choice choice = choices.decide(task, bound, part);
             if (choice.worker().isPresent()) {
--- a/library/src/main/java/org/chivetally/queue/entry/QueueDemandCodec.java
+++ b/library/src/main/java/org/chivetally/queue/entry/QueueDemandCodec.java
@@ -9,7 +9,7 @@
 import org.chivetally.wire.v1.EntryBeat;
 import org.chivetally.wire.v1.QueueDemand;
 
-/** Translates what queues use and need to and from the heartbeats between entries. */
+/** Converts the loads of queues to and from the heartbeats between entries. */
 final class QueueDemandCodec {
     private QueueDemandCodec() {}
 
@@ -37,7 +37,7 @@
                 loads = new QueueLoads();
                 byService.put(demand.getService(), loads);
             }
-            // What makes no sense, as from another implementation, is bounded before it is added up.
+            // Bounds invalid amounts, as another implementation may send, before they are added up.
             QueueLoad load = new QueueLoad(demand.getRunningMillis(), demand.getWaitingMillis());
             loads.add(demand.getQueue(), load.runningMillis(), load.waitingMillis());
         }
--- a/library/src/main/java/org/chivetally/queue/entry/QueueShares.java
+++ b/library/src/main/java/org/chivetally/queue/entry/QueueShares.java
@@ -20,12 +20,13 @@
 import org.chivetally.time.Timers;
 
 /**
- * An entry's knowledge of how the queues of each service share its processors, while they ask for more than there is.
+ * Fair shares of queues in the processors of each service, from the loads of this entry and of the others. They apply
+ * while the queues of a service demand more than its capacity.
  */
 final class QueueShares {
     /**
-     * Time without contention after which a service counts as uncontended. At a load near the capacity the demands
-     * cross it several times a second, and each crossing would make a log line.
+     * Time without contention after which a service counts as uncontended. At a load near the capacity, demand crosses
+     * it several times a second, and each crossing would otherwise write a log line.
      */
     static final Duration UNCONTENDED_AFTER = Duration.ofSeconds(1);
 
@@ -40,10 +41,10 @@
     private int unreachableEntries;
 
     /**
-     * Creates the shares of an entry that is alone.
+     * Creates the shares of an entry without peers.
      *
-     * @param waiting the entry's waiting tasks, kept up by the entry
-     * @param workers all workers that it knows, kept up by the entry
+     * @param waiting the entry's waiting tasks, updated by the entry
+     * @param workers all known workers, updated by the entry
      */
     QueueShares(Timers timers, WaitingTasks waiting, Collection<Worker> workers) {
         this.timers = timers;
@@ -51,7 +52,7 @@
         this.workers = workers;
     }
 
-    /** Returns what this entry's runs hold and its waiting tasks need, by service and queue. */
+    /** Returns the loads of this entry's runs and waiting tasks, by service and queue. */
     Map<String, QueueLoads> ownLoads() {
         Map<String, QueueLoads> byService = new HashMap<>();
         waiting.addTo(byService);
@@ -61,12 +62,18 @@
         return byService;
     }
 
-    /** Notes what another entry tells of its queues. */
+    /**
+     * Records the loads that another entry reports.
+     *
+     * @param entry name of that entry
+     * @param byService its loads by service and queue
+     * @param leaving whether it is shutting down
+     */
     void updateRemoteLoads(String entry, Map<String, QueueLoads> byService, boolean leaving) {
         remoteLoads.told(entry, byService, leaving, timers.nanos());
     }
 
-    /** Returns how a service is divided now. */
+    /** Returns the current division of a service's processors. */
     Division division(String service) {
         return division(service, ownLoads().getOrDefault(service, new QueueLoads()));
     }
@@ -77,9 +84,9 @@
     }
 
     /**
-     * Returns the processors, in thousandths, that can be used: those that are held, and of each worker's free ones as
-     * many as whole waiting tasks can use. The rest of a worker that no task fits into would make the shares of queues
-     * that want more larger than what they can get.
+     * Returns the usable processors of a service in thousandths: those in use, and of the free ones of each worker as
+     * many as whole waiting tasks can use. If the remainder of a worker that no task fits into were included, queues
+     * that demand more would get larger shares than they can use.
      */
     private long usableMillis(String service) {
         long unit = waiting.smallestRoom(service);
@@ -95,13 +102,16 @@
         return usable;
     }
 
-    /** Decides whether a job is taken on, by the forecast of its queue; returns when to come back if it isn't. */
+    /**
+     * Decides by the forecast of its queue whether a job is refused; returns the retry delay for its caller, or empty
+     * if the job is accepted.
+     */
     Optional<Duration> refuse(Job job) {
         QueueTerms terms = job.specification().terms();
         long ahead = waiting.workAhead(terms.service(), terms.queue(), terms.priority());
         long now = timers.nanos();
         if (ahead == 0 && !job.isHopeless(now)) {
-            // Nothing waits before it, as is usual: no division is needed to tell that it has its turn at once.
+            // Usually nothing waits before the job. It can then start at once, whatever the division.
             return Optional.empty();
         }
         String id = job.specification().id();
@@ -113,7 +123,10 @@
         return refusal;
     }
 
-    /** Returns when the caller of a job that is given back should come back, and notes that it may. */
+    /**
+     * Returns the retry delay for the caller of a job that is refused after it was accepted, and records the refusal,
+     * so that the retry of its caller is recognized.
+     */
     Duration retryAfterRefusal(Job job) {
         QueueTerms terms = job.specification().terms();
         String id = job.specification().id();
@@ -125,23 +138,24 @@
     /**
      * Returns the order of a pass over the waiting tasks of a service.
      *
-     * @param own what this entry's runs hold and its waiting tasks need of the service
+     * @param own loads of this entry's runs and waiting tasks in the service
+     * @param limit maximum number of tasks to consider
      */
     Turns turns(String service, QueueLoads own, int limit) {
         return waiting.turns(service, division(service, own), own, limit);
     }
 
-    /** Returns the number of services whose queues have lately asked for more than there is. */
+    /** Returns the number of services whose queues have recently demanded more than the capacity. */
     int contendedServices() {
         return contendedAtNanos.size();
     }
 
-    /** Returns the number of entries that were out of reach at the last look. */
+    /** Returns the number of entries that were unreachable at the last update. */
     int unreachableEntries() {
         return unreachableEntries;
     }
 
-    /** Looks which services are contended, and forgets entries that are gone. */
+    /** Updates which services are contended, and removes entries that are gone. */
     void updateContention() {
         long now = timers.nanos();
         remoteLoads.forgetGone(now);
--- a/library/src/main/java/org/chivetally/queue/entry/RunCoordinator.java
+++ b/library/src/main/java/org/chivetally/queue/entry/RunCoordinator.java
@@ -47,32 +47,35 @@
 import org.chivetally.wire.v1.RunStop;
 import org.chivetally.wire.v1.WorkerReport;
 
-/** Places the tasks of the entry's partitions on workers and follows their runs, until their ends are known. */
+/** Places the entry's tasks on workers and tracks their runs until these have ended. */
 final class RunCoordinator implements InMemoryJobs.Scheduler {
     /**
-     * Silence after which an agent's runs are given up: the agent stops them when the owner's knowledge of it is 3.7 s
-     * old, and renews no longer than 4.05 s; the lease of 1 s then ends by a clock that may be 2% slow, and timers on a
-     * slowed machine fire late. Any sooner, a task could be started beside its old run.
+     * Silence of an agent after which its runs of durable jobs count as lost. The agent stops them when its latest
+     * heartbeat that their owner has echoed is 3.7 s old, and renews the lease no longer than 4.05 s. The lease of 1 s
+     * then expires by a clock that may be 2% slow, and timers on a slowed machine fire late. With a shorter timeout, a
+     * task could be started while its old run is still running.
      */
     static final Duration RUN_LOSS_TIMEOUT = Duration.ofMillis(5_700);
 
     /**
-     * Silence after which the runs of unkept jobs are given up. The agent stops them when this entry's knowledge of it
-     * is 0.8 s old, and renews no longer than 1.15 s; the lease of 1 s then ends by a clock that may be 2% slow.
+     * Silence of an agent after which its runs of in-memory jobs count as lost. The agent stops them when its latest
+     * heartbeat that this entry has echoed is 0.8 s old, and renews the lease no longer than 1.15 s. The lease of 1 s
+     * then expires by a clock that may be 2% slow.
      */
     static final Duration IN_MEMORY_RUN_LOSS_TIMEOUT = Duration.ofMillis(2_350);
 
     /**
-     * Time from the start of an entry in which no job is refused for the backlog. Agents that start with it are linked
-     * and know their minions within 1.5 s; until then it knows few workers and would take the service for overloaded.
+     * Time after the start of an entry in which no job is refused because of the backlog. Agents that start at the same
+     * time need up to 1.5 s to connect and to detect their minions; until then the few workers would look overloaded.
      */
     static final Duration BACKLOG_GRACE = Duration.ofSeconds(2);
 
-    /** Pause of a worker that refused a start for another reason than room: one interval of heartbeats. */
+    /** Pause of a worker that refused a start for another reason than lack of room: one heartbeat interval. */
     static final Duration REFUSAL_PAUSE = Duration.ofMillis(250);
 
     /**
-     * When to come back to a service without a failure domain in use: operators work in minutes, but may be done soon.
+     * Retry delay sent to callers whose service has only workers in evacuated failure domains: an evacuation takes
+     * operators minutes, but may end soon.
      */
     static final Duration EVACUATION_RETRY = Duration.ofSeconds(5);
 
@@ -98,13 +101,14 @@
     /**
      * Creates a coordinator.
      *
-     * @param placement where tasks go
-     * @param crashes what decides about tasks under which minions crashed
-     * @param partitions the entry's partitions by number, kept up by the entry
-     * @param mayStart whether the entry is sure enough of its ownership to start anything
-     * @param stoodStill whether what the entry reads now may be old
-     * @param keptUpAtNanos when the entry last kept up with what it is to read, by the steady clock
-     * @param scheduling parts of scheduling that are switched on
+     * @param placement policy that chooses workers
+     * @param crashes record of the tasks under which minions crashed
+     * @param partitionCount number of partitions of the job stream
+     * @param partitions the partitions that the entry owns, by number; updated by the entry
+     * @param mayStart whether the entry's ownership is certain enough to start tasks
+     * @param mayReadStaleRequests whether requests that the entry reads now may be stale
+     * @param keptUpAtNanos when the entry last had no backlog of unread input, in nanoseconds of the monotonic clock
+     * @param scheduling optional scheduling features that are enabled
      */
     RunCoordinator(
             Timers timers,
@@ -156,17 +160,17 @@
                 });
     }
 
-    /** Returns what this entry may use of the workers beside the other entries. */
+    /** Returns the shares of this entry in each service's workers. */
     ServiceShares shares() {
         return shares;
     }
 
-    /** Returns how queues share the workers; empty unless that is switched on. */
+    /** Returns the fair shares of queues; empty unless they are enabled. */
     Optional<QueueShares> queueShares() {
         return queueShares;
     }
 
-    /** Returns the jobs that only this entry knows. */
+    /** Returns the jobs that are held in the memory of this entry only. */
     InMemoryJobs inMemoryJobs() {
         return inMemoryJobs;
     }
@@ -221,7 +225,10 @@
         }
     }
 
-    /** Refuses jobs that others go before for too long; not those of a queue whose share covers all that it needs. */
+    /**
+     * Refuses jobs that would wait too long behind other jobs, except those of a queue whose share covers its whole
+     * demand.
+     */
     private void refuseOvertaken(String service, List<Job> overtaken) {
         if (overtaken.isEmpty()) {
             return;
@@ -236,13 +243,13 @@
         }
     }
 
-    /** Tells whether runs that this entry started, or took over, are in progress at an agent. */
+    /** Returns whether an agent has runs that this entry has started or taken over. */
     boolean hasRunsAt(String agent) {
         Worker worker = workers.get(agent);
         return worker != null && worker.hasRuns();
     }
 
-    /** Tells whether nothing that this entry knows of waits or runs. */
+    /** Returns whether this entry has no waiting task and no run. */
     boolean isIdle() {
         if (!waiting.isEmpty() || inMemoryJobs.size() > 0) {
             return false;
@@ -255,17 +262,19 @@
         return true;
     }
 
-    /** Returns how many times as long the slowest workers take as the fastest; 1 while speeds aren't learned. */
+    /**
+     * Returns the ratio of the task durations on the slowest and the fastest workers; 1 while speeds aren't learned.
+     */
     double speedSpread() {
         return placement.speedSpread();
     }
 
-    /** Returns how many starts went to a worker that was chosen by its speed. */
+    /** Returns the number of starts for which the worker was chosen by its learned speed. */
     long startsBySpeed() {
         return startsBySpeed;
     }
 
-    /** Returns the names of all agents that are linked. */
+    /** Returns the names of all agents with a link. */
     Set<String> linkedAgents() {
         return new HashSet<>(links.keySet());
     }
@@ -283,7 +292,7 @@
         passes.schedule();
     }
 
-    /** Drops what waits of a job and stops what runs. */
+    /** Removes the waiting tasks of a job and stops its runs. */
     @Override
     public void ended(Job job) {
         crashes.ended(job);
@@ -293,7 +302,7 @@
         }
     }
 
-    /** Forgets the tasks of a partition that another process owns now. */
+    /** Removes the tasks of a partition that another process owns now. */
     void partitionLost(PartitionOwner partition) {
         for (Job job : partition.jobs()) {
             crashes.ended(job);
@@ -307,7 +316,7 @@
     private void stop(String workerName, TaskKey task, long run, Optional<JobOwner> owner) {
         PeerLink link = links.get(workerName);
         if (owner.isEmpty() || link == null) {
-            // The agent is told when it is linked again: a run of an ended job in its inventory is stopped.
+            // The run is stopped when the agent reconnects and lists it in its inventory, as its job has ended.
             return;
         }
         JobOwner.FencingToken token = owner.get().fencingToken();
@@ -321,14 +330,14 @@
                 .build());
     }
 
-    /** Notes a link to an agent. */
+    /** Registers the link to an agent. */
     void up(PeerLink link) {
         String process = link.peer().process();
         links.put(process, link);
         worker(process).linked(link);
     }
 
-    /** Notes that the link to an agent is gone. */
+    /** Removes the closed link to an agent. */
     void down(PeerLink link) {
         String process = link.peer().process();
         if (links.remove(process, link)) {
@@ -340,7 +349,7 @@
         return workers.computeIfAbsent(process, name -> new Worker(name, timers.nanos()));
     }
 
-    /** Notes what an agent tells about its worker. */
+    /** Applies an agent's report on its worker. */
     void report(PeerLink link, WorkerReport report) {
         Worker worker = worker(link.peer().process());
         worker.report(
@@ -359,7 +368,10 @@
         passes.schedule();
     }
 
-    /** Brings the own view in line with everything that an agent holds. */
+    /**
+     * Compares this entry's runs at an agent with everything that the agent holds: takes over runs that were started by
+     * a former owner, stops unneeded ones, and ends those that the agent doesn't hold.
+     */
     void reconcile(PeerLink link, RunInventory inventory) {
         report(link, inventory.getReport());
         Worker worker = worker(link.peer().process());
@@ -372,7 +384,7 @@
             });
         }
         for (RunEnd end : inventory.getEndsList()) {
-            // A crash is told until it is stored, and says nothing of a later run of the task.
+            // A crash is reported until it is stored, and doesn't tell the state of a later run of the task.
             EndCodec.decode(end)
                     .filter(ended -> ended.outcome() != RunOutcome.CRASHED)
                     .ifPresent(ended -> listed.add(ended.run().task()));
@@ -392,8 +404,9 @@
     }
 
     /**
-     * Gives up the partitions for which an agent has heard of a later owner. That one may have taken ends there, which
-     * are listed no more: taken for lost, the runs would be started again, at an agent that it has not reached yet.
+     * Ends the ownership of partitions for which an agent reports an owner with a higher epoch. That owner may have
+     * received ends from the agent that are no longer listed. If such runs counted as lost, their tasks would be
+     * started again, at an agent that the new owner has not reached yet.
      */
     private void loseSupersededPartitions(List<OwnedPartition> fenced) {
         for (OwnedPartition fence : fenced) {
@@ -409,7 +422,7 @@
         return owner != null && owner.isReady() ? Optional.of(owner) : Optional.empty();
     }
 
-    /** Returns where the job of a task is known; empty when its partition isn't this entry's any more. */
+    /** Returns the owner of a task's job; empty if the job is durable and this entry no longer owns its partition. */
     private Optional<JobOwner> jobOwnerOf(Task task) {
         return task.job().isKept() ? partitionOwnerOf(task.key()).map(JobOwner.class::cast) : Optional.of(inMemoryJobs);
     }
@@ -446,7 +459,7 @@
         }
     }
 
-    /** Notes ends of runs. */
+    /** Handles ends of runs that an agent reports. */
     void ends(PeerLink link, List<RunEnd> ends) {
         Worker worker = worker(link.peer().process());
         for (RunEnd encoded : ends) {
@@ -461,7 +474,7 @@
                 worker.sent(key).filter(sent -> sent.run() == end.run().run());
         if (start.isPresent()) {
             if (end.outcome() == RunOutcome.NEVER_STARTED) {
-                // A worker that can't start has room all the time and would be chosen again at once, for every task.
+                // A worker that can't start runs always has room, and would be chosen again at once for every task.
                 worker.pause(timers.nanos() + REFUSAL_PAUSE.toNanos());
             }
             finishRun(worker, start.get(), end.outcome(), acknowledge);
@@ -469,7 +482,7 @@
         }
         Optional<Task> known = task(key);
         if (known.isEmpty()) {
-            // Of a job that has ended. An end that is another owner's to store is told to that one.
+            // The job has ended. If another entry owns the partition, the end is left for that owner to store.
             partitionOwnerOf(key).ifPresent(owner -> acknowledge.run());
             return;
         }
@@ -487,12 +500,14 @@
         }
     }
 
-    /** Tells whether a run that this entry no longer followed has done the task, so that no other run is needed. */
+    /**
+     * Returns whether a run that this entry no longer tracks has completed its task, so that no other run is needed.
+     */
     private static boolean completesTask(Task task, EndedRun end) {
         return task.status() != Task.Status.DONE && end.outcome() == RunOutcome.DONE;
     }
 
-    /** Stops the run in progress of a task that an earlier run has done: the work must not be done twice. */
+    /** Stops the current run of a task that an earlier run has completed, so that the work isn't done twice. */
     private void stopNewerRun(Task task) {
         task.worker().ifPresent(name -> stop(name, task.key(), task.lastRun(), jobOwnerOf(task)));
     }
@@ -541,12 +556,12 @@
         passes.schedule();
     }
 
-    /** Notes that an agent did not start a run. */
+    /** Handles an agent's refusal to start a run. */
     void refused(PeerLink link, RunRefused refused) {
         report(link, refused.getReport());
         Worker worker = worker(link.peer().process());
         if (refused.getFencedBy() > 0) {
-            // Started elsewhere, at an agent that the later owner has not reached, the task could run twice.
+            // If this entry started the task at another agent, which the new owner has not reached, it could run twice.
             TaskKey.parse(refused.getTask())
                     .flatMap(this::partitionOwnerOf)
                     .filter(owner -> owner.epoch() < refused.getFencedBy())
@@ -564,7 +579,10 @@
         finishRun(worker, start.get(), RunOutcome.NEVER_STARTED, () -> {});
     }
 
-    /** Gives up the runs of agents that have been silent too long, and lets tasks pass on whose turn is over. */
+    /**
+     * Ends the runs of agents that have been silent for too long, releases tasks whose agents failed to report in time,
+     * and refuses jobs that can no longer meet their deadlines.
+     */
     void sweep() {
         long now = timers.nanos();
         for (Worker worker : List.copyOf(workers.values())) {
@@ -587,8 +605,9 @@
     }
 
     /**
-     * Stops overdue runs of unkept jobs on slow workers, so that they start again elsewhere: tasks that stand still
-     * would hold their callers until the time limit. Not when many workers look slow, as then something else is.
+     * Stops overdue runs of in-memory jobs on slow workers, so that they start again elsewhere: stalled tasks would
+     * hold their callers until the deadline. Nothing is stopped while many workers look slow, as the cause is then
+     * something else.
      */
     private void moveFromSlowWorkers(long now) {
         List<Worker> slow = new ArrayList<>();
@@ -652,7 +671,7 @@
         double expectedMillis = placement.expectedMillis(task);
         Worker.Sent sent = worker.send(task, run, now, expectedMillis);
         task.job().place(task, worker.process(), run);
-        // One that shares the worker with another suspect would be refused, were it sent as one.
+        // Agents refuse a second suspect, so a suspect that joins another one is sent as an ordinary task.
         boolean isolated = crashes.isSuspect(task) && !worker.holdsSuspect();
         if (isolated) {
             worker.sentSuspect(task.key());
--- a/library/src/main/java/org/chivetally/queue/entry/ServiceShares.java
+++ b/library/src/main/java/org/chivetally/queue/entry/ServiceShares.java
@@ -12,7 +12,7 @@
 import org.chivetally.queue.placement.Worker;
 import org.chivetally.time.Timers;
 
-/** What an entry may use of each service's workers, beside what the other entries ask of them. */
+/** Shares of this entry in each service's workers, from its own demand and that of the other entries. */
 final class ServiceShares {
     private final Timers timers;
     private final WaitingTasks waiting;
@@ -23,10 +23,10 @@
     private int entries = 1;
 
     /**
-     * Creates the shares of an entry that is alone.
+     * Creates the shares of an entry without peers.
      *
-     * @param waiting the entry's waiting tasks, kept up by the entry
-     * @param workers all workers that it knows, kept up by the entry
+     * @param waiting the entry's waiting tasks, updated by the entry
+     * @param workers all known workers, updated by the entry
      */
     ServiceShares(Timers timers, WaitingTasks waiting, Collection<Worker> workers) {
         this.timers = timers;
@@ -34,13 +34,13 @@
         this.workers = workers;
     }
 
-    /** Notes that a job was taken on. */
+    /** Records the arrival of an accepted job. */
     void recordArrival(JobSpecification job) {
         arrivals.computeIfAbsent(job.terms().service(), name -> new ArrivalRate())
                 .arrived(job, timers.nanos());
     }
 
-    /** Returns this entry's part of a service's processors. */
+    /** Returns this entry's share of a service's processors. */
     SharedProcessors of(String service) {
         Map<String, ServiceDemand> remote = new HashMap<>();
         remoteDemand.forEach((entry, demand) -> remote.put(entry, demand.getOrDefault(service, ServiceDemand.NONE)));
@@ -57,7 +57,7 @@
         return processors;
     }
 
-    /** Returns what this entry asks of each service's workers. */
+    /** Returns this entry's demand for each service's workers. */
     Map<String, ServiceDemand> demand() {
         Map<String, ServiceDemand> demand = new HashMap<>();
         for (String service : arrivals.keySet()) {
@@ -69,31 +69,31 @@
     private ServiceDemand demand(String service) {
         ArrivalRate arriving = arrivals.get(service);
         long arrivingMillis = arriving == null ? 0 : arriving.processorMillis(timers.nanos());
-        // A job that was stored before estimates were checked may have a negative one.
+        // A job that was stored before estimates were validated may have a negative estimate.
         return new ServiceDemand(Math.max(0, arrivingMillis), Math.max(0, waiting.work(service)));
     }
 
-    /** Notes what another entry asks of each service's workers. */
+    /** Records the demand of another entry for each service's workers. */
     void updateRemoteDemand(String entry, Map<String, ServiceDemand> demand) {
         remoteDemand.put(entry, demand);
     }
 
-    /** Forgets what another entry asked for, as it is gone or can't be heard. */
+    /** Removes the demand of an entry that is gone or unreachable. */
     void removeRemoteDemand(String entry) {
         remoteDemand.remove(entry);
     }
 
-    /** Notes how many entries place tasks on the workers. */
+    /** Sets the number of entries that place tasks on the workers. */
     void updateEntryCount(int count) {
         entries = count;
     }
 
-    /** Notes which failure domains operators want to be left alone. */
+    /** Sets the failure domains that operators have evacuated. */
     void updateEvacuations(Evacuations latest) {
         evacuations = latest;
     }
 
-    /** Tells whether a service has workers, and all that are known stand in evacuated failure domains. */
+    /** Returns whether a service has workers and all known ones are in evacuated failure domains. */
     boolean isEvacuated(String service) {
         boolean any = false;
         for (Worker worker : workers) {
