--- a/library/src/main/java/org/chivetally/queue/entry/EntryNode.java
+++ b/library/src/main/java/org/chivetally/queue/entry/EntryNode.java
@@ -19,7 +19,7 @@
 import org.chivetally.queue.JobPhase;
 import org.chivetally.queue.Task;
 import org.chivetally.queue.crash.CrashPolicy;
-import org.chivetally.queue.crash.CrashWatch;
+import org.chivetally.queue.crash.CrashTracker;
 import org.chivetally.queue.link.Dialer;
 import org.chivetally.queue.link.LinkListener;
 import org.chivetally.queue.link.LinkTable;
@@ -111,7 +111,7 @@
     private final EntryOptions options;
     private final LinkTable links;
     private final Ownership ownership;
-    private final CrashWatch crashes;
+    private final CrashTracker crashes;
     private final RunCoordinator runs;
     private final JobRouter jobRouter;
     private final MemberDirectory directory;
@@ -136,7 +136,7 @@
         this.links = new LinkTable(self, timers, dialer, this);
         this.ownership = new Ownership(group, timers, self.process() + "-" + self.incarnation(), this);
         CrashPolicy crashPolicy = new CrashPolicy(options.scheduling().crashLimit());
-        this.crashes = new CrashWatch(crashPolicy);
+        this.crashes = new CrashTracker(crashPolicy);
         PlacementPolicy placement = new PlacementPolicy(
                 self.failureDomain(),
                 new SplittableRandom(self.process().hashCode()),
@@ -154,7 +154,7 @@
                 partitions,
                 this::mayStart,
                 this::mayReadStaleRequests,
-                stall::keptUpAtNanos,
+                stall::lastResponsiveNanos,
                 options.scheduling());
         this.startedAtNanos = timers.nanos();
         this.busyAtNanos = startedAtNanos;
@@ -170,7 +170,7 @@
 
     /** Records that callers can connect from now on. */
     public void endpointOpened() {
-        stall.opened();
+        stall.markListening();
     }
 
     /** Returns the router of callers' requests about durable jobs. */
@@ -213,7 +213,7 @@
     }
 
     /** Returns the record of minion crashes that were reported to this entry. */
-    public CrashWatch crashes() {
+    public CrashTracker crashes() {
         return crashes;
     }
 
@@ -247,7 +247,7 @@
      */
     public void updateEvacuations(Evacuations latest) {
         Evacuations before = evacuations;
-        evacuations = evacuations.newest(latest);
+        evacuations = evacuations.newerOf(latest);
         runs.shares().updateEvacuations(evacuations);
         if (!evacuations.failureDomains().equals(before.failureDomains())) {
             EventLine.of("evacuations-read")
@@ -284,13 +284,13 @@
     }
 
     private boolean mayReadStaleRequests() {
-        long gap = suspension.look();
+        long gap = suspension.check();
         if (gap > 0) {
             EventLine.of("suspended").with("gap_ms", gap).log(LOGGER.atWarning());
             ownership.invalidateConfirmation();
-            stall.doubt();
+            stall.markStalled();
         }
-        return stall.look();
+        return stall.check();
     }
 
     // ---- links ----
@@ -310,7 +310,7 @@
     private void invalidateAgentHeartbeats() {
         for (PeerLink other : links.links()) {
             if (other.peer().agent()) {
-                other.outdateBeat();
+                other.makeHeartbeatDue();
             }
         }
     }
@@ -332,14 +332,14 @@
         switch (frame.getBodyCase()) {
             case ENTRY_BEAT -> receiveEntryHeartbeat(link, frame.getEntryBeat());
             case AGENT_BEAT -> {
-                link.stamps(
+                link.recordStamps(
                         frame.getAgentBeat().getStampNanos(),
                         frame.getAgentBeat().getEchoNanos());
                 answerHeartbeat(link);
                 runs.report(link, frame.getAgentBeat().getReport());
             }
             case RUN_INVENTORY -> {
-                link.stamps(frame.getRunInventory().getStampNanos(), link.echoNanos());
+                link.recordStamps(frame.getRunInventory().getStampNanos(), link.echoNanos());
                 runs.reconcile(link, frame.getRunInventory());
             }
             case RUN_ENDS -> {
@@ -364,13 +364,13 @@
      */
     private void answerHeartbeat(PeerLink link) {
         long now = timers.nanos();
-        if (link.isBeatDue(now, AGENT_HEARTBEAT_INTERVAL)) {
+        if (link.isHeartbeatDue(now, AGENT_HEARTBEAT_INTERVAL)) {
             sendHeartbeat(link, link.peer().agent() ? List.of() : queueDemand());
             return;
         }
         Duration interval = runs.hasRunsAt(link.peer().process()) ? ECHO_INTERVAL : IDLE_ECHO_INTERVAL;
         if (link.isEchoDue(now, interval)) {
-            link.echoSent(now);
+            link.recordEchoSent(now);
             link.send(Frame.newBuilder()
                     .setBeatEcho(BeatEcho.newBuilder().setEchoNanos(link.peerStampNanos()))
                     .build());
@@ -378,7 +378,7 @@
     }
 
     private void receiveEntryHeartbeat(PeerLink link, EntryBeat beat) {
-        link.stamps(beat.getStampNanos(), beat.getEchoNanos());
+        link.recordStamps(beat.getStampNanos(), beat.getEchoNanos());
         String process = link.peer().process();
         remoteOwners.values().removeIf(owner -> owner.process().equals(process));
         for (OwnedPartition owned : beat.getOwnedList()) {
@@ -432,7 +432,7 @@
         }
         runs.shares().updateEntryCount(entries);
         runs.sweep();
-        links.closeSilent();
+        links.closeSilentLinks();
         ticks++;
         if (ticks % TICKS_PER_PURGE == 0) {
             purgeEndedJobs();
@@ -460,7 +460,7 @@
     }
 
     private void sendHeartbeat(PeerLink link, List<QueueDemand> queueDemand) {
-        link.beatSent(timers.nanos());
+        link.recordHeartbeatSent(timers.nanos());
         link.send(buildHeartbeat(link, queueDemand));
     }
 
@@ -494,7 +494,7 @@
                     .demand()
                     .forEach((service, demand) -> beat.addDemand(Demand.newBuilder()
                             .setService(service)
-                            .setArrivingMillis(demand.arrivingMillis())
+                            .setArrivingMillis(demand.arrivingMillicores())
                             .setWaitingWork(demand.waitingWork())));
             beat.addAllQueueDemand(queueDemand);
         }
--- a/library/src/main/java/org/chivetally/queue/entry/InMemoryJobs.java
+++ b/library/src/main/java/org/chivetally/queue/entry/InMemoryJobs.java
@@ -18,7 +18,7 @@
 import org.chivetally.queue.RunOutcome;
 import org.chivetally.queue.Task;
 import org.chivetally.queue.TaskKey;
-import org.chivetally.queue.crash.CrashWatch;
+import org.chivetally.queue.crash.CrashTracker;
 import org.chivetally.time.Timers;
 
 /**
@@ -39,12 +39,12 @@
     private static final FluentLogger LOGGER = FluentLogger.forEnclosingClass();
 
     private final Timers timers;
-    private final CrashWatch crashes;
+    private final CrashTracker crashes;
     private final Scheduler scheduler;
     private final Map<String, OpenJob> openJobs = new LinkedHashMap<>();
     private OptionalLong stopsAtNanos = OptionalLong.empty();
 
-    InMemoryJobs(Timers timers, CrashWatch crashes, Scheduler scheduler) {
+    InMemoryJobs(Timers timers, CrashTracker crashes, Scheduler scheduler) {
         this.crashes = crashes;
         this.timers = timers;
         this.scheduler = scheduler;
@@ -105,7 +105,7 @@
 
     private Optional<JobAnswer.Refused> refusal(Job job) {
         if (scheduler.mayReadStaleRequests()) {
-            return Optional.of(new JobAnswer.Refused(RefusalReason.STOOD_STILL, RETRY_AFTER));
+            return Optional.of(new JobAnswer.Refused(RefusalReason.STALLED, RETRY_AFTER));
         }
         if (stopsAtNanos.isPresent() && endsAfter(job, stopsAtNanos.getAsLong())) {
             return Optional.of(new JobAnswer.Refused(RefusalReason.STOPPING, RETRY_AFTER));
@@ -115,7 +115,7 @@
 
     private boolean endsAfter(Job job, long limitNanos) {
         long estimate = Duration.ofMillis(
-                        STOPPING_ESTIMATE_FACTOR * job.specification().chainMillis())
+                        STOPPING_ESTIMATE_FACTOR * job.specification().criticalPathMillis())
                 .toNanos();
         return timers.nanos() + estimate > limitNanos;
     }
@@ -152,7 +152,7 @@
     void refuseInfeasible() {
         long now = timers.nanos();
         for (OpenJob candidate : new ArrayList<>(openJobs.values())) {
-            if (candidate.job.phase() == JobPhase.QUEUED && candidate.job.isHopeless(now)) {
+            if (candidate.job.phase() == JobPhase.QUEUED && candidate.job.isTooLate(now)) {
                 refuse(candidate, RefusalReason.NOT_STARTED_IN_TIME);
             }
         }
@@ -164,7 +164,7 @@
     void refuseOvertaken(Job job) {
         OpenJob candidate = openJobs.get(job.specification().id());
         if (candidate != null && candidate.job == job) {
-            refuse(candidate, RefusalReason.OVERTAKEN);
+            refuse(candidate, RefusalReason.DEPRIORITIZED);
         }
     }
 
@@ -202,7 +202,7 @@
                 .with("reason", reason)
                 .with("tasks", job.specification().taskCount())
                 .with("age_ms", (timers.nanos() - job.acceptedAtNanos()) / 1_000_000)
-                .with("left_ms", (job.limitNanos() - timers.nanos()) / 1_000_000)
+                .with("left_ms", (job.usefulUntilNanos() - timers.nanos()) / 1_000_000)
                 .log(LOGGER.atInfo());
     }
 
@@ -215,12 +215,12 @@
     public void ended(Task task, RunOutcome outcome, Runnable acknowledge) {
         acknowledge.run();
         OpenJob openJob = openJobs.get(task.key().jobId());
-        List<Task> ready = task.job().end(task, outcome, timers.epochMillis());
+        List<Task> ready = task.job().recordRunEnd(task, outcome, timers.epochMillis());
         if (openJob == null || openJob.job != task.job()) {
             return;
         }
-        if (outcome == RunOutcome.CRASHED && crashes.crashed(task, task.lastRun())) {
-            crashes.givenUp(task);
+        if (outcome == RunOutcome.CRASHED && crashes.recordCrash(task, task.lastRun())) {
+            crashes.recordGivenUp(task);
             task.job().finish(JobPhase.FAILED, timers.epochMillis());
         }
         if (task.job().phase().isFinal()) {
--- a/library/src/main/java/org/chivetally/queue/entry/MemberDirectory.java
+++ b/library/src/main/java/org/chivetally/queue/entry/MemberDirectory.java
@@ -19,7 +19,7 @@
 import org.chivetally.queue.log.KeyedLog;
 import org.chivetally.queue.log.KeyedRecord;
 import org.chivetally.queue.log.LogStream;
-import org.chivetally.queue.log.NewestValues;
+import org.chivetally.queue.log.NewestValuesReader;
 import org.chivetally.queue.log.StreamTail;
 import org.chivetally.time.Timers;
 import org.chivetally.wire.v1.StoredMember;
@@ -132,7 +132,8 @@
      * @param done run after all announcements have been read
      */
     public void readOnce(Consumer<Peer> listener, Runnable done) {
-        new NewestValues(log, timers, stream, RETRY_DELAY, () -> true, record -> apply(record, listener), done).start();
+        new NewestValuesReader(log, timers, stream, RETRY_DELAY, () -> true, record -> apply(record, listener), done)
+                .start();
     }
 
     /** Returns the minion in the announcement of a process that was read last. */
@@ -146,7 +147,7 @@
     }
 
     private void apply(KeyedRecord record, Consumer<Peer> listener) {
-        if (record.drops()) {
+        if (record.isTombstone()) {
             members.remove(record.key());
             minions.remove(record.key());
             return;
--- a/library/src/main/java/org/chivetally/queue/entry/PartitionOwner.java
+++ b/library/src/main/java/org/chivetally/queue/entry/PartitionOwner.java
@@ -24,11 +24,11 @@
 import org.chivetally.queue.Task;
 import org.chivetally.queue.TaskKey;
 import org.chivetally.queue.crash.CrashPolicy;
-import org.chivetally.queue.crash.CrashWatch;
+import org.chivetally.queue.crash.CrashTracker;
 import org.chivetally.queue.log.KeyedLog;
 import org.chivetally.queue.log.KeyedRecord;
 import org.chivetally.queue.log.LogStream;
-import org.chivetally.queue.log.NewestValues;
+import org.chivetally.queue.log.NewestValuesReader;
 import org.chivetally.queue.log.PartitionWriter;
 import org.chivetally.time.Timers;
 
@@ -65,7 +65,7 @@
     private final Timers timers;
     private final LogStream stream;
     private final long epoch;
-    private final CrashWatch crashes;
+    private final CrashTracker crashes;
     private final PartitionEvents events;
     private final PartitionWriter writer;
     private final Map<String, Job> jobs = new LinkedHashMap<>();
@@ -83,7 +83,7 @@
     private boolean closed;
 
     PartitionOwner(
-            KeyedLog log, Timers timers, LogStream stream, long epoch, CrashWatch crashes, PartitionEvents events) {
+            KeyedLog log, Timers timers, LogStream stream, long epoch, CrashTracker crashes, PartitionEvents events) {
         this.crashes = crashes;
         this.log = log;
         this.timers = timers;
@@ -163,7 +163,7 @@
 
     private void load() {
         Map<String, byte[]> records = new HashMap<>();
-        new NewestValues(
+        new NewestValuesReader(
                         log,
                         timers,
                         stream,
@@ -240,7 +240,7 @@
         for (Job job : jobs.values()) {
             for (Task task : job.tasksIn(Task.Status.UNCERTAIN)) {
                 if (!tasksWithUnstoredCrash.contains(task)) {
-                    job.release(task);
+                    job.markWaiting(task);
                     released.add(task);
                 }
             }
@@ -332,7 +332,7 @@
         }
         Job job = jobs.get(id);
         if (job != null) {
-            return new JobAnswer.State(job.shownPhase());
+            return new JobAnswer.State(job.reportedPhase());
         }
         EndedJob end = endedJobs.get(id);
         if (end != null) {
@@ -368,7 +368,7 @@
     public void ended(Task task, RunOutcome outcome, Runnable acknowledge) {
         Job job = task.job();
         boolean wasFinal = job.phase().isFinal();
-        List<Task> ready = job.end(task, outcome, timers.epochMillis());
+        List<Task> ready = job.recordRunEnd(task, outcome, timers.epochMillis());
         if (!wasFinal) {
             applyCrashLimits(task, outcome);
         }
@@ -406,22 +406,22 @@
             return;
         }
         for (Task task : tasks) {
-            task.job().doubt(task);
+            task.job().markUncertain(task);
         }
     }
 
     @Override
     public void earlierRunCrashed(Task task, long run, Runnable acknowledge) {
         Job job = task.job();
-        if (job.phase().isFinal() || task.status() == Task.Status.DONE || !task.crashed(run)) {
+        if (job.phase().isFinal() || task.status() == Task.Status.DONE || !task.recordCrash(run)) {
             reportedAgain(task, acknowledge);
             return;
         }
-        boolean overLimit = crashes.crashed(task, run);
+        boolean overLimit = crashes.recordCrash(task, run);
         if (task.status() == Task.Status.PLACED
                 && CrashPolicy.isBounded(task.crashes().crashes())) {
             // Its current run was started before this crash was reported here.
-            task.countStarts(1);
+            task.adjustBoundedStarts(1);
         }
         if (overLimit) {
             failJob(task);
@@ -461,9 +461,9 @@
     private void applyCrashLimits(Task task, RunOutcome outcome) {
         if (outcome == RunOutcome.NEVER_STARTED
                 && CrashPolicy.isBounded(task.crashes().crashes())) {
-            task.countStarts(-1);
+            task.adjustBoundedStarts(-1);
         }
-        boolean overLimit = outcome == RunOutcome.CRASHED && crashes.crashed(task, task.lastRun());
+        boolean overLimit = outcome == RunOutcome.CRASHED && crashes.recordCrash(task, task.lastRun());
         if (!task.job().phase().isFinal() && (overLimit || hasNoStartsLeft(task))) {
             failJob(task);
         }
@@ -477,11 +477,12 @@
 
     private static boolean hasNoStartsLeft(Task task) {
         return task.status() != Task.Status.DONE
-                && CrashPolicy.isUsedUp(task.crashes().crashes(), task.crashes().boundedStarts());
+                && CrashPolicy.hasUsedUpStarts(
+                        task.crashes().crashes(), task.crashes().boundedStarts());
     }
 
     private void failJob(Task task) {
-        crashes.givenUp(task);
+        crashes.recordGivenUp(task);
         task.job().finish(JobPhase.FAILED, timers.epochMillis());
     }
 
@@ -511,7 +512,7 @@
             writeEnd(job, stored -> {});
             return;
         }
-        task.countStarts(1);
+        task.adjustBoundedStarts(1);
         write(job, List.of(progressOf(job)), stored -> {
             boolean waits = task.status() == Task.Status.WAITING && !job.phase().isFinal();
             if (stored && waits && isReady()) {
@@ -545,7 +546,7 @@
 
     private void writeEnd(Job job, Consumer<Boolean> answer) {
         String id = job.specification().id();
-        List<KeyedRecord> records = List.of(progressOf(job), KeyedRecord.dropping(JOB_PREFIX + id));
+        List<KeyedRecord> records = List.of(progressOf(job), KeyedRecord.tombstone(JOB_PREFIX + id));
         write(job, records, stored -> {
             if (stored) {
                 endStored(job);
@@ -555,7 +556,7 @@
     }
 
     private void endStored(Job job) {
-        job.endStored();
+        job.markEndStored();
         String id = job.specification().id();
         if (jobs.remove(id) == null) {
             return;
@@ -583,7 +584,7 @@
         endedJobs.entrySet().removeIf(entry -> {
             boolean old = entry.getValue().atMillis() < millis;
             if (old) {
-                drops.add(KeyedRecord.dropping(PROGRESS_PREFIX + entry.getKey()));
+                drops.add(KeyedRecord.tombstone(PROGRESS_PREFIX + entry.getKey()));
             }
             return old;
         });
--- a/library/src/main/java/org/chivetally/queue/entry/QueueDemandCodec.java
+++ b/library/src/main/java/org/chivetally/queue/entry/QueueDemandCodec.java
@@ -21,8 +21,8 @@
                 encoded.add(QueueDemand.newBuilder()
                         .setService(service.getKey())
                         .setQueue(queue)
-                        .setRunningMillis(load.runningMillis())
-                        .setWaitingMillis(load.waitingMillis())
+                        .setRunningMillis(load.runningMillicores())
+                        .setWaitingMillis(load.waitingMillicores())
                         .build());
             }
         }
@@ -39,7 +39,7 @@
             }
             // Bounds invalid amounts, as another implementation may send, before they are added up.
             QueueLoad load = new QueueLoad(demand.getRunningMillis(), demand.getWaitingMillis());
-            loads.add(demand.getQueue(), load.runningMillis(), load.waitingMillis());
+            loads.add(demand.getQueue(), load.runningMillicores(), load.waitingMillicores());
         }
         return byService;
     }
--- a/library/src/main/java/org/chivetally/queue/entry/QueueShares.java
+++ b/library/src/main/java/org/chivetally/queue/entry/QueueShares.java
@@ -9,14 +9,14 @@
 import org.chivetally.logging.EventLine;
 import org.chivetally.queue.Job;
 import org.chivetally.queue.QueueTerms;
-import org.chivetally.queue.placement.Turns;
+import org.chivetally.queue.placement.FairShareOrder;
 import org.chivetally.queue.placement.WaitingTasks;
 import org.chivetally.queue.placement.Worker;
-import org.chivetally.queue.share.Division;
-import org.chivetally.queue.share.LoadsElsewhere;
+import org.chivetally.queue.share.FairShares;
+import org.chivetally.queue.share.PeerLoads;
 import org.chivetally.queue.share.QueueAdmission;
 import org.chivetally.queue.share.QueueLoads;
-import org.chivetally.queue.share.RefusedLately;
+import org.chivetally.queue.share.RecentlyRefusedJobs;
 import org.chivetally.time.Timers;
 
 /**
@@ -35,8 +35,8 @@
     private final Timers timers;
     private final WaitingTasks waiting;
     private final Collection<Worker> workers;
-    private final LoadsElsewhere remoteLoads = new LoadsElsewhere();
-    private final RefusedLately recentRefusals = new RefusedLately();
+    private final PeerLoads remoteLoads = new PeerLoads();
+    private final RecentlyRefusedJobs recentRefusals = new RecentlyRefusedJobs();
     private final Map<String, Long> contendedAtNanos = new HashMap<>();
     private int unreachableEntries;
 
@@ -55,7 +55,7 @@
     /** Returns the loads of this entry's runs and waiting tasks, by service and queue. */
     Map<String, QueueLoads> ownLoads() {
         Map<String, QueueLoads> byService = new HashMap<>();
-        waiting.addTo(byService);
+        waiting.addWaitingTo(byService);
         for (Worker worker : workers) {
             worker.addRunsTo(byService);
         }
@@ -70,17 +70,17 @@
      * @param leaving whether it is shutting down
      */
     void updateRemoteLoads(String entry, Map<String, QueueLoads> byService, boolean leaving) {
-        remoteLoads.told(entry, byService, leaving, timers.nanos());
+        remoteLoads.recordReport(entry, byService, leaving, timers.nanos());
     }
 
     /** Returns the current division of a service's processors. */
-    Division division(String service) {
+    FairShares division(String service) {
         return division(service, ownLoads().getOrDefault(service, new QueueLoads()));
     }
 
-    private Division division(String service, QueueLoads own) {
-        LoadsElsewhere.Known known = remoteLoads.of(service, timers.nanos());
-        return new Division(known.capacityOf(usableMillis(service)), own, known.loads());
+    private FairShares division(String service, QueueLoads own) {
+        PeerLoads.ServiceSnapshot known = remoteLoads.of(service, timers.nanos());
+        return new FairShares(known.reachableCapacity(usableMillis(service)), own, known.loads());
     }
 
     /**
@@ -89,10 +89,10 @@
      * that demand more would get larger shares than they can use.
      */
     private long usableMillis(String service) {
-        long unit = waiting.smallestRoom(service);
+        long unit = waiting.smallestMeanMillicores(service);
         long usable = 0;
         for (Worker worker : workers) {
-            Worker.View view = worker.view();
+            Worker.Report view = worker.lastReport();
             if (view.service().equals(service) && view.accepting()) {
                 long capacity = view.capacity().processorMillis();
                 long free = Math.max(0, view.free().processorMillis());
@@ -110,15 +110,15 @@
         QueueTerms terms = job.specification().terms();
         long ahead = waiting.workAhead(terms.service(), terms.queue(), terms.priority());
         long now = timers.nanos();
-        if (ahead == 0 && !job.isHopeless(now)) {
+        if (ahead == 0 && !job.isTooLate(now)) {
             // Usually nothing waits before the job. It can then start at once, whatever the division.
             return Optional.empty();
         }
         String id = job.specification().id();
-        long reach = division(terms.service()).ownReach(terms.queue());
+        long reach = division(terms.service()).ownAvailableMillicores(terms.queue());
         Optional<Duration> refusal = QueueAdmission.refuse(job, now, ahead, reach, recentRefusals.contains(id, now));
         if (refusal.isPresent()) {
-            recentRefusals.refused(id, now);
+            recentRefusals.add(id, now);
         }
         return refusal;
     }
@@ -130,8 +130,8 @@
     Duration retryAfterRefusal(Job job) {
         QueueTerms terms = job.specification().terms();
         String id = job.specification().id();
-        recentRefusals.refused(id, timers.nanos());
-        long reach = division(terms.service()).ownReach(terms.queue());
+        recentRefusals.add(id, timers.nanos());
+        long reach = division(terms.service()).ownAvailableMillicores(terms.queue());
         return QueueAdmission.retryAfter(id, waiting.work(terms.service(), terms.queue()), reach);
     }
 
@@ -141,8 +141,8 @@
      * @param own loads of this entry's runs and waiting tasks in the service
      * @param limit maximum number of tasks to consider
      */
-    Turns turns(String service, QueueLoads own, int limit) {
-        return waiting.turns(service, division(service, own), own, limit);
+    FairShareOrder turns(String service, QueueLoads own, int limit) {
+        return waiting.fairShareOrder(service, division(service, own), own, limit);
     }
 
     /** Returns the number of services whose queues have recently demanded more than the capacity. */
@@ -158,11 +158,11 @@
     /** Updates which services are contended, and removes entries that are gone. */
     void updateContention() {
         long now = timers.nanos();
-        remoteLoads.forgetGone(now);
-        unreachableEntries = remoteLoads.of("", now).silent();
+        remoteLoads.removeExpired(now);
+        unreachableEntries = remoteLoads.of("", now).unreachable();
         Map<String, QueueLoads> own = ownLoads();
         for (Map.Entry<String, QueueLoads> service : own.entrySet()) {
-            Division division = division(service.getKey(), service.getValue());
+            FairShares division = division(service.getKey(), service.getValue());
             if (division.isContended() && contendedAtNanos.put(service.getKey(), now) == null) {
                 log("service-contended", service.getKey(), division);
             }
@@ -178,11 +178,11 @@
         return uncontended;
     }
 
-    private static void log(String event, String service, Division division) {
+    private static void log(String event, String service, FairShares division) {
         EventLine.of(event)
                 .with("service", service)
-                .with("usable_millicores", division.capacityMillis())
-                .with("demand_millicores", division.demandMillis())
+                .with("usable_millicores", division.capacityMillicores())
+                .with("demand_millicores", division.demandMillicores())
                 .with("shares", division)
                 .log(LOGGER.atInfo());
     }
--- a/library/src/main/java/org/chivetally/queue/entry/RunCoordinator.java
+++ b/library/src/main/java/org/chivetally/queue/entry/RunCoordinator.java
@@ -25,14 +25,14 @@
 import org.chivetally.queue.agent.EndCodec;
 import org.chivetally.queue.agent.EndedRun;
 import org.chivetally.queue.agent.RunSupervisor;
-import org.chivetally.queue.crash.CrashWatch;
+import org.chivetally.queue.crash.CrashTracker;
 import org.chivetally.queue.link.PeerLink;
 import org.chivetally.queue.placement.AdmissionPolicy;
+import org.chivetally.queue.placement.EntryCapacityShare;
 import org.chivetally.queue.placement.PlacementPolicy;
-import org.chivetally.queue.placement.SharedProcessors;
 import org.chivetally.queue.placement.WaitingTasks;
 import org.chivetally.queue.placement.Worker;
-import org.chivetally.queue.share.Division;
+import org.chivetally.queue.share.FairShares;
 import org.chivetally.queue.speed.LearnedStretch;
 import org.chivetally.settings.SchedulingSettings;
 import org.chivetally.time.Timers;
@@ -88,7 +88,7 @@
     private final BooleanSupplier mayReadStaleRequests;
     private final LongSupplier keptUpAtNanos;
     private final PlacementPolicy placement;
-    private final CrashWatch crashes;
+    private final CrashTracker crashes;
     private final long startedAtNanos;
     private final Map<String, Worker> workers = new LinkedHashMap<>();
     private final Map<String, PeerLink> links = new HashMap<>();
@@ -113,7 +113,7 @@
     RunCoordinator(
             Timers timers,
             PlacementPolicy placement,
-            CrashWatch crashes,
+            CrashTracker crashes,
             int partitionCount,
             Map<Integer, PartitionOwner> partitions,
             BooleanSupplier mayStart,
@@ -195,7 +195,7 @@
         QueueTerms terms = job.specification().terms();
         long ahead = waiting.workAhead(terms.service(), terms.priority());
         return AdmissionPolicy.refuse(
-                job, timers.nanos(), ahead, shares.of(terms.service()).forBacklog());
+                job, timers.nanos(), ahead, shares.of(terms.service()).backlogMillicores());
     }
 
     @Override
@@ -218,9 +218,9 @@
             return;
         }
         for (String service : waiting.services()) {
-            SharedProcessors processors = shares.of(service);
-            if (processors.capacityMillis() > 0) {
-                refuseOvertaken(service, waiting.withoutProspect(service, processors.spare(), now));
+            EntryCapacityShare processors = shares.of(service);
+            if (processors.capacityMillicores() > 0) {
+                refuseOvertaken(service, waiting.unservableJobs(service, processors.spareMillicores(), now));
             }
         }
     }
@@ -233,7 +233,7 @@
         if (overtaken.isEmpty()) {
             return;
         }
-        Optional<Division> division = queueShares.map(all -> all.division(service));
+        Optional<FairShares> division = queueShares.map(all -> all.division(service));
         for (Job job : overtaken) {
             boolean isCoveredByShare = division.isPresent()
                     && division.get().isSatisfied(job.specification().terms().queue());
@@ -295,7 +295,7 @@
     /** Removes the waiting tasks of a job and stops its runs. */
     @Override
     public void ended(Job job) {
-        crashes.ended(job);
+        crashes.removeJob(job);
         for (Task task : job.tasks()) {
             waiting.remove(task);
             task.worker().ifPresent(name -> stop(name, task.key(), task.lastRun(), jobOwnerOf(task)));
@@ -305,7 +305,7 @@
     /** Removes the tasks of a partition that another process owns now. */
     void partitionLost(PartitionOwner partition) {
         for (Job job : partition.jobs()) {
-            crashes.ended(job);
+            crashes.removeJob(job);
             for (Task task : job.tasks()) {
                 waiting.remove(task);
                 task.worker().map(workers::get).ifPresent(worker -> worker.remove(task.key()));
@@ -334,14 +334,14 @@
     void up(PeerLink link) {
         String process = link.peer().process();
         links.put(process, link);
-        worker(process).linked(link);
+        worker(process).linkOpened(link);
     }
 
     /** Removes the closed link to an agent. */
     void down(PeerLink link) {
         String process = link.peer().process();
         if (links.remove(process, link)) {
-            worker(process).unlinked();
+            worker(process).linkClosed();
         }
     }
 
@@ -352,8 +352,8 @@
     /** Applies an agent's report on its worker. */
     void report(PeerLink link, WorkerReport report) {
         Worker worker = worker(link.peer().process());
-        worker.report(
-                new Worker.View(
+        worker.recordReport(
+                new Worker.Report(
                         report.getMinion(),
                         report.getService(),
                         JobCodec.decode(report.getCapacity()),
@@ -363,8 +363,8 @@
                         report.getFailureDomain(),
                         report.getStartsSeen()),
                 timers.nanos());
-        worker.learned(new LearnedStretch(report.getStretchPermille(), report.getStretchRuns()));
-        worker.reportSuspects(report.getSuspectedRuns());
+        worker.learnedStretch(new LearnedStretch(report.getStretchPermille(), report.getStretchRuns()));
+        worker.recordSuspectRuns(report.getSuspectedRuns());
         passes.schedule();
     }
 
@@ -390,8 +390,8 @@
                     .ifPresent(ended -> listed.add(ended.run().task()));
         }
         ends(link, inventory.getEndsList());
-        for (Worker.Sent start : worker.sent()) {
-            if (!listed.contains(start.task().key()) && !worker.isUnseen(start)) {
+        for (Worker.SentStart start : worker.inProgress()) {
+            if (!listed.contains(start.task().key()) && !worker.isUnacknowledged(start)) {
                 finishRun(worker, start, RunOutcome.LOST, () -> {});
             }
         }
@@ -424,7 +424,9 @@
 
     /** Returns the owner of a task's job; empty if the job is durable and this entry no longer owns its partition. */
     private Optional<JobOwner> jobOwnerOf(Task task) {
-        return task.job().isKept() ? partitionOwnerOf(task.key()).map(JobOwner.class::cast) : Optional.of(inMemoryJobs);
+        return task.job().isDurable()
+                ? partitionOwnerOf(task.key()).map(JobOwner.class::cast)
+                : Optional.of(inMemoryJobs);
     }
 
     private Optional<Task> task(TaskKey key) {
@@ -443,12 +445,14 @@
         boolean needed = known.isPresent() && !known.get().job().phase().isFinal();
         if (needed && known.get().status() == Task.Status.UNCERTAIN) {
             Task task = known.get();
-            task.job().place(task, worker.process(), run.getRun());
+            task.job().recordPlacement(task, worker.process(), run.getRun());
             worker.adopt(task, run.getRun(), timers.nanos());
             return;
         }
         boolean tracked = needed
-                && worker.sent(key).map(start -> start.run() == run.getRun()).orElse(false);
+                && worker.inProgress(key)
+                        .map(start -> start.run() == run.getRun())
+                        .orElse(false);
         if (!tracked) {
             EventLine.of("run-unwanted")
                     .with("task", key)
@@ -470,12 +474,12 @@
     private void end(PeerLink link, Worker worker, EndedRun end) {
         TaskKey key = end.run().task();
         Runnable acknowledge = () -> acknowledge(link, end);
-        Optional<Worker.Sent> start =
-                worker.sent(key).filter(sent -> sent.run() == end.run().run());
+        Optional<Worker.SentStart> start =
+                worker.inProgress(key).filter(sent -> sent.run() == end.run().run());
         if (start.isPresent()) {
             if (end.outcome() == RunOutcome.NEVER_STARTED) {
                 // A worker that can't start runs always has room, and would be chosen again at once for every task.
-                worker.pause(timers.nanos() + REFUSAL_PAUSE.toNanos());
+                worker.pauseStarts(timers.nanos() + REFUSAL_PAUSE.toNanos());
             }
             finishRun(worker, start.get(), end.outcome(), acknowledge);
             return;
@@ -519,7 +523,7 @@
             return;
         }
         waiting.remove(task);
-        task.job().place(task, worker.process(), end.run().run());
+        task.job().recordPlacement(task, worker.process(), end.run().run());
         recordEnd(worker, task, end.run().run(), end.outcome(), acknowledge);
     }
 
@@ -532,17 +536,18 @@
                 .build());
     }
 
-    private void finishRun(Worker worker, Worker.Sent start, RunOutcome outcome, Runnable acknowledge) {
+    private void finishRun(Worker worker, Worker.SentStart start, RunOutcome outcome, Runnable acknowledge) {
         if (outcome == RunOutcome.DONE) {
-            placement.ended(worker, start, timers.nanos());
-            crashes.cleared(start.task());
+            placement.recordEnd(worker, start, timers.nanos());
+            crashes.removeTask(start.task());
         }
         worker.remove(start.task().key());
         recordEnd(worker, start.task(), start.run(), outcome, acknowledge);
     }
 
     private void recordEnd(Worker worker, Task task, long run, RunOutcome outcome, Runnable acknowledge) {
-        if (outcome == RunOutcome.FAILED && worker.health().failed(task.key().jobId(), timers.nanos())) {
+        if (outcome == RunOutcome.FAILED
+                && worker.health().recordFailedRun(task.key().jobId(), timers.nanos())) {
             EventLine.of("worker-avoided").with("worker", worker.process()).log(LOGGER.atWarning());
         }
         EventLine.of("run-ended")
@@ -567,14 +572,15 @@
                     .filter(owner -> owner.epoch() < refused.getFencedBy())
                     .ifPresent(owner -> owner.superseded(refused.getFencedBy()));
         }
-        Optional<Worker.Sent> start =
-                TaskKey.parse(refused.getTask()).flatMap(worker::sent).filter(sent -> sent.run() == refused.getRun());
+        Optional<Worker.SentStart> start = TaskKey.parse(refused.getTask())
+                .flatMap(worker::inProgress)
+                .filter(sent -> sent.run() == refused.getRun());
         if (start.isEmpty()) {
             return;
         }
         String reason = refused.getReason();
         if (!RunSupervisor.NO_ROOM.equals(reason) && !RunSupervisor.SUSPECT_HELD.equals(reason)) {
-            worker.pause(timers.nanos() + REFUSAL_PAUSE.toNanos());
+            worker.pauseStarts(timers.nanos() + REFUSAL_PAUSE.toNanos());
         }
         finishRun(worker, start.get(), RunOutcome.NEVER_STARTED, () -> {});
     }
@@ -587,7 +593,7 @@
         long now = timers.nanos();
         for (Worker worker : List.copyOf(workers.values())) {
             if (!worker.isLinked()) {
-                expireRuns(worker, worker.silentNanos(now));
+                expireRuns(worker, worker.nanosSinceContact(now));
             }
         }
         for (PartitionOwner owner : partitions.values()) {
@@ -613,8 +619,8 @@
         List<Worker> slow = new ArrayList<>();
         int open = 0;
         for (Worker worker : workers.values()) {
-            open += worker.isOpen(now) ? 1 : 0;
-            boolean late = !worker.newlyOverdue(now).isEmpty();
+            open += worker.acceptsStarts(now) ? 1 : 0;
+            boolean late = !worker.markNewlyOverdue(now).isEmpty();
             if (worker.health().isSlow()) {
                 slow.add(worker);
                 if (late) {
@@ -625,12 +631,13 @@
                 }
             }
         }
-        if (PlacementPolicy.AVOIDED_PART * slow.size() > open) {
+        if (PlacementPolicy.MINIMUM_WORKERS_PER_AVOIDED * slow.size() > open) {
             return;
         }
         for (Worker worker : slow) {
-            for (Worker.Sent start : worker.overdue()) {
-                if (!start.task().job().isKept() && !start.task().job().phase().isFinal()) {
+            for (Worker.SentStart start : worker.overdue()) {
+                if (!start.task().job().isDurable()
+                        && !start.task().job().phase().isFinal()) {
                     stop(worker.process(), start.task().key(), start.run(), jobOwnerOf(start.task()));
                 }
             }
@@ -639,8 +646,8 @@
 
     private void expireRuns(Worker worker, long silentNanos) {
         int count = 0;
-        for (Worker.Sent start : worker.sent()) {
-            Duration timeout = start.task().job().isKept() ? RUN_LOSS_TIMEOUT : IN_MEMORY_RUN_LOSS_TIMEOUT;
+        for (Worker.SentStart start : worker.inProgress()) {
+            Duration timeout = start.task().job().isDurable() ? RUN_LOSS_TIMEOUT : IN_MEMORY_RUN_LOSS_TIMEOUT;
             if (silentNanos > timeout.toNanos()) {
                 finishRun(worker, start, RunOutcome.LOST, () -> {});
                 count++;
@@ -653,7 +660,7 @@
                     .with("silent_ms", silentNanos / 1_000_000)
                     .log(LOGGER.atWarning());
         }
-        if (silentNanos > RUN_LOSS_TIMEOUT.toNanos() && worker.sent().isEmpty()) {
+        if (silentNanos > RUN_LOSS_TIMEOUT.toNanos() && worker.inProgress().isEmpty()) {
             workers.remove(worker.process());
         }
     }
@@ -669,30 +676,30 @@
         long run = task.lastRun() + 1;
         long now = timers.nanos();
         double expectedMillis = placement.expectedMillis(task);
-        Worker.Sent sent = worker.send(task, run, now, expectedMillis);
-        task.job().place(task, worker.process(), run);
+        Worker.SentStart sent = worker.send(task, run, now, expectedMillis);
+        task.job().recordPlacement(task, worker.process(), run);
         // Agents refuse a second suspect, so a suspect that joins another one is sent as an ordinary task.
         boolean isolated = crashes.isSuspect(task) && !worker.holdsSuspect();
         if (isolated) {
-            worker.sentSuspect(task.key());
+            worker.addSuspect(task.key());
         } else if (crashes.isSuspect(task)) {
-            worker.sent().forEach(beside -> crashes.sent(beside.task(), false));
+            worker.inProgress().forEach(beside -> crashes.recordStart(beside.task(), false));
         }
-        crashes.sent(task, isolated);
+        crashes.recordStart(task, isolated);
         EventLine placed = EventLine.of("run-placed")
                 .with("task", task.key())
                 .with("run", run)
                 .with("worker", worker.process())
-                .with("free_millicores", worker.free().processorMillis())
+                .with("free_millicores", worker.freeRoom().processorMillis())
                 .with("waited_ms", (now - task.job().acceptedAtNanos()) / 1_000_000)
-                .with("report_age_ms", (now - worker.heardAtNanos()) / 1_000_000)
+                .with("report_age_ms", (now - worker.lastReportAtNanos()) / 1_000_000)
                 .with("waiting", waiting.size());
         if (bySpeed) {
             startsBySpeed++;
             placed = placed.with("stretch", Math.round(100 * worker.stretch()) / 100.0);
         }
         placed.log(LOGGER.atInfo());
-        link.echoSent(now);
+        link.recordEchoSent(now);
         link.send(Frame.newBuilder()
                 .setRunStart(RunStart.newBuilder()
                         .setNumber(sent.number())
--- a/library/src/test/java/org/chivetally/queue/entry/CrashingTasksTest.java
+++ b/library/src/test/java/org/chivetally/queue/entry/CrashingTasksTest.java
@@ -169,10 +169,10 @@
         cluster.submit(entry(1), Jobs.of(CRASHING_JOB, 1, 0, 100));
         for (int deaths = 0; deaths < 2; deaths++) {
             advanceToCrash(crashCount() + 1);
-            cluster.log.mood = ScriptedKeyedLog.Mood.SILENT;
+            cluster.log.appendBehavior = ScriptedKeyedLog.AppendBehavior.SILENT;
             minions.advance(1_500);
             cluster.kill(ownerName());
-            cluster.log.mood = ScriptedKeyedLog.Mood.WELL;
+            cluster.log.appendBehavior = ScriptedKeyedLog.AppendBehavior.ACCEPTING;
         }
         minions.advance(30_000);
         assertThat(minions.starts(CRASHING_JOB), lessThanOrEqualTo(6L));
@@ -185,10 +185,10 @@
         startCluster(0, 8, Set.of(CRASHING_JOB));
         cluster.submit(entry(1), Jobs.of(CRASHING_JOB, 1, 0, 100));
         advanceToCrash(3);
-        cluster.log.mood = ScriptedKeyedLog.Mood.SILENT;
+        cluster.log.appendBehavior = ScriptedKeyedLog.AppendBehavior.SILENT;
         minions.advance(6_000);
         assertThat(minions.starts(CRASHING_JOB), is(3L));
-        cluster.log.mood = ScriptedKeyedLog.Mood.WELL;
+        cluster.log.appendBehavior = ScriptedKeyedLog.AppendBehavior.ACCEPTING;
         minions.advance(30_000);
         assertThat(minions.starts(CRASHING_JOB), is(6L));
     }
