--- a/library/src/main/java/org/chivetally/queue/JobCodec.java
+++ b/library/src/main/java/org/chivetally/queue/JobCodec.java
@@ -133,7 +133,7 @@
         StoredProgress.Builder stored = StoredProgress.newBuilder();
         progress.crashes()
                 .forEach((position, count) -> stored.putCrashes(position, count.crashes())
-                        .putCrashedRuns(position, count.newestRun())
+                        .putCrashedRuns(position, count.latestRun())
                         .putBoundedStarts(position, count.boundedStarts()));
         return stored.setPhase(encode(progress.phase()))
                 .setDone(ByteString.copyFrom(progress.done().toByteArray()))
--- a/library/src/main/java/org/chivetally/queue/Task.java
+++ b/library/src/main/java/org/chivetally/queue/Task.java
@@ -101,7 +101,7 @@
      */
     public boolean recordCrash(long run) {
         CrashCount before = crashes;
-        crashes = crashes.plus(run);
+        crashes = crashes.withCrash(run);
         return crashes != before;
     }
 
--- a/library/src/main/java/org/chivetally/queue/entry/RunCoordinator.java
+++ b/library/src/main/java/org/chivetally/queue/entry/RunCoordinator.java
@@ -25,14 +25,14 @@
 import org.chivetally.queue.agent.EndCodec;
 import org.chivetally.queue.agent.EndedRun;
 import org.chivetally.queue.agent.RunSupervisor;
-import org.chivetally.queue.crash.CrashWatch;
+import org.chivetally.queue.crash.CrashTracker;
 import org.chivetally.queue.link.PeerLink;
 import org.chivetally.queue.placement.AdmissionPolicy;
+import org.chivetally.queue.placement.EntryCapacityShare;
 import org.chivetally.queue.placement.PlacementPolicy;
-import org.chivetally.queue.placement.SharedProcessors;
 import org.chivetally.queue.placement.WaitingTasks;
 import org.chivetally.queue.placement.Worker;
-import org.chivetally.queue.share.Division;
+import org.chivetally.queue.share.FairShares;
 import org.chivetally.queue.speed.LearnedStretch;
 import org.chivetally.settings.SchedulingSettings;
 import org.chivetally.time.Timers;
@@ -47,32 +47,35 @@
 import org.chivetally.wire.v1.RunStop;
 import org.chivetally.wire.v1.WorkerReport;
 
-/** Places the tasks of the entry's partitions on workers and follows their runs, until their ends are known. */
+/** Places the entry's tasks on workers and tracks their runs until these have ended. */
 final class RunCoordinator implements InMemoryJobs.Scheduler {
     /**
-     * Silence after which an agent's runs are given up: the agent stops them when the owner's knowledge of it is 3.7 s
-     * old, and renews no longer than 4.05 s; the lease of 1 s then ends by a clock that may be 2% slow, and timers on a
-     * slowed machine fire late. Any sooner, a task could be started beside its old run.
+     * Silence of an agent after which its runs of durable jobs count as lost. The agent stops them when its latest
+     * heartbeat that their owner has echoed is 3.7 s old, and renews the lease no longer than 4.05 s. The lease of 1 s
+     * then expires by a clock that may be 2% slow, and timers on a slowed machine fire late. With a shorter timeout, a
+     * task could be started while its old run is still running.
      */
     static final Duration RUN_LOSS_TIMEOUT = Duration.ofMillis(5_700);
 
     /**
-     * Silence after which the runs of unkept jobs are given up. The agent stops them when this entry's knowledge of it
-     * is 0.8 s old, and renews no longer than 1.15 s; the lease of 1 s then ends by a clock that may be 2% slow.
+     * Silence of an agent after which its runs of in-memory jobs count as lost. The agent stops them when its latest
+     * heartbeat that this entry has echoed is 0.8 s old, and renews the lease no longer than 1.15 s. The lease of 1 s
+     * then expires by a clock that may be 2% slow.
      */
     static final Duration IN_MEMORY_RUN_LOSS_TIMEOUT = Duration.ofMillis(2_350);
 
     /**
-     * Time from the start of an entry in which no job is refused for the backlog. Agents that start with it are linked
-     * and know their minions within 1.5 s; until then it knows few workers and would take the service for overloaded.
+     * Time after the start of an entry in which no job is refused because of the backlog. Agents that start at the same
+     * time need up to 1.5 s to connect and to detect their minions; until then the few workers would look overloaded.
      */
     static final Duration BACKLOG_GRACE = Duration.ofSeconds(2);
 
-    /** Pause of a worker that refused a start for another reason than room: one interval of heartbeats. */
+    /** Pause of a worker that refused a start for another reason than lack of room: one heartbeat interval. */
     static final Duration REFUSAL_PAUSE = Duration.ofMillis(250);
 
     /**
-     * When to come back to a service without a failure domain in use: operators work in minutes, but may be done soon.
+     * Retry delay sent to callers whose service has only workers in evacuated failure domains: an evacuation takes
+     * operators minutes, but may end soon.
      */
     static final Duration EVACUATION_RETRY = Duration.ofSeconds(5);
 
@@ -85,7 +88,7 @@
     private final BooleanSupplier mayReadStaleRequests;
     private final LongSupplier keptUpAtNanos;
     private final PlacementPolicy placement;
-    private final CrashWatch crashes;
+    private final CrashTracker crashes;
     private final long startedAtNanos;
     private final Map<String, Worker> workers = new LinkedHashMap<>();
     private final Map<String, PeerLink> links = new HashMap<>();
@@ -98,18 +101,19 @@
     /**
      * Creates a coordinator.
      *
-     * @param placement where tasks go
-     * @param crashes what decides about tasks under which minions crashed
-     * @param partitions the entry's partitions by number, kept up by the entry
-     * @param mayStart whether the entry is sure enough of its ownership to start anything
-     * @param stoodStill whether what the entry reads now may be old
-     * @param keptUpAtNanos when the entry last kept up with what it is to read, by the steady clock
-     * @param scheduling parts of scheduling that are switched on
+     * @param placement policy that chooses workers
+     * @param crashes record of the tasks under which minions crashed
+     * @param partitionCount number of partitions of the job stream
+     * @param partitions the partitions that the entry owns, by number; updated by the entry
+     * @param mayStart whether the entry's ownership is certain enough to start tasks
+     * @param mayReadStaleRequests whether requests that the entry reads now may be stale
+     * @param keptUpAtNanos when the entry last had no backlog of unread input, in nanoseconds of the monotonic clock
+     * @param scheduling optional scheduling features that are enabled
      */
     RunCoordinator(
             Timers timers,
             PlacementPolicy placement,
-            CrashWatch crashes,
+            CrashTracker crashes,
             int partitionCount,
             Map<Integer, PartitionOwner> partitions,
             BooleanSupplier mayStart,
@@ -156,17 +160,17 @@
                 });
     }
 
-    /** Returns what this entry may use of the workers beside the other entries. */
+    /** Returns the shares of this entry in each service's workers. */
     ServiceShares shares() {
         return shares;
     }
 
-    /** Returns how queues share the workers; empty unless that is switched on. */
+    /** Returns the fair shares of queues; empty unless they are enabled. */
     Optional<QueueShares> queueShares() {
         return queueShares;
     }
 
-    /** Returns the jobs that only this entry knows. */
+    /** Returns the jobs that are held in the memory of this entry only. */
     InMemoryJobs inMemoryJobs() {
         return inMemoryJobs;
     }
@@ -191,7 +195,7 @@
         QueueTerms terms = job.specification().terms();
         long ahead = waiting.workAhead(terms.service(), terms.priority());
         return AdmissionPolicy.refuse(
-                job, timers.nanos(), ahead, shares.of(terms.service()).forBacklog());
+                job, timers.nanos(), ahead, shares.of(terms.service()).backlogMillicores());
     }
 
     @Override
@@ -214,19 +218,22 @@
             return;
         }
         for (String service : waiting.services()) {
-            SharedProcessors processors = shares.of(service);
-            if (processors.capacityMillis() > 0) {
-                refuseOvertaken(service, waiting.withoutProspect(service, processors.spare(), now));
+            EntryCapacityShare processors = shares.of(service);
+            if (processors.capacityMillicores() > 0) {
+                refuseOvertaken(service, waiting.unservableJobs(service, processors.spareMillicores(), now));
             }
         }
     }
 
-    /** Refuses jobs that others go before for too long; not those of a queue whose share covers all that it needs. */
+    /**
+     * Refuses jobs that would wait too long behind other jobs, except those of a queue whose share covers its whole
+     * demand.
+     */
     private void refuseOvertaken(String service, List<Job> overtaken) {
         if (overtaken.isEmpty()) {
             return;
         }
-        Optional<Division> division = queueShares.map(all -> all.division(service));
+        Optional<FairShares> division = queueShares.map(all -> all.division(service));
         for (Job job : overtaken) {
             boolean isCoveredByShare = division.isPresent()
                     && division.get().isSatisfied(job.specification().terms().queue());
@@ -236,13 +243,13 @@
         }
     }
 
-    /** Tells whether runs that this entry started, or took over, are in progress at an agent. */
+    /** Returns whether an agent has runs that this entry has started or taken over. */
     boolean hasRunsAt(String agent) {
         Worker worker = workers.get(agent);
         return worker != null && worker.hasRuns();
     }
 
-    /** Tells whether nothing that this entry knows of waits or runs. */
+    /** Returns whether this entry has no waiting task and no run. */
     boolean isIdle() {
         if (!waiting.isEmpty() || inMemoryJobs.size() > 0) {
             return false;
@@ -255,17 +262,19 @@
         return true;
     }
 
-    /** Returns how many times as long the slowest workers take as the fastest; 1 while speeds aren't learned. */
+    /**
+     * Returns the ratio of the task durations on the slowest and the fastest workers; 1 while speeds aren't learned.
+     */
     double speedSpread() {
         return placement.speedSpread();
     }
 
-    /** Returns how many starts went to a worker that was chosen by its speed. */
+    /** Returns the number of starts for which the worker was chosen by its learned speed. */
     long startsBySpeed() {
         return startsBySpeed;
     }
 
-    /** Returns the names of all agents that are linked. */
+    /** Returns the names of all agents with a link. */
     Set<String> linkedAgents() {
         return new HashSet<>(links.keySet());
     }
@@ -283,20 +292,20 @@
         passes.schedule();
     }
 
-    /** Drops what waits of a job and stops what runs. */
+    /** Removes the waiting tasks of a job and stops its runs. */
     @Override
     public void ended(Job job) {
-        crashes.ended(job);
+        crashes.removeJob(job);
         for (Task task : job.tasks()) {
             waiting.remove(task);
             task.worker().ifPresent(name -> stop(name, task.key(), task.lastRun(), jobOwnerOf(task)));
         }
     }
 
-    /** Forgets the tasks of a partition that another process owns now. */
+    /** Removes the tasks of a partition that another process owns now. */
     void partitionLost(PartitionOwner partition) {
         for (Job job : partition.jobs()) {
-            crashes.ended(job);
+            crashes.removeJob(job);
             for (Task task : job.tasks()) {
                 waiting.remove(task);
                 task.worker().map(workers::get).ifPresent(worker -> worker.remove(task.key()));
@@ -307,7 +316,7 @@
     private void stop(String workerName, TaskKey task, long run, Optional<JobOwner> owner) {
         PeerLink link = links.get(workerName);
         if (owner.isEmpty() || link == null) {
-            // The agent is told when it is linked again: a run of an ended job in its inventory is stopped.
+            // The run is stopped when the agent reconnects and lists it in its inventory, as its job has ended.
             return;
         }
         JobOwner.FencingToken token = owner.get().fencingToken();
@@ -321,18 +330,18 @@
                 .build());
     }
 
-    /** Notes a link to an agent. */
+    /** Registers the link to an agent. */
     void up(PeerLink link) {
         String process = link.peer().process();
         links.put(process, link);
-        worker(process).linked(link);
+        worker(process).linkOpened(link);
     }
 
-    /** Notes that the link to an agent is gone. */
+    /** Removes the closed link to an agent. */
     void down(PeerLink link) {
         String process = link.peer().process();
         if (links.remove(process, link)) {
-            worker(process).unlinked();
+            worker(process).linkClosed();
         }
     }
 
@@ -340,11 +349,11 @@
         return workers.computeIfAbsent(process, name -> new Worker(name, timers.nanos()));
     }
 
-    /** Notes what an agent tells about its worker. */
+    /** Applies an agent's report on its worker. */
     void report(PeerLink link, WorkerReport report) {
         Worker worker = worker(link.peer().process());
-        worker.report(
-                new Worker.View(
+        worker.recordReport(
+                new Worker.Report(
                         report.getMinion(),
                         report.getService(),
                         JobCodec.decode(report.getCapacity()),
@@ -354,12 +363,15 @@
                         report.getFailureDomain(),
                         report.getStartsSeen()),
                 timers.nanos());
-        worker.learned(new LearnedStretch(report.getStretchPermille(), report.getStretchRuns()));
-        worker.reportSuspects(report.getSuspectedRuns());
+        worker.learnedStretch(new LearnedStretch(report.getStretchPermille(), report.getStretchRuns()));
+        worker.recordSuspectRuns(report.getSuspectedRuns());
         passes.schedule();
     }
 
-    /** Brings the own view in line with everything that an agent holds. */
+    /**
+     * Compares this entry's runs at an agent with everything that the agent holds: takes over runs that were started by
+     * a former owner, stops unneeded ones, and ends those that the agent doesn't hold.
+     */
     void reconcile(PeerLink link, RunInventory inventory) {
         report(link, inventory.getReport());
         Worker worker = worker(link.peer().process());
@@ -372,14 +384,14 @@
             });
         }
         for (RunEnd end : inventory.getEndsList()) {
-            // A crash is told until it is stored, and says nothing of a later run of the task.
+            // A crash is reported until it is stored, and doesn't tell the state of a later run of the task.
             EndCodec.decode(end)
                     .filter(ended -> ended.outcome() != RunOutcome.CRASHED)
                     .ifPresent(ended -> listed.add(ended.run().task()));
         }
         ends(link, inventory.getEndsList());
-        for (Worker.Sent start : worker.sent()) {
-            if (!listed.contains(start.task().key()) && !worker.isUnseen(start)) {
+        for (Worker.SentStart start : worker.inProgress()) {
+            if (!listed.contains(start.task().key()) && !worker.isUnacknowledged(start)) {
                 finishRun(worker, start, RunOutcome.LOST, () -> {});
             }
         }
@@ -392,8 +404,9 @@
     }
 
     /**
-     * Gives up the partitions for which an agent has heard of a later owner. That one may have taken ends there, which
-     * are listed no more: taken for lost, the runs would be started again, at an agent that it has not reached yet.
+     * Ends the ownership of partitions for which an agent reports an owner with a higher epoch. That owner may have
+     * received ends from the agent that are no longer listed. If such runs counted as lost, their tasks would be
+     * started again, at an agent that the new owner has not reached yet.
      */
     private void loseSupersededPartitions(List<OwnedPartition> fenced) {
         for (OwnedPartition fence : fenced) {
@@ -409,7 +422,7 @@
         return owner != null && owner.isReady() ? Optional.of(owner) : Optional.empty();
     }
 
-    /** Returns where the job of a task is known; empty when its partition isn't this entry's any more. */
+    /** Returns the owner of a task's job; empty if the job is durable and this entry no longer owns its partition. */
     private Optional<JobOwner> jobOwnerOf(Task task) {
         return task.job().isDurable()
                 ? partitionOwnerOf(task.key()).map(JobOwner.class::cast)
@@ -437,7 +450,9 @@
             return;
         }
         boolean tracked = needed
-                && worker.sent(key).map(start -> start.run() == run.getRun()).orElse(false);
+                && worker.inProgress(key)
+                        .map(start -> start.run() == run.getRun())
+                        .orElse(false);
         if (!tracked) {
             EventLine.of("run-unwanted")
                     .with("task", key)
@@ -448,7 +463,7 @@
         }
     }
 
-    /** Notes ends of runs. */
+    /** Handles ends of runs that an agent reports. */
     void ends(PeerLink link, List<RunEnd> ends) {
         Worker worker = worker(link.peer().process());
         for (RunEnd encoded : ends) {
@@ -459,19 +474,19 @@
     private void end(PeerLink link, Worker worker, EndedRun end) {
         TaskKey key = end.run().task();
         Runnable acknowledge = () -> acknowledge(link, end);
-        Optional<Worker.Sent> start =
-                worker.sent(key).filter(sent -> sent.run() == end.run().run());
+        Optional<Worker.SentStart> start =
+                worker.inProgress(key).filter(sent -> sent.run() == end.run().run());
         if (start.isPresent()) {
             if (end.outcome() == RunOutcome.NEVER_STARTED) {
-                // A worker that can't start has room all the time and would be chosen again at once, for every task.
-                worker.pause(timers.nanos() + REFUSAL_PAUSE.toNanos());
+                // A worker that can't start runs always has room, and would be chosen again at once for every task.
+                worker.pauseStarts(timers.nanos() + REFUSAL_PAUSE.toNanos());
             }
             finishRun(worker, start.get(), end.outcome(), acknowledge);
             return;
         }
         Optional<Task> known = task(key);
         if (known.isEmpty()) {
-            // Of a job that has ended. An end that is another owner's to store is told to that one.
+            // The job has ended. If another entry owns the partition, the end is left for that owner to store.
             partitionOwnerOf(key).ifPresent(owner -> acknowledge.run());
             return;
         }
@@ -489,12 +504,14 @@
         }
     }
 
-    /** Tells whether a run that this entry no longer followed has done the task, so that no other run is needed. */
+    /**
+     * Returns whether a run that this entry no longer tracks has completed its task, so that no other run is needed.
+     */
     private static boolean completesTask(Task task, EndedRun end) {
         return task.status() != Task.Status.DONE && end.outcome() == RunOutcome.DONE;
     }
 
-    /** Stops the run in progress of a task that an earlier run has done: the work must not be done twice. */
+    /** Stops the current run of a task that an earlier run has completed, so that the work isn't done twice. */
     private void stopNewerRun(Task task) {
         task.worker().ifPresent(name -> stop(name, task.key(), task.lastRun(), jobOwnerOf(task)));
     }
@@ -519,17 +536,18 @@
                 .build());
     }
 
-    private void finishRun(Worker worker, Worker.Sent start, RunOutcome outcome, Runnable acknowledge) {
+    private void finishRun(Worker worker, Worker.SentStart start, RunOutcome outcome, Runnable acknowledge) {
         if (outcome == RunOutcome.DONE) {
-            placement.ended(worker, start, timers.nanos());
-            crashes.cleared(start.task());
+            placement.recordEnd(worker, start, timers.nanos());
+            crashes.removeTask(start.task());
         }
         worker.remove(start.task().key());
         recordEnd(worker, start.task(), start.run(), outcome, acknowledge);
     }
 
     private void recordEnd(Worker worker, Task task, long run, RunOutcome outcome, Runnable acknowledge) {
-        if (outcome == RunOutcome.FAILED && worker.health().failed(task.key().jobId(), timers.nanos())) {
+        if (outcome == RunOutcome.FAILED
+                && worker.health().recordFailedRun(task.key().jobId(), timers.nanos())) {
             EventLine.of("worker-avoided").with("worker", worker.process()).log(LOGGER.atWarning());
         }
         EventLine.of("run-ended")
@@ -543,35 +561,39 @@
         passes.schedule();
     }
 
-    /** Notes that an agent did not start a run. */
+    /** Handles an agent's refusal to start a run. */
     void refused(PeerLink link, RunRefused refused) {
         report(link, refused.getReport());
         Worker worker = worker(link.peer().process());
         if (refused.getFencedBy() > 0) {
-            // Started elsewhere, at an agent that the later owner has not reached, the task could run twice.
+            // If this entry started the task at another agent, which the new owner has not reached, it could run twice.
             TaskKey.parse(refused.getTask())
                     .flatMap(this::partitionOwnerOf)
                     .filter(owner -> owner.epoch() < refused.getFencedBy())
                     .ifPresent(owner -> owner.superseded(refused.getFencedBy()));
         }
-        Optional<Worker.Sent> start =
-                TaskKey.parse(refused.getTask()).flatMap(worker::sent).filter(sent -> sent.run() == refused.getRun());
+        Optional<Worker.SentStart> start = TaskKey.parse(refused.getTask())
+                .flatMap(worker::inProgress)
+                .filter(sent -> sent.run() == refused.getRun());
         if (start.isEmpty()) {
             return;
         }
         String reason = refused.getReason();
         if (!RunSupervisor.NO_ROOM.equals(reason) && !RunSupervisor.SUSPECT_HELD.equals(reason)) {
-            worker.pause(timers.nanos() + REFUSAL_PAUSE.toNanos());
+            worker.pauseStarts(timers.nanos() + REFUSAL_PAUSE.toNanos());
         }
         finishRun(worker, start.get(), RunOutcome.NEVER_STARTED, () -> {});
     }
 
-    /** Gives up the runs of agents that have been silent too long, and lets tasks pass on whose turn is over. */
+    /**
+     * Ends the runs of agents that have been silent for too long, releases tasks whose agents failed to report in time,
+     * and refuses jobs that can no longer meet their deadlines.
+     */
     void sweep() {
         long now = timers.nanos();
         for (Worker worker : List.copyOf(workers.values())) {
             if (!worker.isLinked()) {
-                expireRuns(worker, worker.silentNanos(now));
+                expireRuns(worker, worker.nanosSinceContact(now));
             }
         }
         for (PartitionOwner owner : partitions.values()) {
@@ -589,15 +611,16 @@
     }
 
     /**
-     * Stops overdue runs of unkept jobs on slow workers, so that they start again elsewhere: tasks that stand still
-     * would hold their callers until the time limit. Not when many workers look slow, as then something else is.
+     * Stops overdue runs of in-memory jobs on slow workers, so that they start again elsewhere: stalled tasks would
+     * hold their callers until the deadline. Nothing is stopped while many workers look slow, as the cause is then
+     * something else.
      */
     private void moveFromSlowWorkers(long now) {
         List<Worker> slow = new ArrayList<>();
         int open = 0;
         for (Worker worker : workers.values()) {
-            open += worker.isOpen(now) ? 1 : 0;
-            boolean late = !worker.newlyOverdue(now).isEmpty();
+            open += worker.acceptsStarts(now) ? 1 : 0;
+            boolean late = !worker.markNewlyOverdue(now).isEmpty();
             if (worker.health().isSlow()) {
                 slow.add(worker);
                 if (late) {
@@ -608,11 +631,11 @@
                 }
             }
         }
-        if (PlacementPolicy.AVOIDED_PART * slow.size() > open) {
+        if (PlacementPolicy.MINIMUM_WORKERS_PER_AVOIDED * slow.size() > open) {
             return;
         }
         for (Worker worker : slow) {
-            for (Worker.Sent start : worker.overdue()) {
+            for (Worker.SentStart start : worker.overdue()) {
                 if (!start.task().job().isDurable()
                         && !start.task().job().phase().isFinal()) {
                     stop(worker.process(), start.task().key(), start.run(), jobOwnerOf(start.task()));
@@ -623,7 +646,7 @@
 
     private void expireRuns(Worker worker, long silentNanos) {
         int count = 0;
-        for (Worker.Sent start : worker.sent()) {
+        for (Worker.SentStart start : worker.inProgress()) {
             Duration timeout = start.task().job().isDurable() ? RUN_LOSS_TIMEOUT : IN_MEMORY_RUN_LOSS_TIMEOUT;
             if (silentNanos > timeout.toNanos()) {
                 finishRun(worker, start, RunOutcome.LOST, () -> {});
@@ -637,7 +660,7 @@
                     .with("silent_ms", silentNanos / 1_000_000)
                     .log(LOGGER.atWarning());
         }
-        if (silentNanos > RUN_LOSS_TIMEOUT.toNanos() && worker.sent().isEmpty()) {
+        if (silentNanos > RUN_LOSS_TIMEOUT.toNanos() && worker.inProgress().isEmpty()) {
             workers.remove(worker.process());
         }
     }
@@ -653,23 +676,23 @@
         long run = task.lastRun() + 1;
         long now = timers.nanos();
         double expectedMillis = placement.expectedMillis(task);
-        Worker.Sent sent = worker.send(task, run, now, expectedMillis);
+        Worker.SentStart sent = worker.send(task, run, now, expectedMillis);
         task.job().recordPlacement(task, worker.process(), run);
-        // One that shares the worker with another suspect would be refused, were it sent as one.
+        // Agents refuse a second suspect, so a suspect that joins another one is sent as an ordinary task.
         boolean isolated = crashes.isSuspect(task) && !worker.holdsSuspect();
         if (isolated) {
-            worker.sentSuspect(task.key());
+            worker.addSuspect(task.key());
         } else if (crashes.isSuspect(task)) {
-            worker.sent().forEach(beside -> crashes.sent(beside.task(), false));
+            worker.inProgress().forEach(beside -> crashes.recordStart(beside.task(), false));
         }
-        crashes.sent(task, isolated);
+        crashes.recordStart(task, isolated);
         EventLine placed = EventLine.of("run-placed")
                 .with("task", task.key())
                 .with("run", run)
                 .with("worker", worker.process())
-                .with("free_millicores", worker.free().processorMillis())
+                .with("free_millicores", worker.freeRoom().processorMillis())
                 .with("waited_ms", (now - task.job().acceptedAtNanos()) / 1_000_000)
-                .with("report_age_ms", (now - worker.heardAtNanos()) / 1_000_000)
+                .with("report_age_ms", (now - worker.lastReportAtNanos()) / 1_000_000)
                 .with("waiting", waiting.size());
         if (bySpeed) {
             startsBySpeed++;
