--- a/library/src/main/java/org/chivetally/queue/link/LinkTable.java
+++ b/library/src/main/java/org/chivetally/queue/link/LinkTable.java
@@ -16,22 +16,25 @@
 import org.chivetally.wire.v1.Frame;
 
 /**
- * The links of one process: at most one to each peer. Dials the peers that it is told to, again and again while there
- * is no link, and closes links that have gone silent, as a connection may hang for good without an error.
+ * The links of a process, at most one to each peer. The table dials configured peers until they are connected, and
+ * redials them when a link is lost. It closes links on which no frame arrives for some time, because a connection can
+ * hang forever without an error.
  */
 public final class LinkTable {
     private static final FluentLogger LOGGER = FluentLogger.forEnclosingClass();
 
     /**
-     * Silence after which a link is closed. Heartbeats come every 250 ms, and every 750 ms at most where there is no
-     * work; a machine that is slowed five times over still gets one through in this time.
+     * Time without a received frame after which a link is closed. Heartbeats arrive every 250 ms, or at least every 750
+     * ms without work; even a machine slowed down fivefold sends one within this time.
      */
     public static final Duration SILENCE_TIMEOUT = Duration.ofMillis(1_500);
 
-    /** Pause before the first redial: a process that restarts takes about two seconds, so sooner is in vain. */
+    /**
+     * Delay before the first redial. A restart of a process takes about two seconds, so shorter delays gain nothing.
+     */
     static final Duration FIRST_REDIAL_DELAY = Duration.ofMillis(200);
 
-    /** Longest pause between redials: bounds how long a peer that is back stays unseen. */
+    /** Longest delay between redials, which bounds the time until a recovered peer is connected. */
     static final Duration LONGEST_REDIAL_DELAY = Duration.ofMillis(1_000);
 
     private final Peer self;
@@ -42,7 +45,14 @@
     private final Map<FrameConnection, PeerLink> byConnection = new IdentityHashMap<>();
     private final Map<String, Target> targets = new HashMap<>();
 
-    /** Creates a table that dials nobody yet. */
+    /**
+     * Creates a table without links.
+     *
+     * @param self identity of this process, sent to peers
+     * @param timers timers of the event loop
+     * @param dialer opens connections
+     * @param listener receives the events of the links
+     */
     public LinkTable(Peer self, Timers timers, Dialer dialer, LinkListener listener) {
         this.self = self;
         this.timers = timers;
@@ -50,7 +60,7 @@
         this.listener = listener;
     }
 
-    /** Returns who is told about connections that others open. */
+    /** Returns a listener for one connection that is opened by a peer. */
     public FrameListener acceptor() {
         return new Handshake(Optional.empty());
     }
@@ -65,12 +75,14 @@
         return links.size();
     }
 
-    /** Returns the link to a process, if it is open. */
+    /** Returns the open link to a process, if there is one. */
     public Optional<PeerLink> link(String process) {
         return Optional.ofNullable(links.get(process));
     }
 
-    /** Dials a peer whenever there is no link to it. A known peer's address is replaced by a newer incarnation's. */
+    /**
+     * Connects to a peer, and redials it whenever the link is lost. A newer incarnation replaces the address of a peer.
+     */
     public void dial(Peer peer) {
         Target existing = targets.get(peer.process());
         if (existing != null && existing.peer.incarnation() >= peer.incarnation()) {
@@ -81,7 +93,7 @@
         target.dial();
     }
 
-    /** Returns the time after which the next link counts as silent unless it is heard before. */
+    /** Returns the time until the next link reaches its silence timeout if no frame arrives on it. */
     public Duration untilNextSilenceTimeout() {
         long now = timers.nanos();
         long remaining = SILENCE_TIMEOUT.toNanos();
@@ -91,7 +103,9 @@
         return Duration.ofNanos(Math.max(0, remaining));
     }
 
-    /** Closes links that have gone silent; to be called with each heartbeat, so that one wake-up serves both. */
+    /**
+     * Closes links that have reached the silence timeout. Called with each heartbeat, so that one wake-up serves both.
+     */
     public void closeSilentLinks() {
         long now = timers.nanos();
         for (PeerLink link : links()) {
@@ -143,7 +157,7 @@
         listener.up(link);
     }
 
-    /** A peer that is to be dialled. */
+    /** A peer to which this process keeps a link. */
     private final class Target {
         private final Peer peer;
         private Duration redialDelay = FIRST_REDIAL_DELAY;
@@ -157,7 +171,7 @@
                 return;
             }
             Handshake handshake = new Handshake(Optional.of(this));
-            // A connection can open and then stay silent for good, without a hello and without an error.
+            // A connection can open and then hang forever, without a hello and without an error.
             timers.after(SILENCE_TIMEOUT, handshake::abandonWithoutHello);
             dialer.dial(peer.host(), peer.port(), handshake);
         }
@@ -169,7 +183,7 @@
         }
     }
 
-    /** One connection, from its opening to its end. */
+    /** Listener of one connection, from its opening to its end. */
     private final class Handshake implements FrameListener {
         private final Optional<Target> target;
         private FrameConnection opened;
@@ -221,7 +235,7 @@
             target.ifPresent(Target::scheduleRedial);
         }
 
-        /** Returns the link of a connection while it is the newest one to its peer. */
+        /** Returns the link of a connection, unless a newer connection to the same peer has replaced it. */
         private Optional<PeerLink> linkOf(FrameConnection connection) {
             return Optional.ofNullable(byConnection.get(connection));
         }
--- a/library/src/main/java/org/chivetally/queue/link/Peer.java
+++ b/library/src/main/java/org/chivetally/queue/link/Peer.java
@@ -4,24 +4,24 @@
 import org.chivetally.wire.v1.LinkHello;
 
 /**
- * A process at one start of it.
+ * Identity and address of one incarnation of a process.
  *
- * @param process name from its settings, stable over restarts
- * @param incarnation grows with each start
- * @param agent whether it is an agent; an entry otherwise
- * @param failureDomain failure domain that it runs in
- * @param host where it is dialled
- * @param port where it is dialled
+ * @param process name from the settings of the process, stable across restarts
+ * @param incarnation number of the incarnation, which increases with each start
+ * @param agent whether the process is an agent; otherwise it is an entry
+ * @param failureDomain failure domain in which the process runs
+ * @param host host to connect to
+ * @param port port to connect to
  */
 public record Peer(String process, long incarnation, boolean agent, String failureDomain, String host, int port) {
-    /** Refuses missing names. */
+    /** Requires all names. */
     public Peer {
         Objects.requireNonNull(process, "process");
         Objects.requireNonNull(failureDomain, "failureDomain");
         Objects.requireNonNull(host, "host");
     }
 
-    /** Reads a hello. */
+    /** Decodes the identity from a hello message. */
     public static Peer of(LinkHello hello) {
         return new Peer(
                 hello.getProcess(),
@@ -32,7 +32,7 @@
                 hello.getPort());
     }
 
-    /** Writes a hello. */
+    /** Encodes the identity as a hello message. */
     public LinkHello hello() {
         return LinkHello.newBuilder()
                 .setProcess(process)
--- a/library/src/main/java/org/chivetally/queue/link/PeerLink.java
+++ b/library/src/main/java/org/chivetally/queue/link/PeerLink.java
@@ -5,11 +5,11 @@
 import org.chivetally.transport.FrameConnection;
 import org.chivetally.wire.v1.Frame;
 
-/** An open connection to a peer that has said who it is. */
+/** An open connection to a peer that has identified itself by a hello. */
 public final class PeerLink {
     /**
-     * Part of the time since a stamp came that isn't counted as its age. Clocks may differ by 2% in rate, and an age
-     * that is too high would make a start that was held up look fresh.
+     * Divisor for the safety margin of the age of a stamp: 1/16 of the time since its arrival is not counted. Clock
+     * rates may differ by 2%, and an age that is too high would make a delayed start look recent.
      */
     static final int AGE_MARGIN_DIVISOR = 16;
 
@@ -29,44 +29,49 @@
         this.stampReceivedNanos = nowNanos;
     }
 
-    /** Returns the far end. */
+    /** Returns the peer. */
     public Peer peer() {
         return peer;
     }
 
-    /** Sends a frame; dropped when the connection is closed. */
+    /** Sends a frame; it is discarded if the connection is closed. */
     public void send(Frame frame) {
         connection.send(frame);
     }
 
-    /** Returns when the last frame came, by the steady clock. */
+    /** Returns when the last frame was received, in nanoseconds on the monotonic clock. */
     public long lastReceivedNanos() {
         return lastReceivedNanos;
     }
 
-    /** Returns the newest stamp that the peer sent; 0 before the first one. */
+    /** Returns the newest stamp received from the peer, in nanoseconds on the peer's clock; 0 before the first one. */
     public long peerStampNanos() {
         return peerStampNanos;
     }
 
     /**
-     * Returns the least time by which the peer's clock went on from its newest stamp until a time of this process. The
-     * stamp was read from that clock before it came here, so both together are no later than the peer's clock was then,
-     * however long the stamp was on its way.
+     * Returns a lower bound for the age of the peer's newest stamp, in nanoseconds. The peer read the stamp from its
+     * clock before it arrived here, so the sum of stamp and age is never later than the peer's clock was at the given
+     * time, however long the stamp was in transit.
+     *
+     * @param atNanos time on the monotonic clock of this process, in nanoseconds
      */
     public long stampAgeNanos(long atNanos) {
         long age = Math.max(0, atNanos - stampReceivedNanos);
         return age - age / AGE_MARGIN_DIVISOR;
     }
 
-    /** Returns the newest stamp of this process that the peer has; 0 before the first one. */
+    /** Returns the newest stamp of this process that the peer is known to have received, in nanoseconds; 0 for none. */
     public long echoNanos() {
         return echoNanos;
     }
 
     /**
-     * Notes the stamps of a heartbeat that has just come. A heartbeat that was written before a start reports an older
-     * echo than the start, which doesn't take the newer one back.
+     * Records the stamps of a heartbeat that has just been received. A heartbeat written before a start contains an
+     * older echo than that start; the older echo does not replace the newer one.
+     *
+     * @param stampNanos stamp of the peer, in nanoseconds on its clock
+     * @param echoedNanos newest stamp of this process that the peer had received, in nanoseconds
      */
     public void recordStamps(long stampNanos, long echoedNanos) {
         if (stampNanos != peerStampNanos) {
@@ -76,33 +81,33 @@
         recordEcho(echoedNanos);
     }
 
-    /** Notes that the peer has had a stamp of this process. */
+    /** Records that the peer has received a stamp of this process. */
     public void recordEcho(long stampNanos) {
         echoNanos = Math.max(echoNanos, stampNanos);
     }
 
-    /** Notes that a frame with the peer's newest stamp goes out. */
+    /** Records that a frame with the peer's newest stamp is being sent. */
     public void recordEchoSent(long nowNanos) {
         lastEchoSentNanos = OptionalLong.of(nowNanos);
     }
 
-    /** Tells whether no frame with the peer's newest stamp has gone out for a time. */
+    /** Returns whether no frame with the peer's newest stamp has been sent for the given interval. */
     public boolean isEchoDue(long nowNanos, Duration interval) {
         return lastEchoSentNanos.isEmpty() || nowNanos - lastEchoSentNanos.getAsLong() >= interval.toNanos();
     }
 
-    /** Notes that a full heartbeat goes out, which carries the peer's newest stamp too. */
+    /** Records that a full heartbeat is being sent, which also contains the peer's newest stamp. */
     public void recordHeartbeatSent(long nowNanos) {
         lastHeartbeatSentNanos = OptionalLong.of(nowNanos);
         recordEchoSent(nowNanos);
     }
 
-    /** Makes a full heartbeat due, as the last one is no longer true. */
+    /** Makes a full heartbeat due, because the content of the last one is outdated. */
     public void makeHeartbeatDue() {
         lastHeartbeatSentNanos = OptionalLong.empty();
     }
 
-    /** Tells whether no full heartbeat has gone out for a time. */
+    /** Returns whether no full heartbeat has been sent for the given interval. */
     public boolean isHeartbeatDue(long nowNanos, Duration interval) {
         return lastHeartbeatSentNanos.isEmpty() || nowNanos - lastHeartbeatSentNanos.getAsLong() >= interval.toNanos();
     }
--- a/library/src/main/java/org/chivetally/queue/link/StallDetector.java
+++ b/library/src/main/java/org/chivetally/queue/link/StallDetector.java
@@ -6,42 +6,43 @@
 import org.chivetally.time.Timers;
 
 /**
- * Tells whether the process has stood still so long that requests which it reads now may be old.
+ * Detects that the process has been stalled for so long that requests which it reads now may be stale.
  *
- * <p>While it stands still, requests wait in its sockets, and their callers give up and send them again elsewhere. Read
- * after that, such a request looks new, and its tasks would run beside those of the second one. Nothing tells old ones
- * from new ones, so all that comes is doubtful until the process keeps up again; what waited has been read by then.
+ * <p>During a stall, requests wait in socket buffers until their callers time out and retry elsewhere. Such a request
+ * looks new when it is read after the stall, and its tasks would run in addition to those of the retry. As stale
+ * requests can't be distinguished from new ones, all requests count as possibly stale until the process is responsive
+ * again; by then it has read the buffered ones.
  */
 public final class StallDetector {
     /**
-     * Least time between two looks that counts. Looks come every 250 ms; a caller whose connection broke comes again
-     * after 1.3 s, and a start is refused by its agent 0.6 s after the entry last kept up.
+     * Time between two checks above which the process counts as stalled. Checks run every 250 ms; a caller retries 1.3
+     * s after its connection broke, and an agent refuses starts 0.6 s after the entry was last responsive.
      */
     static final Duration STALL_THRESHOLD = Duration.ofMillis(700);
 
     /**
-     * Interval in which the process shows that it keeps up. While it reads what has waited, its timers fire late: a
-     * request that had waited for three seconds was read 0.4 s after the process went on, and the end of its caller's
-     * connection 0.6 s later still.
+     * Interval of the timers that probe whether the process is responsive. Timers fire late while the process reads
+     * buffered requests: a request that had waited for three seconds was read 0.4 s after the process resumed, and the
+     * end of its caller's connection 0.6 s after that.
      */
     static final Duration PROBE_INTERVAL = Duration.ofMillis(50);
 
-    /** Lateness of a timer up to which the process keeps up: a few requests are read in between. */
+    /** Lateness of a probe up to which it counts as punctual: the time in which a few requests are read. */
     static final Duration PROBE_LATENESS_LIMIT = Duration.ofMillis(20);
 
-    /** Timers in a row that must be punctual, so that requests are doubtful for a quarter of a second at least. */
+    /** Number of consecutive punctual probes that end a stall, so that requests count as stale for at least 250 ms. */
     static final int REQUIRED_PUNCTUAL_PROBES = 5;
 
     /**
-     * Time between two looks up to which the process kept up in between: the interval of looks, and some lateness of a
-     * small machine.
+     * Time between two checks up to which the process counts as responsive: the interval of the checks, plus the usual
+     * lateness on a small machine.
      */
     static final Duration RESPONSIVE_GAP = Duration.ofMillis(400);
 
-    /** Time from a late look in which what has waited in the sockets is read. */
+    /** Time after a late check in which the process reads the requests in its socket buffers. */
     static final Duration CATCH_UP_TIME = Duration.ofMillis(200);
 
-    /** Longest time for which requests are doubtful: a machine that stays slow must serve again. */
+    /** Longest time for which requests count as stale, because a machine that stays slow has to serve again. */
     static final Duration LONGEST_STALE_PERIOD = Duration.ofSeconds(2);
 
     private static final FluentLogger LOGGER = FluentLogger.forEnclosingClass();
@@ -53,7 +54,11 @@
     private long caughtUpAtNanos;
     private int punctualProbes = REQUIRED_PUNCTUAL_PROBES;
 
-    /** Creates a detector that compares from now on. */
+    /**
+     * Creates a detector that starts to measure now.
+     *
+     * @param timers timers of the event loop
+     */
     public StallDetector(Timers timers) {
         this.timers = timers;
         this.lastCheckNanos = timers.nanos();
@@ -63,14 +68,17 @@
     }
 
     /**
-     * Notes that callers can reach the process from now on, so that nothing which is read can be older. A small entry
-     * takes more than a second from its start to here, and would refuse everybody for two more.
+     * Records that the process starts to accept connections, so that no request can be older than this call. Without
+     * it, a small entry, whose start takes more than a second, would count as stalled and refuse all callers for two
+     * more seconds.
      */
     public void markListening() {
         lastCheckNanos = timers.nanos();
     }
 
-    /** Tells whether what is read now may be old; to be called regularly, and before anything new is taken on. */
+    /**
+     * Returns whether requests that are read now may be stale. To be called regularly, and before accepting new work.
+     */
     public boolean check() {
         long now = timers.nanos();
         long gap = now - lastCheckNanos;
@@ -89,14 +97,14 @@
     }
 
     /**
-     * Returns the last look at which the process kept up. What it does now may be due to something that it should have
-     * read soon after that look.
+     * Returns the time of the last check at which the process was responsive, in nanoseconds on the monotonic clock.
+     * The input that it processes now may have arrived shortly after that check.
      */
     public long lastResponsiveNanos() {
         return lastResponsiveNanos;
     }
 
-    /** Makes what is read doubtful, as somebody else has noticed that the process stood still. */
+    /** Makes requests count as stale after a stall of the process was detected by other means. */
     public void markStalled() {
         boolean probing = punctualProbes < REQUIRED_PUNCTUAL_PROBES;
         punctualProbes = 0;
--- a/library/src/main/java/org/chivetally/queue/link/SuspensionDetector.java
+++ b/library/src/main/java/org/chivetally/queue/link/SuspensionDetector.java
@@ -4,29 +4,36 @@
 import org.chivetally.time.Timers;
 
 /**
- * Notices that the machine stood still.
+ * Detects that the machine was suspended.
  *
- * <p>The steady clock does not count the time in which a machine is suspended, so a process that wakes up would take
- * old permissions for fresh ones and act on them beside whoever has replaced it. The time of day does count it: a time
- * of day that has run ahead of the steady clock since the last look is taken for a suspension. A clock that was set
- * forward looks the same and costs one round trip to confirm what is held.
+ * <p>The monotonic clock does not advance while a machine is suspended, so a process that resumes would take expired
+ * leases for valid ones and act on them in parallel with its replacement. The wall clock does advance: if it has run
+ * ahead of the monotonic clock since the last check, the machine counts as suspended in between. A wall clock that was
+ * set forward looks the same, and costs one round trip to confirm what the process holds.
  */
 public final class SuspensionDetector {
-    /** Least gap that counts: over the noise between both clocks, under the shortest lease of 1 s. */
+    /**
+     * Shortest gap between the clocks, in milliseconds, that counts as a suspension. It exceeds the jitter between both
+     * clocks and is below the shortest lease of 1 s.
+     */
     static final long SHORTEST_SUSPENSION_MILLIS = Duration.ofMillis(500).toMillis();
 
     private final Timers timers;
     private long steadyNanos;
     private long wallMillis;
 
-    /** Creates a detector that compares from now on. */
+    /**
+     * Creates a detector that starts to measure now.
+     *
+     * @param timers source of both clocks
+     */
     public SuspensionDetector(Timers timers) {
         this.timers = timers;
         this.steadyNanos = timers.nanos();
         this.wallMillis = timers.epochMillis();
     }
 
-    /** Returns the milliseconds that the machine seems to have stood still since the last look; 0 for none. */
+    /** Returns how long the machine seems to have been suspended since the last check, in milliseconds; 0 for not. */
     public long check() {
         long steady = timers.nanos();
         long wall = timers.epochMillis();
--- a/library/src/main/java/org/chivetally/queue/link/package-info.java
+++ b/library/src/main/java/org/chivetally/queue/link/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Links between the processes of the queue path: who dials whom, when a link counts as silent, and stamps that tell how
- * old the peer's knowledge of this process is.
+ * Links between the processes that serve queues: dialling and redialling of peers, silence timeouts, detection of
+ * stalls and suspensions, and timestamps by which a process determines the age of its peers' information.
  */
 package org.chivetally.queue.link;
--- a/library/src/main/java/org/chivetally/queue/log/AppendId.java
+++ b/library/src/main/java/org/chivetally/queue/log/AppendId.java
@@ -3,14 +3,14 @@
 import java.util.Objects;
 
 /**
- * Identifies one append of a writer, so that a repeat isn't appended twice and a replaced writer is refused.
+ * Identifies an append, so that the log can ignore repeats of it and fence writers that have been replaced.
  *
  * @param writer name of the writer's role
- * @param epoch grows with each change of the writer; the log refuses lower ones
- * @param sequence number of the append in its epoch, without gaps
+ * @param epoch epoch of the writer, which increases with each change of the writer; the log rejects lower epochs
+ * @param sequence sequence number of the append in its epoch, without gaps
  */
 public record AppendId(String writer, long epoch, long sequence) {
-    /** Refuses a missing name. */
+    /** Requires the name of the writer. */
     public AppendId {
         Objects.requireNonNull(writer, "writer");
     }
--- a/library/src/main/java/org/chivetally/queue/log/AppendOutcome.java
+++ b/library/src/main/java/org/chivetally/queue/log/AppendOutcome.java
@@ -1,35 +1,35 @@
 package org.chivetally.queue.log;
 
-/** What became of an append. */
+/** Outcome of an append. */
 public sealed interface AppendOutcome {
     /**
-     * The records are kept.
+     * The records are stored.
      *
-     * @param endOffset offset after the last of them
+     * @param endOffset offset after the last of the records
      */
     record Appended(long endOffset) implements AppendOutcome {}
 
-    /** A writer with a higher epoch is known; nothing was written. */
+    /** Nothing was written, because the log knows of a writer with a higher epoch. */
     record Fenced() implements AppendOutcome {}
 
     /**
-     * The sequence doesn't follow the last one; nothing was written.
+     * Nothing was written, because the sequence number doesn't follow the last one.
      *
-     * @param expected sequence that would
+     * @param expected next sequence number that the log accepts
      */
     record OutOfSequence(long expected) implements AppendOutcome {}
 
     /**
-     * Nothing was written.
+     * The log rejected the append, and nothing was written.
      *
-     * @param reason why, for logs
+     * @param reason reason for log lines
      */
     record Refused(String reason) implements AppendOutcome {}
 
     /**
-     * It was or wasn't written, or will be.
+     * It is unknown whether the records have been written or still will be.
      *
-     * @param reason why that isn't known, for logs
+     * @param reason reason for log lines
      */
     record Unknown(String reason) implements AppendOutcome {}
 }
--- a/library/src/main/java/org/chivetally/queue/log/KeyedRecord.java
+++ b/library/src/main/java/org/chivetally/queue/log/KeyedRecord.java
@@ -3,32 +3,32 @@
 import java.util.Objects;
 
 /**
- * A key and its newest value.
+ * A record of a log that retains the newest value of each key.
  *
  * @param key the key, at most 255 bytes
- * @param value the value; empty to drop the key
+ * @param value the value; empty for a tombstone, which deletes the key
  */
 @SuppressWarnings("ArrayRecordComponent")
 public record KeyedRecord(String key, byte[] value) {
     private static final byte[] EMPTY = new byte[0];
 
-    /** Refuses missing parts. */
+    /** Requires a key and a value. */
     public KeyedRecord {
         Objects.requireNonNull(key, "key");
         Objects.requireNonNull(value, "value");
     }
 
-    /** Returns the record that drops a key. */
+    /** Returns a tombstone, which deletes a key. */
     public static KeyedRecord tombstone(String key) {
         return new KeyedRecord(key, EMPTY);
     }
 
-    /** Tells whether the record drops its key. */
+    /** Returns whether the record is a tombstone. */
     public boolean isTombstone() {
         return value.length == 0;
     }
 
-    /** Returns the bytes that the record takes, about. */
+    /** Returns the approximate size of the record, in bytes. */
     public int approximateBytes() {
         return key.length() + value.length;
     }
--- a/library/src/main/java/org/chivetally/queue/log/LogStream.java
+++ b/library/src/main/java/org/chivetally/queue/log/LogStream.java
@@ -3,13 +3,13 @@
 import java.util.Objects;
 
 /**
- * One partition of a stream of keyed records.
+ * Identifies one partition of a stream of keyed records.
  *
  * @param name name of the stream
- * @param partition partition, from 0
+ * @param partition number of the partition, from 0
  */
 public record LogStream(String name, int partition) {
-    /** Refuses a missing name. */
+    /** Requires a name. */
     public LogStream {
         Objects.requireNonNull(name, "name");
     }
--- a/library/src/main/java/org/chivetally/queue/log/NewestOutcome.java
+++ b/library/src/main/java/org/chivetally/queue/log/NewestOutcome.java
@@ -2,14 +2,14 @@
 
 import java.util.List;
 
-/** What became of a look at the newest values of a stream. */
+/** Outcome of a read of the newest values of a stream. */
 public sealed interface NewestOutcome {
     /**
-     * Some of the values.
+     * A page of values.
      *
-     * @param items keys in their order, with values
-     * @param hasMore whether keys after the last one exist
-     * @param endOffset end of the stream when the page was made
+     * @param items keys with their values, ordered by key
+     * @param hasMore whether there are further keys after the last one
+     * @param endOffset end offset of the stream when the page was read
      */
     record Page(List<KeyedRecord> items, boolean hasMore, long endOffset) implements NewestOutcome {
         /** Copies the list. */
@@ -19,9 +19,9 @@
     }
 
     /**
-     * No answer that could be used.
+     * The log did not respond, or sent an unusable response.
      *
-     * @param reason why, for logs
+     * @param reason reason for log lines
      */
     record Unavailable(String reason) implements NewestOutcome {}
 }
--- a/library/src/main/java/org/chivetally/queue/log/NewestValuesReader.java
+++ b/library/src/main/java/org/chivetally/queue/log/NewestValuesReader.java
@@ -6,8 +6,8 @@
 import org.chivetally.time.Timers;
 
 /**
- * Reads the newest value of each key of a stream once, page by page. A page that the log does not give is asked for
- * again until it does; nothing more is told once the reader has lost interest.
+ * Reads the newest value of each key of a stream once, page by page. A read that fails is retried until it succeeds.
+ * The reader stops without a further callback once the values are no longer needed.
  */
 public final class NewestValuesReader {
     private final KeyedLog log;
@@ -19,12 +19,15 @@
     private final Runnable completion;
 
     /**
-     * Creates a reading that has yet to be started.
+     * Creates a reader; {@link #start()} starts it.
      *
-     * @param retry pause before a page is asked for again
-     * @param wanted whether the values still matter
-     * @param listener told about each value, in the order of the keys
-     * @param done run after the last one
+     * @param log log to read from
+     * @param timers timers of the event loop
+     * @param stream stream partition to read
+     * @param retryDelay delay before a failed read is retried
+     * @param stillNeeded returns whether the values are still needed
+     * @param listener receives each value, ordered by key
+     * @param completion runs after the last value
      */
     public NewestValuesReader(
             KeyedLog log,
@@ -43,7 +46,7 @@
         this.completion = completion;
     }
 
-    /** Begins to read. */
+    /** Starts reading. */
     public void start() {
         readAfter("");
     }
--- a/library/src/main/java/org/chivetally/queue/log/OwnershipGroup.java
+++ b/library/src/main/java/org/chivetally/queue/log/OwnershipGroup.java
@@ -4,27 +4,33 @@
 import java.util.Set;
 import java.util.function.Consumer;
 
-/** The group among whose members the platform deals the partitions out. */
+/** Group of processes to whose members the platform assigns the partitions. */
 public interface OwnershipGroup {
     /**
-     * Joins the group or stays in it.
+     * Joins the group, or renews the membership.
      *
-     * @param member name of the member, new for each start of a process
-     * @param generation last generation that the member learned; 0 at first
-     * @param timeToLive how long the member counts without another call
+     * @param member name of the member, which differs for each start of a process
+     * @param generation latest generation that the member has received; 0 at first
+     * @param timeToLive time after which the membership expires unless it is renewed
+     * @param callback receives the outcome
      */
     void join(String member, long generation, Duration timeToLive, Consumer<JoinOutcome> callback);
 
-    /** Leaves the group, so that its partitions are dealt to others at once. */
+    /**
+     * Leaves the group, so that the member's partitions are reassigned immediately.
+     *
+     * @param member name of the member
+     * @param done runs when the call has ended
+     */
     void leave(String member, Runnable done);
 
-    /** What became of a join. */
+    /** Outcome of a join. */
     sealed interface JoinOutcome {
         /**
-         * The member is in the group.
+         * The process is a member of the group.
          *
-         * @param generation grows with each change of the group
-         * @param partitions partitions that belong to the member
+         * @param generation generation of the assignment, which increases with each change of the group
+         * @param partitions partitions that are assigned to the member
          */
         record Joined(long generation, Set<Integer> partitions) implements JoinOutcome {
             /** Copies the set. */
@@ -34,9 +40,9 @@
         }
 
         /**
-         * No answer that could be used.
+         * The platform did not respond, or sent an unusable response.
          *
-         * @param reason why, for logs
+         * @param reason reason for log lines
          */
         record Unavailable(String reason) implements JoinOutcome {}
     }
--- a/library/src/main/java/org/chivetally/queue/log/PartitionWriter.java
+++ b/library/src/main/java/org/chivetally/queue/log/PartitionWriter.java
@@ -12,30 +12,35 @@
 import org.chivetally.time.Timers;
 
 /**
- * The only writer of one partition. Appends go out one at a time; what is written meanwhile goes into the next one.
+ * The only writer of one partition. At most one append is in flight; writes that arrive in the meantime are batched
+ * into the next one.
  *
- * <p>An append whose answer is lost is repeated with the same sequence until its fate is known, as the log answers a
- * repeat like the first one. Without that, a job could be refused to its caller and run all the same.
+ * <p>An append whose response is lost is repeated with the same sequence number until its outcome is known, because the
+ * log responds to a repeat as to the original. Otherwise, a job could be refused to its caller and run nevertheless.
  */
 public final class PartitionWriter {
     private static final FluentLogger LOGGER = FluentLogger.forEnclosingClass();
 
-    /** Pause before an append that failed is repeated: ten answers of the log, so that it isn't pressed while down. */
+    /**
+     * Delay before a failed append is retried: ten times the log's usual response time, so that retries don't overload
+     * a log that is recovering.
+     */
     static final Duration RETRY_DELAY = Duration.ofMillis(40);
 
     /**
-     * Age from which writes that may be given up are, in nanoseconds. A refusal is due well inside the callers' time
-     * limit of 1.5 s, and an outage of the log lasts seconds.
+     * Age above which refusable writes are refused while the log fails, in nanoseconds. The refusal has to reach
+     * callers well within their timeout of 1.5 s, whereas an outage of the log lasts for seconds.
      */
     static final long REFUSE_AFTER_NANOS = Duration.ofMillis(300).toNanos();
 
     /**
-     * How long writes may fail before new work is refused at once, in nanoseconds. A single refusal, such as one over
-     * the log's rate, is over after one pause and would cost callers more than the short wait.
+     * Time for which writes have to fail before new work is refused immediately, in nanoseconds. A single failure, such
+     * as one due to the log's rate limit, is over after one retry, and a refusal would cost callers more than that
+     * delay.
      */
     static final long STALL_THRESHOLD_NANOS = Duration.ofMillis(120).toNanos();
 
-    /** Most bytes in one append: half of what the log takes, as sizes are counted without framing. */
+    /** Maximum size of one append in bytes: half of the log's limit, because sizes are counted without framing. */
     static final int MAXIMUM_BATCH_BYTES = 1 << 20;
 
     private final KeyedLog log;
@@ -54,7 +59,15 @@
     private long sentAtNanos;
     private long failingSinceNanos;
 
-    /** Creates a writer that has yet to be opened. */
+    /**
+     * Creates a writer; {@link #open} opens it.
+     *
+     * @param log log to write to
+     * @param timers timers of the event loop
+     * @param stream stream partition to write
+     * @param writer name of the writer's role, the same for all owners of the partition
+     * @param epoch epoch of this owner; it fences writers with lower epochs
+     */
     public PartitionWriter(KeyedLog log, Timers timers, LogStream stream, String writer, long epoch) {
         this.log = log;
         this.timers = timers;
@@ -63,17 +76,21 @@
         this.epoch = epoch;
     }
 
-    /** Outcome of one write. */
+    /** Result of a write. */
     public enum Result {
-        /** Kept for good. */
+        /** The records are stored. */
         STORED,
-        /** Not written, and never will be. */
+        /** The records have not been written and never will be. */
         REFUSED,
-        /** Another writer has taken over; whether this was written is not known here. */
+        /** Another writer has taken over, or this one is closed; whether the records were written is unknown. */
         FENCED
     }
 
-    /** Fences earlier writers; tells STORED or FENCED, and tries on while the log can't be reached. */
+    /**
+     * Fences previous writers, and retries while the log is unreachable.
+     *
+     * @param callback receives {@link Result#STORED} or {@link Result#FENCED}
+     */
     public void open(Consumer<Result> callback) {
         if (closed) {
             callback.accept(Result.FENCED);
@@ -83,7 +100,7 @@
             switch (outcome) {
                 case AppendOutcome.Appended appended -> callback.accept(Result.STORED);
                 case AppendOutcome.Fenced fenced -> callback.accept(Result.FENCED);
-                // The epoch is in force: only then does the log look at sequences.
+                // The log has accepted the epoch, because it checks sequence numbers only after that.
                 case AppendOutcome.OutOfSequence other -> callback.accept(Result.STORED);
                 case AppendOutcome.Refused refused -> timers.after(RETRY_DELAY, () -> open(callback));
                 case AppendOutcome.Unknown unknown -> timers.after(RETRY_DELAY, () -> open(callback));
@@ -92,9 +109,11 @@
     }
 
     /**
-     * Writes records together.
+     * Writes records atomically.
      *
-     * @param refusable whether the write may be given up with {@link Result#REFUSED} while the log takes nothing
+     * @param records records to write, in order
+     * @param refusable whether the write may end with {@link Result#REFUSED} while the log accepts no writes
+     * @param callback receives the result
      */
     public void write(List<KeyedRecord> records, boolean refusable, Consumer<Result> callback) {
         if (closed) {
@@ -105,14 +124,14 @@
         sendNext();
     }
 
-    /** Tells whether the log seems to take no writes now, so that new work should be refused at once. */
+    /** Returns whether the log seems to accept no writes, so that new work should be refused immediately. */
     public boolean isStalled() {
         long now = timers.nanos();
         return failing && now - failingSinceNanos > STALL_THRESHOLD_NANOS
                 || inFlight && now - sentAtNanos > REFUSE_AFTER_NANOS;
     }
 
-    /** Gives up; every write without an outcome is told FENCED. */
+    /** Closes the writer; writes without a result end with {@link Result#FENCED}. */
     public void close() {
         if (closed) {
             return;
@@ -214,12 +233,12 @@
 
     private void handleOutOfSequence(long expected) {
         if (ambiguous && expected == sequence + 2) {
-            // The append whose answer was lost is in the log.
+            // The log contains the append whose response was lost.
             completeBatch();
             return;
         }
         if (!anyStored && !ambiguous) {
-            // Nothing of this epoch is in the log yet, so any beginning is as good.
+            // No append of this epoch has been stored, so numbering can start at any sequence number.
             sequence = expected - 1;
             send();
             return;
@@ -271,14 +290,14 @@
         }
         fillBatch();
         if (batch.isEmpty()) {
-            // Nothing is left to write; whether the log is back shows with the next write.
+            // Nothing is left to write; the next write shows whether the log has recovered.
             failing = false;
             return;
         }
         send();
     }
 
-    /** Records that go together, and whom to tell. */
+    /** Records to write atomically, and the callback for the result. */
     private record Write(List<KeyedRecord> records, boolean refusable, long queuedAtNanos, Consumer<Result> callback) {
         private int approximateBytes() {
             int bytes = 0;
--- a/library/src/main/java/org/chivetally/queue/log/ReadOutcome.java
+++ b/library/src/main/java/org/chivetally/queue/log/ReadOutcome.java
@@ -2,13 +2,13 @@
 
 import java.util.List;
 
-/** What became of a read of records. */
+/** Outcome of a read of records. */
 public sealed interface ReadOutcome {
     /**
-     * Records from the offset asked for; none when the wait ended first.
+     * Records from the requested offset on; none if there was none within the maximum wait.
      *
-     * @param nextOffset offset after the last of them
-     * @param records the records in order
+     * @param nextOffset offset after the last of the records
+     * @param records records ordered by offset
      */
     record Records(long nextOffset, List<KeyedRecord> records) implements ReadOutcome {
         /** Copies the list. */
@@ -17,13 +17,13 @@
         }
     }
 
-    /** Records from that offset are no longer kept; the newest values are. */
+    /** The log no longer retains the records from that offset on, but only the newest value of each key. */
     record Expired() implements ReadOutcome {}
 
     /**
-     * No answer that could be used.
+     * The log did not respond, or sent an unusable response.
      *
-     * @param reason why, for logs
+     * @param reason reason for log lines
      */
     record Unavailable(String reason) implements ReadOutcome {}
 }
--- a/library/src/main/java/org/chivetally/queue/log/StreamTail.java
+++ b/library/src/main/java/org/chivetally/queue/log/StreamTail.java
@@ -10,16 +10,17 @@
 import org.chivetally.time.Timers;
 
 /**
- * Follows a stream of keyed records: first the newest value of each key, then what is appended.
+ * Follows a stream of keyed records: delivers the newest value of each key first, then each record that is appended.
  *
- * <p>A stream may lose its history at any time; then the newest values are read again, so a change is never missed, and
- * records may be told twice. A key that was dropped in between is not among these values: it is told as dropped after
- * the last one, as a listener that waits for the lost record would keep the old value for ever.
+ * <p>Records of a stream can expire before they are read. The tail then reads the newest values again, so that no
+ * change is missed, although records can be delivered more than once. A key that was deleted in the meantime is not
+ * among these values, so the tail delivers a tombstone for it; otherwise, the listener would keep the old value
+ * forever.
  */
 public final class StreamTail {
     private static final FluentLogger LOGGER = FluentLogger.forEnclosingClass();
 
-    /** Pause after a read that failed. The log gives 2,000 reads a second to all processes. */
+    /** Delay before a failed read is retried. All processes together may send 2,000 reads per second to the log. */
     private static final Duration RETRY_DELAY = Duration.ofMillis(250);
 
     private final KeyedLog log;
@@ -27,17 +28,20 @@
     private final LogStream stream;
     private final Duration maximumWait;
     private final Consumer<KeyedRecord> listener;
-    /** Keys with a value, as told so far. */
+    /** Keys whose last delivered record is a value. */
     private final Set<String> liveKeys = new HashSet<>();
 
     private long offset;
     private boolean readsFailing;
 
     /**
-     * Creates a tail that has yet to be started.
+     * Creates a tail; {@link #start()} starts it.
      *
-     * @param wait longest wait of one read; also how long a silent connection hides changes
-     * @param listener told about each record, oldest first
+     * @param log log to read from
+     * @param timers timers of the event loop
+     * @param stream stream partition to follow
+     * @param maximumWait longest wait of one read; also how long an unresponsive connection can delay changes
+     * @param listener receives each record, oldest first
      */
     public StreamTail(
             KeyedLog log, Timers timers, LogStream stream, Duration maximumWait, Consumer<KeyedRecord> listener) {
@@ -48,12 +52,14 @@
         this.listener = listener;
     }
 
-    /** Begins to read. */
+    /** Starts reading. */
     public void start() {
         readNewest("", Long.MAX_VALUE, new HashSet<>());
     }
 
-    /** Returns the offset up to which records were told, the one being told included; 0 before the first. */
+    /**
+     * Returns the offset after the latest record delivered, including one that is being delivered; 0 before the first.
+     */
     public long offset() {
         return offset;
     }
@@ -72,7 +78,7 @@
 
     private void deliverPage(NewestOutcome.Page page, long from, Set<String> listedKeys) {
         recordSuccess();
-        // Pages are no snapshot: what was appended since the first one is read after the last.
+        // Pages are not a consistent snapshot: records appended since the first page are read after the last one.
         offset = Math.max(offset, from);
         page.items().forEach(item -> listedKeys.add(item.key()));
         page.items().forEach(this::deliver);
--- a/library/src/main/java/org/chivetally/queue/log/package-info.java
+++ b/library/src/main/java/org/chivetally/queue/log/package-info.java
@@ -1,5 +1,5 @@
 /**
- * What the queue path asks of the platform's log: streams whose newest value of each key is kept, writers that fence
- * each other by epochs, and a group that deals partitions out. Outcomes are values; callbacks come on the event loop.
+ * Access of the queues to the platform log: streams that retain the newest value of each key, writers that are fenced
+ * by epochs, and a group whose members are assigned partitions. Outcomes are values; callbacks run on the event loop.
  */
 package org.chivetally.queue.log;
--- a/library/src/main/java/org/chivetally/queue/warmup/AgentWarmUpLoad.java
+++ b/library/src/main/java/org/chivetally/queue/warmup/AgentWarmUpLoad.java
@@ -17,7 +17,10 @@
 import org.chivetally.wire.v1.Frame;
 import org.chivetally.wire.v1.RunStart;
 
-/** Starts for an agent: one of its own, with a minion in memory, that is linked to nothing but a scripted entry. */
+/**
+ * Warm-up load for an agent. It sends starts to an agent of its own, which has a simulated minion and is linked only to
+ * a scripted entry.
+ */
 public final class AgentWarmUpLoad {
     private static final Duration SETTLING_TIME = Duration.ofSeconds(1);
     private static final Duration ROUND_DURATION = Duration.ofMillis(100);
@@ -29,7 +32,7 @@
     private final ScriptedEntry entry = new ScriptedEntry();
     private long starts;
 
-    /** Sets the agent, its minion and its entry up. */
+    /** Creates the agent, its minion and its entry, and waits until they are linked. */
     public AgentWarmUpLoad() {
         Peer self = new Peer("warm-up-agent", 1, true, "warm-up", "model", 2);
         SimulatedMinion minion = new SimulatedMinion(timers);
@@ -46,7 +49,7 @@
         timers.advance(SETTLING_TIME);
     }
 
-    /** Does one round; returns the number of rounds that were carried out to their end so far. */
+    /** Runs one round, and returns the number of rounds that have been completed so far. */
     public int runRound() {
         for (int number = 0; number < STARTS_PER_ROUND; number++) {
             starts++;
@@ -56,7 +59,7 @@
         return entry.ends / STARTS_PER_ROUND;
     }
 
-    /** Sends starts and counts what has ended. */
+    /** Sends starts to the agent and counts the reported ends. */
     private final class ScriptedEntry implements LinkListener {
         private final Peer self = new Peer("warm-up-entry", 1, false, "warm-up", "model", 1);
         private final LinkTable links = new LinkTable(self, timers, (host, port, listener) -> {}, this);
--- a/library/src/main/java/org/chivetally/queue/warmup/DiscardingLog.java
+++ b/library/src/main/java/org/chivetally/queue/warmup/DiscardingLog.java
@@ -15,9 +15,9 @@
 import org.chivetally.queue.log.ReadOutcome;
 import org.chivetally.time.Timers;
 
-/** A log that keeps nothing and gives its only member every partition. */
+/** Log that discards all records and assigns every partition to its only member. */
 final class DiscardingLog implements KeyedLog, OwnershipGroup {
-    private static final Duration ANSWER_DELAY = Duration.ofMillis(1);
+    private static final Duration RESPONSE_DELAY = Duration.ofMillis(1);
 
     private final Timers timers;
     private long endOffset;
@@ -31,26 +31,26 @@
             LogStream stream, Optional<AppendId> id, List<KeyedRecord> records, Consumer<AppendOutcome> callback) {
         endOffset += records.size();
         AppendOutcome appended = new AppendOutcome.Appended(endOffset);
-        timers.after(ANSWER_DELAY, () -> callback.accept(appended));
+        timers.after(RESPONSE_DELAY, () -> callback.accept(appended));
     }
 
     @Override
     public void readNewest(LogStream stream, String afterKey, Consumer<NewestOutcome> callback) {
-        timers.after(ANSWER_DELAY, () -> callback.accept(new NewestOutcome.Page(List.of(), false, 0)));
+        timers.after(RESPONSE_DELAY, () -> callback.accept(new NewestOutcome.Page(List.of(), false, 0)));
     }
 
     @Override
     public void read(LogStream stream, long from, Duration maximumWait, Consumer<ReadOutcome> callback) {
-        timers.after(maximumWait.plus(ANSWER_DELAY), () -> callback.accept(new ReadOutcome.Records(from, List.of())));
+        timers.after(maximumWait.plus(RESPONSE_DELAY), () -> callback.accept(new ReadOutcome.Records(from, List.of())));
     }
 
     @Override
     public void join(String member, long generation, Duration timeToLive, Consumer<JoinOutcome> callback) {
-        timers.after(ANSWER_DELAY, () -> callback.accept(new JoinOutcome.Joined(1, Set.of(0))));
+        timers.after(RESPONSE_DELAY, () -> callback.accept(new JoinOutcome.Joined(1, Set.of(0))));
     }
 
     @Override
     public void leave(String member, Runnable done) {
-        timers.after(ANSWER_DELAY, done);
+        timers.after(RESPONSE_DELAY, done);
     }
 }
--- a/library/src/main/java/org/chivetally/queue/warmup/EntryWarmUpLoad.java
+++ b/library/src/main/java/org/chivetally/queue/warmup/EntryWarmUpLoad.java
@@ -30,7 +30,7 @@
 import org.chivetally.wire.v1.RunStart;
 import org.chivetally.wire.v1.WorkerReport;
 
-/** Jobs for an entry: one of its own, that is linked to nothing but a scripted agent. */
+/** Warm-up load for an entry. It submits jobs to an entry of its own, which is linked only to a scripted agent. */
 public final class EntryWarmUpLoad {
     private static final Duration SETTLING_TIME = Duration.ofSeconds(3);
     private static final Duration ROUND_DURATION = Duration.ofMillis(100);
@@ -48,7 +48,7 @@
     private int submitted;
     private int completed;
 
-    /** Sets the entry and its agent up. */
+    /** Creates the entry and its agent, and waits until they are linked. */
     public EntryWarmUpLoad() {
         Peer self = new Peer("warm-up-entry", 1, false, "warm-up", "model", 1);
         DiscardingLog log = new DiscardingLog(timers);
@@ -58,7 +58,7 @@
         timers.advance(SETTLING_TIME);
     }
 
-    /** Does one round; returns the number of rounds that were carried out to their end so far. */
+    /** Runs one round, and returns the number of rounds that have been completed so far. */
     public int runRound() {
         submitted++;
         StepSpecification step = new StepSpecification(
@@ -75,7 +75,7 @@
         completed += answer.equals(new JobAnswer.State(JobPhase.COMPLETED)) ? 1 : 0;
     }
 
-    /** Tells the entry of an end a moment after each start. */
+    /** Reports the end of each run to the entry, a short time after its start. */
     private final class ScriptedAgent implements LinkListener {
         private static final String BOOT = "warm-up-boot";
 
@@ -144,7 +144,7 @@
 
         @Override
         public void down(PeerLink link, String reason) {
-            // A model's connection doesn't break.
+            // An in-memory connection never breaks.
         }
     }
 }
--- a/library/src/main/java/org/chivetally/queue/warmup/InMemoryConnection.java
+++ b/library/src/main/java/org/chivetally/queue/warmup/InMemoryConnection.java
@@ -11,11 +11,17 @@
 import org.chivetally.transport.FrameListener;
 import org.chivetally.wire.v1.Frame;
 
-/** One end of a connection in memory. Frames are written and read as over a socket, in a buffer outside the heap. */
+/**
+ * One end of a connection in memory. Frames are encoded and decoded in a direct buffer, as on a socket, to warm up the
+ * same code.
+ */
 final class InMemoryConnection implements FrameConnection {
     private static final Duration ONE_WAY_DELAY = Duration.ofMillis(1);
 
-    /** More than any frame of an exercise takes; a buffer for each frame costs more than the frame. */
+    /**
+     * Size of the reused buffer: more than any warm-up frame takes. A new buffer per frame would cost more than the
+     * frame.
+     */
     private static final int BUFFER_BYTES = 8 * 1024;
 
     private final Timers timers;
@@ -28,7 +34,7 @@
         this.listener = listener;
     }
 
-    /** Connects two processes. */
+    /** Connects the listeners of two processes. */
     static void connect(Timers timers, FrameListener dialling, FrameListener accepting) {
         InMemoryConnection dialler = new InMemoryConnection(timers, dialling);
         InMemoryConnection acceptor = new InMemoryConnection(timers, accepting);
@@ -54,7 +60,7 @@
             frame.writeTo(out);
             out.flush();
         } catch (IOException e) {
-            throw new UncheckedIOException("a frame did not fit its own size", e);
+            throw new UncheckedIOException("a frame exceeded its serialized size", e);
         }
         return buffer.flip();
     }
@@ -63,13 +69,13 @@
         try {
             return Frame.parseFrom(CodedInputStream.newInstance(buffer));
         } catch (IOException e) {
-            throw new UncheckedIOException("a frame can't be read back", e);
+            throw new UncheckedIOException("an encoded frame can't be decoded", e);
         }
     }
 
     @Override
     public void close() {
-        // Both ends are forgotten together with the exercise.
+        // Nothing to release: both ends are garbage collected with the warm-up load.
     }
 
     @Override
--- a/library/src/main/java/org/chivetally/queue/warmup/SimulatedMinion.java
+++ b/library/src/main/java/org/chivetally/queue/warmup/SimulatedMinion.java
@@ -11,9 +11,9 @@
 import org.chivetally.queue.agent.MinionPort;
 import org.chivetally.time.Timers;
 
-/** A minion that does every run in the same short time. */
+/** Minion on which every run takes the same short time. */
 final class SimulatedMinion implements MinionPort {
-    private static final Duration ANSWER_DELAY = Duration.ofMillis(1);
+    private static final Duration RESPONSE_DELAY = Duration.ofMillis(1);
     private static final Duration RUN_DURATION = Duration.ofMillis(5);
 
     private final Timers timers;
@@ -33,7 +33,7 @@
     public void start(String boot, StartOrder order, Consumer<StartAnswer> callback) {
         running.add(order.run());
         timers.after(RUN_DURATION, () -> finishRun(order.run()));
-        timers.after(ANSWER_DELAY, () -> callback.accept(new StartAnswer.Started(clockMillis())));
+        timers.after(RESPONSE_DELAY, () -> callback.accept(new StartAnswer.Started(clockMillis())));
     }
 
     private void finishRun(RunKey run) {
@@ -46,13 +46,13 @@
     @Override
     public void stop(String boot, RunKey run, long token, Consumer<Boolean> callback) {
         running.remove(run);
-        timers.after(ANSWER_DELAY, () -> callback.accept(true));
+        timers.after(RESPONSE_DELAY, () -> callback.accept(true));
     }
 
     @Override
     public void look(String boot, LookOrder order, Consumer<LookAnswer> callback) {
         ends.headMap(order.keptThrough(), true).clear();
-        Duration wait = order.longestWait().isZero() ? ANSWER_DELAY : RUN_DURATION;
+        Duration wait = order.longestWait().isZero() ? RESPONSE_DELAY : RUN_DURATION;
         timers.after(
                 wait,
                 () -> callback.accept(
--- a/library/src/main/java/org/chivetally/queue/warmup/WarmUp.java
+++ b/library/src/main/java/org/chivetally/queue/warmup/WarmUp.java
@@ -9,26 +9,26 @@
 import org.chivetally.time.Timers;
 
 /**
- * Does rounds of an exercise while the process has nothing else to do.
+ * Warms up the process: runs rounds of a synthetic load while the process is idle.
  *
- * <p>The failure it prevents: the first callers after a start meet code that is interpreted, and hundreds of things
- * that are set up at their first use. On a small entry the jobs of the first second then wait for each other until most
- * are late. A process that has work from its start, as after a loss of power, gets its practice from that and does none
- * of this.
+ * <p>Without it, the first requests after a start run interpreted code and pay for hundreds of lazy initializations. On
+ * a small entry, the jobs of the first second then queue up until most of them are late. A process that has work from
+ * its start, as after a power failure, is warmed up by that work and runs no rounds.
  */
 public final class WarmUp {
-    /** Time from the start in which links are made and partitions are opened. */
+    /** Delay after the start, in which links and partitions are opened. */
     static final Duration INITIAL_DELAY = Duration.ofSeconds(3);
 
     /**
-     * Pause between rounds, in which heartbeats and leases get their turn: the first round takes 0.1 s of processor
-     * time.
+     * Interval between rounds, in which heartbeats are sent and leases renewed: the first round takes 0.1 s of
+     * processor time.
      */
     static final Duration ROUND_INTERVAL = Duration.ofMillis(200);
 
     /**
-     * Rounds: methods are compiled after forty calls, and with four starts in a round most of what a start calls is by
-     * then. More rounds hardly compile anything else, since what a round calls once is far from it.
+     * Number of rounds. Methods are compiled after forty calls; with four starts per round, most methods on the path of
+     * a start are compiled after this many rounds. Further rounds compile little else, because methods that are called
+     * once per round are still far from forty calls.
      */
     static final int ROUNDS = 12;
 
@@ -42,10 +42,10 @@
     /**
      * Creates a warm-up.
      *
-     * @param timers of the process, on whose loop the rounds are done
-     * @param exercise makes what is run in each round; asked once, at the first one
-     * @param idle whether nothing of anybody's is in progress; once it isn't, no more rounds are done
-     * @param quietly runs an action whose log lines don't concern anybody
+     * @param timers timers of the process, on whose event loop the rounds run
+     * @param roundFactory creates the action to run in each round; called once, before the first round
+     * @param idle returns whether the process has no work; once it returns false, no more rounds are run
+     * @param logSuppressor runs an action whose log lines are not written, as they concern no real work
      */
     public WarmUp(
             Timers timers, Supplier<Runnable> roundFactory, BooleanSupplier idle, Consumer<Runnable> logSuppressor) {
@@ -55,7 +55,7 @@
         this.logSuppressor = logSuppressor;
     }
 
-    /** Begins a while later. */
+    /** Schedules the warm-up. */
     public void start() {
         timers.after(INITIAL_DELAY, () -> {
             if (idle.getAsBoolean()) {
--- a/library/src/main/java/org/chivetally/queue/warmup/package-info.java
+++ b/library/src/main/java/org/chivetally/queue/warmup/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Jobs that a process runs through itself, in memory and in time of their own, before callers come. The code that the
- * first callers meet is then compiled, and all that is set up at a first use is set up.
+ * Warm-up of a process by synthetic jobs, in memory and in virtual time, before the first requests arrive. Afterwards,
+ * the code on the path of a request is compiled, and its lazy initializations have run.
  */
 package org.chivetally.queue.warmup;
--- a/library/src/test/java/org/chivetally/queue/JobTest.java
+++ b/library/src/test/java/org/chivetally/queue/JobTest.java
@@ -8,9 +8,11 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
+/** Tests the phases of jobs, the statuses of their tasks, and the restore of both from the log. */
 class JobTest {
     private static final String ID = "00000000000000a1";
 
+    /** A caller must not receive a result that is lost if the owner ends before it has stored it. */
     @Test
     void reportsCompletionOnlyAfterItIsStored() {
         Job job = new Job(Jobs.of(ID, 2), 0);
@@ -24,6 +26,7 @@
         assertThat(job.reportedPhase(), is(JobPhase.COMPLETED));
     }
 
+    /** A task that always fails must not be retried forever. */
     @Test
     void failsAfterTheMaximumNumberOfFailedRunsOfATask() {
         Job job = new Job(Jobs.of(ID, 2), 0);
@@ -35,6 +38,7 @@
         assertThat(job.phase(), is(JobPhase.FAILED));
     }
 
+    /** Runs that end for reasons outside the task must not use up its attempts. */
     @Test
     void countsStoppedLapsedAndLostRunsNotAsFailures() {
         Job job = new Job(Jobs.of(ID, 1), 0);
@@ -49,8 +53,8 @@
     }
 
     /**
-     * The only start of a job was turned down for want of room. It has not run, and its caller may be told so; once any
-     * start may have been carried out, that would be a guess.
+     * All starts of a job were rejected for lack of capacity. The job has not run and can be refused as such; once any
+     * run may have started, reporting it as not run could be wrong.
      */
     @Test
     void returnsToQueuedOnlyIfNoRunCanHaveStarted() {
@@ -68,6 +72,7 @@
         assertThat(job.phase(), is(JobPhase.RUNNING));
     }
 
+    /** A step must not start while a task of the step that it depends on is unfinished. */
     @Test
     void unblocksAStepOnlyAfterAllTasksOfThePrecedingStepAreDone() {
         Job job = new Job(Jobs.chain(ID, 2, 3), 0);
@@ -80,8 +85,8 @@
     }
 
     /**
-     * An owner dies after it has started tasks that the log knows nothing of. The next owner must not take them for
-     * waiting, or they would run twice; and its run numbers must be higher than all of the owner before.
+     * An owner ends after it has started tasks that are not recorded in the log. If the next owner considered them as
+     * waiting, they would run twice. Its run numbers must also exceed all numbers of the previous owner.
      */
     @Test
     void marksReadyTasksAsUncertainAfterARestore() {
@@ -98,6 +103,7 @@
         assertThat(restored.tasks().get(1).lastRun(), is(128L));
     }
 
+    /** A part of a specification that is not encoded would be lost when another process takes over the job. */
     @Test
     void specificationSurvivesEncodingAndDecoding() {
         JobSpecification job = Jobs.chain(ID, 2, 1);
--- a/library/src/test/java/org/chivetally/queue/ManualTimers.java
+++ b/library/src/test/java/org/chivetally/queue/ManualTimers.java
@@ -3,7 +3,7 @@
 import java.time.Duration;
 import org.chivetally.time.VirtualTimers;
 
-/** Clocks and timers that stand still until a test advances them, with a time of day that can run ahead. */
+/** Timers and clocks that a test advances; the wall clock can also run ahead of the monotonic clock. */
 public final class ManualTimers extends VirtualTimers {
     private final long startNanos = nanos();
     private long startMillis = 1_800_000_000_000L;
@@ -13,12 +13,12 @@
         return startMillis + (nanos() - startNanos) / 1_000_000;
     }
 
-    /** Runs what is due now. */
+    /** Runs the actions that are due now. */
     public void runDue() {
         advance(Duration.ZERO);
     }
 
-    /** Stands for a machine that was suspended: only the time of day goes on. */
+    /** Simulates a suspension of the machine: only the wall clock advances. */
     public void suspend(Duration time) {
         startMillis += time.toMillis();
     }
--- a/library/src/test/java/org/chivetally/queue/TaskKeyTest.java
+++ b/library/src/test/java/org/chivetally/queue/TaskKeyTest.java
@@ -7,8 +7,9 @@
 import java.util.Optional;
 import org.junit.jupiter.api.Test;
 
+/** Tests the text format of task keys. */
 class TaskKeyTest {
-    /** Each run of a task is named by frames and by the minion's lists, and is read back at every start and look. */
+    /** Frames and minions identify runs by this format; a key that can't be parsed back would lose the run. */
     @Test
     void parsesItsOwnFormat() {
         TaskKey key = new TaskKey("00000000000000c1", 2, 3, 14);
@@ -16,7 +17,9 @@
         assertThat(TaskKey.parse(key.toString()), is(Optional.of(key)));
     }
 
-    /** A minion of another implementation may list names that no task has; they must not stop the look. */
+    /**
+     * A minion of another implementation may report keys of another format; an exception would abort the whole query.
+     */
     @Test
     void rejectsMalformedText() {
         for (String text : List.of(
--- a/library/src/test/java/org/chivetally/queue/link/MemoryNetwork.java
+++ b/library/src/test/java/org/chivetally/queue/link/MemoryNetwork.java
@@ -14,15 +14,18 @@
 import org.chivetally.transport.FrameListener;
 import org.chivetally.wire.v1.Frame;
 
-/** Connections in memory between processes named by their hosts; a test can cut paths silently or end connections. */
+/**
+ * In-memory network of processes that are identified by their hosts. A test can drop frames silently or reset
+ * connections.
+ */
 public final class MemoryNetwork {
     private static final Duration ONE_WAY_DELAY = Duration.ofMillis(1);
 
     private final Timers timers;
-    /** Frames sent so far, by kind. */
+    /** Number of frames sent so far, by kind. */
     public final Map<Frame.BodyCase, Integer> sent = new EnumMap<>(Frame.BodyCase.class);
 
-    /** Frames received so far, by receiving host and kind. */
+    /** Number of frames received so far, by receiving host and kind. */
     public final Map<String, Map<Frame.BodyCase, Integer>> received = new HashMap<>();
 
     private final Map<String, FrameListener> listeners = new HashMap<>();
@@ -36,23 +39,23 @@
         this.timers = timers;
     }
 
-    /** Names who is told the host and the kind of each frame that arrives. */
+    /** Sets the listener that receives the host and the kind of each frame that arrives. */
     public void onArrival(BiConsumer<String, String> listener) {
         arrivalListener = listener;
     }
 
-    /** Listens on a host. */
+    /** Starts to accept connections on a host. */
     public void listen(String host, FrameListener listener) {
         listeners.put(host, listener);
         stopped.remove(host);
     }
 
-    /** Returns how a host dials. */
+    /** Returns the dialer of a host. */
     public Dialer dialer(String from) {
         return (host, port, listener) -> dial(from, host, listener);
     }
 
-    /** Loses everything between two hosts, without an error, until it is undone. */
+    /** Starts or ends a network partition between two hosts, in which frames are lost without an error. */
     public void setCut(String one, String other, boolean cut) {
         for (String path : List.of(one + ">" + other, other + ">" + one)) {
             if (cut) {
@@ -63,7 +66,7 @@
         }
     }
 
-    /** Ends a process: its connections are reset, and nobody can dial it. */
+    /** Ends a process: its connections are reset, and new ones to it fail. */
     public void kill(String host) {
         listeners.remove(host);
         stopped.add(host);
--- a/library/src/test/java/org/chivetally/queue/link/StallDetectorTest.java
+++ b/library/src/test/java/org/chivetally/queue/link/StallDetectorTest.java
@@ -7,14 +7,14 @@
 import org.chivetally.queue.ManualTimers;
 import org.junit.jupiter.api.Test;
 
+/** Tests which stalls make a {@link StallDetector} treat requests as stale. */
 class StallDetectorTest {
     private final ManualTimers timers = new ManualTimers();
     private final StallDetector detector = new StallDetector(timers);
 
     /**
-     * All power is back, and a small entry needs 1.7 s until its event loop turns for the first time. Its callers were
-     * refused for two more seconds, as if they might have been served elsewhere meanwhile; but none of them could have
-     * reached it before.
+     * After a power failure, a small entry takes 1.7 s to start its event loop. It must not count as stalled and refuse
+     * its callers for two more seconds: no request can have reached it before.
      */
     @Test
     void acceptsRequestsAfterASlowStart() {
@@ -25,8 +25,8 @@
     }
 
     /**
-     * The process listens and then stands still for longer than it may. A caller can have lost its connection meanwhile
-     * and be about to come again elsewhere, so what is read then is doubtful, however young the process is.
+     * The process is stalled shortly after it started to listen. A caller can have lost its connection and be about to
+     * retry elsewhere, so requests that are read afterwards count as stale even in a new process.
      */
     @Test
     void detectsAStallShortlyAfterTheProcessStartedListening() {
@@ -36,6 +36,7 @@
         assertThat(detector.check(), is(true));
     }
 
+    /** Regular checks without a stall must not count as one, and a stall after them must be detected. */
     @Test
     void detectsAStallAfterLongOperation() {
         detector.markListening();
--- a/library/src/test/java/org/chivetally/queue/log/PartitionWriterTest.java
+++ b/library/src/test/java/org/chivetally/queue/log/PartitionWriterTest.java
@@ -14,6 +14,7 @@
 import org.chivetally.queue.log.PartitionWriter.Result;
 import org.junit.jupiter.api.Test;
 
+/** Tests batching, retries, refusals and fencing of a {@link PartitionWriter}. */
 class PartitionWriterTest {
     private static final LogStream STREAM = new LogStream("jobs", 2);
 
@@ -32,6 +33,7 @@
         return List.of(new KeyedRecord(key, key.getBytes(StandardCharsets.UTF_8)));
     }
 
+    /** One append per write would exceed the log's rate limit under load. */
     @Test
     void batchesWritesThatArriveDuringAnAppend() {
         PartitionWriter writer = open(1);
@@ -45,13 +47,13 @@
     }
 
     /**
-     * An append is carried out and its answer is lost. The writer repeats it under the same sequence, so that it is
-     * neither appended twice nor told to its caller as refused.
+     * An append is carried out, but its response is lost. The writer repeats it with the same sequence number, so that
+     * the records are neither appended twice nor reported as refused.
      */
     @Test
     void repeatsAnAppendWithALostResponseUntilItsOutcomeIsKnown() {
         PartitionWriter writer = open(1);
-        log.appendBehavior = ScriptedKeyedLog.AppendBehavior.ANSWERS_LOST;
+        log.appendBehavior = ScriptedKeyedLog.AppendBehavior.RESPONSES_LOST;
         writer.write(recordWithKey("a"), true, results::add);
         timers.advance(Duration.ofMillis(700));
         assertThat(results, contains(Result.STORED));
@@ -61,7 +63,9 @@
         assertThat(log.appends(), hasSize(2));
     }
 
-    /** The log refuses everything: work that may be refused is, within the callers' time, and is truly not there. */
+    /**
+     * The log rejects all appends: refusable writes are refused within the callers' timeout, and are not in the log.
+     */
     @Test
     void refusesRefusableWritesAndRetriesOthersDuringAnOutage() {
         PartitionWriter writer = open(1);
@@ -78,11 +82,11 @@
         assertThat(writer.isStalled(), is(false));
     }
 
-    /** Refusals come after an append whose fate is open. Refusing it could be untrue, so it isn't. */
+    /** Rejections follow an append whose outcome is unknown. It may be in the log, so it must not be refused. */
     @Test
     void neverRefusesAnAppendWithUnknownOutcome() {
         PartitionWriter writer = open(1);
-        log.appendBehavior = ScriptedKeyedLog.AppendBehavior.ANSWERS_LOST;
+        log.appendBehavior = ScriptedKeyedLog.AppendBehavior.RESPONSES_LOST;
         writer.write(recordWithKey("a"), true, results::add);
         timers.advance(Duration.ofMillis(100));
         log.appendBehavior = ScriptedKeyedLog.AppendBehavior.REFUSING;
@@ -93,7 +97,7 @@
         assertThat(results, contains(Result.STORED, Result.STORED));
     }
 
-    /** Another entry has taken the partition over: the old owner's writes go nowhere, and it learns so. */
+    /** Another entry has taken over the partition: writes of the previous owner are not stored and end as fenced. */
     @Test
     void isFencedByAWriterWithAHigherEpoch() {
         PartitionWriter previous = open(1);
--- a/library/src/test/java/org/chivetally/queue/log/ScriptedKeyedLog.java
+++ b/library/src/test/java/org/chivetally/queue/log/ScriptedKeyedLog.java
@@ -13,12 +13,12 @@
 import org.chivetally.time.Timers;
 
 /**
- * A log in memory with the features that the queue path relies on: newest values by key, writers fenced by epochs,
- * sequences that make a repeat harmless, and a group that deals partitions out. Answers take time, and can be made to
- * fail for all callers or for some.
+ * In-memory log with the features that queues rely on: newest values by key, writers that are fenced by epochs,
+ * sequence numbers that make repeats harmless, and a group whose members are assigned partitions. Responses take time,
+ * and can be made to fail for all callers or for some.
  */
 public final class ScriptedKeyedLog {
-    private static final Duration ANSWER_DELAY = Duration.ofMillis(4);
+    private static final Duration RESPONSE_DELAY = Duration.ofMillis(4);
 
     private final Timers timers;
     private final Map<LogStream, Partition> partitions = new HashMap<>();
@@ -30,19 +30,19 @@
     private long generation;
     private final Set<String> disconnected = new HashSet<>();
 
-    /** What the log does with appends. */
+    /** How the log handles appends. */
     public enum AppendBehavior {
-        /** Takes them. */
+        /** Stores them and responds. */
         ACCEPTING,
-        /** Refuses them. */
+        /** Rejects them. */
         REFUSING,
-        /** Takes them, and the answer is lost. */
-        ANSWERS_LOST,
-        /** Neither takes nor answers them. */
+        /** Stores them, but the response is lost. */
+        RESPONSES_LOST,
+        /** Neither stores them nor responds. */
         SILENT
     }
 
-    /** What appends meet now. */
+    /** How the log handles appends at present. */
     public AppendBehavior appendBehavior = AppendBehavior.ACCEPTING;
 
     /** Creates an empty log. */
@@ -51,7 +51,7 @@
         this.partitionCount = partitionCount;
     }
 
-    /** Cuts one caller off, or lets it through again. */
+    /** Disconnects a caller from the log, or connects it again. */
     public void setDisconnected(String caller, boolean disconnect) {
         if (disconnect) {
             disconnected.add(caller);
@@ -60,12 +60,12 @@
         }
     }
 
-    /** Returns the streams that were appended to, one entry an append that was taken. */
+    /** Returns the stream of each append that was carried out, in order. */
     public List<LogStream> appends() {
         return appends;
     }
 
-    /** Returns the log as one caller reaches it. */
+    /** Returns the access of one caller to the log. */
     public Access access(String caller) {
         return new Access(caller);
     }
@@ -79,7 +79,7 @@
         return partitions.computeIfAbsent(stream, key -> new Partition());
     }
 
-    /** Deletes all records of a partition but the newest value of each key. */
+    /** Expires all records of a partition, except the newest value of each key. */
     public void expireHistory(LogStream stream) {
         Partition partition = partition(stream);
         partition.firstRetained = partition.records.size();
@@ -93,7 +93,7 @@
         private final Map<String, Long> sequences = new HashMap<>();
     }
 
-    /** One caller's way to the log. */
+    /** Access of one caller to the log. */
     public final class Access implements KeyedLog, OwnershipGroup {
         private final String caller;
 
@@ -113,15 +113,15 @@
                 return;
             }
             if (appendBehavior == AppendBehavior.REFUSING) {
-                timers.after(ANSWER_DELAY, () -> callback.accept(new AppendOutcome.Refused("busy")));
+                timers.after(RESPONSE_DELAY, () -> callback.accept(new AppendOutcome.Refused("busy")));
                 return;
             }
-            boolean responseLost = appendBehavior == AppendBehavior.ANSWERS_LOST;
-            timers.after(ANSWER_DELAY, () -> {
+            boolean responseLost = appendBehavior == AppendBehavior.RESPONSES_LOST;
+            timers.after(RESPONSE_DELAY, () -> {
                 AppendOutcome outcome = applyAppend(stream, id, records);
                 if (responseLost) {
                     timers.after(
-                            Duration.ofMillis(600), () -> callback.accept(new AppendOutcome.Unknown("answer lost")));
+                            Duration.ofMillis(600), () -> callback.accept(new AppendOutcome.Unknown("response lost")));
                 } else {
                     callback.accept(outcome);
                 }
@@ -163,10 +163,11 @@
         @Override
         public void readNewest(LogStream stream, String afterKey, Consumer<NewestOutcome> callback) {
             if (isDisconnected()) {
-                timers.after(Duration.ofMillis(600), () -> callback.accept(new NewestOutcome.Unavailable("cut off")));
+                timers.after(
+                        Duration.ofMillis(600), () -> callback.accept(new NewestOutcome.Unavailable("disconnected")));
                 return;
             }
-            timers.after(ANSWER_DELAY, () -> {
+            timers.after(RESPONSE_DELAY, () -> {
                 Partition partition = partition(stream);
                 List<KeyedRecord> items = new ArrayList<>();
                 partition
@@ -180,11 +181,12 @@
         @Override
         public void read(LogStream stream, long from, Duration maximumWait, Consumer<ReadOutcome> callback) {
             if (isDisconnected()) {
-                timers.after(Duration.ofMillis(600), () -> callback.accept(new ReadOutcome.Unavailable("cut off")));
+                timers.after(
+                        Duration.ofMillis(600), () -> callback.accept(new ReadOutcome.Unavailable("disconnected")));
                 return;
             }
             Partition partition = partition(stream);
-            timers.after(partition.records.size() > from ? ANSWER_DELAY : Duration.ofMillis(50), () -> {
+            timers.after(partition.records.size() > from ? RESPONSE_DELAY : Duration.ofMillis(50), () -> {
                 if (from < partition.firstRetained) {
                     callback.accept(new ReadOutcome.Expired());
                     return;
@@ -201,11 +203,11 @@
                 timers.after(Duration.ofMillis(600), () -> callback.accept(new JoinOutcome.Unavailable("silent")));
                 return;
             }
-            timers.after(ANSWER_DELAY, () -> {
+            timers.after(RESPONSE_DELAY, () -> {
                 memberExpiries.put(member, timers.nanos() + timeToLive.toNanos());
                 reassign();
                 if (knownGeneration >= generation) {
-                    // The member has learned what it has lost, so that can be dealt on.
+                    // The member has received the current generation and released what it lost to the new owners.
                     owners.replaceAll((partition, owner) -> owner.equals(member) ? assignment.get(partition) : owner);
                 }
                 Set<Integer> assigned = new HashSet<>();
@@ -220,7 +222,7 @@
 
         @Override
         public void leave(String member, Runnable done) {
-            timers.after(ANSWER_DELAY, () -> {
+            timers.after(RESPONSE_DELAY, () -> {
                 memberExpiries.remove(member);
                 reassign();
                 done.run();
--- a/library/src/test/java/org/chivetally/queue/log/StreamTailTest.java
+++ b/library/src/test/java/org/chivetally/queue/log/StreamTailTest.java
@@ -11,6 +11,7 @@
 import org.chivetally.queue.ManualTimers;
 import org.junit.jupiter.api.Test;
 
+/** Tests offsets and the handling of expired records of a {@link StreamTail}. */
 class StreamTailTest {
     private static final LogStream STREAM = new LogStream("wishes", 0);
     private static final byte[] VALUE = {1};
@@ -30,9 +31,7 @@
         timers.advance(Duration.ofMillis(100));
     }
 
-    /**
-     * The offset that a record is told with is behind the record, so that two readers can tell who has read further.
-     */
+    /** Two readers compare their offsets to determine which has read further, so an offset includes the last record. */
     @Test
     void advancesTheOffsetPastEachDeliveredRecord() {
         append(new KeyedRecord("a", VALUE));
@@ -45,8 +44,8 @@
     }
 
     /**
-     * A key is dropped while the reader is cut off, and the log forgets its history before the reader is back. The
-     * newest values don't show the drop; without being told, the reader would keep the value for ever.
+     * A key is deleted while the reader is disconnected, and the tombstone expires before it reconnects. The newest
+     * values don't contain the tombstone, so without a delivery the reader would keep the value forever.
      */
     @Test
     void deliversTombstonesForKeysDeletedInExpiredHistory() {
--- a/library/src/test/java/org/chivetally/queue/warmup/WarmUpTest.java
+++ b/library/src/test/java/org/chivetally/queue/warmup/WarmUpTest.java
@@ -7,6 +7,7 @@
 import org.chivetally.queue.ManualTimers;
 import org.junit.jupiter.api.Test;
 
+/** Tests that the warm-up loads run to completion, and when a {@link WarmUp} runs or stops. */
 class WarmUpTest {
     private final ManualTimers timers = new ManualTimers();
     private boolean idle = true;
@@ -20,6 +21,7 @@
                 .start();
     }
 
+    /** A round that does not complete its job leaves the code after that point cold. */
     @Test
     void entryCompletesEveryRound() {
         EntryWarmUpLoad load = new EntryWarmUpLoad();
@@ -29,6 +31,7 @@
         }
     }
 
+    /** A round that does not complete its runs leaves the code after that point cold. */
     @Test
     void agentCompletesEveryRound() {
         AgentWarmUpLoad load = new AgentWarmUpLoad();
@@ -38,6 +41,7 @@
         }
     }
 
+    /** A warm-up without an end would use processor time in an idle process forever. */
     @Test
     void stopsAfterTheConfiguredRounds() {
         startWarmUp();
@@ -48,8 +52,8 @@
     }
 
     /**
-     * All power was lost and is back. Callers come at once, and whatever the process does besides makes them wait, so
-     * it leaves the practice to their jobs.
+     * After a power failure, requests arrive immediately after the start. Any other work of the process would delay
+     * them, so their jobs have to warm it up.
      */
     @Test
     void doesNothingInAProcessThatHasWorkFromTheStart() {
@@ -61,6 +65,7 @@
         assertThat(actionsWithoutLogging, is(0));
     }
 
+    /** Rounds that continue after the first real job would delay it. */
     @Test
     void stopsWhenRealWorkArrives() {
         startWarmUp();
