--- a/linkage/src/main/java/org/chivetally/linkage/CallSite.java
+++ b/linkage/src/main/java/org/chivetally/linkage/CallSite.java
@@ -5,22 +5,22 @@
 import java.lang.constant.MethodTypeDesc;
 import java.util.Optional;
 
-/** A call site that can be replaced by a call of a static method with the same parameters and result. */
+/** An {@code invokedynamic} call site that can be replaced by a call of a static method with the same type. */
 sealed interface CallSite permits TypeSwitchSite, RecordMethodSite {
-    /** Returns the stem of the method's name. */
+    /** Returns the operation of the call site, which becomes a part of the static method's name. */
     String operation();
 
-    /** Returns the method's parameters and result. */
+    /** Returns the parameter types and the result type of the static method. */
     MethodTypeDesc type();
 
-    /** Writes the method's body. */
+    /** Generates the body of the static method. */
     void write(CodeBuilder code);
 
     /**
-     * Returns the call site behind an instruction, or empty when it isn't one of those that are replaced.
+     * Returns the call site of an instruction, or empty when its bootstrap method isn't one of those replaced.
      *
-     * @param simpleName of the class that contains the instruction
-     * @throws UnsupportedCallSiteException when it would be one but has a form that this step doesn't know
+     * @param simpleName simple name of the class that contains the instruction
+     * @throws UnsupportedCallSiteException when the bootstrap method is replaced but its arguments aren't supported
      */
     static Optional<CallSite> of(InvokeDynamicInstruction instruction, String simpleName) {
         String bootstrap = instruction.bootstrapMethod().owner().descriptorString();
--- a/linkage/src/main/java/org/chivetally/linkage/ClassLinker.java
+++ b/linkage/src/main/java/org/chivetally/linkage/ClassLinker.java
@@ -17,8 +17,8 @@
 import java.util.Optional;
 
 /**
- * Replaces call sites of {@code SwitchBootstraps} and {@code ObjectMethods} in one class by calls of static methods
- * that it adds to the class. The JVM would generate a hidden class for each of them at its first call.
+ * Replaces the call sites of {@code SwitchBootstraps} and {@code ObjectMethods} in a class by calls of static methods
+ * that it adds to the class. The JVM would generate a hidden class for each of these call sites at its first call.
  */
 final class ClassLinker {
     private static final int METHOD_FLAGS = ClassFile.ACC_PRIVATE | ClassFile.ACC_STATIC | ClassFile.ACC_SYNTHETIC;
@@ -28,24 +28,30 @@
     /**
      * Creates a linker.
      *
-     * @param classes finds the classes that the linked ones refer to, for their stack maps
+     * @param classLoader loads the classes that linked classes refer to; they are needed to compute stack maps
      */
     ClassLinker(ClassLoader classLoader) {
-        // A class file that was read once may be asked for again, so the answers are kept.
+        // The same classes are looked up again and again, so results are cached.
         ClassHierarchyResolver hierarchy = ClassHierarchyResolver.ofResourceParsing(classLoader)
                 .orElse(ClassHierarchyResolver.defaultResolver())
                 .cached();
         this.classFile = ClassFile.of(ClassFile.ClassHierarchyResolverOption.of(hierarchy));
     }
 
-    /** A class after the step; the number of call sites that were replaced in it. */
+    /**
+     * A linked class.
+     *
+     * @param bytes class file
+     * @param replacedCallSites number of call sites that were replaced
+     */
     record LinkedClass(byte[] bytes, int replacedCallSites) {}
 
     /**
-     * Returns the class without such call sites.
+     * Replaces the call sites of a class. Returns the same array when there are none.
      *
-     * @throws IllegalArgumentException when the result would not be a valid class
-     * @throws UnsupportedCallSiteException when a call site has a form that isn't known
+     * @param bytes class file
+     * @throws IllegalArgumentException when the result doesn't pass verification
+     * @throws UnsupportedCallSiteException when a call site isn't supported
      */
     LinkedClass link(byte[] bytes) {
         ClassModel model = classFile.parse(bytes);
@@ -104,7 +110,7 @@
         return "linked$" + site.operation() + '$' + number;
     }
 
-    /** Returns the name as {@link Class#getSimpleName} gives it. */
+    /** Returns the simple name of a class as {@link Class#getSimpleName} does. */
     private static String simpleName(ClassModel model) {
         ClassDesc thisClass = model.thisClass().asSymbol();
         return model.findAttribute(Attributes.innerClasses()).stream()
--- a/linkage/src/main/java/org/chivetally/linkage/LinkageStep.java
+++ b/linkage/src/main/java/org/chivetally/linkage/LinkageStep.java
@@ -16,8 +16,8 @@
 import java.util.zip.ZipOutputStream;
 
 /**
- * Links the classes of jars and of class directories in place. A class on which it fails stays as it is, and is
- * reported.
+ * Replaces call sites in the classes of jars and class directories, in place. A class that can't be linked stays
+ * unchanged and is reported as a failure.
  */
 public final class LinkageStep {
     private static final String CLASS_SUFFIX = ".class";
@@ -30,13 +30,17 @@
     /**
      * Creates a step.
      *
-     * @param classes finds the classes that the linked ones refer to
+     * @param classLoader loads the classes that linked classes refer to
      */
     public LinkageStep(ClassLoader classLoader) {
         linker = new ClassLinker(classLoader);
     }
 
-    /** Links the jars and class directories that are named; their classes have to be on the class path too. */
+    /**
+     * Links jars and class directories, and prints the failures and a summary.
+     *
+     * @param arguments paths of the jars and directories; their classes have to be on the class path, too
+     */
     public static void main(String[] arguments) {
         LinkageStep step = new LinkageStep(ClassLoader.getSystemClassLoader());
         Arrays.stream(arguments).map(Path::of).forEach(step::link);
@@ -45,17 +49,17 @@
                 + " failures=" + step.failures.size());
     }
 
-    /** Returns a line for each class that could not be linked. */
+    /** Returns a log line for each class that could not be linked. */
     public List<String> failures() {
         return List.copyOf(failures);
     }
 
-    /** Returns the number of call sites that were replaced. */
+    /** Returns the number of call sites replaced so far. */
     public int replacedCallSites() {
         return replacedCallSites;
     }
 
-    /** Links the classes of a jar or of a directory. */
+    /** Links the classes of a jar or a class directory. */
     public void link(Path target) {
         try {
             if (Files.isDirectory(target)) {
@@ -64,7 +68,7 @@
                 linkJar(target);
             }
         } catch (IOException e) {
-            throw new UncheckedIOException("linking " + target, e);
+            throw new UncheckedIOException("cannot link " + target, e);
         }
     }
 
@@ -83,7 +87,7 @@
     }
 
     private void linkJar(Path jar) throws IOException {
-        // Not a temporary file of the library, which nobody but its owner may read.
+        // Files.createTempFile would create a file that only its owner may read, and the jar would stay like that.
         Path result = jar.resolveSibling(jar.getFileName() + ".linked");
         try (ZipFile source = new ZipFile(jar.toFile());
                 ZipOutputStream target = new ZipOutputStream(Files.newOutputStream(result))) {
--- a/linkage/src/main/java/org/chivetally/linkage/RecordMethodSite.java
+++ b/linkage/src/main/java/org/chivetally/linkage/RecordMethodSite.java
@@ -13,13 +13,13 @@
 import java.util.List;
 
 /**
- * {@code equals}, {@code hashCode} or {@code toString} of a record, as {@code ObjectMethods} specifies them: components
- * in their order, references by {@code Objects}, numbers by the methods of their wrappers.
+ * The generated {@code equals}, {@code hashCode} or {@code toString} of a record, as {@code ObjectMethods} specifies
+ * them: components in declaration order, references through {@code Objects}, primitives through their wrapper classes.
  *
- * @param stem which of the three methods
- * @param type the record, and for {@code equals} the other object, to the result
- * @param simpleName of the record's class
- * @param components fields of the record
+ * @param operation name of the method: {@code equals}, {@code hashCode} or {@code toString}
+ * @param type method type; the first parameter is the record, the second one of {@code equals} the other object
+ * @param simpleName simple name of the record
+ * @param components components of the record in declaration order
  */
 record RecordMethodSite(String operation, MethodTypeDesc type, String simpleName, List<Component> components)
         implements CallSite {
@@ -29,7 +29,7 @@
     private static final int OTHER_SLOT = 1;
     private static final int HASH_MULTIPLIER = 31;
 
-    /** A component: its name and the type of the field that holds it. */
+    /** A record component, with the name and the type of its field. */
     record Component(String name, ClassDesc type) {}
 
     static RecordMethodSite of(InvokeDynamicInstruction instruction, String simpleName) {
@@ -39,16 +39,16 @@
             if (!(argument instanceof DirectMethodHandleDesc field)
                     || field.kind() != DirectMethodHandleDesc.Kind.GETTER
                     || !field.owner().equals(arguments.getFirst())) {
-                throw new UnsupportedCallSiteException("component " + argument);
+                throw new UnsupportedCallSiteException("unsupported record component " + argument);
             }
             components.add(
                     new Component(field.methodName(), field.invocationType().returnType()));
         }
-        String stem = instruction.name().stringValue();
-        if (!List.of("equals", "hashCode", "toString").contains(stem)) {
-            throw new UnsupportedCallSiteException("record method " + stem);
+        String operation = instruction.name().stringValue();
+        if (!List.of("equals", "hashCode", "toString").contains(operation)) {
+            throw new UnsupportedCallSiteException("unsupported record method " + operation);
         }
-        return new RecordMethodSite(stem, instruction.typeSymbol(), simpleName, List.copyOf(components));
+        return new RecordMethodSite(operation, instruction.typeSymbol(), simpleName, List.copyOf(components));
     }
 
     private ClassDesc owner() {
@@ -147,7 +147,7 @@
         code.invokevirtual(STRING_BUILDER, "append", MethodTypeDesc.of(STRING_BUILDER, type));
     }
 
-    /** Returns the parameter of the method of {@link StringBuilder} that appends a value as {@code String.valueOf}. */
+    /** Returns the parameter type of the {@code StringBuilder.append} overload for a component of a type. */
     private static ClassDesc appendType(ClassDesc type) {
         if (!type.isPrimitive()) {
             return ConstantDescs.CD_Object;
--- a/linkage/src/main/java/org/chivetally/linkage/TypeSwitchSite.java
+++ b/linkage/src/main/java/org/chivetally/linkage/TypeSwitchSite.java
@@ -12,12 +12,13 @@
 import java.util.List;
 
 /**
- * Choice of a label in a pattern switch, as {@code SwitchBootstraps.typeSwitch} and {@code enumSwitch} specify it: -1
- * for null, else the index of the first matching label from the restart index on, else the number of labels.
+ * The label selection of a pattern switch, as {@code SwitchBootstraps.typeSwitch} and {@code enumSwitch} specify it: -1
+ * for null, otherwise the index of the first matching label at or after the restart index, otherwise the number of
+ * labels.
  *
- * @param stem of the method's name
- * @param type the selector and the restart index to an index
- * @param labels classes, and for {@code enumSwitch} also names of constants
+ * @param operation name of the bootstrap method
+ * @param type method type; the parameters are the selector and the restart index, the result is an index
+ * @param labels classes, and for {@code enumSwitch} also names of enum constants
  */
 record TypeSwitchSite(String operation, MethodTypeDesc type, List<ConstantDesc> labels) implements CallSite {
     private static final ClassDesc OBJECTS = ClassDesc.of("java.util.Objects");
@@ -30,14 +31,14 @@
         String method = instruction.bootstrapMethod().methodName();
         MethodTypeDesc type = instruction.typeSymbol();
         if (type.parameterCount() != 2 || type.parameterType(0).isPrimitive()) {
-            throw new UnsupportedCallSiteException(method + " of type " + type.displayDescriptor());
+            throw new UnsupportedCallSiteException(method + " with unsupported type " + type.displayDescriptor());
         }
         boolean acceptsNames = method.equals("enumSwitch");
         for (ConstantDesc label : instruction.bootstrapArgs()) {
             boolean supported = label instanceof ClassDesc labelType && !labelType.isPrimitive()
                     || acceptsNames && label instanceof String;
             if (!supported) {
-                throw new UnsupportedCallSiteException(method + " with label " + label);
+                throw new UnsupportedCallSiteException(method + " with unsupported label " + label);
             }
         }
         return new TypeSwitchSite(method, type, List.copyOf(instruction.bootstrapArgs()));
@@ -66,7 +67,7 @@
         code.labelBinding(noMatch).loadConstant(labels.size()).ireturn();
     }
 
-    /** Returns the index if its label matches, and else goes on to what follows. */
+    /** Generates code that returns the index when its label matches and continues otherwise. */
     private void writeTest(CodeBuilder code, int index) {
         Label next = code.newLabel();
         if (labels.get(index) instanceof ClassDesc type) {
--- a/linkage/src/main/java/org/chivetally/linkage/UnsupportedCallSiteException.java
+++ b/linkage/src/main/java/org/chivetally/linkage/UnsupportedCallSiteException.java
@@ -1,6 +1,6 @@
 package org.chivetally.linkage;
 
-/** A call site of a kind that is replaced, in a form that isn't known. */
+/** Thrown for a call site of a replaced bootstrap method whose arguments aren't supported. */
 final class UnsupportedCallSiteException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
--- a/linkage/src/main/java/org/chivetally/linkage/package-info.java
+++ b/linkage/src/main/java/org/chivetally/linkage/package-info.java
@@ -1,5 +1,5 @@
 /**
- * A build step on class files: call sites that the JVM would link by generating classes at run time become calls of
- * plain methods. The processes of the product don't load this package.
+ * A build step that rewrites class files: {@code invokedynamic} call sites for which the JVM would generate hidden
+ * classes at run time become calls of static methods. The processes of the product don't load this package.
  */
 package org.chivetally.linkage;
--- a/linkage/src/test/java/org/chivetally/linkage/ClassLinkerTest.java
+++ b/linkage/src/test/java/org/chivetally/linkage/ClassLinkerTest.java
@@ -31,7 +31,7 @@
 class ClassLinkerTest {
     private final ClassLinker linker = new ClassLinker(ClassLinkerTest.class.getClassLoader());
 
-    /** Defines the samples from their linked bytes; everything else comes from the usual loader. */
+    /** Links the samples before it defines them; all other classes come from the parent class loader. */
     private final ClassLoader linkingLoader = new ClassLoader(ClassLinkerTest.class.getClassLoader()) {
         @Override
         protected Class<?> loadClass(String name, boolean resolve) throws ClassNotFoundException {
@@ -55,7 +55,7 @@
         }
     }
 
-    /** Guards against a record or a pattern switch that gives another result once it was linked. */
+    /** Guards against a record method or a pattern switch that returns another result after linking. */
     @Test
     void linkedClassesReturnTheSameResults() throws ReflectiveOperationException {
         Method results = linkingLoader.loadClass(Samples.class.getName()).getDeclaredMethod("results");
@@ -63,7 +63,7 @@
         assertThat(results.invoke(null), equalTo(Samples.results()));
     }
 
-    /** Guards against a call site that is left, and would generate a class. */
+    /** Guards against a call site that is left in a linked class and makes the JVM generate a class. */
     @Test
     void replacesAllCallSites() {
         ClassLinker.LinkedClass linked = linker.link(bytes(Samples.class.getName()));
@@ -85,7 +85,7 @@
         return owners;
     }
 
-    /** Guards against a restart index that is not looked at, which would try the same guard for ever. */
+    /** Guards against an ignored restart index: the switch would evaluate the same failing guard in an endless loop. */
     @Test
     void searchesFromTheRestartIndex() throws ReflectiveOperationException {
         Method typeSwitch = typeSwitchMethod();
@@ -96,7 +96,7 @@
         assertThat(typeSwitch.invoke(null, 1, 6), is(6));
     }
 
-    /** Guards against an index out of range that is taken for no match. */
+    /** Guards against an out-of-range restart index that is handled as "no label matches". */
     @Test
     void rejectsARestartIndexOutOfRange() throws ReflectiveOperationException {
         Method typeSwitch = typeSwitchMethod();
@@ -107,7 +107,7 @@
         }
     }
 
-    /** Returns the choice of the first switch of the samples, which has six labels. */
+    /** Returns the method that replaces the first pattern switch of the samples, which has six labels. */
     private Method typeSwitchMethod() throws ReflectiveOperationException {
         Class<?> samples = linkingLoader.loadClass(Samples.class.getName());
         for (Method method : samples.getDeclaredMethods()) {
@@ -116,25 +116,25 @@
                 return method;
             }
         }
-        throw new AssertionError("no linked switch");
+        throw new AssertionError("no method linked$typeSwitch$0");
     }
 
-    /** Guards against a build that fails, or a class that is half changed, because of one unknown form. */
+    /** Guards against a failed build, or a partly changed class, because of one unsupported call site. */
     @Test
     void leavesAClassWithAnUnsupportedCallSiteUnchanged(@TempDir Path folder) throws IOException {
         byte[] unsupported = bytes(UnsupportedSwitch.class.getName());
-        Path file = folder.resolve("UnknownForm.class");
+        Path file = folder.resolve("UnsupportedSwitch.class");
         Files.write(file, unsupported);
         Path supported = folder.resolve("Pair.class");
         Files.write(supported, bytes(Samples.Pair.class.getName()));
         LinkageStep step = new LinkageStep(ClassLinkerTest.class.getClassLoader());
         step.link(folder);
-        assertThat(step.failures(), contains(containsString("class=UnknownForm.class")));
+        assertThat(step.failures(), contains(containsString("class=UnsupportedSwitch.class")));
         assertThat(step.replacedCallSites(), is(3));
         assertThat(Files.readAllBytes(file), is(unsupported));
     }
 
-    /** Guards against a jar that loses an entry or the place of its manifest, which has to come first. */
+    /** Guards against a lost entry, and against a manifest that is no longer the first entry of the jar. */
     @Test
     void keepsAllEntriesOfAJarInOrder(@TempDir Path folder) throws IOException {
         Path jar = folder.resolve("samples.jar");
--- a/linkage/src/test/java/org/chivetally/linkage/Samples.java
+++ b/linkage/src/test/java/org/chivetally/linkage/Samples.java
@@ -4,7 +4,7 @@
 import java.util.Arrays;
 import java.util.List;
 
-/** Records and pattern switches of every form that the step knows, and what they give for many values. */
+/** Records and pattern switches of all supported forms, with their results for many values. */
 final class Samples {
     private static final Object[] VALUES = {
         "text",
@@ -50,7 +50,7 @@
 
     record Arrayed(int[] numbers, char[] letters, List<String> texts) {}
 
-    /** Declares one of the three methods itself, so that only the others are generated. */
+    /** Declares {@code toString} itself, so that only {@code equals} and {@code hashCode} are generated. */
     record Own(int value) {
         @Override
         public String toString() {
@@ -58,7 +58,7 @@
         }
     }
 
-    /** Returns all results as texts, in an order that doesn't change. */
+    /** Returns the results of all switches and record methods as texts, in a fixed order. */
     static List<String> results() {
         List<String> results = new ArrayList<>();
         for (Object value : VALUES) {
--- a/linkage/src/test/java/org/chivetally/linkage/UnsupportedSwitch.java
+++ b/linkage/src/test/java/org/chivetally/linkage/UnsupportedSwitch.java
@@ -1,6 +1,6 @@
 package org.chivetally.linkage;
 
-/** A pattern switch with a label that the step doesn't know. */
+/** A pattern switch with a qualified enum constant as a label, which the build step doesn't support. */
 final class UnsupportedSwitch {
     private UnsupportedSwitch() {}
 
