--- a/library/src/test/java/org/chivetally/queue/entry/Cluster.java
+++ b/library/src/test/java/org/chivetally/queue/entry/Cluster.java
@@ -112,10 +112,10 @@
         network.kill(name);
         log.setDisconnected(name, true);
         for (String other : entries.keySet()) {
-            network.cut(name, other, true);
+            network.setCut(name, other, true);
         }
         for (String other : agents.keySet()) {
-            network.cut(name, other, true);
+            network.setCut(name, other, true);
         }
         entries.remove(name);
     }
@@ -145,7 +145,7 @@
     }
 
     /** Returns the minion that runs anything of a job. */
-    Optional<ModelMinion> runner(String jobId) {
+    Optional<ModelMinion> minionRunning(String jobId) {
         return minions.values().stream()
                 .filter(minion -> minion.running.keySet().stream()
                         .anyMatch(run -> run.task().jobId().equals(jobId)))
--- /dev/null
+++ b/library/src/test/java/org/chivetally/queue/placement/EntryCapacityShareTest.java
@@ -0,0 +1,50 @@
+package org.chivetally.queue.placement;
+
+import static org.hamcrest.MatcherAssert.assertThat;
+import static org.hamcrest.Matchers.is;
+import static org.hamcrest.Matchers.lessThan;
+
+import java.util.Map;
+import org.junit.jupiter.api.Test;
+
+class EntryCapacityShareTest {
+    private static final long CAPACITY_MILLICORES = 90_000;
+
+    @Test
+    void entryWithAllTheDemandGetsAllSpareCapacity() {
+        ServiceDemand own = new ServiceDemand(60_000, 500);
+        Map<String, ServiceDemand> idle = Map.of("b", ServiceDemand.NONE, "c", ServiceDemand.NONE);
+        EntryCapacityShare share = EntryCapacityShare.forEntry(CAPACITY_MILLICORES, own, idle, 3);
+        assertThat(share.spareMillicores(), is(30_000L));
+        assertThat(share.backlogMillicores(), is(CAPACITY_MILLICORES));
+    }
+
+    @Test
+    void entriesWithEqualDemandGetEqualShares() {
+        ServiceDemand demand = new ServiceDemand(20_000, 500);
+        EntryCapacityShare share =
+                EntryCapacityShare.forEntry(CAPACITY_MILLICORES, demand, Map.of("b", demand, "c", demand), 3);
+        assertThat(share.spareMillicores(), is(10_000L));
+        assertThat(share.backlogMillicores(), is(30_000L));
+    }
+
+    /**
+     * An entry that has told nothing yet may have as many callers as this one; taken for idle, both would take too
+     * many.
+     */
+    @Test
+    void entryWithoutReportIsAssumedToHaveTheSameDemand() {
+        ServiceDemand own = new ServiceDemand(40_000, 500);
+        EntryCapacityShare share =
+                EntryCapacityShare.forEntry(CAPACITY_MILLICORES, own, Map.of("b", ServiceDemand.NONE), 3);
+        assertThat(share.spareMillicores(), is(5_000L));
+    }
+
+    @Test
+    void noSpareCapacityWhenArrivalsExceedCapacity() {
+        ServiceDemand own = new ServiceDemand(40_000, 500);
+        EntryCapacityShare share =
+                EntryCapacityShare.forEntry(CAPACITY_MILLICORES, own, Map.of("b", new ServiceDemand(60_000, 0)), 2);
+        assertThat(share.spareMillicores(), lessThan(0L));
+    }
+}
