--- a/library/src/main/java/org/chivetally/coordination/WaitingQueue.java
+++ b/library/src/main/java/org/chivetally/coordination/WaitingQueue.java
@@ -68,7 +68,7 @@
     }
 
     /** Takes the next task; null when none may have its turn. */
-    TaskProgress poll() {
+    TaskProgress look() {
         while (!turns.isEmpty()) {
             Lane lane = turns.peekFirst();
             if (lane.size == 0) {
--- a/library/src/main/java/org/chivetally/queue/agent/AgentNode.java
+++ b/library/src/main/java/org/chivetally/queue/agent/AgentNode.java
@@ -47,44 +47,44 @@
      * Interval of heartbeats, and of all else that is looked at regularly: on half a core, wake-ups are most of what an
      * idle agent costs. Three fit into the silence after which runs are stopped, six into that which closes a link.
      */
-    static final Duration BEAT_INTERVAL = Duration.ofMillis(250);
+    static final Duration HEARTBEAT_INTERVAL = Duration.ofMillis(250);
 
     /**
      * The same while nothing runs, waits or is still to be told. Entries answer each heartbeat, so two in each
      * direction fit into the silence of 1.5 s that closes a link, and one of them may come late.
      */
-    static final Duration IDLE_BEAT_INTERVAL = Duration.ofMillis(700);
+    static final Duration IDLE_HEARTBEAT_INTERVAL = Duration.ofMillis(700);
 
     /** Time without work after which an agent counts as idle: under load the next start comes long before. */
     static final Duration IDLE_AFTER = Duration.ofSeconds(2);
 
     /** Pause before a changed room is told, so that a burst of ends makes one frame to each entry. */
-    static final Duration REPORT_PAUSE = Duration.ofMillis(10);
+    static final Duration REPORT_DELAY = Duration.ofMillis(10);
 
     /**
      * Entries up to which the pause is enough. With more it grows with them, so that an agent sends no more than 300
      * reports a second: 60 agents under full load would else take half a small entry's processor for these alone.
      */
-    static final int ENTRIES_PER_PAUSE = 3;
+    static final int ENTRIES_PER_REPORT_DELAY = 3;
 
     /**
      * Reports a second that all agents together send to one entry between their heartbeats. Without a bound they grow
      * with the agents, until a small entry has no time left to place anything; with so many agents, it hears of free
      * room often enough as it is.
      */
-    static final int REPORTS_PER_SECOND = 800;
+    static final int MAXIMUM_REPORTS_PER_SECOND = 800;
 
     /** Heartbeats after which ends that nobody has stored are told again, for an owner that was not ready for them. */
-    static final int BEATS_PER_REPEAT = 2;
+    static final int HEARTBEATS_PER_END_RETRY = 2;
 
     /**
      * Part of the capacity under which a change of the free room is told at once. Above it no entry waits for room, and
      * the next heartbeat is soon enough, and each change told costs every entry a frame.
      */
-    static final int SCARCE_PART = 4;
+    static final int SCARCE_ROOM_DIVISOR = 4;
 
     /** How often an agent without any link looks for entries: all that it knew may be gone. */
-    static final Duration SEARCH_INTERVAL = Duration.ofMillis(1_000);
+    static final Duration DISCOVERY_INTERVAL = Duration.ofMillis(1_000);
 
     /** Refusal of a start in an evacuated failure domain. */
     static final String EVACUATED = "evacuated";
@@ -99,22 +99,22 @@
     private final RunSupervisor supervisor;
     private final RunOwners owners;
     private final Map<PeerLink, Long> startsSeen = new HashMap<>();
-    private final Set<PeerLink> owedInventory = new HashSet<>();
+    private final Set<PeerLink> awaitingInventory = new HashSet<>();
     private final WaitingStarts waitingStarts = new WaitingStarts();
     private Evacuations evacuations = Evacuations.UNKNOWN;
-    private long beats;
-    private Timers.Timer nextBeat;
-    private long nextBeatNanos;
-    private long busyAtNanos;
-    private long aloneSinceNanos;
+    private long heartbeats;
+    private Timers.Timer nextHeartbeat;
+    private long nextHeartbeatNanos;
+    private long lastBusyNanos;
+    private long disconnectedSinceNanos;
     /** Agents that the entry heard last is linked to. */
     private int agents;
 
-    private boolean reportArmed;
+    private boolean reportScheduled;
     private boolean reportedAccepting;
-    private boolean reportedScarce;
+    private boolean reportedRoomScarce;
     private Runnable minionListener = () -> {};
-    private Runnable search = () -> {};
+    private Runnable entryDiscovery = () -> {};
 
     /** Creates an agent that dials nobody yet. */
     public AgentNode(Peer self, Timers timers, Dialer dialer, MinionPort minion, int partitions) {
@@ -125,9 +125,9 @@
         this.timing = new TimingMinionPort(minion, timers);
         this.supervisor = new RunSupervisor(timers, timing, this, partitions);
         this.owners = new RunOwners(timers, links);
-        this.busyAtNanos = timers.nanos();
-        this.aloneSinceNanos = timers.nanos();
-        armBeat(BEAT_INTERVAL);
+        this.lastBusyNanos = timers.nanos();
+        this.disconnectedSinceNanos = timers.nanos();
+        scheduleHeartbeat(HEARTBEAT_INTERVAL);
     }
 
     /** Returns what keeps the minion's runs. */
@@ -145,9 +145,9 @@
         minionListener = listener;
     }
 
-    /** Names who looks for entries; called every {@link #SEARCH_INTERVAL} while there is no link to any. */
-    public void whenAlone(Runnable listener) {
-        search = listener;
+    /** Names who looks for entries; called every {@link #DISCOVERY_INTERVAL} while there is no link to any. */
+    public void whenDisconnected(Runnable listener) {
+        entryDiscovery = listener;
     }
 
     /** Returns the links. */
@@ -161,7 +161,7 @@
     }
 
     /** Dials an entry from now on. */
-    public void meet(Peer entry) {
+    public void addEntry(Peer entry) {
         if (!entry.agent() && !entry.process().equals(self.process())) {
             links.dial(entry);
         }
@@ -170,8 +170,8 @@
     @Override
     public void up(PeerLink link) {
         startsSeen.put(link, 0L);
-        owedInventory.add(link);
-        beatSoon();
+        awaitingInventory.add(link);
+        leaveIdleRate();
         sendInventories();
     }
 
@@ -180,18 +180,18 @@
         // Nobody follows them any more; the entry finds them in no inventory and starts them elsewhere.
         waitingStarts.removeIf(waiting -> waiting.link() == link);
         startsSeen.remove(link);
-        owedInventory.remove(link);
+        awaitingInventory.remove(link);
     }
 
     @Override
     public void received(PeerLink link, Frame frame) {
         switch (frame.getBodyCase()) {
-            case ENTRY_BEAT -> entryBeat(link, frame.getEntryBeat());
+            case ENTRY_BEAT -> handleHeartbeat(link, frame.getEntryBeat());
             case BEAT_ECHO ->
                 link.stamps(link.peerStampNanos(), frame.getBeatEcho().getEchoNanos());
-            case RUN_START -> runStart(link, frame.getRunStart());
-            case RUN_STOP -> runStop(frame.getRunStop());
-            case ENDS_KEPT -> endsKept(frame.getEndsKept());
+            case RUN_START -> handleStart(link, frame.getRunStart());
+            case RUN_STOP -> handleStop(frame.getRunStop());
+            case ENDS_KEPT -> handleStoredEnds(frame.getEndsKept());
             default ->
                 EventLine.of("frame-unexpected")
                         .with("peer", link.peer().process())
@@ -200,26 +200,26 @@
         }
     }
 
-    private void entryBeat(PeerLink link, EntryBeat beat) {
+    private void handleHeartbeat(PeerLink link, EntryBeat beat) {
         link.stamps(beat.getStampNanos(), beat.getEchoNanos());
         agents = beat.getAgents();
-        evacuations(JobCodec.decode(beat.getEvacuations()));
+        updateEvacuations(JobCodec.decode(beat.getEvacuations()));
         boolean raised = false;
         for (OwnedPartition owned : beat.getOwnedList()) {
-            raised |= owners.raise(owned.getPartition(), owned.getEpoch(), link);
+            raised |= owners.raiseEpoch(owned.getPartition(), owned.getEpoch(), link);
         }
         if (raised) {
-            beatSoon();
-            owedInventory.add(link);
+            leaveIdleRate();
+            awaitingInventory.add(link);
             sendInventories();
         }
         for (EntryAddress entry : beat.getEntriesList()) {
-            meet(new Peer(entry.getProcess(), entry.getIncarnation(), false, "", entry.getHost(), entry.getPort()));
+            addEntry(new Peer(entry.getProcess(), entry.getIncarnation(), false, "", entry.getHost(), entry.getPort()));
         }
     }
 
     /** Goes by the newest evacuations that any entry has read; what runs here ends by itself. */
-    private void evacuations(Evacuations told) {
+    private void updateEvacuations(Evacuations told) {
         boolean before = isEvacuated();
         evacuations = evacuations.newest(told);
         boolean evacuated = isEvacuated();
@@ -233,7 +233,7 @@
         if (evacuated) {
             refuseWaiting(EVACUATED, waiting -> true);
         }
-        sendBeats();
+        sendHeartbeats();
     }
 
     private boolean isEvacuated() {
@@ -244,8 +244,8 @@
         return supervisor.isAccepting() && !isEvacuated();
     }
 
-    private void runStart(PeerLink link, RunStart start) {
-        beatSoon();
+    private void handleStart(PeerLink link, RunStart start) {
+        leaveIdleRate();
         startsSeen.computeIfPresent(link, (same, seen) -> Math.max(seen, start.getNumber()));
         Optional<TaskKey> task = TaskKey.parse(start.getTask());
         if (task.isEmpty()) {
@@ -253,18 +253,18 @@
             return;
         }
         RunKey run = new RunKey(task.get(), start.getRun());
-        Optional<String> refusal = begin(link, start, run);
+        Optional<String> refusal = tryStart(link, start, run);
         if (refusal.isEmpty()) {
             return;
         }
-        boolean waits = RunSupervisor.NO_ROOM.equals(refusal.get()) && waitsForRoom(link, start, run);
+        boolean waits = RunSupervisor.NO_ROOM.equals(refusal.get()) && addWaiting(link, start, run);
         if (!waits) {
             refuse(link, start, refusal.get());
         }
     }
 
     /** Starts a run; returns why not, if it isn't. */
-    private Optional<String> begin(PeerLink link, RunStart start, RunKey run) {
+    private Optional<String> tryStart(PeerLink link, RunStart start, RunKey run) {
         Optional<String> refusal = refusal(link, start);
         if (refusal.isEmpty()) {
             timing.expect(run, start.getEstimatedMillis());
@@ -285,37 +285,37 @@
                     .with("free_millicores", supervisor.free().processorMillis())
                     .log(LOGGER.atInfo());
         } else {
-            timing.forget(run);
+            timing.discard(run);
         }
         return refusal;
     }
 
     /** Lets a start wait for room; tells whether there was a place for it. */
-    private boolean waitsForRoom(PeerLink link, RunStart start, RunKey run) {
-        Optional<WaitingStarts.Waiting> waiting = waitingStarts.add(link, start, run);
+    private boolean addWaiting(PeerLink link, RunStart start, RunKey run) {
+        Optional<WaitingStarts.WaitingStart> waiting = waitingStarts.add(link, start, run);
         waiting.ifPresent(added ->
-                timers.after(WaitingStarts.PATIENCE, () -> refuseWaiting(RunSupervisor.NO_ROOM, added::equals)));
+                timers.after(WaitingStarts.MAXIMUM_WAIT, () -> refuseWaiting(RunSupervisor.NO_ROOM, added::equals)));
         return waiting.isPresent();
     }
 
-    private void refuseWaiting(String reason, Predicate<WaitingStarts.Waiting> condition) {
-        for (WaitingStarts.Waiting start : waitingStarts.removeIf(condition)) {
+    private void refuseWaiting(String reason, Predicate<WaitingStarts.WaitingStart> condition) {
+        for (WaitingStarts.WaitingStart start : waitingStarts.removeIf(condition)) {
             refuse(start.link(), start.start(), reason);
         }
     }
 
-    private void beginWaiting() {
-        Optional<WaitingStarts.Waiting> next = waitingStarts.pollFitting(supervisor.free());
+    private void startWaiting() {
+        Optional<WaitingStarts.WaitingStart> next = waitingStarts.pollFitting(supervisor.free());
         while (next.isPresent()) {
-            WaitingStarts.Waiting start = next.get();
-            begin(start.link(), start.start(), start.run())
+            WaitingStarts.WaitingStart start = next.get();
+            tryStart(start.link(), start.start(), start.run())
                     .ifPresent(reason -> refuse(start.link(), start.start(), reason));
             next = waitingStarts.pollFitting(supervisor.free());
         }
     }
 
     private Optional<String> refusal(PeerLink link, RunStart start) {
-        owners.lookForSuspension();
+        owners.checkForSuspension();
         if (isEvacuated()) {
             // An entry that is cut off from the log does not know of it, and would go on sending.
             return Optional.of(EVACUATED);
@@ -331,7 +331,7 @@
         // Without that, the lease is held back, and the first starts after a loss of all power are refused.
         link.echoed(sentNanos);
         if (!start.getUnkept()) {
-            owners.raise(start.getPartition(), start.getEpoch(), link);
+            owners.raiseEpoch(start.getPartition(), start.getEpoch(), link);
         }
         return Optional.empty();
     }
@@ -362,7 +362,7 @@
         link.send(Frame.newBuilder().setRunRefused(refused).build());
     }
 
-    private void runStop(RunStop stop) {
+    private void handleStop(RunStop stop) {
         if (!stop.getUnkept() && owners.isFenced(stop.getPartition(), stop.getEpoch())) {
             return;
         }
@@ -377,8 +377,8 @@
         });
     }
 
-    private void endsKept(EndsKept kept) {
-        supervisor.kept(kept.getMinion(), kept.getSequencesList());
+    private void handleStoredEnds(EndsKept kept) {
+        supervisor.markStored(kept.getMinion(), kept.getSequencesList());
     }
 
     @Override
@@ -388,11 +388,11 @@
 
     @Override
     public void ended(List<OwnedEnd> ends) {
-        beatSoon();
-        tellOwners(ends);
+        leaveIdleRate();
+        reportEnds(ends);
     }
 
-    private void tellOwners(List<OwnedEnd> ends) {
+    private void reportEnds(List<OwnedEnd> ends) {
         Map<PeerLink, RunEnds.Builder> frames = new LinkedHashMap<>();
         for (OwnedEnd end : ends) {
             owners.linkTo(end.owner())
@@ -410,108 +410,108 @@
 
     @Override
     public void capacityChanged(boolean shrunk) {
-        boolean wasScarce = reportedScarce;
-        beginWaiting();
+        boolean wasScarce = reportedRoomScarce;
+        startWaiting();
         if (shrunk) {
             // They would wait for ends that give the room of other starts back, and have a better chance elsewhere.
             refuseWaiting(RunSupervisor.NO_ROOM, waiting -> true);
         }
         if (shrunk || wasScarce) {
-            sendBeats();
+            sendHeartbeats();
         }
     }
 
     @Override
     public void roomChanged() {
-        beginWaiting();
+        startWaiting();
         boolean accepting = isAccepting();
-        if (accepting == reportedAccepting && !isScarce()) {
+        if (accepting == reportedAccepting && !isRoomScarce()) {
             return;
         }
-        if (!reportArmed) {
-            reportArmed = true;
-            timers.after(reportPause(), () -> {
-                reportArmed = false;
-                sendBeats();
+        if (!reportScheduled) {
+            reportScheduled = true;
+            timers.after(reportDelay(), () -> {
+                reportScheduled = false;
+                sendHeartbeats();
             });
         }
     }
 
-    private Duration reportPause() {
-        int entries = Math.max(ENTRIES_PER_PAUSE, links.size());
-        Duration byEntries = REPORT_PAUSE.multipliedBy(entries).dividedBy(ENTRIES_PER_PAUSE);
-        Duration byAgents = Duration.ofSeconds(agents).dividedBy(REPORTS_PER_SECOND);
+    private Duration reportDelay() {
+        int entries = Math.max(ENTRIES_PER_REPORT_DELAY, links.size());
+        Duration byEntries = REPORT_DELAY.multipliedBy(entries).dividedBy(ENTRIES_PER_REPORT_DELAY);
+        Duration byAgents = Duration.ofSeconds(agents).dividedBy(MAXIMUM_REPORTS_PER_SECOND);
         return byAgents.compareTo(byEntries) > 0 ? byAgents : byEntries;
     }
 
-    private boolean isScarce() {
+    private boolean isRoomScarce() {
         Room capacity = supervisor.minion().map(MinionState::capacity).orElse(Room.NONE);
         Room free = supervisor.free();
-        return SCARCE_PART * free.processorMillis() < capacity.processorMillis()
-                || SCARCE_PART * free.memoryMegabytes() < capacity.memoryMegabytes()
-                || SCARCE_PART * free.accelerators() < capacity.accelerators();
+        return SCARCE_ROOM_DIVISOR * free.processorMillis() < capacity.processorMillis()
+                || SCARCE_ROOM_DIVISOR * free.memoryMegabytes() < capacity.memoryMegabytes()
+                || SCARCE_ROOM_DIVISOR * free.accelerators() < capacity.accelerators();
     }
 
     private boolean isIdle() {
-        return supervisor.isIdle() && waitingStarts.isEmpty() && owedInventory.isEmpty();
+        return supervisor.isIdle() && waitingStarts.isEmpty() && awaitingInventory.isEmpty();
     }
 
     /** Goes over to the full rate of heartbeats, unless the next one is due within its interval anyway. */
-    private void beatSoon() {
-        busyAtNanos = timers.nanos();
-        if (nextBeatNanos - busyAtNanos > BEAT_INTERVAL.toNanos()) {
-            nextBeat.cancel();
-            armBeat(BEAT_INTERVAL);
+    private void leaveIdleRate() {
+        lastBusyNanos = timers.nanos();
+        if (nextHeartbeatNanos - lastBusyNanos > HEARTBEAT_INTERVAL.toNanos()) {
+            nextHeartbeat.cancel();
+            scheduleHeartbeat(HEARTBEAT_INTERVAL);
         }
     }
 
-    private void armBeat(Duration delay) {
-        nextBeatNanos = timers.nanos() + delay.toNanos();
-        nextBeat = timers.after(delay, this::beat);
+    private void scheduleHeartbeat(Duration delay) {
+        nextHeartbeatNanos = timers.nanos() + delay.toNanos();
+        nextHeartbeat = timers.after(delay, this::heartbeat);
     }
 
-    private Duration untilNextBeat() {
+    private Duration heartbeatInterval() {
         long now = timers.nanos();
         if (!isIdle()) {
-            busyAtNanos = now;
+            lastBusyNanos = now;
         }
-        if (now - busyAtNanos < IDLE_AFTER.toNanos() || links.size() == 0) {
-            return BEAT_INTERVAL;
+        if (now - lastBusyNanos < IDLE_AFTER.toNanos() || links.size() == 0) {
+            return HEARTBEAT_INTERVAL;
         }
         Duration silent = links.untilSilent();
-        return silent.compareTo(IDLE_BEAT_INTERVAL) < 0 ? silent : IDLE_BEAT_INTERVAL;
+        return silent.compareTo(IDLE_HEARTBEAT_INTERVAL) < 0 ? silent : IDLE_HEARTBEAT_INTERVAL;
     }
 
-    private void beat() {
+    private void heartbeat() {
         try {
-            lookAround();
+            runPeriodicWork();
         } finally {
             // Also after an exception, which must not end the heartbeats.
-            armBeat(untilNextBeat());
+            scheduleHeartbeat(heartbeatInterval());
         }
     }
 
-    private void lookAround() {
-        beats++;
+    private void runPeriodicWork() {
+        heartbeats++;
         long now = timers.nanos();
         if (links.size() > 0) {
-            aloneSinceNanos = now;
-        } else if (now - aloneSinceNanos >= SEARCH_INTERVAL.toNanos()) {
-            aloneSinceNanos = now;
-            search.run();
+            disconnectedSinceNanos = now;
+        } else if (now - disconnectedSinceNanos >= DISCOVERY_INTERVAL.toNanos()) {
+            disconnectedSinceNanos = now;
+            entryDiscovery.run();
         }
         links.closeSilent();
-        owners.silent(supervisor.owners()).forEach(supervisor::stopAll);
-        if (beats % BEATS_PER_REPEAT == 0) {
-            tellOwners(supervisor.openEnds());
+        owners.silentOwners(supervisor.owners()).forEach(supervisor::stopAll);
+        if (heartbeats % HEARTBEATS_PER_END_RETRY == 0) {
+            reportEnds(supervisor.unstoredEnds());
         }
         sendInventories();
-        sendBeats();
+        sendHeartbeats();
     }
 
-    private void sendBeats() {
+    private void sendHeartbeats() {
         reportedAccepting = isAccepting();
-        reportedScarce = isScarce();
+        reportedRoomScarce = isRoomScarce();
         WorkerReport report = report().build();
         for (PeerLink link : links.links()) {
             long seen = startsSeen.getOrDefault(link, 0L);
@@ -528,15 +528,15 @@
     }
 
     private void sendInventories() {
-        if (!supervisor.isComplete()) {
+        if (!supervisor.isInventoryComplete()) {
             return;
         }
-        for (PeerLink link : owedInventory) {
+        for (PeerLink link : awaitingInventory) {
             // An inventory says that what it doesn't list never runs, so nothing may wait beside it.
             refuseWaiting("inventory", waiting -> waiting.link() == link);
             link.send(inventory(link));
         }
-        owedInventory.clear();
+        awaitingInventory.clear();
     }
 
     private Frame inventory(PeerLink link) {
@@ -551,10 +551,10 @@
                         .setUnkept(unkept));
             }
         });
-        for (OwnedEnd end : supervisor.openEnds()) {
+        for (OwnedEnd end : supervisor.unstoredEnds()) {
             inventory.addEnds(EndCodec.encode(end.end()));
         }
-        owners.addFences(inventory);
+        owners.addKnownEpochs(inventory);
         return Frame.newBuilder().setRunInventory(inventory).build();
     }
 
@@ -576,12 +576,12 @@
                 .ifPresent(minion -> report.setMinion(minion.incarnation().name())
                         .setService(minion.service())
                         .setCapacity(JobCodec.encode(minion.capacity()))
-                        .setFree(JobCodec.encode(clamped(supervisor.free().minus(waitingStarts.room()))))
+                        .setFree(JobCodec.encode(nonNegative(supervisor.free().minus(waitingStarts.room()))))
                         .addAllLabels(minion.labels()));
         return report;
     }
 
-    private static Room clamped(Room free) {
+    private static Room nonNegative(Room free) {
         return new Room(
                 Math.max(0, free.processorMillis()),
                 Math.max(0, free.memoryMegabytes()),
--- a/library/src/main/java/org/chivetally/queue/agent/DepartureCheck.java
+++ b/library/src/main/java/org/chivetally/queue/agent/DepartureCheck.java
@@ -4,8 +4,8 @@
 import java.time.Duration;
 import java.util.OptionalLong;
 import org.chivetally.logging.EventLine;
-import org.chivetally.queue.agent.MinionPort.LookAnswer;
-import org.chivetally.queue.agent.MinionPort.LookOrder;
+import org.chivetally.queue.agent.MinionPort.PollRequest;
+import org.chivetally.queue.agent.MinionPort.PollResult;
 import org.chivetally.time.Timers;
 
 /**
@@ -14,10 +14,10 @@
  */
 final class DepartureCheck {
     /** Pause between two looks at a minion that has taken its leave and still answers. */
-    static final Duration PAUSE = Duration.ofMillis(100);
+    static final Duration POLL_INTERVAL = Duration.ofMillis(100);
 
     /** Looks after which a minion that still answers has not left; one that does ends within a second. */
-    static final int MOST_LOOKS = 10;
+    static final int MAXIMUM_POLLS = 10;
 
     private static final FluentLogger LOGGER = FluentLogger.forEnclosingClass();
 
@@ -27,7 +27,7 @@
     private final FencingToken token;
     private final Runnable whenDeparted;
     private final Runnable whenPresent;
-    private int looks;
+    private int polls;
 
     /**
      * Creates a check that has not begun.
@@ -53,23 +53,23 @@
     }
 
     /** Looks at the minion until it is gone or has been there long enough. */
-    void look() {
-        looks++;
-        LookOrder order = new LookOrder(token.value(), 0, OptionalLong.empty(), Duration.ZERO);
-        port.look(minion.id(), order, this::answered);
+    void poll() {
+        polls++;
+        PollRequest order = new PollRequest(token.value(), 0, OptionalLong.empty(), Duration.ZERO);
+        port.poll(minion.id(), order, this::answered);
     }
 
-    private void answered(LookAnswer answer) {
+    private void answered(PollResult answer) {
         boolean isGone = switch (answer) {
-            case LookAnswer.Lists lists -> !minion.isBornAs(lists.bornAtMillis());
-            case LookAnswer.Refused refused -> !refused.fenced();
-            case LookAnswer.Unreachable unreachable -> true;
-            case LookAnswer.Unknown unknown -> false;
+            case PollResult.Lists lists -> !minion.mayHaveStartedAt(lists.startedAtMillis());
+            case PollResult.Refused refused -> !refused.fenced();
+            case PollResult.Unreachable unreachable -> true;
+            case PollResult.Unknown unknown -> false;
         };
         if (isGone) {
             whenDeparted.run();
-        } else if (looks < MOST_LOOKS) {
-            timers.after(PAUSE, this::look);
+        } else if (polls < MAXIMUM_POLLS) {
+            timers.after(POLL_INTERVAL, this::poll);
         } else {
             EventLine.of("departure-unfounded").with("minion", minion.name()).log(LOGGER.atWarning());
             whenPresent.run();
--- a/library/src/main/java/org/chivetally/queue/agent/EndCodec.java
+++ b/library/src/main/java/org/chivetally/queue/agent/EndCodec.java
@@ -13,7 +13,7 @@
     /** Writes an end. */
     public static RunEnd encode(EndedRun end) {
         return RunEnd.newBuilder()
-                .setMinion(end.boot())
+                .setMinion(end.incarnation())
                 .setSequence(end.sequence())
                 .setTask(end.run().task().toString())
                 .setRun(end.run().run())
--- a/library/src/main/java/org/chivetally/queue/agent/FencingToken.java
+++ b/library/src/main/java/org/chivetally/queue/agent/FencingToken.java
@@ -12,7 +12,7 @@
  */
 final class FencingToken {
     /** Step by which a token that was refused is raised at least; more than clocks are apart. */
-    static final Duration STEP = Duration.ofSeconds(10);
+    static final Duration MINIMUM_INCREASE = Duration.ofSeconds(10);
 
     private static final FluentLogger LOGGER = FluentLogger.forEnclosingClass();
 
@@ -29,13 +29,13 @@
     }
 
     /** Passes to the next token, so that what was sent with the one before is refused wherever this one was seen. */
-    void next() {
+    void increment() {
         value++;
     }
 
     /** Raises the token: only the agent of this machine calls the minion, so whoever had a higher one is gone. */
     void raise() {
-        value = Math.max(value + STEP.toMillis(), timers.epochMillis());
+        value = Math.max(value + MINIMUM_INCREASE.toMillis(), timers.epochMillis());
         EventLine.of("agent-token-raised").with("token", value).log(LOGGER.atWarning());
     }
 }
--- a/library/src/main/java/org/chivetally/queue/agent/HeldRun.java
+++ b/library/src/main/java/org/chivetally/queue/agent/HeldRun.java
@@ -11,7 +11,7 @@
         /** The start is on its way. */
         STARTING,
         /** The start got no answer; it may have been carried out, or may be later. */
-        DOUBTFUL,
+        UNCONFIRMED,
         /** The minion has listed it, or has answered the start. */
         RUNNING
     }
@@ -19,13 +19,13 @@
     private final RunKey key;
     private final RunOwner owner;
     private final Room room;
-    private final long leaseUntilMillis;
+    private final long leaseEndMillis;
     private final boolean suspected;
     private Stage stage = Stage.STARTING;
-    private boolean stopWanted;
-    private boolean stopAnswered;
-    private Incarnation carriedFrom;
-    private RunOutcome carriedOutcome;
+    private boolean stopRequested;
+    private boolean stopConfirmed;
+    private Incarnation previousIncarnation;
+    private RunOutcome outcomeIfAbsent;
     private long stageSinceNanos;
 
     HeldRun(RunKey key, RunOwner owner, Room room, long leaseUntilMillis, boolean suspected, long nowNanos) {
@@ -33,7 +33,7 @@
         this.key = key;
         this.owner = owner;
         this.room = room;
-        this.leaseUntilMillis = leaseUntilMillis;
+        this.leaseEndMillis = leaseUntilMillis;
         this.stageSinceNanos = nowNanos;
     }
 
@@ -60,11 +60,11 @@
      * @param clockMillis the minion's clock at its answer
      * @param sentAtNanos when the look was sent
      */
-    boolean isRuledOut(long clockMillis, long sentAtNanos) {
-        if (stage != Stage.DOUBTFUL || sentAtNanos - stageSinceNanos < 0) {
+    boolean isStartRuledOut(long clockMillis, long sentAtNanos) {
+        if (stage != Stage.UNCONFIRMED || sentAtNanos - stageSinceNanos < 0) {
             return false;
         }
-        return stopAnswered || MinionLease.isOver(leaseUntilMillis, clockMillis);
+        return stopConfirmed || MinionLease.isExpired(leaseEndMillis, clockMillis);
     }
 
     /** Returns an end of the run that the minion does not list, and so needs no word from the owner. */
@@ -80,29 +80,29 @@
      * @param outcome how the run has ended if it isn't there
      */
     void carryOver(Incarnation from, RunOutcome outcome) {
-        if (carriedFrom != null) {
+        if (previousIncarnation != null) {
             return;
         }
-        carriedFrom = from;
-        carriedOutcome = outcome;
-        stopAnswered = false;
+        previousIncarnation = from;
+        outcomeIfAbsent = outcome;
+        stopConfirmed = false;
     }
 
     boolean isCarriedOver() {
-        return carriedFrom != null;
+        return previousIncarnation != null;
     }
 
     /** Notes that the incarnation that answers now lists it. */
     void listed(long nowNanos) {
-        carriedFrom = null;
+        previousIncarnation = null;
         if (stage != Stage.RUNNING) {
-            become(Stage.RUNNING, nowNanos);
+            enterStage(Stage.RUNNING, nowNanos);
         }
     }
 
     /** Returns the end of a run that was carried over and isn't there. */
-    OwnedEnd endElsewhere() {
-        return unlistedEnd(carriedFrom.name(), carriedOutcome);
+    OwnedEnd endAtPreviousIncarnation() {
+        return unlistedEnd(previousIncarnation.name(), outcomeIfAbsent);
     }
 
     Stage stage() {
@@ -113,26 +113,26 @@
         return stageSinceNanos;
     }
 
-    void become(Stage next, long nowNanos) {
+    void enterStage(Stage next, long nowNanos) {
         stage = next;
         stageSinceNanos = nowNanos;
     }
 
-    boolean isStopWanted() {
-        return stopWanted;
+    boolean isStopRequested() {
+        return stopRequested;
     }
 
-    void wantStop() {
-        stopWanted = true;
+    void requestStop() {
+        stopRequested = true;
     }
 
-    boolean isStopAnswered() {
-        return stopAnswered;
+    boolean isStopConfirmed() {
+        return stopConfirmed;
     }
 
     /** Notes that the minion took the stop; what it lists from now on is final. */
-    void stopAnswered(long nowNanos) {
-        stopAnswered = true;
+    void confirmStop(long nowNanos) {
+        stopConfirmed = true;
         stageSinceNanos = nowNanos;
     }
 }
--- a/library/src/main/java/org/chivetally/queue/agent/HeldRuns.java
+++ b/library/src/main/java/org/chivetally/queue/agent/HeldRuns.java
@@ -65,7 +65,7 @@
     List<OwnedEnd> endAll(String minion, RunOutcome outcome) {
         List<OwnedEnd> ended = new ArrayList<>();
         for (HeldRun run : runs.values()) {
-            ended.add(run.isCarriedOver() ? run.endElsewhere() : run.unlistedEnd(minion, outcome));
+            ended.add(run.isCarriedOver() ? run.endAtPreviousIncarnation() : run.unlistedEnd(minion, outcome));
         }
         runs.clear();
         room = Room.NONE;
--- a/library/src/main/java/org/chivetally/queue/agent/Incarnation.java
+++ b/library/src/main/java/org/chivetally/queue/agent/Incarnation.java
@@ -7,11 +7,11 @@
  * then holds no runs and counts from the beginning.
  *
  * @param id id that its calls and announcements carry
- * @param bornAtMillis start by its own account, in milliseconds since 1970; 0 when it told none, so that the id alone
- *     counts
+ * @param startedAtMillis start by its own account, in milliseconds since 1970; 0 when it told none, so that the id
+ *     alone counts
  * @param name tells incarnations of one id apart in frames and logs; the id alone without a start
  */
-public record Incarnation(String id, long bornAtMillis, String name) {
+public record Incarnation(String id, long startedAtMillis, String name) {
     /** Refuses missing parts. */
     public Incarnation {
         Objects.requireNonNull(id, "id");
@@ -24,22 +24,22 @@
     }
 
     /** Tells whether the other may be this one: the ids are equal, and the starts where both are known. */
-    boolean isSame(Incarnation other) {
-        return isKnownAs(other.id) && isBornAs(other.bornAtMillis);
+    boolean matches(Incarnation other) {
+        return hasId(other.id) && mayHaveStartedAt(other.startedAtMillis);
     }
 
     /** Tells whether it has that id. */
-    boolean isKnownAs(String otherId) {
+    boolean hasId(String otherId) {
         return id.equals(otherId);
     }
 
     /** Tells whether a start, 0 for none, may be that of this one. */
-    boolean isBornAs(long otherMillis) {
-        return bornAtMillis == otherMillis || bornAtMillis == 0 || otherMillis == 0;
+    boolean mayHaveStartedAt(long otherMillis) {
+        return startedAtMillis == otherMillis || startedAtMillis == 0 || otherMillis == 0;
     }
 
     /** Tells whether both have one id and this one started before the other. */
     boolean isEarlierThan(Incarnation other) {
-        return isKnownAs(other.id) && !isBornAs(other.bornAtMillis) && bornAtMillis < other.bornAtMillis;
+        return hasId(other.id) && !mayHaveStartedAt(other.startedAtMillis) && startedAtMillis < other.startedAtMillis;
     }
 }
--- a/library/src/main/java/org/chivetally/queue/agent/AnnouncedBoots.java
+++ b/library/src/main/java/org/chivetally/queue/agent/IncarnationHistory.java
@@ -7,56 +7,56 @@
 import java.util.OptionalLong;
 import java.util.function.Consumer;
 import org.chivetally.logging.EventLine;
-import org.chivetally.queue.agent.MinionPort.LookAnswer;
-import org.chivetally.queue.agent.MinionPort.LookOrder;
+import org.chivetally.queue.agent.MinionPort.PollRequest;
+import org.chivetally.queue.agent.MinionPort.PollResult;
 
 /** The incarnations that were announced for one minion: which have been replaced, and whether a new one is there. */
-final class AnnouncedBoots {
+final class IncarnationHistory {
     private static final FluentLogger LOGGER = FluentLogger.forEnclosingClass();
 
     private final MinionPort port;
     /** Newest start that was replaced, by id; 0 for an incarnation that told none. */
-    private final Map<String, Long> past = new HashMap<>();
+    private final Map<String, Long> newestReplaced = new HashMap<>();
 
-    AnnouncedBoots(MinionPort port) {
+    IncarnationHistory(MinionPort port) {
         this.port = port;
     }
 
     /** Tells whether none has been replaced so far. */
-    boolean isFirst() {
-        return past.isEmpty();
+    boolean isEmpty() {
+        return newestReplaced.isEmpty();
     }
 
     /** Tells whether an earlier incarnation had the same id, so that a message which names the id may be about it. */
-    boolean isReused(String id) {
-        return past.containsKey(id);
+    boolean hasEarlierIncarnation(String id) {
+        return newestReplaced.containsKey(id);
     }
 
     /**
      * Tells whether an announcement was held up and says nothing any more: its incarnation has been replaced, or the
      * one that is known has said something newer.
      */
-    boolean isOld(MinionState state, MinionState known) {
-        if (isPast(state.incarnation())) {
-            return logOld(state, "replaced");
+    boolean isStale(MinionState state, MinionState known) {
+        if (isReplaced(state.incarnation())) {
+            return logStale(state, "replaced");
         }
         if (known == null) {
             return false;
         }
         if (state.incarnation().isEarlierThan(known.incarnation())) {
-            return logOld(state, "earlier start");
+            return logStale(state, "earlier start");
         }
         boolean outOfOrder =
-                state.sequence() < known.sequence() && state.incarnation().isSame(known.incarnation());
-        return outOfOrder && logOld(state, "earlier sequence");
+                state.sequence() < known.sequence() && state.incarnation().matches(known.incarnation());
+        return outOfOrder && logStale(state, "earlier sequence");
     }
 
-    private boolean isPast(Incarnation incarnation) {
-        Long newest = past.get(incarnation.id());
-        return newest != null && incarnation.bornAtMillis() <= newest;
+    private boolean isReplaced(Incarnation incarnation) {
+        Long newest = newestReplaced.get(incarnation.id());
+        return newest != null && incarnation.startedAtMillis() <= newest;
     }
 
-    private static boolean logOld(MinionState state, String reason) {
+    private static boolean logStale(MinionState state, String reason) {
         EventLine.of("minion-announcement-old")
                 .with("minion", state.incarnation().name())
                 .with("sequence", state.sequence())
@@ -66,13 +66,13 @@
     }
 
     /** Notes that an incarnation is gone for good. */
-    void replaced(Incarnation incarnation) {
-        past.merge(incarnation.id(), incarnation.bornAtMillis(), Math::max);
+    void markReplaced(Incarnation incarnation) {
+        newestReplaced.merge(incarnation.id(), incarnation.startedAtMillis(), Math::max);
     }
 
     /** Forgets what was replaced under an id, as an earlier start than that is there after all. */
-    void forget(String id) {
-        past.remove(id);
+    void remove(String id) {
+        newestReplaced.remove(id);
     }
 
     /**
@@ -83,13 +83,13 @@
      * @param token the agent's own, which a boot that has seen a higher one refuses
      * @param accept told of the incarnation once it has answered for itself
      */
-    void confirm(MinionState state, long token, Consumer<MinionState> accept) {
-        LookOrder order = new LookOrder(token, 0, OptionalLong.empty(), Duration.ZERO);
-        port.look(state.boot(), order, answer -> {
-            boolean isThere = answer instanceof LookAnswer.Lists lists
-                            && state.incarnation().isBornAs(lists.bornAtMillis())
-                    || answer instanceof LookAnswer.Refused refused && refused.fenced();
-            if (isThere && !isPast(state.incarnation())) {
+    void verify(MinionState state, long token, Consumer<MinionState> accept) {
+        PollRequest order = new PollRequest(token, 0, OptionalLong.empty(), Duration.ZERO);
+        port.poll(state.minionId(), order, answer -> {
+            boolean isThere = answer instanceof PollResult.Lists lists
+                            && state.incarnation().mayHaveStartedAt(lists.startedAtMillis())
+                    || answer instanceof PollResult.Refused refused && refused.fenced();
+            if (isThere && !isReplaced(state.incarnation())) {
                 accept.accept(state);
                 return;
             }
--- a/library/src/main/java/org/chivetally/queue/agent/LeasePermission.java
+++ b/library/src/main/java/org/chivetally/queue/agent/LeaseExtensionCheck.java
@@ -5,16 +5,16 @@
 import org.chivetally.logging.EventLine;
 
 /** Whether the minion's one lease may be extended, by a renewal or by a start. */
-final class LeasePermission {
+final class LeaseExtensionCheck {
     private static final FluentLogger LOGGER = FluentLogger.forEnclosingClass();
 
     private final MinionLease lease;
     private final HeldRuns held;
-    private final EndList ends;
+    private final UnacknowledgedEnds ends;
     private final SupervisorListener listener;
-    private boolean isHeldBack;
+    private boolean denied;
 
-    LeasePermission(MinionLease lease, HeldRuns held, EndList ends, SupervisorListener listener) {
+    LeaseExtensionCheck(MinionLease lease, HeldRuns held, UnacknowledgedEnds ends, SupervisorListener listener) {
         this.lease = lease;
         this.held = held;
         this.ends = ends;
@@ -27,15 +27,15 @@
      * of other owners would keep the old runs going beside the new ones, and would make an end that the owner never
      * heard of count although its task was started again.
      */
-    boolean isGiven(long nowNanos) {
-        if (lease.hasLapsed(nowNanos)) {
-            ends.lapsed();
+    boolean isAllowed(long nowNanos) {
+        if (lease.hasExpired(nowNanos)) {
+            ends.markLeaseExpired();
         }
         Set<RunOwner> owners = held.owners();
-        owners.addAll(ends.ownersBeforeLapse());
+        owners.addAll(ends.ownersOfUnstoredEndsUnderLease());
         boolean given = owners.isEmpty() || listener.mayRenew(owners);
-        if (given == isHeldBack) {
-            isHeldBack = !given;
+        if (given == denied) {
+            denied = !given;
             EventLine.of(given ? "lease-renewed-again" : "lease-not-renewed")
                     .with("runs", held.size())
                     .with("owners", owners)
--- a/library/src/main/java/org/chivetally/queue/agent/MinionClock.java
+++ b/library/src/main/java/org/chivetally/queue/agent/MinionClock.java
@@ -8,25 +8,25 @@
  */
 final class MinionClock {
     /** The minion's clock may be this much slower than the agent's: two in a hundred, by the platform's pages. */
-    private static final double SLOWEST = 0.98;
+    private static final double SLOWEST_RATE = 0.98;
 
-    private long boundMillis;
-    private long atNanos;
+    private long lowerBoundMillis;
+    private long observedNanos;
 
     /** Notes a reading out of an answer that has just come. */
     void observe(long clockMillis, long nowNanos) {
-        boundMillis = Math.max(now(nowNanos), clockMillis);
-        atNanos = nowNanos;
+        lowerBoundMillis = Math.max(lowerBoundMillis(nowNanos), clockMillis);
+        observedNanos = nowNanos;
     }
 
     /** Forgets everything, as another boot has another clock. */
     void reset(long clockMillis, long nowNanos) {
-        boundMillis = clockMillis;
-        atNanos = nowNanos;
+        lowerBoundMillis = clockMillis;
+        observedNanos = nowNanos;
     }
 
     /** Returns a time that the minion's clock has reached. */
-    long now(long nowNanos) {
-        return boundMillis + (long) ((nowNanos - atNanos) / 1_000_000 * SLOWEST);
+    long lowerBoundMillis(long nowNanos) {
+        return lowerBoundMillis + (long) ((nowNanos - observedNanos) / 1_000_000 * SLOWEST_RATE);
     }
 }
--- a/library/src/main/java/org/chivetally/queue/agent/MinionLease.java
+++ b/library/src/main/java/org/chivetally/queue/agent/MinionLease.java
@@ -6,18 +6,18 @@
  */
 final class MinionLease {
     /** Longest lease that a minion grants, by the platform's pages. */
-    static final long LENGTH_MILLIS = 1_000;
+    static final long MAXIMUM_MILLIS = 1_000;
 
     /** Margin on the end of a lease before its runs are called lost: the minion's own timers fire late. */
-    private static final long LAPSE_MARGIN_MILLIS = 100;
+    private static final long EXPIRY_MARGIN_MILLIS = 100;
 
     private final MinionClock clock = new MinionClock();
-    private long sentUntilMillis;
+    private long latestEndMillis;
 
     /** Forgets everything, as another boot has another clock and no lease yet. */
     void reset(long clockMillis, long nowNanos) {
         clock.reset(clockMillis, nowNanos);
-        sentUntilMillis = 0;
+        latestEndMillis = 0;
     }
 
     /** Notes a reading of the minion's clock out of an answer that has just come. */
@@ -27,18 +27,18 @@
 
     /** Extends the lease as far as the minion grants; returns until when, on the minion's clock in milliseconds. */
     long extend(long nowNanos) {
-        long until = clock.now(nowNanos) + LENGTH_MILLIS;
-        sentUntilMillis = Math.max(sentUntilMillis, until);
+        long until = clock.lowerBoundMillis(nowNanos) + MAXIMUM_MILLIS;
+        latestEndMillis = Math.max(latestEndMillis, until);
         return until;
     }
 
     /** Tells whether every extension that was ever sent has run out at the minion. */
-    boolean hasLapsed(long nowNanos) {
-        return isOver(sentUntilMillis, clock.now(nowNanos));
+    boolean hasExpired(long nowNanos) {
+        return isExpired(latestEndMillis, clock.lowerBoundMillis(nowNanos));
     }
 
     /** Tells whether a lease has ended for certain at a reading of the minion's clock. */
-    static boolean isOver(long untilMillis, long clockMillis) {
-        return clockMillis > untilMillis + LAPSE_MARGIN_MILLIS;
+    static boolean isExpired(long untilMillis, long clockMillis) {
+        return clockMillis > untilMillis + EXPIRY_MARGIN_MILLIS;
     }
 }
--- a/library/src/main/java/org/chivetally/queue/agent/MinionPort.java
+++ b/library/src/main/java/org/chivetally/queue/agent/MinionPort.java
@@ -11,67 +11,67 @@
 /** Calls to the minion beside the agent. Each answers once, on the event loop. */
 public interface MinionPort {
     /** Starts a run. */
-    void start(String boot, StartOrder order, Consumer<StartAnswer> answer);
+    void start(String boot, StartRequest order, Consumer<StartResult> answer);
 
     /** Stops a run; tells whether the minion took the order. */
     void stop(String boot, RunKey run, long token, Consumer<Boolean> answer);
 
     /** Renews the lease and looks at what runs and what has ended. */
-    void look(String boot, LookOrder order, Consumer<LookAnswer> answer);
+    void poll(String boot, PollRequest order, Consumer<PollResult> answer);
 
     /**
      * What a start carries.
      *
      * @param run the run
      * @param payload text of the job
-     * @param leaseUntilMillis when the lease ends unless renewed, on the minion's clock; the start is refused after it
+     * @param leaseEndMillis when the lease ends unless renewed, on the minion's clock; the start is refused after it
      * @param token fences calls of agents that were replaced
      * @param checkpoint where to resume from; empty for the beginning
      */
-    record StartOrder(RunKey run, String payload, long leaseUntilMillis, long token, String checkpoint) {}
+    record StartRequest(RunKey run, String payload, long leaseEndMillis, long token, String checkpoint) {}
 
     /**
      * What a look carries.
      *
      * @param token fences calls of agents that were replaced
-     * @param keptThrough ends up to this sequence are forgotten by the minion
-     * @param leaseUntilMillis when the lease of all that runs ends, on the minion's clock; empty to leave it
-     * @param longestWait how long the minion may wait for an end
+     * @param acknowledgedThrough ends up to this sequence are forgotten by the minion
+     * @param leaseEndMillis when the lease of all that runs ends, on the minion's clock; empty to leave it
+     * @param maximumWait how long the minion may wait for an end
      */
-    record LookOrder(long token, long keptThrough, OptionalLong leaseUntilMillis, Duration longestWait) {
+    record PollRequest(long token, long acknowledgedThrough, OptionalLong leaseEndMillis, Duration maximumWait) {
         /** Returns the same look with another wait. */
-        LookOrder waiting(Duration wait) {
-            return new LookOrder(token, keptThrough, leaseUntilMillis, wait);
+        PollRequest withMaximumWait(Duration wait) {
+            return new PollRequest(token, acknowledgedThrough, leaseEndMillis, wait);
         }
     }
 
     /** What became of a start. */
-    sealed interface StartAnswer {
+    sealed interface StartResult {
         /** The run is there. */
-        record Started(long clockMillis) implements StartAnswer {}
+        record Started(long clockMillis) implements StartResult {}
 
         /** Nothing was started, and this start never will be. */
-        record Rejected(String reason, boolean fenced) implements StartAnswer {}
+        record Rejected(String reason, boolean fenced) implements StartResult {}
 
         /** The start never left, as nobody listens at the minion's address. */
-        record Unreachable(String reason) implements StartAnswer {}
+        record Unreachable(String reason) implements StartResult {}
 
         /** It was or wasn't started, or will be. */
-        record Unknown(String reason) implements StartAnswer {}
+        record Unknown(String reason) implements StartResult {}
     }
 
     /** What became of a look. */
-    sealed interface LookAnswer {
+    sealed interface PollResult {
         /**
          * The minion's lists.
          *
-         * @param bornAtMillis start of the incarnation that lists, in milliseconds since 1970; 0 when it tells none
+         * @param startedAtMillis start of the incarnation that lists, in milliseconds since 1970; 0 when it tells none
          * @param clockMillis its clock
          * @param running what runs there
          * @param ends ends that it was not told to forget
          */
-        record Lists(long bornAtMillis, long clockMillis, List<RunKey> running, List<ListedEnd> ends)
-                implements LookAnswer {
+        record Lists(long startedAtMillis, long clockMillis, List<RunKey> running, List<ListedEnd> ends)
+                implements PollResult {
             /** Copies the lists. */
             public Lists {
                 running = List.copyOf(running);
@@ -85,13 +85,13 @@
         }
 
         /** The minion is another boot, or refuses this agent's token. */
-        record Refused(String reason, boolean fenced) implements LookAnswer {}
+        record Refused(String reason, boolean fenced) implements PollResult {}
 
         /** Nobody listens at the minion's address. */
-        record Unreachable(String reason) implements LookAnswer {}
+        record Unreachable(String reason) implements PollResult {}
 
         /** No answer that could be used. */
-        record Unknown(String reason) implements LookAnswer {}
+        record Unknown(String reason) implements PollResult {}
     }
 
     /**
@@ -110,7 +110,7 @@
         }
 
         /** Returns the end as one of a minion by the name of its incarnation. */
-        EndedRun of(String minion) {
+        EndedRun toEndedRun(String minion) {
             return new EndedRun(minion, sequence, run, outcome, checkpoint);
         }
     }
--- a/library/src/main/java/org/chivetally/queue/agent/MinionLists.java
+++ b/library/src/main/java/org/chivetally/queue/agent/MinionReconciler.java
@@ -10,23 +10,29 @@
 import org.chivetally.queue.RunKey;
 import org.chivetally.queue.RunOutcome;
 import org.chivetally.queue.agent.MinionPort.ListedEnd;
-import org.chivetally.queue.agent.MinionPort.LookAnswer;
+import org.chivetally.queue.agent.MinionPort.PollResult;
 import org.chivetally.time.Timers;
 
 /** Brings what is held in line with a minion's lists of what runs and what has ended. */
-final class MinionLists {
+final class MinionReconciler {
     private static final FluentLogger LOGGER = FluentLogger.forEnclosingClass();
 
     private final Timers timers;
     private final HeldRuns held;
-    private final EndList ends;
-    private final RunCalls calls;
-    private final RunEnds runEnds;
+    private final UnacknowledgedEnds ends;
+    private final RunCommands calls;
+    private final RunEndReporter runEnds;
     private final int partitions;
     private final UnknownRuns unknownRuns = new UnknownRuns();
     private boolean complete;
 
-    MinionLists(Timers timers, HeldRuns held, EndList ends, RunCalls calls, RunEnds runEnds, int partitions) {
+    MinionReconciler(
+            Timers timers,
+            HeldRuns held,
+            UnacknowledgedEnds ends,
+            RunCommands calls,
+            RunEndReporter runEnds,
+            int partitions) {
         this.timers = timers;
         this.held = held;
         this.ends = ends;
@@ -57,13 +63,13 @@
      * @param sentAtNanos when it was asked
      * @return ends that are new
      */
-    List<OwnedEnd> take(Incarnation at, LookAnswer.Lists lists, long sentAtNanos) {
-        List<OwnedEnd> fresh = takeEnds(at, lists.ends());
-        takeRunning(at, lists, sentAtNanos);
+    List<OwnedEnd> reconcile(Incarnation at, PollResult.Lists lists, long sentAtNanos) {
+        List<OwnedEnd> fresh = reconcileEnds(at, lists.ends());
+        reconcileRunning(at, lists, sentAtNanos);
         return fresh;
     }
 
-    private List<OwnedEnd> takeEnds(Incarnation at, List<ListedEnd> listed) {
+    private List<OwnedEnd> reconcileEnds(Incarnation at, List<ListedEnd> listed) {
         List<OwnedEnd> fresh = new ArrayList<>();
         for (ListedEnd end : listed) {
             HeldRun run = held.of(end.run().task());
@@ -72,59 +78,59 @@
             if (!ends.add(end, owner)) {
                 continue;
             }
-            fresh.add(new OwnedEnd(owner, end.of(at.name())));
+            fresh.add(new OwnedEnd(owner, end.toEndedRun(at.name())));
             if (followed) {
                 held.remove(run);
             }
             if (owner instanceof RunOwner.Entry) {
                 // Nothing of such a job is stored, so the minion may forget the end as soon as it was told here.
-                ends.keep(end.sequence());
+                ends.markStored(end.sequence());
             }
         }
         return fresh;
     }
 
-    private void takeRunning(Incarnation at, LookAnswer.Lists lists, long sentAtNanos) {
+    private void reconcileRunning(Incarnation at, PollResult.Lists lists, long sentAtNanos) {
         Set<RunKey> running = new HashSet<>(lists.running());
         Set<RunKey> unknown = new HashSet<>(running);
         List<OwnedEnd> lost = new ArrayList<>();
         for (HeldRun run : held.all()) {
             unknown.remove(run.key());
             if (running.contains(run.key())) {
-                isThere(at, run);
+                confirmRunning(at, run);
             } else if (run.isCarriedOver()) {
                 held.remove(run);
-                lost.add(run.endElsewhere());
-            } else if (run.isRuledOut(lists.clockMillis(), sentAtNanos)) {
-                runEnds.neverStarted(at, run);
+                lost.add(run.endAtPreviousIncarnation());
+            } else if (run.isStartRuledOut(lists.clockMillis(), sentAtNanos)) {
+                runEnds.reportNeverStarted(at, run);
             } else if (run.stage() == HeldRun.Stage.RUNNING && sentAtNanos - run.stageSinceNanos() > 0) {
-                vanished(at, run);
+                reportVanished(at, run);
             }
         }
-        runEnds.lost(at.name(), lost, "reborn");
+        runEnds.reportLost(at.name(), lost, "reborn");
         // Runs of an agent before this one: their room isn't known here, so nothing is started until their lease,
         // which nobody renews, has ended. Once none is left, nobody knows a run that turns up, and it is stopped.
-        unknownRuns.listed(unknown);
+        unknownRuns.update(unknown);
         complete |= unknownRuns.isEmpty();
         if (complete) {
-            calls.stopUnknown(at, unknownRuns);
+            calls.stopUnknownRuns(at, unknownRuns);
         }
     }
 
-    private void isThere(Incarnation at, HeldRun run) {
-        boolean stopAgain = run.isCarriedOver() && run.isStopWanted();
+    private void confirmRunning(Incarnation at, HeldRun run) {
+        boolean stopAgain = run.isCarriedOver() && run.isStopRequested();
         run.listed(timers.nanos());
         if (stopAgain) {
             calls.stop(at, run);
         }
     }
 
-    private void vanished(Incarnation at, HeldRun run) {
+    private void reportVanished(Incarnation at, HeldRun run) {
         EventLine.of("run-vanished")
                 .with("run", run.key())
                 .with("minion", at.name())
                 .log(LOGGER.atWarning());
-        runEnds.ended(run, run.unlistedEnd(at.name(), RunOutcome.LOST));
+        runEnds.report(run, run.unlistedEnd(at.name(), RunOutcome.LOST));
     }
 
     /** Returns the owner of a run that an agent before this one started: only kept jobs have owners that last. */
--- a/library/src/main/java/org/chivetally/queue/agent/MinionState.java
+++ b/library/src/main/java/org/chivetally/queue/agent/MinionState.java
@@ -38,7 +38,7 @@
     }
 
     /** Returns the id that calls to the minion carry. */
-    public String boot() {
+    public String minionId() {
         return incarnation.id();
     }
 
@@ -48,12 +48,12 @@
     }
 
     /** Returns the same with the incarnation as it is known from elsewhere. */
-    MinionState known(Incarnation as) {
+    MinionState withIncarnation(Incarnation as) {
         return new MinionState(as, service, capacity, labels, leaving, clockMillis, sequence);
     }
 
     /** Returns the state of a minion that has come back under the same id and has announced nothing yet. */
-    MinionState reborn(long bornAtMillis, long clock) {
+    MinionState restarted(long bornAtMillis, long clock) {
         return new MinionState(
                 Incarnation.of(incarnation.id(), bornAtMillis), service, capacity, labels, false, clock, 0);
     }
--- a/library/src/main/java/org/chivetally/queue/agent/AnswerTimes.java
+++ b/library/src/main/java/org/chivetally/queue/agent/RetryTimeoutEstimator.java
@@ -6,16 +6,16 @@
  * How long a minion takes to answer, as observed, and so after which time an answer is likely to be lost. The estimate
  * is that of TCP's retransmission timer (RFC 6298): the smoothed time and four times its smoothed deviation.
  */
-final class AnswerTimes {
+final class RetryTimeoutEstimator {
     /** Least patience: an answer takes a millisecond, and a busy agent reads it a few milliseconds later. */
-    static final Duration SHORTEST = Duration.ofMillis(12);
+    static final Duration MINIMUM = Duration.ofMillis(12);
 
     /** Longest patience: the objectives of callers leave 60 ms beside the work. */
-    static final Duration LONGEST = Duration.ofMillis(60);
+    static final Duration MAXIMUM = Duration.ofMillis(60);
 
     private static final double MEAN_GAIN = 1.0 / 8;
     private static final double DEVIATION_GAIN = 1.0 / 4;
-    private static final int DEVIATIONS = 4;
+    private static final int DEVIATION_FACTOR = 4;
 
     private boolean observed;
     private double meanNanos;
@@ -34,11 +34,11 @@
     }
 
     /** Returns how long to wait for an answer before the call is repeated; the longest time while none was observed. */
-    Duration patience() {
+    Duration timeout() {
         if (!observed) {
-            return LONGEST;
+            return MAXIMUM;
         }
-        double nanos = meanNanos + DEVIATIONS * deviationNanos;
-        return Duration.ofNanos((long) Math.clamp(nanos, SHORTEST.toNanos(), LONGEST.toNanos()));
+        double nanos = meanNanos + DEVIATION_FACTOR * deviationNanos;
+        return Duration.ofNanos((long) Math.clamp(nanos, MINIMUM.toNanos(), MAXIMUM.toNanos()));
     }
 }
--- a/library/src/main/java/org/chivetally/queue/agent/RepeatingMinionPort.java
+++ b/library/src/main/java/org/chivetally/queue/agent/RetryingMinionPort.java
@@ -19,53 +19,53 @@
  * job's objective allows. All calls are idempotent: a start that is there already is answered as started, and a copy
  * that is carried out after the run was stopped or has ended is refused, as is one after its lease.
  */
-public final class RepeatingMinionPort implements MinionPort {
+public final class RetryingMinionPort implements MinionPort {
     /** Attempts of one call: with every second call lost, one start in 250 is left for its owner to doubt. */
-    static final int MOST_ATTEMPTS = 8;
+    static final int MAXIMUM_ATTEMPTS = 8;
 
     /**
      * Longest wait of a look while answers get lost. A lost look holds back all ends that come in its time, and nothing
      * tells it from one that waits.
      */
-    static final Duration LOSSY_WAIT = Duration.ofMillis(30);
+    static final Duration MAXIMUM_WAIT_AFTER_LOSS = Duration.ofMillis(30);
 
     /** Time for which answers count as getting lost after one was: at one call in twenty lost, several come in it. */
-    static final Duration LOSSY_MEMORY = Duration.ofSeconds(2);
+    static final Duration LOSS_MEMORY = Duration.ofSeconds(2);
 
     private static final FluentLogger LOGGER = FluentLogger.forEnclosingClass();
 
     private final Timers timers;
     private final MinionPort port;
-    private final AnswerTimes answerTimes = new AnswerTimes();
-    private OptionalLong lostAtNanos = OptionalLong.empty();
+    private final RetryTimeoutEstimator retryTimeout = new RetryTimeoutEstimator();
+    private OptionalLong lastLossNanos = OptionalLong.empty();
 
     /**
      * Creates a port that repeats the calls of another.
      *
      * @param port makes each attempt
      */
-    public RepeatingMinionPort(Timers timers, MinionPort port) {
+    public RetryingMinionPort(Timers timers, MinionPort port) {
         this.timers = timers;
         this.port = port;
     }
 
     @Override
-    public void start(String boot, StartOrder order, Consumer<StartAnswer> answer) {
-        new Call<StartAnswer>(
+    public void start(String boot, StartRequest order, Consumer<StartResult> answer) {
+        new Call<StartResult>(
                         "start " + order.run(),
                         number -> Duration.ZERO,
                         (number, told) -> port.start(boot, order, told),
-                        told -> !(told instanceof StartAnswer.Unknown),
-                        RepeatingMinionPort::besideUnsettled,
+                        told -> !(told instanceof StartResult.Unknown),
+                        RetryingMinionPort::withUnansweredAttempts,
                         answer)
                 .attempt();
     }
 
     /** A refusal of one copy doesn't keep another one, which may still be on its way, from being carried out. */
-    private static StartAnswer besideUnsettled(StartAnswer answer) {
-        return answer instanceof StartAnswer.Started
+    private static StartResult withUnansweredAttempts(StartResult answer) {
+        return answer instanceof StartResult.Started
                 ? answer
-                : new StartAnswer.Unknown("refused beside an attempt without an answer");
+                : new StartResult.Unknown("refused beside an attempt without an answer");
     }
 
     @Override
@@ -81,22 +81,22 @@
     }
 
     @Override
-    public void look(String boot, LookOrder order, Consumer<LookAnswer> answer) {
-        boolean shortened = isLossy() && order.longestWait().compareTo(LOSSY_WAIT) > 0;
-        LookOrder first = shortened ? order.waiting(LOSSY_WAIT) : order;
-        LookOrder repeated = order.waiting(Duration.ZERO);
-        new Call<LookAnswer>(
+    public void poll(String boot, PollRequest order, Consumer<PollResult> answer) {
+        boolean shortened = hasRecentLoss() && order.maximumWait().compareTo(MAXIMUM_WAIT_AFTER_LOSS) > 0;
+        PollRequest first = shortened ? order.withMaximumWait(MAXIMUM_WAIT_AFTER_LOSS) : order;
+        PollRequest repeated = order.withMaximumWait(Duration.ZERO);
+        new Call<PollResult>(
                         "look",
-                        number -> number == 1 ? first.longestWait() : Duration.ZERO,
-                        (number, told) -> port.look(boot, number == 1 ? first : repeated, told),
-                        told -> !(told instanceof LookAnswer.Unknown),
+                        number -> number == 1 ? first.maximumWait() : Duration.ZERO,
+                        (number, told) -> port.poll(boot, number == 1 ? first : repeated, told),
+                        told -> !(told instanceof PollResult.Unknown),
                         UnaryOperator.identity(),
                         answer)
                 .attempt();
     }
 
-    private boolean isLossy() {
-        return lostAtNanos.isPresent() && timers.nanos() - lostAtNanos.getAsLong() < LOSSY_MEMORY.toNanos();
+    private boolean hasRecentLoss() {
+        return lastLossNanos.isPresent() && timers.nanos() - lastLossNanos.getAsLong() < LOSS_MEMORY.toNanos();
     }
 
     /**
@@ -116,15 +116,15 @@
      */
     private final class Call<A> {
         private final String name;
-        private final IntFunction<Duration> heldBack;
+        private final IntFunction<Duration> maximumHold;
         private final Attempt<A> attempt;
-        private final Predicate<A> isSettled;
-        private final UnaryOperator<A> besideUnsettled;
-        private final Consumer<A> result;
+        private final Predicate<A> isConclusive;
+        private final UnaryOperator<A> withUnansweredAttempts;
+        private final Consumer<A> callback;
         private int attempts;
-        private int unsettled;
+        private int unansweredAttempts;
         private boolean finished;
-        private Timers.Timer repetition = () -> {};
+        private Timers.Timer retryTimer = () -> {};
 
         /**
          * Creates a call that isn't made yet.
@@ -144,26 +144,26 @@
                 UnaryOperator<A> besideUnsettled,
                 Consumer<A> result) {
             this.name = name;
-            this.heldBack = heldBack;
+            this.maximumHold = heldBack;
             this.attempt = attempt;
-            this.isSettled = isSettled;
-            this.besideUnsettled = besideUnsettled;
-            this.result = result;
+            this.isConclusive = isSettled;
+            this.withUnansweredAttempts = besideUnsettled;
+            this.callback = result;
         }
 
         private void attempt() {
             attempts++;
-            unsettled++;
+            unansweredAttempts++;
             int number = attempts;
             long sentAtNanos = timers.nanos();
-            Duration held = heldBack.apply(number);
-            repetition = timers.after(held.plus(answerTimes.patience()), () -> repeat(number));
+            Duration held = maximumHold.apply(number);
+            retryTimer = timers.after(held.plus(retryTimeout.timeout()), () -> retry(number));
             attempt.send(number, answer -> answered(answer, held.isZero(), timers.nanos() - sentAtNanos));
         }
 
-        private void repeat(int number) {
-            lostAtNanos = OptionalLong.of(timers.nanos());
-            if (finished || number >= MOST_ATTEMPTS) {
+        private void retry(int number) {
+            lastLossNanos = OptionalLong.of(timers.nanos());
+            if (finished || number >= MAXIMUM_ATTEMPTS) {
                 return;
             }
             EventLine.of("call-repeated")
@@ -174,18 +174,18 @@
         }
 
         private void answered(A answer, boolean atOnce, long tookNanos) {
-            boolean settled = isSettled.test(answer);
-            unsettled -= settled ? 1 : 0;
+            boolean settled = isConclusive.test(answer);
+            unansweredAttempts -= settled ? 1 : 0;
             if (settled && atOnce) {
-                answerTimes.observe(tookNanos);
+                retryTimeout.observe(tookNanos);
             }
-            boolean mayStillBeAnswered = !settled && attempts < MOST_ATTEMPTS;
+            boolean mayStillBeAnswered = !settled && attempts < MAXIMUM_ATTEMPTS;
             if (finished || mayStillBeAnswered) {
                 return;
             }
             finished = true;
-            repetition.cancel();
-            result.accept(unsettled > 0 ? besideUnsettled.apply(answer) : answer);
+            retryTimer.cancel();
+            callback.accept(unansweredAttempts > 0 ? withUnansweredAttempts.apply(answer) : answer);
         }
     }
 }
--- a/library/src/main/java/org/chivetally/queue/agent/RunCalls.java
+++ b/library/src/main/java/org/chivetally/queue/agent/RunCommands.java
@@ -4,23 +4,23 @@
 import java.time.Duration;
 import org.chivetally.logging.EventLine;
 import org.chivetally.queue.RunKey;
-import org.chivetally.queue.agent.MinionPort.StartAnswer;
-import org.chivetally.queue.agent.MinionPort.StartOrder;
+import org.chivetally.queue.agent.MinionPort.StartRequest;
+import org.chivetally.queue.agent.MinionPort.StartResult;
 import org.chivetally.time.Timers;
 
 /** Starts and stops of single runs at the minion, until it is certain what became of each. */
-final class RunCalls {
+final class RunCommands {
     /**
      * Time without an answer after which a start is doubted. Answers take a millisecond, and the tasks of callers who
      * wait last 85 ms and more: any later, the job would miss its objective by the doubt alone.
      */
-    static final Duration START_DOUBT = Duration.ofMillis(100);
+    static final Duration START_TIMEOUT = Duration.ofMillis(100);
 
     /** How long a doubtful start may show up in a look before it is stopped; the next look comes within it. */
-    static final Duration DOUBT_PAUSE = Duration.ofMillis(60);
+    static final Duration UNCONFIRMED_STOP_DELAY = Duration.ofMillis(60);
 
     /** Pause before a stop without an answer is sent again, so that a minion that is down isn't called in a loop. */
-    static final Duration STOP_RETRY = Duration.ofMillis(100);
+    static final Duration STOP_RETRY_INTERVAL = Duration.ofMillis(100);
 
     private static final FluentLogger LOGGER = FluentLogger.forEnclosingClass();
 
@@ -28,64 +28,64 @@
     private final MinionPort port;
     private final FencingToken token;
     private final MinionLease lease;
-    private final Supervision supervision;
+    private final Callbacks callbacks;
 
-    RunCalls(Timers timers, MinionPort port, FencingToken token, MinionLease lease, Supervision supervision) {
+    RunCommands(Timers timers, MinionPort port, FencingToken token, MinionLease lease, Callbacks supervision) {
         this.timers = timers;
         this.port = port;
         this.token = token;
         this.lease = lease;
-        this.supervision = supervision;
+        this.callbacks = supervision;
     }
 
     /** What the calls ask of and tell to the supervisor of the minion. */
-    interface Supervision {
+    interface Callbacks {
         /** Tells whether a run is still held at the incarnation to which a call about it was sent. */
         boolean isHeld(Incarnation at, HeldRun run);
 
         /** The run isn't there and never will be. */
-        void neverStarted(Incarnation at, HeldRun run);
+        void reportNeverStarted(Incarnation at, HeldRun run);
 
         /** Nobody listens at the minion's address. */
         void unreachable();
 
         /** The minion is to be looked at soon. */
-        void look();
+        void poll();
     }
 
     /** Sends a start. */
-    void start(Incarnation at, HeldRun run, StartOrder order) {
+    void start(Incarnation at, HeldRun run, StartRequest order) {
         port.start(at.id(), order, answer -> startAnswered(at, run, answer));
-        timers.after(START_DOUBT, () -> doubt(at, run, "no answer yet"));
+        timers.after(START_TIMEOUT, () -> markUnconfirmed(at, run, "no answer yet"));
     }
 
-    private void startAnswered(Incarnation at, HeldRun run, StartAnswer answer) {
-        if (!supervision.isHeld(at, run)) {
+    private void startAnswered(Incarnation at, HeldRun run, StartResult answer) {
+        if (!callbacks.isHeld(at, run)) {
             return;
         }
         switch (answer) {
-            case StartAnswer.Started started -> {
+            case StartResult.Started started -> {
                 lease.observe(started.clockMillis(), timers.nanos());
-                run.become(HeldRun.Stage.RUNNING, timers.nanos());
-                if (run.isStopWanted()) {
+                run.enterStage(HeldRun.Stage.RUNNING, timers.nanos());
+                if (run.isStopRequested()) {
                     stop(at, run);
                 }
-                supervision.look();
+                callbacks.poll();
             }
-            case StartAnswer.Rejected rejected -> {
+            case StartResult.Rejected rejected -> {
                 logRejected(at, run, rejected.reason());
                 if (rejected.fenced()) {
                     token.raise();
                 }
-                supervision.neverStarted(at, run);
+                callbacks.reportNeverStarted(at, run);
             }
-            case StartAnswer.Unreachable unreachable -> {
+            case StartResult.Unreachable unreachable -> {
                 logRejected(at, run, unreachable.reason());
-                supervision.unreachable();
-                supervision.neverStarted(at, run);
-                supervision.look();
+                callbacks.unreachable();
+                callbacks.reportNeverStarted(at, run);
+                callbacks.poll();
             }
-            case StartAnswer.Unknown unknown -> doubt(at, run, unknown.reason());
+            case StartResult.Unknown unknown -> markUnconfirmed(at, run, unknown.reason());
         }
     }
 
@@ -97,8 +97,8 @@
                 .log(LOGGER.atInfo());
     }
 
-    private void doubt(Incarnation at, HeldRun run, String reason) {
-        if (!supervision.isHeld(at, run) || run.stage() != HeldRun.Stage.STARTING) {
+    private void markUnconfirmed(Incarnation at, HeldRun run, String reason) {
+        if (!callbacks.isHeld(at, run) || run.stage() != HeldRun.Stage.STARTING) {
             return;
         }
         EventLine.of("run-doubtful")
@@ -106,18 +106,18 @@
                 .with("minion", at.name())
                 .with("reason", reason)
                 .log(LOGGER.atWarning());
-        run.become(HeldRun.Stage.DOUBTFUL, timers.nanos());
-        timers.after(DOUBT_PAUSE, () -> resolve(at, run));
-        supervision.look();
+        run.enterStage(HeldRun.Stage.UNCONFIRMED, timers.nanos());
+        timers.after(UNCONFIRMED_STOP_DELAY, () -> stopUnconfirmed(at, run));
+        callbacks.poll();
     }
 
     /**
      * Rules a doubtful start out. A stop that was answered keeps the minion from ever taking this run, so the room is
      * free from the next look that does not list it; without that, a start carried out late would overfill the worker.
      */
-    private void resolve(Incarnation at, HeldRun run) {
-        boolean isOpen = supervision.isHeld(at, run) && run.stage() == HeldRun.Stage.DOUBTFUL;
-        if (isOpen && !run.isStopAnswered()) {
+    private void stopUnconfirmed(Incarnation at, HeldRun run) {
+        boolean isOpen = callbacks.isHeld(at, run) && run.stage() == HeldRun.Stage.UNCONFIRMED;
+        if (isOpen && !run.isStopConfirmed()) {
             stop(at, run);
         }
     }
@@ -128,29 +128,29 @@
     }
 
     private void stopAnswered(Incarnation at, HeldRun run, boolean taken) {
-        if (!supervision.isHeld(at, run)) {
+        if (!callbacks.isHeld(at, run)) {
             return;
         }
         if (taken) {
-            run.stopAnswered(timers.nanos());
-            supervision.look();
+            run.confirmStop(timers.nanos());
+            callbacks.poll();
             return;
         }
-        timers.after(STOP_RETRY, () -> {
-            if (supervision.isHeld(at, run) && !run.isStopAnswered()) {
+        timers.after(STOP_RETRY_INTERVAL, () -> {
+            if (callbacks.isHeld(at, run) && !run.isStopConfirmed()) {
                 stop(at, run);
             }
         });
     }
 
     /** Sends stops to runs that nobody here knows. */
-    void stopUnknown(Incarnation at, UnknownRuns unknownRuns) {
+    void stopUnknownRuns(Incarnation at, UnknownRuns unknownRuns) {
         for (RunKey run : unknownRuns.dueForStop(timers.nanos())) {
             EventLine.of("run-unknown")
                     .with("run", run)
                     .with("minion", at.name())
                     .log(LOGGER.atWarning());
-            port.stop(at.id(), run, token.value(), taken -> supervision.look());
+            port.stop(at.id(), run, token.value(), taken -> callbacks.poll());
         }
     }
 }
--- a/library/src/main/java/org/chivetally/queue/agent/RunOwners.java
+++ b/library/src/main/java/org/chivetally/queue/agent/RunOwners.java
@@ -26,14 +26,15 @@
      * cancelled while the owner is cut off has to have ended 4.05 s later, and the age is looked at with each
      * heartbeat.
      */
-    private static final Duration RENEWAL = Duration.ofMillis(4_000).minus(AgentNode.BEAT_INTERVAL.plusMillis(50));
+    private static final Duration PARTITION_OWNER_TIMEOUT =
+            Duration.ofMillis(4_000).minus(AgentNode.HEARTBEAT_INTERVAL.plusMillis(50));
 
     /**
      * How old an entry's knowledge of this agent may be before the runs of its unkept jobs are stopped. Their callers
      * send a job again 1.3 s after its entry has failed them; with one heartbeat until it is noticed and 50 ms for a
      * stop, the old runs have ended by then.
      */
-    private static final Duration ENTRY_SILENCE = Duration.ofMillis(800);
+    private static final Duration ENTRY_TIMEOUT = Duration.ofMillis(800);
 
     /** How much longer runs of owners that were not heard are renewed, while they are being stopped. */
     private static final Duration STOP_MARGIN = Duration.ofMillis(350);
@@ -42,32 +43,32 @@
      * How long a start may have been held up on its way to be taken. After a longer time it may have been given up and
      * sent elsewhere.
      */
-    private static final Duration START_VALIDITY = Duration.ofMillis(600);
+    private static final Duration MAXIMUM_START_DELAY = Duration.ofMillis(600);
 
     private static final FluentLogger LOGGER = FluentLogger.forEnclosingClass();
 
     private final Timers timers;
     private final LinkTable links;
     private final SuspensionDetector suspension;
-    private final Map<Integer, Fence> fences = new HashMap<>();
-    private final Map<RunOwner.Entry, Long> echoes = new HashMap<>();
-    private long stampFloorNanos;
+    private final Map<Integer, PartitionOwner> partitionOwners = new HashMap<>();
+    private final Map<RunOwner.Entry, Long> entryEchoes = new HashMap<>();
+    private long oldestValidStampNanos;
 
     /** Creates the owners of an agent that has heard of nobody yet. */
     RunOwners(Timers timers, LinkTable links) {
         this.timers = timers;
         this.links = links;
         this.suspension = new SuspensionDetector(timers);
-        this.stampFloorNanos = timers.nanos();
+        this.oldestValidStampNanos = timers.nanos();
     }
 
     /** Notes an owner's epoch; tells whether it is higher than any before. */
-    boolean raise(int partition, long epoch, PeerLink owner) {
-        Fence known = fences.get(partition);
+    boolean raiseEpoch(int partition, long epoch, PeerLink owner) {
+        PartitionOwner known = partitionOwners.get(partition);
         if (known != null && known.epoch() >= epoch) {
             return false;
         }
-        fences.put(partition, new Fence(epoch, owner.peer().process()));
+        partitionOwners.put(partition, new PartitionOwner(epoch, owner.peer().process()));
         EventLine.of("owner-changed")
                 .with("partition", partition)
                 .with("epoch", epoch)
@@ -83,13 +84,13 @@
 
     /** Returns the highest epoch heard of for a partition; 0 for none. */
     long epoch(int partition) {
-        Fence known = fences.get(partition);
+        PartitionOwner known = partitionOwners.get(partition);
         return known == null ? 0 : known.epoch();
     }
 
     /** Lists the epochs, for an owner that may have been replaced. */
-    void addFences(RunInventory.Builder inventory) {
-        fences.forEach((partition, fence) -> inventory.addFenced(
+    void addKnownEpochs(RunInventory.Builder inventory) {
+        partitionOwners.forEach((partition, fence) -> inventory.addFenced(
                 OwnedPartition.newBuilder().setPartition(partition).setEpoch(fence.epoch())));
     }
 
@@ -105,18 +106,18 @@
      * @param ageNanos least time by which this agent's clock had gone on since, when the start was sent
      */
     boolean isValid(long stampNanos, long ageNanos) {
-        if (stampNanos < stampFloorNanos || ageNanos < 0 || ageNanos > LinkTable.SILENCE.toNanos()) {
+        if (stampNanos < oldestValidStampNanos || ageNanos < 0 || ageNanos > LinkTable.SILENCE.toNanos()) {
             return false;
         }
         long heldUpNanos = timers.nanos() - stampNanos - ageNanos;
-        return heldUpNanos >= 0 && heldUpNanos <= START_VALIDITY.toNanos();
+        return heldUpNanos >= 0 && heldUpNanos <= MAXIMUM_START_DELAY.toNanos();
     }
 
     /** Tells whether leases may be extended while runs of these owners are there. */
     boolean mayRenew(Set<RunOwner> owners) {
-        lookForSuspension();
+        checkForSuspension();
         for (RunOwner owner : owners) {
-            if (!isFresh(owner, RENEWAL.plus(STOP_MARGIN), ENTRY_SILENCE.plus(STOP_MARGIN))) {
+            if (!isFresh(owner, PARTITION_OWNER_TIMEOUT.plus(STOP_MARGIN), ENTRY_TIMEOUT.plus(STOP_MARGIN))) {
                 return false;
             }
         }
@@ -124,53 +125,53 @@
     }
 
     /** Returns those of the owners of all runs that have been silent so long that their runs are to be stopped. */
-    Set<RunOwner> silent(Set<RunOwner> owners) {
-        lookForSuspension();
+    Set<RunOwner> silentOwners(Set<RunOwner> owners) {
+        checkForSuspension();
         Set<RunOwner> silent = new HashSet<>();
         for (RunOwner owner : owners) {
-            if (!isFresh(owner, RENEWAL, ENTRY_SILENCE)) {
+            if (!isFresh(owner, PARTITION_OWNER_TIMEOUT, ENTRY_TIMEOUT)) {
                 silent.add(owner);
             }
         }
-        echoes.keySet().retainAll(owners);
+        entryEchoes.keySet().retainAll(owners);
         return silent;
     }
 
     private boolean isFresh(RunOwner owner, Duration partitionLimit, Duration entryLimit) {
         return switch (owner) {
-            case RunOwner.Partition partition -> isHeardWithin(heardNanos(partition), partitionLimit);
-            case RunOwner.Entry entry -> isHeardWithin(heardNanos(entry), entryLimit);
+            case RunOwner.Partition partition -> isEchoedWithin(newestEchoNanos(partition), partitionLimit);
+            case RunOwner.Entry entry -> isEchoedWithin(newestEchoNanos(entry), entryLimit);
         };
     }
 
-    private boolean isHeardWithin(long stampNanos, Duration limit) {
-        return stampNanos >= stampFloorNanos && timers.nanos() - stampNanos <= limit.toNanos();
+    private boolean isEchoedWithin(long stampNanos, Duration limit) {
+        return stampNanos >= oldestValidStampNanos && timers.nanos() - stampNanos <= limit.toNanos();
     }
 
-    private long heardNanos(RunOwner.Entry entry) {
-        linkTo(entry).ifPresent(link -> echoes.merge(entry, link.echoNanos(), Math::max));
-        return echoes.getOrDefault(entry, Long.MIN_VALUE);
+    private long newestEchoNanos(RunOwner.Entry entry) {
+        linkTo(entry).ifPresent(link -> entryEchoes.merge(entry, link.echoNanos(), Math::max));
+        return entryEchoes.getOrDefault(entry, Long.MIN_VALUE);
     }
 
-    private long heardNanos(RunOwner.Partition partition) {
-        Fence fence = fences.get(partition.number());
+    private long newestEchoNanos(RunOwner.Partition partition) {
+        PartitionOwner fence = partitionOwners.get(partition.number());
         if (fence == null) {
             return Long.MIN_VALUE;
         }
-        long heard = fence.heardNanos();
+        long heard = fence.echoNanos();
         Optional<PeerLink> link = linkTo(partition);
         if (link.isPresent() && link.get().echoNanos() != 0) {
             heard = Math.max(heard, link.get().echoNanos());
-            fences.put(partition.number(), new Fence(fence.epoch(), fence.process(), heard));
+            partitionOwners.put(partition.number(), new PartitionOwner(fence.epoch(), fence.process(), heard));
         }
         return heard;
     }
 
     /** Takes what came before a suspension for old: it was meant for an agent that may have been given up since. */
-    void lookForSuspension() {
+    void checkForSuspension() {
         long gap = suspension.look();
         if (gap > 0) {
-            stampFloorNanos = timers.nanos();
+            oldestValidStampNanos = timers.nanos();
             EventLine.of("suspended").with("gap_ms", gap).log(LOGGER.atWarning());
         }
     }
@@ -181,13 +182,14 @@
             case RunOwner.Entry entry ->
                 links.link(entry.process()).filter(link -> link.peer().incarnation() == entry.incarnation());
             case RunOwner.Partition partition ->
-                Optional.ofNullable(fences.get(partition.number())).flatMap(fence -> links.link(fence.process()));
+                Optional.ofNullable(partitionOwners.get(partition.number()))
+                        .flatMap(fence -> links.link(fence.process()));
         };
     }
 
     /** Highest epoch seen of a partition, whose it is, and the newest stamp of ours that the owner has had. */
-    private record Fence(long epoch, String process, long heardNanos) {
-        private Fence(long epoch, String process) {
+    private record PartitionOwner(long epoch, String process, long echoNanos) {
+        private PartitionOwner(long epoch, String process) {
             this(epoch, process, Long.MIN_VALUE);
         }
     }
--- a/library/src/main/java/org/chivetally/queue/agent/RunSupervisor.java
+++ b/library/src/main/java/org/chivetally/queue/agent/RunSupervisor.java
@@ -11,9 +11,9 @@
 import org.chivetally.queue.Room;
 import org.chivetally.queue.RunKey;
 import org.chivetally.queue.RunOutcome;
-import org.chivetally.queue.agent.MinionPort.LookAnswer;
-import org.chivetally.queue.agent.MinionPort.LookOrder;
-import org.chivetally.queue.agent.MinionPort.StartOrder;
+import org.chivetally.queue.agent.MinionPort.PollRequest;
+import org.chivetally.queue.agent.MinionPort.PollResult;
+import org.chivetally.queue.agent.MinionPort.StartRequest;
 import org.chivetally.time.Timers;
 
 /**
@@ -25,35 +25,32 @@
      * Longest wait of one look. Ends are learned by looks alone, so an answer that is lost delays all ends by the wait
      * and the timeout: with one look in eighteen lost, a wait of 400 ms left a minion unseen for most of the time.
      */
-    static final Duration LOOK_WAIT = Duration.ofMillis(120);
+    static final Duration POLL_WAIT = Duration.ofMillis(120);
 
     /** Pause after a look that told nothing new at once: ends wait to be stored, which takes the log about 10 ms. */
-    static final Duration LOOK_PAUSE = Duration.ofMillis(20);
+    static final Duration EMPTY_POLL_PAUSE = Duration.ofMillis(20);
 
     /**
      * Pause after a look that told of ends. Each look costs about as much as a start, and without a pause there is one
      * for each end. It is small beside the 60 ms that callers allow beyond the work.
      */
-    static final Duration NEWS_PAUSE = Duration.ofMillis(15);
+    static final Duration PAUSE_AFTER_ENDS = Duration.ofMillis(15);
 
     /** Pause after a look without an answer, so that a minion that is down isn't called in a tight loop. */
-    static final Duration LOOK_RETRY = Duration.ofMillis(100);
+    static final Duration POLL_RETRY_PAUSE = Duration.ofMillis(100);
 
     /** Age of the last answer from which looks no longer renew, so that the lease of a minion in doubt runs out. */
-    static final long UNANSWERED_NANOS = Duration.ofMillis(800).toNanos();
+    static final long RENEWAL_CUTOFF_NANOS = Duration.ofMillis(800).toNanos();
 
     /**
      * Age of the last answer from which the minion counts as not answering, and starts are refused. A minion that
      * leaves one call in eighteen unanswered loses two looks in a row every 300 looks; one that is cut off is found out
      * within the time in which its first starts are doubted and given up.
      */
-    static final long NOT_ANSWERING_NANOS = Duration.ofMillis(600).toNanos();
+    static final long UNRESPONSIVE_NANOS = Duration.ofMillis(600).toNanos();
 
-    /**
-     * Time from the start of this process after which a minion that has not announced itself is taken for gone, as is
-     * all that an agent before this one started there: two announcements come in it, and four leases end.
-     */
-    static final long UNANNOUNCED_NANOS = Duration.ofSeconds(4).toNanos();
+    /** How long after its start an agent waits for the minion: two announcements are due and four leases end in it. */
+    static final long ANNOUNCEMENT_TIMEOUT_NANOS = Duration.ofSeconds(4).toNanos();
 
     /** Refusal of a start that doesn't fit; the worker may be tried again as soon as it reports room. */
     public static final String NO_ROOM = "no room";
@@ -67,33 +64,33 @@
     private final MinionPort port;
     private final SupervisorListener listener;
     private final HeldRuns held = new HeldRuns();
-    private final EndList ends = new EndList();
-    private final AnnouncedBoots boots;
+    private final UnacknowledgedEnds ends = new UnacknowledgedEnds();
+    private final IncarnationHistory history;
     private final MinionLease lease = new MinionLease();
     private final FencingToken token;
-    private final LeasePermission permission;
-    private final RunCalls calls;
-    private final CrashLedger ledger;
-    private final RunEnds runEnds;
-    private final MinionLists lists;
+    private final LeaseExtensionCheck leaseCheck;
+    private final RunCommands commands;
+    private final UnstoredCrashes unstoredCrashes;
+    private final RunEndReporter endReporter;
+    private final MinionReconciler reconciler;
     private Optional<MinionState> minion = Optional.empty();
     private final long startedAtNanos;
     private boolean reconciled;
-    private boolean recalled;
+    private boolean restored;
     /** The minion has answered for itself and has not announced this incarnation yet. */
-    private boolean unannounced;
+    private boolean awaitingAnnouncement;
 
     private boolean departing;
     /** Nobody listened at the minion's address when it was last looked at. */
-    private boolean nobodyListens;
+    private boolean connectionRefused;
 
-    private boolean answering = true;
+    private boolean responsive = true;
     private boolean leaving;
     private boolean used;
-    private boolean lookInFlight;
-    private boolean lookArmed;
-    private long lookNumber;
-    private long keptSent;
+    private boolean pollInFlight;
+    private boolean pollScheduled;
+    private long pollNumber;
+    private long acknowledgedThrough;
     private long lastAnswerNanos;
 
     /**
@@ -104,15 +101,15 @@
     public RunSupervisor(Timers timers, MinionPort port, SupervisorListener listener, int partitions) {
         this.timers = timers;
         this.port = port;
-        this.boots = new AnnouncedBoots(port);
+        this.history = new IncarnationHistory(port);
         this.listener = listener;
         this.startedAtNanos = timers.nanos();
         this.token = new FencingToken(timers);
-        this.permission = new LeasePermission(lease, held, ends, listener);
-        this.calls = new RunCalls(timers, port, token, lease, new Calling());
-        this.ledger = new CrashLedger("crashes@" + token.value());
-        this.runEnds = new RunEnds(held, listener, ledger);
-        this.lists = new MinionLists(timers, held, ends, calls, runEnds, partitions);
+        this.leaseCheck = new LeaseExtensionCheck(lease, held, ends, listener);
+        this.commands = new RunCommands(timers, port, token, lease, new CommandCallbacks());
+        this.unstoredCrashes = new UnstoredCrashes("crashes@" + token.value());
+        this.endReporter = new RunEndReporter(held, listener, unstoredCrashes);
+        this.reconciler = new MinionReconciler(timers, held, ends, commands, endReporter, partitions);
     }
 
     /** Returns the minion, once one has announced itself. */
@@ -123,11 +120,11 @@
     /** Tells whether starts are taken. */
     public boolean isAccepting() {
         return !leaving
-                && answering
+                && responsive
                 && reconciled
-                && !unannounced
+                && !awaitingAnnouncement
                 && !departing
-                && !lists.hasUnknownRuns()
+                && !reconciler.hasUnknownRuns()
                 && minion.isPresent()
                 && !minion.get().leaving();
     }
@@ -137,8 +134,9 @@
      * before may have left runs behind, and an owner that takes them for gone would start their tasks again beside
      * them.
      */
-    public boolean isComplete() {
-        return lists.isComplete() || minion.isEmpty() && timers.nanos() - startedAtNanos > UNANNOUNCED_NANOS;
+    public boolean isInventoryComplete() {
+        return reconciler.isComplete()
+                || minion.isEmpty() && timers.nanos() - startedAtNanos > ANNOUNCEMENT_TIMEOUT_NANOS;
     }
 
     /** Returns the capacity less the room of everything that runs, stops or may still start. */
@@ -152,10 +150,10 @@
     }
 
     /** Returns the listed ends that nobody has stored yet. */
-    public List<OwnedEnd> openEnds() {
-        List<OwnedEnd> open = ledger.open();
+    public List<OwnedEnd> unstoredEnds() {
+        List<OwnedEnd> open = unstoredCrashes.unstored();
         if (minion.isPresent()) {
-            open.addAll(ends.open(minion.get().incarnation().name()));
+            open.addAll(ends.unstored(minion.get().incarnation().name()));
         }
         return open;
     }
@@ -192,8 +190,8 @@
      * before it has answered a look that names its boot, so another boot is found out. One that does not answer is
      * forgotten.
      */
-    public void recall(MinionState state) {
-        if (minion.isPresent() || !boots.isFirst()) {
+    public void restore(MinionState state) {
+        if (minion.isPresent() || !history.isEmpty()) {
             // It has announced itself or taken its leave meanwhile, which is newer.
             return;
         }
@@ -201,18 +199,18 @@
                 .with("minion", state.incarnation().name())
                 .log(LOGGER.atInfo());
         announced(state);
-        recalled = true;
-        timers.after(Duration.ofNanos(UNANNOUNCED_NANOS), this::forgetUnlessAnswered);
+        restored = true;
+        timers.after(Duration.ofNanos(ANNOUNCEMENT_TIMEOUT_NANOS), this::discardUnlessAnswered);
     }
 
-    private void forgetUnlessAnswered() {
-        if (!recalled) {
+    private void discardUnlessAnswered() {
+        if (!restored) {
             return;
         }
         EventLine.of("minion-not-found").with("minion", name()).log(LOGGER.atWarning());
-        recalled = false;
-        lookInFlight = false;
-        lookNumber++;
+        restored = false;
+        pollInFlight = false;
+        pollNumber++;
         minion = Optional.empty();
         minionChanged();
     }
@@ -231,39 +229,39 @@
      * before something that is known already: both were held up.
      */
     public void announced(MinionState state) {
-        if (boots.isOld(state, minion.orElse(null))) {
+        if (history.isStale(state, minion.orElse(null))) {
             return;
         }
-        boolean another = minion.isPresent() && !minion.get().incarnation().isSame(state.incarnation());
-        if (another && !recalled && answering && reconciled) {
-            boots.confirm(state, token.value(), this::confirmed);
+        boolean another = minion.isPresent() && !minion.get().incarnation().matches(state.incarnation());
+        if (another && !restored && responsive && reconciled) {
+            history.verify(state, token.value(), this::acceptVerified);
         } else {
             accept(state, true);
         }
     }
 
-    private void confirmed(MinionState state) {
-        if (!boots.isOld(state, minion.orElse(null))) {
+    private void acceptVerified(MinionState state) {
+        if (!history.isStale(state, minion.orElse(null))) {
             accept(state, true);
         }
     }
 
     private void accept(MinionState reported, boolean announced) {
-        recalled = false;
+        restored = false;
         Optional<MinionState> before = minion;
-        boolean same = before.isPresent() && before.get().incarnation().isSame(reported.incarnation());
+        boolean same = before.isPresent() && before.get().incarnation().matches(reported.incarnation());
         if (!same) {
-            before.ifPresent(old -> replaced(old, reported.boot(), outcomeAt(old), "reborn"));
-            if (before.isEmpty() && boots.isReused(reported.boot())) {
+            before.ifPresent(old -> discardIncarnation(old, reported.minionId(), outcomeAt(old), "reborn"));
+            if (before.isEmpty() && history.hasEarlierIncarnation(reported.minionId())) {
                 // What was sent to the one that took its leave is refused once this one has been looked at.
-                token.next();
+                token.increment();
             }
             restartLease(reported.clockMillis());
         }
         minion = Optional.of(same ? update(before.get(), reported) : reported);
         MinionState now = minion.get();
-        boolean news = !same || before.get().leaving() != now.leaving() || unannounced && announced;
-        unannounced = !announced;
+        boolean news = !same || before.get().leaving() != now.leaving() || awaitingAnnouncement && announced;
+        awaitingAnnouncement = !announced;
         if (news) {
             EventLine.of("minion-announced")
                     .with("minion", now.incarnation().name())
@@ -275,12 +273,12 @@
         if (same && !before.get().capacity().equals(now.capacity())) {
             capacityChanged(before.get().capacity(), now.capacity());
         }
-        look();
+        poll();
     }
 
     private static MinionState update(MinionState before, MinionState reported) {
-        boolean bornIsMissing = reported.incarnation().bornAtMillis() == 0;
-        MinionState state = bornIsMissing ? reported.known(before.incarnation()) : reported;
+        boolean bornIsMissing = reported.incarnation().startedAtMillis() == 0;
+        MinionState state = bornIsMissing ? reported.withIncarnation(before.incarnation()) : reported;
         // A minion that has said it leaves never stays after all; a late announcement must not undo it.
         return before.leaving() ? state.asLeaving() : state;
     }
@@ -308,11 +306,11 @@
 
     /** Notes that the minion has taken its leave; whatever ran on it is gone. */
     public void departed(String boot) {
-        if (minion.isEmpty() || !minion.get().boot().equals(boot) || departing) {
+        if (minion.isEmpty() || !minion.get().minionId().equals(boot) || departing) {
             return;
         }
-        if (!boots.isReused(boot)) {
-            gone(RunOutcome.LOST, "departed");
+        if (!history.hasEarlierIncarnation(boot)) {
+            discardMinion(RunOutcome.LOST, "departed");
             return;
         }
         departing = true;
@@ -324,24 +322,24 @@
                         token,
                         () -> departureChecked(asked, true),
                         () -> departureChecked(asked, false))
-                .look();
+                .poll();
         listener.roomChanged();
     }
 
     private void departureChecked(Incarnation asked, boolean isGone) {
-        if (!departing || minion.isEmpty() || !minion.get().incarnation().isSame(asked)) {
+        if (!departing || minion.isEmpty() || !minion.get().incarnation().matches(asked)) {
             return;
         }
         departing = false;
         if (isGone) {
-            gone(RunOutcome.LOST, "departed");
+            discardMinion(RunOutcome.LOST, "departed");
         } else {
             listener.roomChanged();
         }
     }
 
-    private void gone(RunOutcome outcome, String reason) {
-        replaced(minion.orElseThrow(), "", outcome, reason);
+    private void discardMinion(RunOutcome outcome, String reason) {
+        discardIncarnation(minion.orElseThrow(), "", outcome, reason);
         minion = Optional.empty();
         minionChanged();
     }
@@ -352,24 +350,24 @@
      * @param nextId id of the one that is there instead; empty when there is none
      * @param outcome how its runs have ended
      */
-    private void replaced(MinionState old, String nextId, RunOutcome outcome, String reason) {
-        recalled = false;
-        unannounced = false;
+    private void discardIncarnation(MinionState old, String nextId, RunOutcome outcome, String reason) {
+        restored = false;
+        awaitingAnnouncement = false;
         departing = false;
-        boots.replaced(old.incarnation());
+        history.markReplaced(old.incarnation());
         // An answer of the old boot may take long or never come; the new one is looked at without waiting for it.
-        lookInFlight = false;
-        answering = true;
-        lookArmed = false;
-        lookNumber++;
-        if (old.boot().equals(nextId)) {
+        pollInFlight = false;
+        responsive = true;
+        pollScheduled = false;
+        pollNumber++;
+        if (old.minionId().equals(nextId)) {
             carryOver(old, outcome);
         } else {
-            runEnds.allLost(old.incarnation().name(), outcome, reason);
+            endReporter.reportAllLost(old.incarnation().name(), outcome, reason);
         }
         ends.clear();
-        keptSent = 0;
-        lists.clear();
+        acknowledgedThrough = 0;
+        reconciler.clear();
         reconciled = false;
     }
 
@@ -384,7 +382,7 @@
      * of them once it has been looked at, so that those lists are the last word.
      */
     private void carryOver(MinionState old, RunOutcome outcome) {
-        token.next();
+        token.increment();
         for (HeldRun run : held.all()) {
             run.carryOver(old.incarnation(), outcome);
         }
@@ -423,16 +421,16 @@
             return Optional.of(SUSPECT_HELD);
         }
         long now = timers.nanos();
-        if (!permission.isGiven(now)) {
+        if (!leaseCheck.isAllowed(now)) {
             return Optional.of("lease held back");
         }
         used = true;
         long until = lease.extend(now);
         HeldRun fresh = new HeldRun(run, owner, room, until, suspected, now);
         held.add(fresh);
-        StartOrder order = new StartOrder(run, payload, until, token.value(), checkpoint);
-        calls.start(minion.orElseThrow().incarnation(), fresh, order);
-        look();
+        StartRequest order = new StartRequest(run, payload, until, token.value(), checkpoint);
+        commands.start(minion.orElseThrow().incarnation(), fresh, order);
+        poll();
         return Optional.empty();
     }
 
@@ -440,9 +438,9 @@
      * Takes no starts until the minion has answered a look. Its room looks free while it is down, so owners would send
      * it every task that waits, again and again, and none of them would start elsewhere.
      */
-    private void stopAnswering() {
-        if (answering) {
-            answering = false;
+    private void markUnresponsive() {
+        if (responsive) {
+            responsive = false;
             EventLine.of("minion-not-answering").with("minion", name()).log(LOGGER.atWarning());
             listener.roomChanged();
         }
@@ -451,73 +449,77 @@
     /** Stops a run; nothing happens when it isn't held. */
     public void stop(RunKey key) {
         HeldRun run = held.of(key.task());
-        if (run == null || run.key().run() != key.run() || run.isStopWanted() || minion.isEmpty()) {
+        if (run == null || run.key().run() != key.run() || run.isStopRequested() || minion.isEmpty()) {
             return;
         }
-        run.wantStop();
-        calls.stop(minion.get().incarnation(), run);
+        run.requestStop();
+        commands.stop(minion.get().incarnation(), run);
     }
 
     /** Notes that ends of an incarnation are stored, so that the minion may forget them. */
-    public void kept(String incarnation, List<Long> sequences) {
-        if (ledger.kept(incarnation, sequences) || !name().equals(incarnation)) {
+    public void markStored(String incarnation, List<Long> sequences) {
+        if (unstoredCrashes.markStored(incarnation, sequences) || !name().equals(incarnation)) {
             return;
         }
         for (long sequence : sequences) {
-            ends.keep(sequence);
+            ends.markStored(sequence);
         }
-        if (ends.keptThrough() > keptSent) {
-            look();
+        if (ends.storedThrough() > acknowledgedThrough) {
+            poll();
         }
     }
 
-    private void look() {
-        if (lookInFlight || lookArmed || minion.isEmpty() || !isLookNeeded()) {
+    private void poll() {
+        if (pollInFlight || pollScheduled || minion.isEmpty() || !isPollNeeded()) {
             return;
         }
         long now = timers.nanos();
-        loseAfterLapse(now);
-        if (minion.isEmpty() || !isLookNeeded()) {
+        reportLostAfterLease(now);
+        if (minion.isEmpty() || !isPollNeeded()) {
             return;
         }
-        lookInFlight = true;
-        lookNumber++;
-        long number = lookNumber;
+        pollInFlight = true;
+        pollNumber++;
+        long number = pollNumber;
         Incarnation at = minion.get().incarnation();
-        LookOrder order = lookOrder(now);
-        port.look(at.id(), order, answer -> {
-            lookInFlight = false;
-            if (number == lookNumber
+        PollRequest order = pollRequest(now);
+        port.poll(at.id(), order, answer -> {
+            pollInFlight = false;
+            if (number == pollNumber
                     && minion.isPresent()
-                    && minion.get().incarnation().isSame(at)) {
-                looked(at, answer, now, order.keptThrough());
+                    && minion.get().incarnation().matches(at)) {
+                handlePollResult(at, answer, now, order.acknowledgedThrough());
             } else {
-                look();
+                poll();
             }
         });
     }
 
-    private LookOrder lookOrder(long now) {
-        boolean another = mayBeAnother();
-        Duration wait = held.isEmpty() || !reconciled || another ? Duration.ZERO : LOOK_WAIT;
-        return new LookOrder(token.value(), another ? 0 : ends.keptThrough(), renewal(now), wait);
+    private PollRequest pollRequest(long now) {
+        boolean another = mayHaveRestarted();
+        Duration wait = held.isEmpty() || !reconciled || another ? Duration.ZERO : POLL_WAIT;
+        return new PollRequest(token.value(), another ? 0 : ends.storedThrough(), renewal(now), wait);
     }
 
     /**
      * Tells whether the minion may have come back under the same id since it answered last. An acknowledgement would
      * make the next incarnation forget its own ends, and a lease by the clock before would be as long as it grants.
      */
-    private boolean mayBeAnother() {
-        return !answering && minion.orElseThrow().incarnation().bornAtMillis() != 0;
+    private boolean mayHaveRestarted() {
+        return !responsive && minion.orElseThrow().incarnation().startedAtMillis() != 0;
     }
 
-    private boolean isLookNeeded() {
-        return !reconciled || !answering || lists.hasUnknownRuns() || !held.isEmpty() || ends.keptThrough() > keptSent;
+    private boolean isPollNeeded() {
+        return !reconciled
+                || !responsive
+                || reconciler.hasUnknownRuns()
+                || !held.isEmpty()
+                || ends.storedThrough() > acknowledgedThrough;
     }
 
     private OptionalLong renewal(long now) {
-        boolean another = !reconciled || mayBeAnother();
-        if (held.isEmpty() || another || now - lastAnswerNanos > UNANSWERED_NANOS || !permission.isGiven(now)) {
+        boolean another = !reconciled || mayHaveRestarted();
+        if (held.isEmpty() || another || now - lastAnswerNanos > RENEWAL_CUTOFF_NANOS || !leaseCheck.isAllowed(now)) {
             return OptionalLong.empty();
         }
         return OptionalLong.of(lease.extend(now));
@@ -528,70 +530,71 @@
      * then a run may go on there, and a second one elsewhere would run beside it. A minion at whose address nobody
      * listens has not gone silent: its process has ended, and usually it is back only after the lease.
      */
-    private void loseAfterLapse(long now) {
-        boolean silent = now - lastAnswerNanos > UNANSWERED_NANOS;
-        if (silent && !held.isEmpty() && lease.hasLapsed(now)) {
-            runEnds.allLost(name(), nobodyListens ? outcomeAt(minion.orElseThrow()) : RunOutcome.LOST, "silent");
+    private void reportLostAfterLease(long now) {
+        boolean silent = now - lastAnswerNanos > RENEWAL_CUTOFF_NANOS;
+        if (silent && !held.isEmpty() && lease.hasExpired(now)) {
+            endReporter.reportAllLost(
+                    name(), connectionRefused ? outcomeAt(minion.orElseThrow()) : RunOutcome.LOST, "silent");
             reconciled = false;
             listener.roomChanged();
         }
     }
 
-    private void looked(Incarnation at, LookAnswer answer, long sentAtNanos, long keptWithIt) {
-        nobodyListens = answer instanceof LookAnswer.Unreachable;
+    private void handlePollResult(Incarnation at, PollResult answer, long sentAtNanos, long keptWithIt) {
+        connectionRefused = answer instanceof PollResult.Unreachable;
         switch (answer) {
-            case LookAnswer.Lists listed -> {
-                if (!at.isBornAs(listed.bornAtMillis())) {
-                    answeredByAnother(at, listed);
+            case PollResult.Lists listed -> {
+                if (!at.mayHaveStartedAt(listed.startedAtMillis())) {
+                    handleOtherIncarnation(at, listed);
                     return;
                 }
-                learnBorn(listed.bornAtMillis());
+                recordStartTime(listed.startedAtMillis());
                 lastAnswerNanos = timers.nanos();
                 lease.observe(listed.clockMillis(), lastAnswerNanos);
-                recalled = false;
-                if (!lists.isComplete()) {
+                restored = false;
+                if (!reconciler.isComplete()) {
                     // The agent before this one may have extended the lease a moment ago.
                     lease.extend(lastAnswerNanos);
                 }
-                keptSent = Math.max(keptSent, keptWithIt);
-                boolean news = took(listed, sentAtNanos);
-                boolean quick = lastAnswerNanos - sentAtNanos < LOOK_PAUSE.toNanos();
+                acknowledgedThrough = Math.max(acknowledgedThrough, keptWithIt);
+                boolean news = applyLists(listed, sentAtNanos);
+                boolean quick = lastAnswerNanos - sentAtNanos < EMPTY_POLL_PAUSE.toNanos();
                 if (news) {
-                    lookAfter(NEWS_PAUSE);
+                    pollAfter(PAUSE_AFTER_ENDS);
                 } else {
-                    lookAfter(quick ? LOOK_PAUSE : Duration.ZERO);
+                    pollAfter(quick ? EMPTY_POLL_PAUSE : Duration.ZERO);
                 }
             }
-            case LookAnswer.Refused refused -> {
+            case PollResult.Refused refused -> {
                 EventLine.of("look-refused")
                         .with("minion", at.name())
                         .with("reason", refused.reason())
                         .log(LOGGER.atWarning());
                 if (refused.fenced()) {
                     token.raise();
-                    lookAfter(Duration.ZERO);
+                    pollAfter(Duration.ZERO);
                 } else {
-                    gone(outcomeAt(minion.orElseThrow()), "another id");
+                    discardMinion(outcomeAt(minion.orElseThrow()), "another id");
                 }
             }
-            case LookAnswer.Unreachable unreachable -> {
-                unanswered(at, unreachable.reason());
-                stopAnswering();
-                lookAfter(LOOK_RETRY);
+            case PollResult.Unreachable unreachable -> {
+                logUnanswered(at, unreachable.reason());
+                markUnresponsive();
+                pollAfter(POLL_RETRY_PAUSE);
             }
-            case LookAnswer.Unknown unknown -> {
-                unanswered(at, unknown.reason());
-                if (timers.nanos() - lastAnswerNanos > NOT_ANSWERING_NANOS) {
-                    stopAnswering();
-                    lookAfter(LOOK_RETRY);
+            case PollResult.Unknown unknown -> {
+                logUnanswered(at, unknown.reason());
+                if (timers.nanos() - lastAnswerNanos > UNRESPONSIVE_NANOS) {
+                    markUnresponsive();
+                    pollAfter(POLL_RETRY_PAUSE);
                 } else {
-                    lookAfter(LOOK_PAUSE);
+                    pollAfter(EMPTY_POLL_PAUSE);
                 }
             }
         }
     }
 
-    private static void unanswered(Incarnation at, String reason) {
+    private static void logUnanswered(Incarnation at, String reason) {
         EventLine.of("look-unanswered")
                 .with("minion", at.name())
                 .with("reason", reason)
@@ -603,47 +606,47 @@
      * capacity isn't known and it takes no starts yet. One of an earlier start is believed only when the known one has
      * not been heard for long: its clock was set back, or the known one was never there.
      */
-    private void answeredByAnother(Incarnation known, LookAnswer.Lists lists) {
-        boolean earlier = lists.bornAtMillis() < known.bornAtMillis();
-        if (earlier && timers.nanos() - lastAnswerNanos <= UNANNOUNCED_NANOS) {
-            unanswered(known, "an earlier incarnation answers");
-            stopAnswering();
-            lookAfter(LOOK_RETRY);
+    private void handleOtherIncarnation(Incarnation known, PollResult.Lists lists) {
+        boolean earlier = lists.startedAtMillis() < known.startedAtMillis();
+        if (earlier && timers.nanos() - lastAnswerNanos <= ANNOUNCEMENT_TIMEOUT_NANOS) {
+            logUnanswered(known, "an earlier incarnation answers");
+            markUnresponsive();
+            pollAfter(POLL_RETRY_PAUSE);
             return;
         }
-        accept(minion.orElseThrow().reborn(lists.bornAtMillis(), lists.clockMillis()), false);
+        accept(minion.orElseThrow().restarted(lists.startedAtMillis(), lists.clockMillis()), false);
         if (earlier) {
-            boots.forget(known.id());
+            history.remove(known.id());
         }
     }
 
-    private void learnBorn(long bornAtMillis) {
+    private void recordStartTime(long bornAtMillis) {
         MinionState known = minion.orElseThrow();
-        if (bornAtMillis != 0 && known.incarnation().bornAtMillis() == 0) {
-            minion = Optional.of(known.known(Incarnation.of(known.boot(), bornAtMillis)));
+        if (bornAtMillis != 0 && known.incarnation().startedAtMillis() == 0) {
+            minion = Optional.of(known.withIncarnation(Incarnation.of(known.minionId(), bornAtMillis)));
         }
     }
 
-    private void lookAfter(Duration pause) {
+    private void pollAfter(Duration pause) {
         if (pause.isZero()) {
-            look();
+            poll();
             return;
         }
-        if (!lookArmed) {
-            lookArmed = true;
+        if (!pollScheduled) {
+            pollScheduled = true;
             timers.after(pause, () -> {
-                lookArmed = false;
-                look();
+                pollScheduled = false;
+                poll();
             });
         }
     }
 
     /** Takes the lists over; tells whether they held anything new. */
-    private boolean took(LookAnswer.Lists listed, long sentAtNanos) {
+    private boolean applyLists(PollResult.Lists listed, long sentAtNanos) {
         Room before = free();
         boolean acceptingBefore = isAccepting();
-        List<OwnedEnd> fresh = lists.take(minion.orElseThrow().incarnation(), listed, sentAtNanos);
-        answering = true;
+        List<OwnedEnd> fresh = reconciler.reconcile(minion.orElseThrow().incarnation(), listed, sentAtNanos);
+        responsive = true;
         reconciled = true;
         if (!fresh.isEmpty()) {
             listener.ended(fresh);
@@ -669,27 +672,27 @@
     }
 
     /** What calls about single runs ask of and tell to this. */
-    private final class Calling implements RunCalls.Supervision {
+    private final class CommandCallbacks implements RunCommands.Callbacks {
         @Override
         public boolean isHeld(Incarnation at, HeldRun run) {
             return held.has(run)
                     && minion.isPresent()
-                    && minion.get().incarnation().isSame(at);
+                    && minion.get().incarnation().matches(at);
         }
 
         @Override
-        public void neverStarted(Incarnation at, HeldRun run) {
-            runEnds.neverStarted(at, run);
+        public void reportNeverStarted(Incarnation at, HeldRun run) {
+            endReporter.reportNeverStarted(at, run);
         }
 
         @Override
         public void unreachable() {
-            stopAnswering();
+            markUnresponsive();
         }
 
         @Override
-        public void look() {
-            RunSupervisor.this.look();
+        public void poll() {
+            RunSupervisor.this.poll();
         }
     }
 }
--- a/library/src/main/java/org/chivetally/queue/agent/TimingMinionPort.java
+++ b/library/src/main/java/org/chivetally/queue/agent/TimingMinionPort.java
@@ -22,17 +22,17 @@
      * Time after which the answer to a start no longer dates it. Answers take a millisecond; where one was lost, the
      * repeated call is answered tens of milliseconds later, which would make the shortest runs look a third faster.
      */
-    static final Duration LATEST_ANSWER = Duration.ofMillis(20);
+    static final Duration MAXIMUM_ANSWER_TIME = Duration.ofMillis(20);
 
     /** Runs that are timed at once. A worker holds fewer; those that vanished without an end are dropped at this. */
-    private static final int MOST_RUNS = 1_000;
+    private static final int MAXIMUM_RUNS = 1_000;
 
     private final MinionPort port;
     private final Timers timers;
     private final Map<RunKey, TimedRun> runs = new HashMap<>();
     private final RunStretch stretch = new RunStretch();
-    private String timedBoot = "";
-    private boolean endsDated = true;
+    private String timedMinionId = "";
+    private boolean endTimesKnown = true;
 
     TimingMinionPort(MinionPort port, Timers timers) {
         this.port = port;
@@ -53,20 +53,20 @@
         if (estimatedMillis <= 0) {
             return;
         }
-        if (runs.size() >= MOST_RUNS) {
+        if (runs.size() >= MAXIMUM_RUNS) {
             runs.clear();
         }
         runs.put(run, new TimedRun(estimatedMillis));
     }
 
     /** Forgets a run that was not started. */
-    void forget(RunKey run) {
+    void discard(RunKey run) {
         runs.remove(run);
     }
 
     @Override
-    public void start(String boot, StartOrder order, Consumer<StartAnswer> answer) {
-        lookAtBoot(boot);
+    public void start(String boot, StartRequest order, Consumer<StartResult> answer) {
+        resetForNewMinion(boot);
         RunKey run = order.run();
         if (!order.checkpoint().isEmpty()) {
             // It does only the rest of the work, of which there is no estimate.
@@ -75,11 +75,12 @@
         long sentAtNanos = timers.nanos();
         port.start(boot, order, answered -> {
             long now = timers.nanos();
-            boolean dated = answered instanceof StartAnswer.Started && now - sentAtNanos <= LATEST_ANSWER.toNanos();
+            boolean dated =
+                    answered instanceof StartResult.Started && now - sentAtNanos <= MAXIMUM_ANSWER_TIME.toNanos();
             TimedRun timed = runs.get(run);
             if (timed != null && dated) {
                 timed.startedAtNanos = now;
-                timed.dated = true;
+                timed.startTimeKnown = true;
             } else {
                 runs.remove(run);
             }
@@ -94,41 +95,41 @@
     }
 
     @Override
-    public void look(String boot, LookOrder order, Consumer<LookAnswer> answer) {
-        lookAtBoot(boot);
-        port.look(boot, order, answered -> {
-            if (boot.equals(timedBoot)) {
-                looked(answered);
+    public void poll(String boot, PollRequest order, Consumer<PollResult> answer) {
+        resetForNewMinion(boot);
+        port.poll(boot, order, answered -> {
+            if (boot.equals(timedMinionId)) {
+                recordEnds(answered);
             }
             answer.accept(answered);
         });
     }
 
-    private void looked(LookAnswer answer) {
-        if (answer instanceof LookAnswer.Lists lists) {
+    private void recordEnds(PollResult answer) {
+        if (answer instanceof PollResult.Lists lists) {
             for (ListedEnd end : lists.ends()) {
                 TimedRun run = runs.remove(end.run());
-                if (run != null && run.dated && endsDated && end.outcome() == RunOutcome.DONE) {
+                if (run != null && run.startTimeKnown && endTimesKnown && end.outcome() == RunOutcome.DONE) {
                     long now = timers.nanos();
                     stretch.ended(now - run.startedAtNanos, run.estimatedMillis, now);
                 }
             }
-            endsDated = true;
+            endTimesKnown = true;
         } else {
             // What the next look lists may have ended long before.
-            endsDated = false;
+            endTimesKnown = false;
         }
     }
 
     /** Forgets everything when another minion is called: it may be of another kind. */
-    private void lookAtBoot(String boot) {
-        if (!boot.equals(timedBoot)) {
-            if (!timedBoot.isEmpty()) {
+    private void resetForNewMinion(String boot) {
+        if (!boot.equals(timedMinionId)) {
+            if (!timedMinionId.isEmpty()) {
                 runs.clear();
                 stretch.clear();
             }
-            timedBoot = boot;
-            endsDated = true;
+            timedMinionId = boot;
+            endTimesKnown = true;
         }
     }
 
@@ -136,7 +137,7 @@
     private static final class TimedRun {
         private final int estimatedMillis;
         private long startedAtNanos;
-        private boolean dated;
+        private boolean startTimeKnown;
 
         private TimedRun(int estimatedMillis) {
             this.estimatedMillis = estimatedMillis;
--- a/library/src/main/java/org/chivetally/queue/agent/EndList.java
+++ b/library/src/main/java/org/chivetally/queue/agent/UnacknowledgedEnds.java
@@ -7,42 +7,42 @@
 import java.util.TreeMap;
 
 /** Ends that the minion has listed and that aren't acknowledged to it, in the order of their sequences. */
-final class EndList {
-    private final TreeMap<Long, Entry> entries = new TreeMap<>();
-    private long keptThrough;
+final class UnacknowledgedEnds {
+    private final TreeMap<Long, TrackedEnd> ends = new TreeMap<>();
+    private long storedThrough;
 
     /** Notes an end of an owner's run; tells whether it is new. */
     boolean add(MinionPort.ListedEnd end, RunOwner owner) {
-        if (end.sequence() <= keptThrough || entries.containsKey(end.sequence())) {
+        if (end.sequence() <= storedThrough || ends.containsKey(end.sequence())) {
             return false;
         }
-        entries.put(end.sequence(), new Entry(end, owner));
+        ends.put(end.sequence(), new TrackedEnd(end, owner));
         return true;
     }
 
     /** Notes that an end is stored, or that nobody needs it. */
-    void keep(long sequence) {
-        Entry entry = entries.get(sequence);
+    void markStored(long sequence) {
+        TrackedEnd entry = ends.get(sequence);
         if (entry != null) {
-            entry.kept = true;
+            entry.stored = true;
         }
-        while (!entries.isEmpty() && entries.firstEntry().getValue().kept) {
-            keptThrough = entries.pollFirstEntry().getKey();
+        while (!ends.isEmpty() && ends.firstEntry().getValue().stored) {
+            storedThrough = ends.pollFirstEntry().getKey();
         }
     }
 
     /** Notes that the minion's lease has ended since all of these, so that they no longer count at the minion. */
-    void lapsed() {
-        for (Entry entry : entries.values()) {
-            entry.lapsed = true;
+    void markLeaseExpired() {
+        for (TrackedEnd entry : ends.values()) {
+            entry.leaseExpired = true;
         }
     }
 
     /** Returns the owners that haven't stored an end yet since which the lease has not ended. */
-    Set<RunOwner> ownersBeforeLapse() {
+    Set<RunOwner> ownersOfUnstoredEndsUnderLease() {
         Set<RunOwner> owners = new HashSet<>();
-        for (Entry entry : entries.values()) {
-            if (!entry.kept && !entry.lapsed) {
+        for (TrackedEnd entry : ends.values()) {
+            if (!entry.stored && !entry.leaseExpired) {
                 owners.add(entry.owner);
             }
         }
@@ -50,37 +50,37 @@
     }
 
     /** Returns the sequence up to which all ends are kept. */
-    long keptThrough() {
-        return keptThrough;
+    long storedThrough() {
+        return storedThrough;
     }
 
     /** Returns the ends that aren't kept. */
-    List<OwnedEnd> open(String boot) {
+    List<OwnedEnd> unstored(String boot) {
         List<OwnedEnd> open = new ArrayList<>();
-        for (Entry entry : entries.values()) {
-            if (!entry.kept) {
-                open.add(new OwnedEnd(entry.owner, entry.end.of(boot)));
+        for (TrackedEnd entry : ends.values()) {
+            if (!entry.stored) {
+                open.add(new OwnedEnd(entry.owner, entry.end.toEndedRun(boot)));
             }
         }
         return open;
     }
 
     boolean isEmpty() {
-        return entries.isEmpty();
+        return ends.isEmpty();
     }
 
     void clear() {
-        entries.clear();
-        keptThrough = 0;
+        ends.clear();
+        storedThrough = 0;
     }
 
-    private static final class Entry {
+    private static final class TrackedEnd {
         private final MinionPort.ListedEnd end;
         private final RunOwner owner;
-        private boolean kept;
-        private boolean lapsed;
+        private boolean stored;
+        private boolean leaseExpired;
 
-        private Entry(MinionPort.ListedEnd end, RunOwner owner) {
+        private TrackedEnd(MinionPort.ListedEnd end, RunOwner owner) {
             this.end = end;
             this.owner = owner;
         }
--- a/library/src/main/java/org/chivetally/queue/agent/UnknownRuns.java
+++ b/library/src/main/java/org/chivetally/queue/agent/UnknownRuns.java
@@ -15,39 +15,39 @@
  */
 final class UnknownRuns {
     /** Pause before a stop is sent again while the run is still listed. */
-    static final Duration STOP_AGAIN = Duration.ofMillis(100);
+    static final Duration STOP_RETRY_INTERVAL = Duration.ofMillis(100);
 
     /** When the last stop went out, by run; 0 for none. */
-    private final Map<RunKey, Long> stopSentAt = new HashMap<>();
+    private final Map<RunKey, Long> stopSentNanos = new HashMap<>();
 
     boolean isEmpty() {
-        return stopSentAt.isEmpty();
+        return stopSentNanos.isEmpty();
     }
 
     void clear() {
-        stopSentAt.clear();
+        stopSentNanos.clear();
     }
 
     /** Takes over the runs that are listed now and not known. */
-    void listed(Collection<RunKey> unknown) {
-        if (unknown.isEmpty() && stopSentAt.isEmpty()) {
+    void update(Collection<RunKey> unknown) {
+        if (unknown.isEmpty() && stopSentNanos.isEmpty()) {
             return;
         }
-        stopSentAt.keySet().retainAll(unknown);
+        stopSentNanos.keySet().retainAll(unknown);
         for (RunKey run : unknown) {
-            stopSentAt.putIfAbsent(run, 0L);
+            stopSentNanos.putIfAbsent(run, 0L);
         }
     }
 
     /** Returns the runs to which a stop is due, and notes that it goes out. */
     List<RunKey> dueForStop(long nowNanos) {
-        if (stopSentAt.isEmpty()) {
+        if (stopSentNanos.isEmpty()) {
             return List.of();
         }
         List<RunKey> due = new ArrayList<>();
-        for (Map.Entry<RunKey, Long> entry : stopSentAt.entrySet()) {
+        for (Map.Entry<RunKey, Long> entry : stopSentNanos.entrySet()) {
             boolean never = entry.getValue() == 0;
-            if (never || nowNanos - entry.getValue() >= STOP_AGAIN.toNanos()) {
+            if (never || nowNanos - entry.getValue() >= STOP_RETRY_INTERVAL.toNanos()) {
                 entry.setValue(nowNanos == 0 ? 1 : nowNanos);
                 due.add(entry.getKey());
             }
--- a/library/src/main/java/org/chivetally/queue/agent/CrashLedger.java
+++ b/library/src/main/java/org/chivetally/queue/agent/UnstoredCrashes.java
@@ -8,11 +8,11 @@
  * Crashed runs of kept jobs whose count nobody has stored yet. The minion lists nothing of an incarnation that is gone,
  * so without this the crash would be forgotten with the entry that was told of it.
  */
-final class CrashLedger {
+final class UnstoredCrashes {
     /** Crashes that are remembered; a minion holds some dozens of runs, and the store takes them within seconds. */
-    static final int MOST = 1_000;
+    static final int MAXIMUM_CRASHES = 1_000;
 
-    private final TreeMap<Long, OwnedEnd> open = new TreeMap<>();
+    private final TreeMap<Long, OwnedEnd> crashes = new TreeMap<>();
     private final String name;
     private long sequence;
 
@@ -21,7 +21,7 @@
      *
      * @param name differs from that of any minion and of every other start of an agent
      */
-    CrashLedger(String name) {
+    UnstoredCrashes(String name) {
         this.name = name;
     }
 
@@ -31,24 +31,24 @@
         EndedRun run = end.end();
         OwnedEnd numbered =
                 new OwnedEnd(end.owner(), new EndedRun(name, sequence, run.run(), run.outcome(), run.checkpoint()));
-        open.put(sequence, numbered);
-        if (open.size() > MOST) {
-            open.pollFirstEntry();
+        crashes.put(sequence, numbered);
+        if (crashes.size() > MAXIMUM_CRASHES) {
+            crashes.pollFirstEntry();
         }
         return numbered;
     }
 
     /** Forgets ends that are stored, if they are from here; tells whether they are. */
-    boolean kept(String minion, List<Long> sequences) {
+    boolean markStored(String minion, List<Long> sequences) {
         if (!name.equals(minion)) {
             return false;
         }
-        sequences.forEach(open::remove);
+        sequences.forEach(crashes::remove);
         return true;
     }
 
     /** Returns the ends that aren't stored. */
-    List<OwnedEnd> open() {
-        return new ArrayList<>(open.values());
+    List<OwnedEnd> unstored() {
+        return new ArrayList<>(crashes.values());
     }
 }
--- a/library/src/main/java/org/chivetally/queue/agent/WaitingStarts.java
+++ b/library/src/main/java/org/chivetally/queue/agent/WaitingStarts.java
@@ -23,30 +23,31 @@
      * How long a start waits: a worker with a dozen tasks of a third of a second frees room every 30 ms. Longer, and
      * the start would be better off at another worker.
      */
-    static final Duration PATIENCE = Duration.ofMillis(30);
+    static final Duration MAXIMUM_WAIT = Duration.ofMillis(30);
 
     /**
-     * Starts that may wait: the room of about one end in {@link #PATIENCE} comes free, and ends of a job come together.
+     * Starts that may wait: the room of about one end in {@link #MAXIMUM_WAIT} comes free, and ends of a job come
+     * together.
      */
-    static final int MOST = 2;
+    static final int MAXIMUM_WAITING = 2;
 
-    private final List<Waiting> waiting = new ArrayList<>();
+    private final List<WaitingStart> waiting = new ArrayList<>();
 
     /** A start, the link that it came on, and what it names. */
-    record Waiting(PeerLink link, RunStart start, RunKey run) {}
+    record WaitingStart(PeerLink link, RunStart start, RunKey run) {}
 
     /** Lets a start wait if there is a place for it. */
-    Optional<Waiting> add(PeerLink link, RunStart start, RunKey run) {
-        if (waiting.size() >= MOST) {
+    Optional<WaitingStart> add(PeerLink link, RunStart start, RunKey run) {
+        if (waiting.size() >= MAXIMUM_WAITING) {
             return Optional.empty();
         }
-        Waiting added = new Waiting(link, start, run);
+        WaitingStart added = new WaitingStart(link, start, run);
         waiting.add(added);
         return Optional.of(added);
     }
 
     /** Takes out the start that has waited longest, if it fits into the free room. */
-    Optional<Waiting> pollFitting(Room free) {
+    Optional<WaitingStart> pollFitting(Room free) {
         if (waiting.isEmpty() || !roomOf(waiting.getFirst()).fitsInto(free)) {
             return Optional.empty();
         }
@@ -59,8 +60,8 @@
     }
 
     /** Takes out all starts of a kind. */
-    List<Waiting> removeIf(Predicate<Waiting> condition) {
-        List<Waiting> removed = waiting.stream().filter(condition).toList();
+    List<WaitingStart> removeIf(Predicate<WaitingStart> condition) {
+        List<WaitingStart> removed = waiting.stream().filter(condition).toList();
         waiting.removeAll(removed);
         return removed;
     }
@@ -68,13 +69,13 @@
     /** Returns the room that all of them need. */
     Room room() {
         Room room = Room.NONE;
-        for (Waiting start : waiting) {
+        for (WaitingStart start : waiting) {
             room = room.plus(roomOf(start));
         }
         return room;
     }
 
-    private static Room roomOf(Waiting waiting) {
+    private static Room roomOf(WaitingStart waiting) {
         return JobCodec.decode(waiting.start().getRoom());
     }
 }
--- a/library/src/main/java/org/chivetally/queue/entry/AgentAnnouncement.java
+++ b/library/src/main/java/org/chivetally/queue/entry/AgentAnnouncement.java
@@ -32,7 +32,7 @@
     public void start(Consumer<Peer> met) {
         agent.whenMinionChanges(this::minionChanged);
         directory.readOnce(met, () -> {
-            directory.minionOf(self.process()).ifPresent(agent.supervisor()::recall);
+            directory.minionOf(self.process()).ifPresent(agent.supervisor()::restore);
             announced = agent.supervisor().minion();
             read = true;
             directory.announce(self, announced);
--- a/library/src/main/java/org/chivetally/queue/entry/MemberDirectory.java
+++ b/library/src/main/java/org/chivetally/queue/entry/MemberDirectory.java
@@ -81,13 +81,13 @@
 
     private static StoredMinion encode(MinionState minion) {
         return StoredMinion.newBuilder()
-                .setBoot(minion.boot())
+                .setBoot(minion.minionId())
                 .setService(minion.service())
                 .setCapacity(JobCodec.encode(minion.capacity()))
                 .addAllLabels(minion.labels())
                 .setLeaving(minion.leaving())
                 .setClockMillis(minion.clockMillis())
-                .setBornAtMillis(minion.incarnation().bornAtMillis())
+                .setBornAtMillis(minion.incarnation().startedAtMillis())
                 .build();
     }
 
--- a/library/src/main/java/org/chivetally/queue/entry/RunCoordinator.java
+++ b/library/src/main/java/org/chivetally/queue/entry/RunCoordinator.java
@@ -504,7 +504,7 @@
             return;
         }
         link.send(Frame.newBuilder()
-                .setEndsKept(EndsKept.newBuilder().setMinion(end.boot()).addSequences(end.sequence()))
+                .setEndsKept(EndsKept.newBuilder().setMinion(end.incarnation()).addSequences(end.sequence()))
                 .build());
     }
 
--- a/library/src/main/java/org/chivetally/queue/warmup/AgentExercise.java
+++ b/library/src/main/java/org/chivetally/queue/warmup/AgentExercise.java
@@ -8,7 +8,7 @@
 import org.chivetally.queue.TaskKey;
 import org.chivetally.queue.agent.AgentNode;
 import org.chivetally.queue.agent.MinionState;
-import org.chivetally.queue.agent.RepeatingMinionPort;
+import org.chivetally.queue.agent.RetryingMinionPort;
 import org.chivetally.queue.link.LinkListener;
 import org.chivetally.queue.link.LinkTable;
 import org.chivetally.queue.link.Peer;
@@ -37,9 +37,9 @@
                 self,
                 timers,
                 (host, port, listener) -> ModelConnection.connect(timers, listener, entry.links.acceptor()),
-                new RepeatingMinionPort(timers, minion),
+                new RetryingMinionPort(timers, minion),
                 1);
-        agent.meet(entry.self);
+        agent.addEntry(entry.self);
         agent.supervisor()
                 .announced(new MinionState(
                         "warm-up-boot", "warm-up", CAPACITY, List.of("a"), false, minion.clockMillis()));
--- a/library/src/main/java/org/chivetally/queue/warmup/ModelMinion.java
+++ b/library/src/main/java/org/chivetally/queue/warmup/ModelMinion.java
@@ -30,10 +30,10 @@
     }
 
     @Override
-    public void start(String boot, StartOrder order, Consumer<StartAnswer> answer) {
+    public void start(String boot, StartRequest order, Consumer<StartResult> answer) {
         running.add(order.run());
         timers.after(WORK, () -> end(order.run()));
-        timers.after(ANSWER, () -> answer.accept(new StartAnswer.Started(clockMillis())));
+        timers.after(ANSWER, () -> answer.accept(new StartResult.Started(clockMillis())));
     }
 
     private void end(RunKey run) {
@@ -50,12 +50,12 @@
     }
 
     @Override
-    public void look(String boot, LookOrder order, Consumer<LookAnswer> answer) {
-        ends.headMap(order.keptThrough(), true).clear();
-        Duration wait = order.longestWait().isZero() ? ANSWER : WORK;
+    public void poll(String boot, PollRequest order, Consumer<PollResult> answer) {
+        ends.headMap(order.acknowledgedThrough(), true).clear();
+        Duration wait = order.maximumWait().isZero() ? ANSWER : WORK;
         timers.after(
                 wait,
                 () -> answer.accept(
-                        new LookAnswer.Lists(clockMillis(), List.copyOf(running), List.copyOf(ends.values()))));
+                        new PollResult.Lists(clockMillis(), List.copyOf(running), List.copyOf(ends.values()))));
     }
 }
--- a/library/src/test/java/org/chivetally/queue/agent/AgentNodeTest.java
+++ b/library/src/test/java/org/chivetally/queue/agent/AgentNodeTest.java
@@ -41,7 +41,7 @@
 
     private final ManualTimers timers = new ManualTimers();
     private final MemoryNetwork network = new MemoryNetwork(timers);
-    private final ModelMinion minion = new ModelMinion(timers);
+    private final FakeMinion minion = new FakeMinion(timers);
     private final AgentNode agent = new AgentNode(AGENT, timers, network.dialer("agent"), minion, 16);
 
     /** An entry that beats and notes what it is told. */
@@ -146,7 +146,7 @@
 
     private ScriptedEntry entry(String name, long epoch) {
         ScriptedEntry entry = new ScriptedEntry(name, epoch);
-        agent.meet(entry.self);
+        agent.addEntry(entry.self);
         return entry;
     }
 
@@ -235,7 +235,7 @@
         entry.start("job", 1, true);
         timers.advance(Duration.ofSeconds(5));
         assertThat(minion.running.keySet(), contains(run("job", 1)));
-        assertThat(minion.isLapsed(), is(false));
+        assertThat(minion.isLeaseExpired(), is(false));
         assertThat(minion.stops, is(empty()));
     }
 
--- a/library/src/test/java/org/chivetally/queue/agent/CrashedRunsTest.java
+++ b/library/src/test/java/org/chivetally/queue/agent/CrashedRunsTest.java
@@ -22,12 +22,12 @@
     private static final Room SMALL = new Room(1_000, 64, 0);
     private static final RunOwner OWNER = new RunOwner.Partition(3);
     private static final RunOwner ENTRY = new RunOwner.Entry("entry-1", 1);
-    private static final long BORN = 1_800_000_000_000L;
+    private static final long STARTED = 1_800_000_000_000L;
 
     private final ManualTimers timers = new ManualTimers();
-    private final ModelMinion minion = new ModelMinion(timers);
+    private final FakeMinion minion = new FakeMinion(timers);
     private final ScriptedListener listener = new ScriptedListener();
-    private final List<OwnedEnd> told = listener.told;
+    private final List<OwnedEnd> reportedEnds = listener.reportedEnds;
     private final RunSupervisor supervisor = new RunSupervisor(timers, minion, listener, 16);
 
     private static RunKey run(String job) {
@@ -41,36 +41,36 @@
     }
 
     private void begin() {
-        minion.reborn(BORN);
-        announce("minion", BORN, false);
+        minion.restart(STARTED);
+        announce("minion", STARTED, false);
         supervisor.start(run("a"), OWNER, SMALL, "payload", "");
         timers.advance(Duration.ofMillis(150));
     }
 
     private List<RunOutcome> outcomes() {
-        return told.stream().map(end -> end.end().outcome()).toList();
+        return reportedEnds.stream().map(end -> end.end().outcome()).toList();
     }
 
     @Test
     void aRunWhoseMinionComesBackUnderTheSameIdHasCrashedIt() {
         begin();
-        minion.reborn(BORN + 1);
-        announce("minion", BORN + 1, false);
+        minion.restart(STARTED + 1);
+        announce("minion", STARTED + 1, false);
         assertThat(outcomes(), contains(RunOutcome.CRASHED));
     }
 
     @Test
     void aRunWhoseMinionComesBackUnderAnotherIdHasCrashedIt() {
         begin();
-        minion.reborn(BORN + 1);
-        announce("other", BORN + 1, false);
+        minion.restart(STARTED + 1);
+        announce("other", STARTED + 1, false);
         assertThat(outcomes(), contains(RunOutcome.CRASHED));
     }
 
     @Test
     void aRunWhoseMinionAnswersAsAnotherIdHasCrashedIt() {
         begin();
-        minion.absentBoots.add("minion");
+        minion.absentIds.add("minion");
         timers.advance(Duration.ofMillis(300));
         assertThat(outcomes(), contains(RunOutcome.CRASHED));
     }
@@ -85,8 +85,8 @@
         minion.down = true;
         timers.advance(Duration.ofSeconds(2));
         assertThat(outcomes(), contains(RunOutcome.CRASHED));
-        minion.reborn(BORN + 1);
-        announce("minion", BORN + 1, false);
+        minion.restart(STARTED + 1);
+        announce("minion", STARTED + 1, false);
         assertThat(outcomes(), hasSize(1));
     }
 
@@ -94,22 +94,22 @@
     @Test
     void aRunOfASilentMinionIsLostAndStaysLost() {
         begin();
-        minion.silent = true;
+        minion.unresponsive = true;
         timers.advance(Duration.ofSeconds(3));
         assertThat(outcomes(), contains(RunOutcome.LOST));
-        minion.silent = false;
-        minion.reborn(BORN + 1);
-        announce("minion", BORN + 1, false);
+        minion.unresponsive = false;
+        minion.restart(STARTED + 1);
+        announce("minion", STARTED + 1, false);
         assertThat(outcomes(), contains(RunOutcome.LOST));
-        assertThat(supervisor.openEnds(), is(empty()));
+        assertThat(supervisor.unstoredEnds(), is(empty()));
     }
 
     @Test
     void aRunOfAMinionThatSaidItLeavesIsLost() {
         begin();
-        announce("minion", BORN, true);
-        minion.reborn(BORN + 1);
-        announce("minion", BORN + 1, false);
+        announce("minion", STARTED, true);
+        minion.restart(STARTED + 1);
+        announce("minion", STARTED + 1, false);
         assertThat(outcomes(), contains(RunOutcome.LOST));
     }
 
@@ -126,34 +126,34 @@
     @Test
     void aCrashOfAKeptJobIsToldUntilItIsStored() {
         begin();
-        minion.reborn(BORN + 1);
-        announce("minion", BORN + 1, false);
-        EndedRun end = supervisor.openEnds().getFirst().end();
+        minion.restart(STARTED + 1);
+        announce("minion", STARTED + 1, false);
+        EndedRun end = supervisor.unstoredEnds().getFirst().end();
         assertThat(end.outcome(), is(RunOutcome.CRASHED));
-        supervisor.kept("minion@" + (BORN + 1), List.of(end.sequence()));
-        assertThat(supervisor.openEnds(), hasSize(1));
-        supervisor.kept(end.boot(), List.of(end.sequence()));
-        assertThat(supervisor.openEnds(), is(empty()));
+        supervisor.markStored("minion@" + (STARTED + 1), List.of(end.sequence()));
+        assertThat(supervisor.unstoredEnds(), hasSize(1));
+        supervisor.markStored(end.incarnation(), List.of(end.sequence()));
+        assertThat(supervisor.unstoredEnds(), is(empty()));
     }
 
     /** Nothing of such a job is stored, so there is nothing to wait for. */
     @Test
     void aCrashOfAnUnkeptJobIsToldOnce() {
-        minion.reborn(BORN);
-        announce("minion", BORN, false);
+        minion.restart(STARTED);
+        announce("minion", STARTED, false);
         supervisor.start(run("a"), ENTRY, SMALL, "payload", "");
         timers.advance(Duration.ofMillis(150));
-        minion.reborn(BORN + 1);
-        announce("minion", BORN + 1, false);
+        minion.restart(STARTED + 1);
+        announce("minion", STARTED + 1, false);
         assertThat(outcomes(), contains(RunOutcome.CRASHED));
-        assertThat(supervisor.openEnds(), is(empty()));
+        assertThat(supervisor.unstoredEnds(), is(empty()));
     }
 
     /** Two entries send a suspect each at the same moment. Together, the next crash would not tell which it was. */
     @Test
     void holdsOneSuspectAtATime() {
-        minion.reborn(BORN);
-        announce("minion", BORN, false);
+        minion.restart(STARTED);
+        announce("minion", STARTED, false);
         assertThat(supervisor.start(run("a"), ENTRY, SMALL, true, "payload", ""), is(Optional.empty()));
         assertThat(supervisor.start(run("b"), OWNER, SMALL, true, "payload", ""), is(Optional.of("suspect held")));
         assertThat(supervisor.start(run("c"), OWNER, SMALL, false, "payload", ""), is(Optional.empty()));
--- a/library/src/test/java/org/chivetally/queue/agent/ModelMinion.java
+++ b/library/src/test/java/org/chivetally/queue/agent/FakeMinion.java
@@ -13,76 +13,76 @@
 import org.chivetally.queue.RunOutcome;
 
 /** A minion in memory that keeps leases and lists, and whose answers a test can hold back. */
-public final class ModelMinion implements MinionPort {
-    public final Map<RunKey, StartOrder> running = new LinkedHashMap<>();
+public final class FakeMinion implements MinionPort {
+    public final Map<RunKey, StartRequest> running = new LinkedHashMap<>();
     public final TreeMap<Long, ListedEnd> ends = new TreeMap<>();
-    public final List<StartOrder> starts = new ArrayList<>();
+    public final List<StartRequest> starts = new ArrayList<>();
     public final List<RunKey> stops = new ArrayList<>();
 
     /** Runs that were started here, once for each start. */
-    public final List<RunKey> carriedOut = new ArrayList<>();
+    public final List<RunKey> executedStarts = new ArrayList<>();
 
-    public final List<LookOrder> looks = new ArrayList<>();
+    public final List<PollRequest> polls = new ArrayList<>();
 
     /** Runs whose ends were acknowledged before any lease ended after them, so that they count for good. */
-    public final List<ListedEnd> noted = new ArrayList<>();
+    public final List<ListedEnd> acknowledgedUnderLease = new ArrayList<>();
 
     private final Map<Long, Long> endedAtMillis = new HashMap<>();
-    private long lapsedAtMillis = Long.MIN_VALUE;
+    private long lastLeaseEndMillis = Long.MIN_VALUE;
     private final ManualTimers timers;
-    private final List<RunKey> excluded = new ArrayList<>();
-    private long leaseUntilMillis;
+    private final List<RunKey> stoppedRuns = new ArrayList<>();
+    private long leaseEndMillis;
     private long sequence;
     /** Nobody listens at the minion's address. */
     public boolean down;
 
-    public boolean silent;
+    public boolean unresponsive;
     public boolean startsUnanswered;
 
     /** How many of the next looks get no answer. */
-    public int looksUnanswered;
+    public int pollsUnanswered;
 
-    public boolean startsHeldUp;
+    public boolean startsDelayed;
 
     /** Stops don't reach the minion, so that runs end by their lease alone. */
     public boolean stopsLost;
 
     /** Boots that are named in calls and were never there. */
-    public final List<String> absentBoots = new ArrayList<>();
+    public final List<String> absentIds = new ArrayList<>();
 
     /** Start of the incarnation that lists itself, in milliseconds since 1970; 0 for a minion that tells none. */
-    private long bornAtMillis;
+    private long startedAtMillis;
 
-    private int lives;
-    private long clockAtStart;
+    private int restarts;
+    private long clockOffsetMillis;
     private long token;
 
-    public ModelMinion(ManualTimers timers) {
+    public FakeMinion(ManualTimers timers) {
         this.timers = timers;
     }
 
     public long clock() {
-        return timers.nanos() / 1_000_000 - clockAtStart;
+        return timers.nanos() / 1_000_000 - clockOffsetMillis;
     }
 
     /** Starts again under the same id: nothing runs, and everything counts from the beginning. */
-    public void reborn(long born) {
-        lives++;
-        bornAtMillis = born;
-        clockAtStart = timers.nanos() / 1_000_000;
+    public void restart(long born) {
+        restarts++;
+        startedAtMillis = born;
+        clockOffsetMillis = timers.nanos() / 1_000_000;
         token = 0;
         sequence = 0;
-        leaseUntilMillis = 0;
-        lapsedAtMillis = Long.MIN_VALUE;
+        leaseEndMillis = 0;
+        lastLeaseEndMillis = Long.MIN_VALUE;
         running.clear();
         ends.clear();
         endedAtMillis.clear();
-        excluded.clear();
+        stoppedRuns.clear();
         down = false;
     }
 
-    public long born() {
-        return bornAtMillis;
+    public long startedAtMillis() {
+        return startedAtMillis;
     }
 
     /** Tells whether a caller's token is too low; notes it if it isn't. */
@@ -92,44 +92,44 @@
         return fenced;
     }
 
-    public boolean isLapsed() {
-        return clock() > leaseUntilMillis;
+    public boolean isLeaseExpired() {
+        return clock() > leaseEndMillis;
     }
 
     @Override
-    public void start(String boot, StartOrder order, Consumer<StartAnswer> answer) {
+    public void start(String boot, StartRequest order, Consumer<StartResult> answer) {
         starts.add(order);
         if (down) {
-            timers.after(Duration.ofMillis(1), () -> answer.accept(new StartAnswer.Unreachable("can't connect")));
+            timers.after(Duration.ofMillis(1), () -> answer.accept(new StartResult.Unreachable("can't connect")));
             return;
         }
-        if (startsHeldUp || silent) {
-            timers.after(Duration.ofMillis(350), () -> answer.accept(new StartAnswer.Unknown("no answer in time")));
+        if (startsDelayed || unresponsive) {
+            timers.after(Duration.ofMillis(350), () -> answer.accept(new StartResult.Unknown("no answer in time")));
             return;
         }
-        carryOut(order);
+        execute(order);
         if (startsUnanswered) {
-            timers.after(Duration.ofMillis(350), () -> answer.accept(new StartAnswer.Unknown("no answer in time")));
+            timers.after(Duration.ofMillis(350), () -> answer.accept(new StartResult.Unknown("no answer in time")));
             return;
         }
-        answer.accept(new StartAnswer.Started(clock()));
+        answer.accept(new StartResult.Started(clock()));
     }
 
     /** Carries a start out, as a minion does late with one that got no answer. */
-    public void carryOut(StartOrder order) {
-        if (isFenced(order.token()) || order.leaseUntilMillis() < clock() || excluded.contains(order.run())) {
+    public void execute(StartRequest order) {
+        if (isFenced(order.token()) || order.leaseEndMillis() < clock() || stoppedRuns.contains(order.run())) {
             return;
         }
-        lease(Math.min(order.leaseUntilMillis(), clock() + MinionLease.LENGTH_MILLIS));
+        extendLease(Math.min(order.leaseEndMillis(), clock() + MinionLease.MAXIMUM_MILLIS));
         running.put(order.run(), order);
-        carriedOut.add(order.run());
+        executedStarts.add(order.run());
     }
 
-    private void lease(long untilMillis) {
-        if (isLapsed()) {
-            lapsedAtMillis = leaseUntilMillis;
+    private void extendLease(long untilMillis) {
+        if (isLeaseExpired()) {
+            lastLeaseEndMillis = leaseEndMillis;
         }
-        leaseUntilMillis = Math.max(leaseUntilMillis, untilMillis);
+        leaseEndMillis = Math.max(leaseEndMillis, untilMillis);
     }
 
     public void end(RunKey run, RunOutcome outcome) {
@@ -139,13 +139,13 @@
         endedAtMillis.put(sequence, clock());
     }
 
-    private void acknowledged(long through) {
+    private void acknowledge(long through) {
         Map<Long, ListedEnd> forgotten = ends.headMap(through, true);
         for (ListedEnd end : forgotten.values()) {
             long ended = endedAtMillis.get(end.sequence());
-            boolean lapsed = lapsedAtMillis >= ended || isLapsed() && leaseUntilMillis >= ended;
+            boolean lapsed = lastLeaseEndMillis >= ended || isLeaseExpired() && leaseEndMillis >= ended;
             if (!lapsed) {
-                noted.add(end);
+                acknowledgedUnderLease.add(end);
             }
         }
         forgotten.clear();
@@ -154,7 +154,7 @@
     @Override
     public void stop(String boot, RunKey run, long callersToken, Consumer<Boolean> answer) {
         stops.add(run);
-        if (silent || stopsLost) {
+        if (unresponsive || stopsLost) {
             timers.after(Duration.ofMillis(350), () -> answer.accept(false));
             return;
         }
@@ -162,7 +162,7 @@
             answer.accept(false);
             return;
         }
-        excluded.add(run);
+        stoppedRuns.add(run);
         if (running.containsKey(run)) {
             end(run, RunOutcome.STOPPED);
         }
@@ -170,38 +170,38 @@
     }
 
     @Override
-    public void look(String boot, LookOrder order, Consumer<LookAnswer> answer) {
-        looks.add(order);
+    public void poll(String boot, PollRequest order, Consumer<PollResult> answer) {
+        polls.add(order);
         if (down) {
-            timers.after(Duration.ofMillis(1), () -> answer.accept(new LookAnswer.Unreachable("can't connect")));
+            timers.after(Duration.ofMillis(1), () -> answer.accept(new PollResult.Unreachable("can't connect")));
             return;
         }
-        if (absentBoots.contains(boot)) {
-            timers.after(Duration.ofMillis(1), () -> answer.accept(new LookAnswer.Refused("another boot", false)));
+        if (absentIds.contains(boot)) {
+            timers.after(Duration.ofMillis(1), () -> answer.accept(new PollResult.Refused("another boot", false)));
             return;
         }
-        if (silent || looksUnanswered > 0) {
-            looksUnanswered--;
+        if (unresponsive || pollsUnanswered > 0) {
+            pollsUnanswered--;
             timers.after(
-                    order.longestWait().plusMillis(150),
-                    () -> answer.accept(new LookAnswer.Unknown("no answer in time")));
+                    order.maximumWait().plusMillis(150),
+                    () -> answer.accept(new PollResult.Unknown("no answer in time")));
             return;
         }
         if (isFenced(order.token())) {
-            timers.after(Duration.ofMillis(1), () -> answer.accept(new LookAnswer.Refused("fenced", true)));
+            timers.after(Duration.ofMillis(1), () -> answer.accept(new PollResult.Refused("fenced", true)));
             return;
         }
-        acknowledged(order.keptThrough());
-        order.leaseUntilMillis().ifPresent(this::lease);
-        int life = lives;
+        acknowledge(order.acknowledgedThrough());
+        order.leaseEndMillis().ifPresent(this::extendLease);
+        int life = restarts;
         // Answered a little later, as over a socket; ends that come meanwhile are in it.
         timers.after(
-                Duration.ofMillis(order.longestWait().isZero() ? 1 : 10),
+                Duration.ofMillis(order.maximumWait().isZero() ? 1 : 10),
                 () -> answer.accept(
-                        down || life != lives
-                                ? new LookAnswer.Unknown("connection reset")
-                                : new LookAnswer.Lists(
-                                        bornAtMillis,
+                        down || life != restarts
+                                ? new PollResult.Unknown("connection reset")
+                                : new PollResult.Lists(
+                                        startedAtMillis,
                                         clock(),
                                         List.copyOf(running.keySet()),
                                         List.copyOf(ends.values()))));
--- a/library/src/test/java/org/chivetally/queue/agent/IncarnationTest.java
+++ b/library/src/test/java/org/chivetally/queue/agent/IncarnationTest.java
@@ -24,13 +24,13 @@
     private static final Room CAPACITY = new Room(12_000, 1_000, 0);
     private static final Room HALF = new Room(6_000, 64, 0);
     private static final RunOwner OWNER = new RunOwner.Partition(3);
-    private static final long BORN = 1_800_000_000_000L;
-    private static final long BORN_AGAIN = BORN + 60_000;
+    private static final long STARTED = 1_800_000_000_000L;
+    private static final long RESTARTED = STARTED + 60_000;
 
     private final ManualTimers timers = new ManualTimers();
-    private final ModelMinion minion = new ModelMinion(timers);
+    private final FakeMinion minion = new FakeMinion(timers);
     private final ScriptedListener listener = new ScriptedListener();
-    private final List<OwnedEnd> told = listener.told;
+    private final List<OwnedEnd> reportedEnds = listener.reportedEnds;
     private final RunSupervisor supervisor = new RunSupervisor(timers, minion, listener, 16);
 
     private static RunKey run(String job, long number) {
@@ -53,9 +53,9 @@
 
     /** Starts a minion long enough ago that its clock is far from zero. */
     private void begin() {
-        minion.reborn(BORN);
+        minion.restart(STARTED);
         timers.advance(Duration.ofSeconds(600));
-        announce(BORN);
+        announce(STARTED);
     }
 
     private Optional<String> start(RunKey run) {
@@ -63,7 +63,7 @@
     }
 
     private List<RunOutcome> outcomes() {
-        return told.stream().map(end -> end.end().outcome()).toList();
+        return reportedEnds.stream().map(end -> end.end().outcome()).toList();
     }
 
     /**
@@ -75,12 +75,12 @@
         begin();
         start(run("a", 1));
         timers.advance(Duration.ofMillis(50));
-        minion.reborn(BORN_AGAIN);
-        announce(BORN_AGAIN);
-        assertThat(told, hasSize(1));
+        minion.restart(RESTARTED);
+        announce(RESTARTED);
+        assertThat(reportedEnds, hasSize(1));
         assertThat(supervisor.free(), is(CAPACITY));
         assertThat(supervisor.isAccepting(), is(true));
-        assertThat(supervisor.minion().orElseThrow().incarnation(), is(Incarnation.of("minion", BORN_AGAIN)));
+        assertThat(supervisor.minion().orElseThrow().incarnation(), is(Incarnation.of("minion", RESTARTED)));
     }
 
     /** Ends are numbered from 1 again. Taken for ends that are stored already, every run would be called lost. */
@@ -90,10 +90,10 @@
         start(run("a", 1));
         minion.end(run("a", 1), RunOutcome.DONE);
         timers.advance(Duration.ofMillis(100));
-        supervisor.kept("minion@" + BORN, List.of(1L));
+        supervisor.markStored("minion@" + STARTED, List.of(1L));
         timers.advance(Duration.ofMillis(100));
-        minion.reborn(BORN_AGAIN);
-        announce(BORN_AGAIN);
+        minion.restart(RESTARTED);
+        announce(RESTARTED);
         start(run("b", 1));
         minion.end(run("b", 1), RunOutcome.DONE);
         timers.advance(Duration.ofMillis(100));
@@ -106,15 +106,15 @@
     @Test
     void whatIsStoredOfTheEarlierIncarnationSaysNothingOfTheNext() {
         begin();
-        minion.reborn(BORN_AGAIN);
-        announce(BORN_AGAIN);
+        minion.restart(RESTARTED);
+        announce(RESTARTED);
         start(run("b", 1));
         minion.end(run("b", 1), RunOutcome.DONE);
         timers.advance(Duration.ofMillis(100));
-        supervisor.kept("minion@" + BORN, List.of(1L));
+        supervisor.markStored("minion@" + STARTED, List.of(1L));
         timers.advance(Duration.ofMillis(100));
         assertThat(minion.ends.keySet(), contains(1L));
-        supervisor.kept("minion@" + BORN_AGAIN, List.of(1L));
+        supervisor.markStored("minion@" + RESTARTED, List.of(1L));
         timers.advance(Duration.ofMillis(100));
         assertThat(minion.ends.keySet(), is(empty()));
     }
@@ -123,29 +123,29 @@
     @Test
     void leasesGoByTheClockOfTheNextIncarnation() {
         begin();
-        minion.reborn(BORN_AGAIN);
-        announce(BORN_AGAIN);
+        minion.restart(RESTARTED);
+        announce(RESTARTED);
         start(run("a", 1));
-        assertThat(minion.starts.getLast().leaseUntilMillis(), lessThanOrEqualTo(minion.clock() + 1_000));
+        assertThat(minion.starts.getLast().leaseEndMillis(), lessThanOrEqualTo(minion.clock() + 1_000));
         timers.advance(Duration.ofMillis(500));
-        minion.silent = true;
-        while (told.isEmpty()) {
+        minion.unresponsive = true;
+        while (reportedEnds.isEmpty()) {
             timers.advance(Duration.ofMillis(10));
         }
-        assertThat(minion.isLapsed(), is(true));
+        assertThat(minion.isLeaseExpired(), is(true));
     }
 
     /** A heartbeat is held up by a partition and arrives after those of the next incarnation. */
     @Test
     void aHeartbeatOfAnEarlierStartIsIgnored() {
         begin();
-        minion.reborn(BORN_AGAIN);
-        announce(BORN_AGAIN);
+        minion.restart(RESTARTED);
+        announce(RESTARTED);
         start(run("a", 1));
-        supervisor.announced(state(BORN, 900, new Room(1, 1, 0), 600_000));
-        supervisor.announced(state(BORN - 1, 901, new Room(1, 1, 0), 600_000));
+        supervisor.announced(state(STARTED, 900, new Room(1, 1, 0), 600_000));
+        supervisor.announced(state(STARTED - 1, 901, new Room(1, 1, 0), 600_000));
         timers.advance(Duration.ofMillis(100));
-        assertThat(told, is(empty()));
+        assertThat(reportedEnds, is(empty()));
         assertThat(supervisor.minion().orElseThrow().capacity(), is(CAPACITY));
         assertThat(supervisor.isAccepting(), is(true));
     }
@@ -154,10 +154,10 @@
     @Test
     void aHeartbeatWithALowerSequenceIsIgnored() {
         begin();
-        announce(BORN, 7, HALF);
-        announce(BORN, 6, CAPACITY);
+        announce(STARTED, 7, HALF);
+        announce(STARTED, 6, CAPACITY);
         assertThat(supervisor.free(), is(HALF));
-        announce(BORN, 8, CAPACITY);
+        announce(STARTED, 8, CAPACITY);
         assertThat(supervisor.free(), is(CAPACITY));
     }
 
@@ -170,11 +170,11 @@
         begin();
         start(run("a", 1));
         timers.advance(Duration.ofMillis(50));
-        minion.reborn(BORN_AGAIN);
+        minion.restart(RESTARTED);
         timers.advance(Duration.ofMillis(200));
-        assertThat(told, hasSize(1));
+        assertThat(reportedEnds, hasSize(1));
         assertThat(supervisor.isAccepting(), is(false));
-        announce(BORN_AGAIN, 1, HALF);
+        announce(RESTARTED, 1, HALF);
         assertThat(supervisor.isAccepting(), is(true));
         assertThat(supervisor.free(), is(HALF));
     }
@@ -186,14 +186,14 @@
         begin();
         start(run("a", 1));
         timers.advance(Duration.ofMillis(50));
-        minion.reborn(BORN_AGAIN);
+        minion.restart(RESTARTED);
         minion.end(run("z", 4), RunOutcome.DONE);
         timers.advance(Duration.ofMillis(200));
         assertThat(
-                told.stream()
-                        .map(end -> end.end().run() + " " + end.end().boot())
+                reportedEnds.stream()
+                        .map(end -> end.end().run() + " " + end.end().incarnation())
                         .toList(),
-                containsInAnyOrder(run("z", 4) + " minion@" + BORN_AGAIN, run("a", 1) + " crashes@" + crashesFrom));
+                containsInAnyOrder(run("z", 4) + " minion@" + RESTARTED, run("a", 1) + " crashes@" + crashesFrom));
     }
 
     /**
@@ -203,15 +203,15 @@
     @Test
     void aStartThatTheNextIncarnationCarriesOutGoesOnThere() {
         begin();
-        minion.startsHeldUp = true;
+        minion.startsDelayed = true;
         start(run("a", 1));
         timers.advance(Duration.ofMillis(10));
-        minion.startsHeldUp = false;
-        minion.reborn(BORN_AGAIN);
-        minion.carryOut(minion.starts.getFirst());
-        announce(BORN_AGAIN);
+        minion.startsDelayed = false;
+        minion.restart(RESTARTED);
+        minion.execute(minion.starts.getFirst());
+        announce(RESTARTED);
         timers.advance(Duration.ofMillis(500));
-        assertThat(told, is(empty()));
+        assertThat(reportedEnds, is(empty()));
         assertThat(supervisor.runs().keySet(), contains(run("a", 1)));
         assertThat(minion.running.keySet(), contains(run("a", 1)));
         minion.end(run("a", 1), RunOutcome.DONE);
@@ -223,15 +223,15 @@
     @Test
     void aStartToTheEarlierIncarnationIsNotCarriedOutOnceItsRunIsCalledLost() {
         begin();
-        minion.startsHeldUp = true;
+        minion.startsDelayed = true;
         start(run("a", 1));
         timers.advance(Duration.ofMillis(10));
-        minion.startsHeldUp = false;
-        minion.reborn(BORN_AGAIN);
-        announce(BORN_AGAIN);
+        minion.startsDelayed = false;
+        minion.restart(RESTARTED);
+        announce(RESTARTED);
         timers.advance(Duration.ofMillis(100));
-        assertThat(told, hasSize(1));
-        minion.carryOut(minion.starts.getFirst());
+        assertThat(reportedEnds, hasSize(1));
+        minion.execute(minion.starts.getFirst());
         assertThat(minion.running.keySet(), is(empty()));
     }
 
@@ -247,9 +247,9 @@
         minion.down = true;
         timers.advance(Duration.ofSeconds(3));
         assertThat(outcomes(), hasSize(1));
-        minion.reborn(BORN_AGAIN);
-        minion.carryOut(minion.starts.getFirst());
-        supervisor.announced(state(BORN_AGAIN, 1, CAPACITY, minion.clock()));
+        minion.restart(RESTARTED);
+        minion.execute(minion.starts.getFirst());
+        supervisor.announced(state(RESTARTED, 1, CAPACITY, minion.clock()));
         assertThat(start(run("b", 1)), is(Optional.of("not accepting")));
         timers.advance(Duration.ofMillis(60));
         assertThat(minion.running.keySet(), is(empty()));
@@ -266,26 +266,26 @@
         start(run("b", 1));
         minion.end(run("a", 1), RunOutcome.DONE);
         timers.advance(Duration.ofMillis(100));
-        supervisor.kept("minion@" + BORN, List.of(1L));
+        supervisor.markStored("minion@" + STARTED, List.of(1L));
         timers.advance(Duration.ofMillis(100));
         minion.down = true;
         timers.advance(Duration.ofMillis(400));
-        MinionPort.LookOrder look = minion.looks.getLast();
-        assertThat(look.keptThrough(), is(0L));
-        assertThat(look.leaseUntilMillis(), is(OptionalLong.empty()));
+        MinionPort.PollRequest look = minion.polls.getLast();
+        assertThat(look.acknowledgedThrough(), is(0L));
+        assertThat(look.leaseEndMillis(), is(OptionalLong.empty()));
     }
 
     /** The departure of the earlier incarnation arrives late. It names the id, and the next one's runs go on. */
     @Test
     void aDepartureThatWasHeldUpEndsNothingOfTheNextIncarnation() {
         begin();
-        minion.reborn(BORN_AGAIN);
-        announce(BORN_AGAIN);
+        minion.restart(RESTARTED);
+        announce(RESTARTED);
         start(run("a", 1));
         timers.advance(Duration.ofMillis(50));
         supervisor.departed("minion");
         timers.advance(Duration.ofSeconds(2));
-        assertThat(told, is(empty()));
+        assertThat(reportedEnds, is(empty()));
         assertThat(supervisor.isAccepting(), is(true));
     }
 
@@ -293,8 +293,8 @@
     @Test
     void aDepartureOfTheNextIncarnationIsBelievedOnceNobodyListens() {
         begin();
-        minion.reborn(BORN_AGAIN);
-        announce(BORN_AGAIN);
+        minion.restart(RESTARTED);
+        announce(RESTARTED);
         start(run("a", 1));
         timers.advance(Duration.ofMillis(50));
         minion.down = true;
@@ -302,10 +302,10 @@
         timers.advance(Duration.ofMillis(300));
         assertThat(outcomes(), contains(RunOutcome.LOST));
         assertThat(supervisor.minion(), is(Optional.empty()));
-        supervisor.announced(state(BORN_AGAIN, 5, CAPACITY, 0));
+        supervisor.announced(state(RESTARTED, 5, CAPACITY, 0));
         assertThat(supervisor.minion(), is(Optional.empty()));
-        minion.reborn(BORN_AGAIN + 1);
-        announce(BORN_AGAIN + 1);
+        minion.restart(RESTARTED + 1);
+        announce(RESTARTED + 1);
         assertThat(supervisor.isAccepting(), is(true));
     }
 
@@ -313,15 +313,15 @@
     @Test
     void aStartToAnIncarnationThatTookItsLeaveIsNotCarriedOutByTheNext() {
         begin();
-        minion.startsHeldUp = true;
+        minion.startsDelayed = true;
         start(run("a", 1));
         timers.advance(Duration.ofMillis(10));
         supervisor.departed("minion");
-        minion.startsHeldUp = false;
-        minion.reborn(BORN_AGAIN);
-        announce(BORN_AGAIN);
+        minion.startsDelayed = false;
+        minion.restart(RESTARTED);
+        announce(RESTARTED);
         timers.advance(Duration.ofMillis(50));
-        minion.carryOut(minion.starts.getFirst());
+        minion.execute(minion.starts.getFirst());
         assertThat(minion.running.keySet(), is(empty()));
         assertThat(supervisor.isAccepting(), is(true));
     }
@@ -329,11 +329,11 @@
     /** The agent remembers an incarnation that has been replaced while it was away itself. */
     @Test
     void aRememberedIncarnationIsNotTakenForTheOneThatAnswers() {
-        minion.reborn(BORN_AGAIN);
-        supervisor.recall(state(BORN, 0, CAPACITY, 5));
+        minion.restart(RESTARTED);
+        supervisor.restore(state(STARTED, 0, CAPACITY, 5));
         timers.advance(Duration.ofMillis(200));
         assertThat(supervisor.isAccepting(), is(false));
-        announce(BORN_AGAIN);
+        announce(RESTARTED);
         assertThat(supervisor.isAccepting(), is(true));
     }
 
@@ -342,9 +342,9 @@
     void anAnnouncedStartThatNobodyAnswersForReplacesNothing() {
         begin();
         start(run("a", 1));
-        announce(BORN_AGAIN);
+        announce(RESTARTED);
         timers.advance(Duration.ofMillis(200));
-        assertThat(told, is(empty()));
+        assertThat(reportedEnds, is(empty()));
         assertThat(supervisor.isAccepting(), is(true));
     }
 
@@ -354,23 +354,23 @@
      */
     @Test
     void anEarlierStartThatKeepsAnsweringIsBelievedInTheEnd() {
-        minion.reborn(BORN);
-        announce(BORN_AGAIN);
+        minion.restart(STARTED);
+        announce(RESTARTED);
         timers.advance(Duration.ofSeconds(5));
-        announce(BORN);
+        announce(STARTED);
         assertThat(supervisor.isAccepting(), is(true));
-        assertThat(supervisor.minion().orElseThrow().incarnation(), is(Incarnation.of("minion", BORN)));
+        assertThat(supervisor.minion().orElseThrow().incarnation(), is(Incarnation.of("minion", STARTED)));
     }
 
     /** Where no start is told, the id alone counts, whatever the lists say. */
     @Test
     void withoutAStartTheIdAloneCounts() {
-        minion.reborn(BORN);
+        minion.restart(STARTED);
         announce(0);
         start(run("a", 1));
         timers.advance(Duration.ofMillis(200));
         announce(0, 2, CAPACITY);
-        assertThat(told, is(empty()));
+        assertThat(reportedEnds, is(empty()));
         assertThat(supervisor.isAccepting(), is(true));
     }
 
@@ -380,8 +380,8 @@
         begin();
         start(run("a", 1));
         start(run("b", 1));
-        announce(BORN, 2, HALF);
-        assertThat(listener.shrunkTold, contains(true));
+        announce(STARTED, 2, HALF);
+        assertThat(listener.capacityShrunk, contains(true));
         timers.advance(Duration.ofSeconds(1));
         assertThat(minion.stops, is(empty()));
         minion.end(run("a", 1), RunOutcome.DONE);
@@ -390,7 +390,7 @@
         minion.end(run("b", 1), RunOutcome.DONE);
         timers.advance(Duration.ofMillis(150));
         assertThat(start(run("c", 1)), is(Optional.empty()));
-        announce(BORN, 3, CAPACITY);
+        announce(STARTED, 3, CAPACITY);
         assertThat(start(run("d", 1)), is(Optional.empty()));
     }
 }
--- a/library/src/test/java/org/chivetally/queue/agent/LossyMinion.java
+++ b/library/src/test/java/org/chivetally/queue/agent/LossyMinion.java
@@ -33,9 +33,9 @@
     }
 
     @Override
-    public void start(String boot, StartOrder order, Consumer<StartAnswer> answer) {
+    public void start(String boot, StartRequest order, Consumer<StartResult> answer) {
         if (isLost(() -> minion.start(boot, order, late -> {}))) {
-            timers.after(TIMEOUT, () -> answer.accept(new StartAnswer.Unknown("no answer in time")));
+            timers.after(TIMEOUT, () -> answer.accept(new StartResult.Unknown("no answer in time")));
         } else {
             timers.after(Duration.ofMillis(1), () -> minion.start(boot, order, answer));
         }
@@ -51,13 +51,13 @@
     }
 
     @Override
-    public void look(String boot, LookOrder order, Consumer<LookAnswer> answer) {
-        if (isLost(() -> minion.look(boot, order, late -> {}))) {
+    public void poll(String boot, PollRequest order, Consumer<PollResult> answer) {
+        if (isLost(() -> minion.poll(boot, order, late -> {}))) {
             timers.after(
-                    order.longestWait().plus(TIMEOUT),
-                    () -> answer.accept(new LookAnswer.Unknown("no answer in time")));
+                    order.maximumWait().plus(TIMEOUT),
+                    () -> answer.accept(new PollResult.Unknown("no answer in time")));
         } else {
-            minion.look(boot, order, answer);
+            minion.poll(boot, order, answer);
         }
     }
 }
--- a/library/src/test/java/org/chivetally/queue/agent/RepeatingMinionPortTest.java
+++ b/library/src/test/java/org/chivetally/queue/agent/RetryingMinionPortTest.java
@@ -20,24 +20,24 @@
 import org.chivetally.queue.RunKey;
 import org.chivetally.queue.RunOutcome;
 import org.chivetally.queue.TaskKey;
-import org.chivetally.queue.agent.MinionPort.StartAnswer;
-import org.chivetally.queue.agent.MinionPort.StartOrder;
+import org.chivetally.queue.agent.MinionPort.StartRequest;
+import org.chivetally.queue.agent.MinionPort.StartResult;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-class RepeatingMinionPortTest {
+class RetryingMinionPortTest {
     private static final Duration TASK = Duration.ofMillis(85);
-    private static final Duration SLACK = Duration.ofMillis(60);
+    private static final Duration ALLOWED_DELAY = Duration.ofMillis(60);
     private static final Room ROOM = new Room(3_100, 64, 0);
     private static final RunOwner OWNER = new RunOwner.Entry("entry", 1);
 
     private final ManualTimers timers = new ManualTimers();
-    private final ModelMinion minion = new ModelMinion(timers);
+    private final FakeMinion minion = new FakeMinion(timers);
     private final Map<RunKey, Long> endedAtNanos = new HashMap<>();
-    private final Map<RunKey, Long> begunAtNanos = new HashMap<>();
+    private final Map<RunKey, Long> startedAtNanos = new HashMap<>();
     private final Set<RunKey> ended = new HashSet<>();
-    private final Set<RunKey> begunAgain = new HashSet<>();
+    private final Set<RunKey> startedAgain = new HashSet<>();
 
     private final ScriptedListener listener = new ScriptedListener() {
         @Override
@@ -46,7 +46,7 @@
             ends.forEach(end -> endedAtNanos.put(end.end().run(), timers.nanos()));
         }
     };
-    private final List<OwnedEnd> told = listener.told;
+    private final List<OwnedEnd> reportedEnds = listener.reportedEnds;
 
     private static RunKey run(int number) {
         return new RunKey(new TaskKey("job-" + number, 0, 0, 0), 1);
@@ -68,7 +68,7 @@
     @CsvSource({"0.02,0.97", "0.05,0.95", "0.1,0.9", "0.2,0.85", "0.35,0.7", "0.5,0.5", "0.65,0.3", "0.8,0.04"})
     void tasksEndInTimeThoughAShareOfTheCallsIsLost(double lostShare, double least) {
         LossyMinion lossy = new LossyMinion(timers, minion, lostShare, 11);
-        RunSupervisor supervisor = supervise(new RepeatingMinionPort(timers, lossy));
+        RunSupervisor supervisor = supervise(new RetryingMinionPort(timers, lossy));
         Map<RunKey, Long> sentAtNanos = new HashMap<>();
         int offered = 400;
         for (int number = 0; number < offered; number++) {
@@ -83,7 +83,7 @@
                 .filter(sent -> isDoneInTime(sent.getKey(), sent.getValue()))
                 .count();
         assertThat((double) inTime / offered, greaterThan(least));
-        assertThat("begun again after their end", begunAgain, is(empty()));
+        assertThat("begun again after their end", startedAgain, is(empty()));
     }
 
     private void work(int millis) {
@@ -96,9 +96,9 @@
     private void endDueRuns() {
         for (RunKey run : List.copyOf(minion.running.keySet())) {
             if (ended.contains(run)) {
-                begunAgain.add(run);
+                startedAgain.add(run);
             }
-            long begun = begunAtNanos.computeIfAbsent(run, same -> timers.nanos());
+            long begun = startedAtNanos.computeIfAbsent(run, same -> timers.nanos());
             if (timers.nanos() - begun >= TASK.toNanos()) {
                 ended.add(run);
                 minion.end(run, RunOutcome.DONE);
@@ -107,9 +107,11 @@
     }
 
     private boolean isDoneInTime(RunKey run, long sentAtNanos) {
-        boolean done = told.stream()
+        boolean done = reportedEnds.stream()
                 .anyMatch(end -> end.end().run().equals(run) && end.end().outcome() == RunOutcome.DONE);
-        return done && endedAtNanos.get(run) - sentAtNanos <= TASK.plus(SLACK).toNanos();
+        return done
+                && endedAtNanos.get(run) - sentAtNanos
+                        <= TASK.plus(ALLOWED_DELAY).toNanos();
     }
 
     /**
@@ -118,34 +120,34 @@
      */
     @Test
     void aRefusalBesideAnUnansweredCopyLeavesTheStartInDoubt() {
-        List<StartAnswer> answers = new ArrayList<>();
-        RepeatingMinionPort port = new RepeatingMinionPort(timers, new RefusesCopies());
-        port.start("boot", new StartOrder(run(1), "payload", 0, 1, ""), answers::add);
+        List<StartResult> answers = new ArrayList<>();
+        RetryingMinionPort port = new RetryingMinionPort(timers, new RetryRejectingPort());
+        port.start("boot", new StartRequest(run(1), "payload", 0, 1, ""), answers::add);
         timers.advance(Duration.ofMillis(100));
-        assertThat(answers, contains(instanceOf(StartAnswer.Unknown.class)));
+        assertThat(answers, contains(instanceOf(StartResult.Unknown.class)));
     }
 
     /** A start that is refused at once was never repeated, so nothing of it is on its way. */
     @Test
     void aRefusalOfTheOnlyCopyIsFinal() {
-        List<StartAnswer> answers = new ArrayList<>();
+        List<StartResult> answers = new ArrayList<>();
         minion.down = true;
-        RepeatingMinionPort port = new RepeatingMinionPort(timers, minion);
-        port.start("boot", new StartOrder(run(1), "payload", 0, 1, ""), answers::add);
+        RetryingMinionPort port = new RetryingMinionPort(timers, minion);
+        port.start("boot", new StartRequest(run(1), "payload", 0, 1, ""), answers::add);
         timers.advance(Duration.ofMillis(100));
-        assertThat(answers, contains(instanceOf(StartAnswer.Unreachable.class)));
+        assertThat(answers, contains(instanceOf(StartResult.Unreachable.class)));
         assertThat(minion.starts.size(), is(1));
     }
 
     /** Answers nothing to the first copy of a start and refuses the others. */
-    private static final class RefusesCopies implements MinionPort {
+    private static final class RetryRejectingPort implements MinionPort {
         private int starts;
 
         @Override
-        public void start(String boot, StartOrder order, Consumer<StartAnswer> answer) {
+        public void start(String boot, StartRequest order, Consumer<StartResult> answer) {
             starts++;
             if (starts > 1) {
-                answer.accept(new StartAnswer.Rejected("status 503", false));
+                answer.accept(new StartResult.Rejected("status 503", false));
             }
         }
 
@@ -153,6 +155,6 @@
         public void stop(String boot, RunKey run, long token, Consumer<Boolean> answer) {}
 
         @Override
-        public void look(String boot, LookOrder order, Consumer<LookAnswer> answer) {}
+        public void poll(String boot, PollRequest order, Consumer<PollResult> answer) {}
     }
 }
--- a/library/src/test/java/org/chivetally/queue/agent/RunSupervisorTest.java
+++ b/library/src/test/java/org/chivetally/queue/agent/RunSupervisorTest.java
@@ -23,9 +23,9 @@
     private static final RunOwner OWNER = new RunOwner.Partition(3);
 
     private final ManualTimers timers = new ManualTimers();
-    private final ModelMinion minion = new ModelMinion(timers);
+    private final FakeMinion minion = new FakeMinion(timers);
     private final ScriptedListener listener = new ScriptedListener();
-    private final List<OwnedEnd> told = listener.told;
+    private final List<OwnedEnd> reportedEnds = listener.reportedEnds;
     private final RunSupervisor supervisor = new RunSupervisor(timers, minion, listener, 16);
 
     private static RunKey run(String job, long number) {
@@ -42,7 +42,7 @@
     }
 
     private List<RunOutcome> outcomes() {
-        return told.stream().map(end -> end.end().outcome()).toList();
+        return reportedEnds.stream().map(end -> end.end().outcome()).toList();
     }
 
     /**
@@ -52,7 +52,7 @@
     @Test
     void learnsSeveralEndsWithOneLook() {
         announce("boot", false);
-        minion.looks.clear();
+        minion.polls.clear();
         for (int number = 0; number < 80; number++) {
             RunKey run = run("job-" + number, 1);
             assertThat(supervisor.start(run, OWNER, new Room(1, 1, 0), "payload", ""), is(Optional.empty()));
@@ -60,8 +60,8 @@
             minion.end(run, RunOutcome.DONE);
         }
         timers.advance(Duration.ofMillis(100));
-        assertThat(told, hasSize(80));
-        assertThat(minion.looks.size(), is(lessThan(27)));
+        assertThat(reportedEnds, hasSize(80));
+        assertThat(minion.polls.size(), is(lessThan(27)));
     }
 
     @Test
@@ -92,7 +92,7 @@
     @Test
     void holdsTheRoomOfADoubtfulStartUntilItIsRuledOut() {
         announce("boot", false);
-        minion.startsHeldUp = true;
+        minion.startsDelayed = true;
         start(run("a", 1));
         while (minion.stops.isEmpty()) {
             assertThat(supervisor.free(), is(CAPACITY.minus(HALF)));
@@ -102,7 +102,7 @@
         assertThat(minion.stops, contains(run("a", 1)));
         assertThat(outcomes(), contains(RunOutcome.NEVER_STARTED));
         assertThat(supervisor.free(), is(CAPACITY));
-        minion.carryOut(minion.starts.getFirst());
+        minion.execute(minion.starts.getFirst());
         assertThat(minion.running.keySet(), is(empty()));
     }
 
@@ -113,7 +113,7 @@
     @Test
     void givesADoubtfulStartBackWithinAThirdOfASecond() {
         announce("boot", false);
-        minion.startsHeldUp = true;
+        minion.startsDelayed = true;
         start(run("a", 1));
         timers.advance(Duration.ofMillis(320));
         assertThat(outcomes(), contains(RunOutcome.NEVER_STARTED));
@@ -128,7 +128,7 @@
         announce("boot", false);
         start(run("a", 1));
         timers.advance(Duration.ofMillis(50));
-        minion.looksUnanswered = 1;
+        minion.pollsUnanswered = 1;
         timers.advance(Duration.ofMillis(150));
         minion.end(run("a", 1), RunOutcome.DONE);
         for (int step = 0; step < 30; step++) {
@@ -149,7 +149,7 @@
         start(run("a", 1));
         timers.advance(Duration.ofSeconds(2));
         assertThat(minion.stops, is(empty()));
-        assertThat(told, is(empty()));
+        assertThat(reportedEnds, is(empty()));
         assertThat(minion.running.keySet(), contains(run("a", 1)));
     }
 
@@ -162,12 +162,12 @@
         announce("boot", false);
         start(run("a", 1));
         timers.advance(Duration.ofMillis(500));
-        minion.silent = true;
-        while (told.isEmpty()) {
+        minion.unresponsive = true;
+        while (reportedEnds.isEmpty()) {
             timers.advance(Duration.ofMillis(10));
         }
         assertThat(outcomes(), contains(RunOutcome.LOST));
-        assertThat(minion.isLapsed(), is(true));
+        assertThat(minion.isLeaseExpired(), is(true));
         assertThat(supervisor.isAccepting(), is(false));
     }
 
@@ -177,10 +177,10 @@
         announce("boot", false);
         start(run("a", 1));
         timers.advance(Duration.ofMillis(900));
-        assertThat(minion.isLapsed(), is(false));
+        assertThat(minion.isLeaseExpired(), is(false));
         listener.mayRenew = false;
         timers.advance(Duration.ofMillis(1_100));
-        assertThat(minion.isLapsed(), is(true));
+        assertThat(minion.isLeaseExpired(), is(true));
     }
 
     /**
@@ -189,15 +189,15 @@
      */
     @Test
     void startsNothingBesideRunsOfAnAgentBefore() {
-        minion.running.put(run("old", 7), new MinionPort.StartOrder(run("old", 7), "", 0, 1, ""));
+        minion.running.put(run("old", 7), new MinionPort.StartRequest(run("old", 7), "", 0, 1, ""));
         announce("boot", false);
         assertThat(supervisor.isAccepting(), is(false));
-        assertThat(supervisor.isComplete(), is(false));
+        assertThat(supervisor.isInventoryComplete(), is(false));
         assertThat(start(run("a", 1)), is(Optional.of("not accepting")));
         minion.end(run("old", 7), RunOutcome.LAPSED);
         timers.advance(Duration.ofMillis(100));
         assertThat(supervisor.isAccepting(), is(true));
-        assertThat(supervisor.isComplete(), is(true));
+        assertThat(supervisor.isInventoryComplete(), is(true));
         assertThat(outcomes(), contains(RunOutcome.LAPSED));
     }
 
@@ -209,10 +209,10 @@
         minion.end(run("a", 1), RunOutcome.DONE);
         minion.end(run("b", 1), RunOutcome.DONE);
         timers.advance(Duration.ofMillis(100));
-        supervisor.kept("boot", List.of(2L));
+        supervisor.markStored("boot", List.of(2L));
         timers.advance(Duration.ofMillis(100));
         assertThat(minion.ends.keySet(), contains(1L, 2L));
-        supervisor.kept("boot", List.of(1L));
+        supervisor.markStored("boot", List.of(1L));
         timers.advance(Duration.ofMillis(100));
         assertThat(minion.ends.keySet(), is(empty()));
         assertThat(supervisor.isIdle(), is(true));
@@ -240,7 +240,7 @@
         announce("new", false);
         assertThat(outcomes(), contains(RunOutcome.CRASHED));
         announce("old", true);
-        assertThat(supervisor.minion().orElseThrow().boot(), is("new"));
+        assertThat(supervisor.minion().orElseThrow().minionId(), is("new"));
         assertThat(supervisor.isAccepting(), is(true));
     }
 
@@ -281,7 +281,7 @@
         assertThat(start(run("b", 1)), is(Optional.empty()));
     }
 
-    private static MinionState remembered(long clockMillis) {
+    private static MinionState restoredState(long clockMillis) {
         return new MinionState("boot", "reports", CAPACITY, List.of("a"), false, clockMillis);
     }
 
@@ -292,7 +292,7 @@
     @Test
     void takesStartsAsSoonAsARememberedMinionHasAnswered() {
         timers.advance(Duration.ofSeconds(20));
-        supervisor.recall(remembered(5));
+        supervisor.restore(restoredState(5));
         assertThat(supervisor.isAccepting(), is(false));
         timers.advance(Duration.ofMillis(5));
         assertThat(supervisor.isAccepting(), is(true));
@@ -308,13 +308,13 @@
     @Test
     void forgetsARememberedMinionThatDoesNotAnswer() {
         minion.down = true;
-        supervisor.recall(remembered(5));
+        supervisor.restore(restoredState(5));
         timers.advance(Duration.ofSeconds(5));
         assertThat(supervisor.minion(), is(Optional.empty()));
-        assertThat(supervisor.isComplete(), is(true));
-        int looks = minion.looks.size();
+        assertThat(supervisor.isInventoryComplete(), is(true));
+        int looks = minion.polls.size();
         timers.advance(Duration.ofSeconds(2));
-        assertThat(minion.looks, hasSize(looks));
+        assertThat(minion.polls, hasSize(looks));
         minion.down = false;
         announce("boot", false);
         assertThat(supervisor.isAccepting(), is(true));
@@ -324,10 +324,10 @@
     @Test
     void remembersNothingOverAnAnnouncement() {
         announce("newer", false);
-        supervisor.recall(remembered(5));
-        assertThat(supervisor.minion().map(MinionState::boot), is(Optional.of("newer")));
+        supervisor.restore(restoredState(5));
+        assertThat(supervisor.minion().map(MinionState::minionId), is(Optional.of("newer")));
         supervisor.departed("newer");
-        supervisor.recall(remembered(5));
+        supervisor.restore(restoredState(5));
         assertThat(supervisor.minion(), is(Optional.empty()));
     }
 
@@ -339,11 +339,11 @@
     void anAnnouncedBootThatNobodyAnswersForReplacesNothing() {
         announce("boot", false);
         start(run("a", 1));
-        minion.absentBoots.add("nobody");
+        minion.absentIds.add("nobody");
         announce("nobody", false);
         timers.advance(Duration.ofMillis(200));
-        assertThat(told, is(empty()));
-        assertThat(supervisor.minion().orElseThrow().boot(), is("boot"));
+        assertThat(reportedEnds, is(empty()));
+        assertThat(supervisor.minion().orElseThrow().minionId(), is("boot"));
         assertThat(supervisor.isAccepting(), is(true));
     }
 }
--- a/library/src/test/java/org/chivetally/queue/agent/ScriptedListener.java
+++ b/library/src/test/java/org/chivetally/queue/agent/ScriptedListener.java
@@ -6,8 +6,8 @@
 
 /** Lets leases be renewed or not, and notes the ends that it is told. */
 class ScriptedListener implements SupervisorListener {
-    final List<OwnedEnd> told = new ArrayList<>();
-    final List<Boolean> shrunkTold = new ArrayList<>();
+    final List<OwnedEnd> reportedEnds = new ArrayList<>();
+    final List<Boolean> capacityShrunk = new ArrayList<>();
     boolean mayRenew = true;
 
     @Override
@@ -17,7 +17,7 @@
 
     @Override
     public void ended(List<OwnedEnd> ends) {
-        told.addAll(ends);
+        reportedEnds.addAll(ends);
     }
 
     @Override
@@ -25,7 +25,7 @@
 
     @Override
     public void capacityChanged(boolean shrunk) {
-        shrunkTold.add(shrunk);
+        capacityShrunk.add(shrunk);
     }
 
     @Override
--- a/library/src/test/java/org/chivetally/queue/agent/TimingMinionPortTest.java
+++ b/library/src/test/java/org/chivetally/queue/agent/TimingMinionPortTest.java
@@ -24,7 +24,7 @@
     private static final RunOwner OWNER = new RunOwner.Partition(3);
 
     private final ManualTimers timers = new ManualTimers();
-    private final ModelMinion minion = new ModelMinion(timers);
+    private final FakeMinion minion = new FakeMinion(timers);
     private final ScriptedListener listener = new ScriptedListener();
     private final TimingMinionPort port = new TimingMinionPort(minion, timers);
     private final RunSupervisor supervisor = new RunSupervisor(timers, port, listener, 16);
@@ -84,10 +84,10 @@
         supervisor.stop(run("stopped", 1));
         timers.advance(Duration.ofMillis(50));
         start(run("unlisted", 1), "");
-        minion.looksUnanswered = 2;
+        minion.pollsUnanswered = 2;
         endAfter(run("unlisted", 1), 50, RunOutcome.DONE);
         timers.advance(Duration.ofSeconds(1));
-        assertThat(listener.told, hasSize(5));
+        assertThat(listener.reportedEnds, hasSize(5));
         assertThat(port.stretch(), is(LearnedStretch.UNKNOWN));
     }
 
--- a/library/src/test/java/org/chivetally/queue/entry/CancelBoundTest.java
+++ b/library/src/test/java/org/chivetally/queue/entry/CancelBoundTest.java
@@ -13,7 +13,7 @@
 import org.chivetally.queue.JobAnswer;
 import org.chivetally.queue.Jobs;
 import org.chivetally.queue.Partitions;
-import org.chivetally.queue.agent.ModelMinion;
+import org.chivetally.queue.agent.FakeMinion;
 import org.junit.jupiter.api.Test;
 
 /** A cancelled job's tasks stop in time, whatever its owner and its agents can reach of each other. */
@@ -44,7 +44,7 @@
     }
 
     private String runner() {
-        for (Map.Entry<String, ModelMinion> known : cluster.minions.entrySet()) {
+        for (Map.Entry<String, FakeMinion> known : cluster.minions.entrySet()) {
             if (!known.getValue().running.isEmpty()) {
                 return known.getKey();
             }
@@ -123,21 +123,21 @@
     @Test
     void aStartThatIsCarriedOutAfterTheCancelIsStopped() {
         settle();
-        for (ModelMinion minion : cluster.minions.values()) {
-            minion.startsHeldUp = true;
+        for (FakeMinion minion : cluster.minions.values()) {
+            minion.startsDelayed = true;
         }
         cluster.submit(cluster.entries.get(owner()), Jobs.of(ID, 1));
         cluster.advance(60);
-        ModelMinion minion = cluster.minions.values().stream()
+        FakeMinion minion = cluster.minions.values().stream()
                 .filter(known -> !known.starts.isEmpty())
                 .findFirst()
                 .orElseThrow();
-        minion.silent = true;
+        minion.unresponsive = true;
         cancelAcknowledged(cluster.entries.get(owner()));
         cluster.advance(200);
-        minion.carryOut(minion.starts.getFirst());
+        minion.execute(minion.starts.getFirst());
         assertThat(minion.running.keySet(), hasSize(1));
-        minion.silent = false;
+        minion.unresponsive = false;
         cluster.advance(BOUND_MILLIS);
         assertThat(minion.running.keySet(), is(empty()));
     }
@@ -146,19 +146,19 @@
     @Test
     void aCancelledStartThatAnotherIncarnationCarriesOutIsStopped() {
         settle();
-        cluster.minions.values().forEach(minion -> minion.reborn(1_700_000_000_000L));
-        for (ModelMinion minion : cluster.minions.values()) {
-            minion.startsHeldUp = true;
+        cluster.minions.values().forEach(minion -> minion.restart(1_700_000_000_000L));
+        for (FakeMinion minion : cluster.minions.values()) {
+            minion.startsDelayed = true;
         }
         cluster.submit(cluster.entries.get(owner()), Jobs.of(ID, 1));
         cluster.advance(60);
-        ModelMinion minion = cluster.minions.values().stream()
+        FakeMinion minion = cluster.minions.values().stream()
                 .filter(known -> !known.starts.isEmpty())
                 .findFirst()
                 .orElseThrow();
         cancelAcknowledged(cluster.entries.get(owner()));
-        minion.reborn(1_800_000_000_000L);
-        minion.carryOut(minion.starts.getFirst());
+        minion.restart(1_800_000_000_000L);
+        minion.execute(minion.starts.getFirst());
         assertThat(minion.running.keySet(), hasSize(1));
         cluster.advance(BOUND_MILLIS);
         assertThat(minion.running.keySet(), is(empty()));
