--- a/library/src/test/java/org/chivetally/queue/entry/Cluster.java
+++ b/library/src/test/java/org/chivetally/queue/entry/Cluster.java
@@ -14,8 +14,8 @@
 import org.chivetally.queue.RunKey;
 import org.chivetally.queue.RunOutcome;
 import org.chivetally.queue.agent.AgentNode;
+import org.chivetally.queue.agent.FakeMinion;
 import org.chivetally.queue.agent.MinionState;
-import org.chivetally.queue.agent.ModelMinion;
 import org.chivetally.queue.link.MemoryNetwork;
 import org.chivetally.queue.link.Peer;
 import org.chivetally.queue.log.LogStream;
@@ -35,7 +35,7 @@
     final ScriptedKeyedLog log = new ScriptedKeyedLog(timers, PARTITIONS);
     final Map<String, EntryNode> entries = new LinkedHashMap<>();
     final Map<String, AgentNode> agents = new LinkedHashMap<>();
-    final Map<String, ModelMinion> minions = new LinkedHashMap<>();
+    final Map<String, FakeMinion> minions = new LinkedHashMap<>();
     Room capacity = new Room(12_000, 1_000, 0);
     List<String> labels = List.of("a");
     SchedulingSettings scheduling;
@@ -90,13 +90,13 @@
     private AgentNode silentAgent(String failureDomain, String name) {
         incarnations++;
         Peer self = new Peer(name, incarnations, true, failureDomain, name, 1);
-        ModelMinion minion = minions.computeIfAbsent(name, key -> new ModelMinion(timers));
+        FakeMinion minion = minions.computeIfAbsent(name, key -> new FakeMinion(timers));
         Timers own = timersOf.apply(name, timers);
         AgentNode agent = new AgentNode(self, own, network.dialer(name), minion, PARTITIONS);
         network.listen(name, agent.acceptor());
         MemberDirectory directory = new MemberDirectory(log.access(name), own, "members");
-        new AgentAnnouncement(directory, self, agent).start(agent::meet);
-        agent.whenAlone(() -> directory.readOnce(agent::meet));
+        new AgentAnnouncement(directory, self, agent).start(agent::addEntry);
+        agent.whenDisconnected(() -> directory.readOnce(agent::addEntry));
         agents.put(name, agent);
         return agent;
     }
@@ -145,7 +145,7 @@
     }
 
     /** Returns the minion that runs anything of a job. */
-    Optional<ModelMinion> runner(String jobId) {
+    Optional<FakeMinion> runner(String jobId) {
         return minions.values().stream()
                 .filter(minion -> minion.running.keySet().stream()
                         .anyMatch(run -> run.task().jobId().equals(jobId)))
@@ -155,8 +155,8 @@
     /** Returns the runs of a job that are in progress under a lease. */
     List<RunKey> running(String jobId) {
         List<RunKey> runs = new ArrayList<>();
-        for (ModelMinion minion : minions.values()) {
-            if (!minion.isLapsed()) {
+        for (FakeMinion minion : minions.values()) {
+            if (!minion.isLeaseExpired()) {
                 minion.running.keySet().stream()
                         .filter(run -> run.task().jobId().equals(jobId))
                         .forEach(runs::add);
@@ -166,7 +166,7 @@
     }
 
     void finish(String jobId, RunOutcome outcome) {
-        for (ModelMinion minion : minions.values()) {
+        for (FakeMinion minion : minions.values()) {
             for (RunKey run : List.copyOf(minion.running.keySet())) {
                 if (run.task().jobId().equals(jobId)) {
                     minion.end(run, outcome);
--- a/library/src/test/java/org/chivetally/queue/entry/ContentionReplay.java
+++ b/library/src/test/java/org/chivetally/queue/entry/ContentionReplay.java
@@ -18,8 +18,8 @@
 import org.chivetally.queue.RunOutcome;
 import org.chivetally.queue.StepSpecification;
 import org.chivetally.queue.StepTraits;
+import org.chivetally.queue.agent.FakeMinion;
 import org.chivetally.queue.agent.MinionPort;
-import org.chivetally.queue.agent.ModelMinion;
 import org.chivetally.settings.SchedulingSettings;
 
 /**
@@ -215,10 +215,10 @@
 
     /** Ends each run that has started when its work is done. */
     private void followStarts() {
-        for (Map.Entry<String, ModelMinion> entry : cluster.minions.entrySet()) {
-            ModelMinion minion = entry.getValue();
+        for (Map.Entry<String, FakeMinion> entry : cluster.minions.entrySet()) {
+            FakeMinion minion = entry.getValue();
             for (int place = startsSeen.get(entry.getKey()); place < minion.starts.size(); place++) {
-                MinionPort.StartOrder start = minion.starts.get(place);
+                MinionPort.StartRequest start = minion.starts.get(place);
                 double millis = workMillis.get(start.run().task().jobId()) / speeds.get(entry.getKey());
                 cluster.timers.after(Duration.ofNanos((long) (millis * 1e6)), () -> {
                     if (minion.running.containsKey(start.run())) {
--- a/library/src/test/java/org/chivetally/queue/entry/CrashLoad.java
+++ b/library/src/test/java/org/chivetally/queue/entry/CrashLoad.java
@@ -8,9 +8,9 @@
 import org.chivetally.queue.RunKey;
 import org.chivetally.queue.RunOutcome;
 import org.chivetally.queue.TaskKey;
+import org.chivetally.queue.agent.FakeMinion;
 import org.chivetally.queue.agent.Incarnation;
 import org.chivetally.queue.agent.MinionState;
-import org.chivetally.queue.agent.ModelMinion;
 
 /** Minions that carry tasks out, and that crash under some of them and come back under the same id. */
 final class CrashLoad {
@@ -38,18 +38,18 @@
     void agent(String name) {
         cluster.silentAgent(name);
         seenAt.put(name, new HashMap<>());
-        cluster.minions.get(name).reborn(BORN);
+        cluster.minions.get(name).restart(BORN);
         beat(name);
     }
 
     private void beat(String name) {
-        ModelMinion minion = cluster.minions.get(name);
+        FakeMinion minion = cluster.minions.get(name);
         long sequence = sequences.merge(name, 1L, Long::sum);
         cluster.agents
                 .get(name)
                 .supervisor()
                 .announced(new MinionState(
-                        Incarnation.of("boot-" + name, minion.born()),
+                        Incarnation.of("boot-" + name, minion.startedAtMillis()),
                         "reports",
                         cluster.capacity,
                         List.of("a"),
@@ -68,11 +68,11 @@
         }
     }
 
-    private void step(String name, ModelMinion minion) {
+    private void step(String name, FakeMinion minion) {
         if (backAt.getOrDefault(name, Long.MAX_VALUE) <= nowMillis) {
             backAt.remove(name);
             sequences.remove(name);
-            minion.reborn(BORN + nowMillis);
+            minion.restart(BORN + nowMillis);
             beat(name);
         }
         if (backAt.containsKey(name)) {
@@ -95,7 +95,7 @@
         }
     }
 
-    private void crash(String name, ModelMinion minion, RunKey run) {
+    private void crash(String name, FakeMinion minion, RunKey run) {
         crashes.merge(run.task(), 1, Integer::sum);
         minion.running.clear();
         minion.ends.clear();
@@ -106,7 +106,7 @@
     /** Returns how many different runs of a job's tasks minions have started. */
     long starts(String jobId) {
         return cluster.minions.values().stream()
-                .flatMap(minion -> minion.carriedOut.stream())
+                .flatMap(minion -> minion.executedStarts.stream())
                 .filter(run -> run.task().jobId().equals(jobId))
                 .distinct()
                 .count();
--- a/library/src/test/java/org/chivetally/queue/entry/KeptJobsTest.java
+++ b/library/src/test/java/org/chivetally/queue/entry/KeptJobsTest.java
@@ -18,7 +18,7 @@
 import org.chivetally.queue.Jobs;
 import org.chivetally.queue.Partitions;
 import org.chivetally.queue.RunOutcome;
-import org.chivetally.queue.agent.ModelMinion;
+import org.chivetally.queue.agent.FakeMinion;
 import org.chivetally.queue.log.LogStream;
 import org.chivetally.queue.log.ScriptedKeyedLog;
 import org.junit.jupiter.api.Test;
@@ -48,7 +48,7 @@
         return total(minion -> minion.starts.size());
     }
 
-    private int total(ToIntFunction<ModelMinion> figure) {
+    private int total(ToIntFunction<FakeMinion> figure) {
         return cluster.minions.values().stream().mapToInt(figure).sum();
     }
 
@@ -215,7 +215,7 @@
         cluster.network.cut(agent, nameOf(owner), false);
         keepBusy(owner, 30, () -> {});
         assertThat(
-                cluster.minions.get(agent).noted.stream()
+                cluster.minions.get(agent).acknowledgedUnderLease.stream()
                         .filter(end -> end.run().task().jobId().equals(ID))
                         .toList(),
                 is(empty()));
@@ -317,17 +317,17 @@
         EntryNode owner = ownerOf(ID);
         cluster.submit(owner, Jobs.of(ID, 1));
         cluster.advance(100);
-        ModelMinion minion = cluster.minions.get(runnerOf(ID));
-        minion.silent = true;
+        FakeMinion minion = cluster.minions.get(runnerOf(ID));
+        minion.unresponsive = true;
         cluster.advance(200);
         cluster.finish(ID, RunOutcome.DONE);
         for (int step = 0; step < 4_000 && starts() < 2; step++) {
             cluster.advance(1);
         }
         assertThat(starts(), is(2));
-        minion.silent = false;
+        minion.unresponsive = false;
         cluster.advance(1_000);
-        assertThat(minion.noted, is(empty()));
+        assertThat(minion.acknowledgedUnderLease, is(empty()));
         assertThat(minion.ends.values(), is(empty()));
         assertThat(cluster.running(ID), is(empty()));
         assertThat(cluster.query(owner, ID), contains(new JobAnswer.State(JobPhase.COMPLETED)));
--- a/library/src/test/java/org/chivetally/queue/entry/UnevenLoadTest.java
+++ b/library/src/test/java/org/chivetally/queue/entry/UnevenLoadTest.java
@@ -12,8 +12,8 @@
 import org.chivetally.queue.Jobs;
 import org.chivetally.queue.Room;
 import org.chivetally.queue.RunOutcome;
+import org.chivetally.queue.agent.FakeMinion;
 import org.chivetally.queue.agent.MinionPort;
-import org.chivetally.queue.agent.ModelMinion;
 import org.junit.jupiter.api.Test;
 
 class UnevenLoadTest {
@@ -98,7 +98,7 @@
         }
         cluster.advance(300);
         cluster.agent("agent-1");
-        ModelMinion minion = cluster.minions.get("agent-1");
+        FakeMinion minion = cluster.minions.get("agent-1");
         cluster.advance(1_500);
         assertThat(minion.running.size(), is(10));
         for (int round = 0; round < 30; round++) {
@@ -106,7 +106,7 @@
             cluster.advance(100);
         }
         long refused = 0;
-        for (MinionPort.StartOrder start : minion.starts) {
+        for (MinionPort.StartRequest start : minion.starts) {
             refused += start.run().run() - 1;
         }
         assertThat(minion.starts.size(), is(60));
