--- a/library/src/main/java/org/chivetally/queue/agent/RunOwners.java
+++ b/library/src/main/java/org/chivetally/queue/agent/RunOwners.java
@@ -106,7 +106,7 @@
      * @param ageNanos least time by which this agent's clock had gone on since, when the start was sent
      */
     boolean isValid(long stampNanos, long ageNanos) {
-        if (stampNanos < oldestValidStampNanos || ageNanos < 0 || ageNanos > LinkTable.SILENCE.toNanos()) {
+        if (stampNanos < oldestValidStampNanos || ageNanos < 0 || ageNanos > LinkTable.SILENCE_TIMEOUT.toNanos()) {
             return false;
         }
         long heldUpNanos = timers.nanos() - stampNanos - ageNanos;
@@ -169,7 +169,7 @@
 
     /** Takes what came before a suspension for old: it was meant for an agent that may have been given up since. */
     void checkForSuspension() {
-        long gap = suspension.look();
+        long gap = suspension.check();
         if (gap > 0) {
             oldestValidStampNanos = timers.nanos();
             EventLine.of("suspended").with("gap_ms", gap).log(LOGGER.atWarning());
--- a/library/src/main/java/org/chivetally/queue/agent/TimingMinionPort.java
+++ b/library/src/main/java/org/chivetally/queue/agent/TimingMinionPort.java
@@ -111,7 +111,7 @@
                 TimedRun run = runs.remove(end.run());
                 if (run != null && run.startTimeKnown && endTimesKnown && end.outcome() == RunOutcome.DONE) {
                     long now = timers.nanos();
-                    stretch.ended(now - run.startedAtNanos, run.estimatedMillis, now);
+                    stretch.recordRun(now - run.startedAtNanos, run.estimatedMillis, now);
                 }
             }
             endTimesKnown = true;
--- a/library/src/main/java/org/chivetally/queue/entry/PartitionOwner.java
+++ b/library/src/main/java/org/chivetally/queue/entry/PartitionOwner.java
@@ -24,77 +24,77 @@
 import org.chivetally.queue.Task;
 import org.chivetally.queue.TaskKey;
 import org.chivetally.queue.crash.CrashPolicy;
-import org.chivetally.queue.crash.CrashWatch;
+import org.chivetally.queue.crash.CrashTracker;
 import org.chivetally.queue.log.KeyedLog;
 import org.chivetally.queue.log.KeyedRecord;
 import org.chivetally.queue.log.LogStream;
-import org.chivetally.queue.log.NewestValues;
+import org.chivetally.queue.log.NewestValuesReader;
 import org.chivetally.queue.log.PartitionWriter;
 import org.chivetally.time.Timers;
 
 /**
- * The jobs of one partition, at the entry that owns it.
+ * The jobs of one partition at the entry that owns it.
  *
- * <p>Each job has up to two keys in the log: the job as accepted, until it has ended, and its progress. An end that
- * counts is written before the agent is told that it is kept, and before callers see its effect; so whatever a later
- * owner finds in the log is all that was promised.
+ * <p>A job has up to two records in the log: the job as accepted, removed once it has ended, and its progress. An end
+ * that counts is written before it is acknowledged to the agent and before callers see its effect, so that the next
+ * owner finds everything that was promised.
  */
-final class PartitionOwner implements RunHome {
-    /** Prefix of the key that holds a job as accepted. */
+final class PartitionOwner implements JobOwner {
+    /** Prefix of the key of an accepted job. */
     static final String JOB_PREFIX = "j";
 
-    /** Prefix of the key that holds a job's progress. */
+    /** Prefix of the key of a job's progress. */
     static final String PROGRESS_PREFIX = "p";
 
-    /** Name under which owners write; the log fences writers of the same name by their epochs. */
-    static final String WRITER = "owner";
+    /** Writer name of all owners; the log fences writers of the same name by their epochs. */
+    static final String WRITER_NAME = "owner";
 
     /**
-     * Numbers that an owner may use for a task's runs. Runs aren't written to the log, so the next owner's numbers
-     * begin above all that this one can have used; a task is started a handful of times.
+     * Run numbers of a task per owner. Runs aren't written to the log, so the next owner's numbers start above all that
+     * this owner can have used; a task is started only a handful of times.
      */
     static final long RUNS_PER_EPOCH = 64;
 
-    /** When to come back after a refusal because the log takes nothing: outages last seconds. */
-    static final Duration LOG_RETRY = Duration.ofSeconds(2);
+    /** Retry delay sent to callers that are refused because the log takes no writes: outages last seconds. */
+    static final Duration LOG_RETRY_AFTER = Duration.ofSeconds(2);
 
     private static final FluentLogger LOGGER = FluentLogger.forEnclosingClass();
-    private static final Duration LOAD_RETRY = Duration.ofMillis(50);
+    private static final Duration LOAD_RETRY_DELAY = Duration.ofMillis(50);
 
     private final KeyedLog log;
     private final Timers timers;
     private final LogStream stream;
     private final long epoch;
-    private final CrashWatch crashes;
+    private final CrashTracker crashes;
     private final PartitionEvents events;
     private final PartitionWriter writer;
     private final Map<String, Job> jobs = new LinkedHashMap<>();
-    private final Map<String, Ended> ended = new LinkedHashMap<>();
-    private final Map<String, List<Consumer<JobAnswer>>> accepting = new HashMap<>();
-    /** Writes in progress by job. */
-    private final Map<String, Integer> writing = new HashMap<>();
+    private final Map<String, EndedJob> endedJobs = new LinkedHashMap<>();
+    private final Map<String, List<Consumer<JobAnswer>>> pendingSubmissions = new HashMap<>();
+    /** Number of writes in progress by job id. */
+    private final Map<String, Integer> pendingWrites = new HashMap<>();
 
-    private final Set<String> unheardAgents = new HashSet<>();
-    /** Tasks with a crash that is not stored yet. */
-    private final Set<Task> uncounted = new HashSet<>();
+    private final Set<String> unreportedAgents = new HashSet<>();
+    /** Tasks with a crash that is not stored in the log yet. */
+    private final Set<Task> tasksWithUnstoredCrash = new HashSet<>();
 
     private final long openedAtNanos;
     private boolean ready;
     private boolean closed;
 
     PartitionOwner(
-            KeyedLog log, Timers timers, LogStream stream, long epoch, CrashWatch crashes, PartitionEvents events) {
+            KeyedLog log, Timers timers, LogStream stream, long epoch, CrashTracker crashes, PartitionEvents events) {
         this.crashes = crashes;
         this.log = log;
         this.timers = timers;
         this.stream = stream;
         this.epoch = epoch;
         this.events = events;
-        this.writer = new PartitionWriter(log, timers, stream, WRITER, epoch);
+        this.writer = new PartitionWriter(log, timers, stream, WRITER_NAME, epoch);
         this.openedAtNanos = timers.nanos();
     }
 
-    /** Fences earlier owners and reads the jobs. */
+    /** Fences earlier owners and loads the jobs. */
     void open() {
         writer.open(result -> {
             if (closed) {
@@ -103,7 +103,7 @@
             if (result == PartitionWriter.Result.STORED) {
                 load();
             } else {
-                lose("fenced at opening");
+                loseOwnership("fenced while opening");
             }
         });
     }
@@ -130,11 +130,11 @@
     }
 
     @Override
-    public RunAuthority authority() {
-        return new RunAuthority(partition(), epoch, false);
+    public FencingToken fencingToken() {
+        return new FencingToken(partition(), epoch, false);
     }
 
-    /** Ends the ownership here; callers in progress are told to ask another owner. */
+    /** Ends the ownership. Requests in progress are answered with {@link JobAnswer.NotOwner}. */
     void close() {
         if (closed) {
             return;
@@ -143,7 +143,7 @@
         writer.close();
     }
 
-    private void lose(String reason) {
+    private void loseOwnership(String reason) {
         if (closed) {
             return;
         }
@@ -156,18 +156,18 @@
         events.lost(this);
     }
 
-    /** Ends the ownership, as an agent has heard of a later owner. */
-    void replaced(long byEpoch) {
-        lose("replaced by epoch " + byEpoch);
+    /** Ends the ownership after an agent has reported an owner with a higher epoch. */
+    void superseded(long byEpoch) {
+        loseOwnership("superseded by epoch " + byEpoch);
     }
 
     private void load() {
         Map<String, byte[]> records = new HashMap<>();
-        new NewestValues(
+        new NewestValuesReader(
                         log,
                         timers,
                         stream,
-                        LOAD_RETRY,
+                        LOAD_RETRY_DELAY,
                         () -> !closed,
                         item -> records.put(item.key(), item.value()),
                         () -> restore(records))
@@ -182,7 +182,7 @@
                 restoreJob(id, value, Optional.ofNullable(records.get(PROGRESS_PREFIX + id)), now);
             } else if (!records.containsKey(JOB_PREFIX + id)) {
                 JobProgress progress = JobCodec.decodeProgress(value);
-                ended.put(id, new Ended(progress.phase(), progress.endedAtMillis()));
+                endedJobs.put(id, new EndedJob(progress.phase(), progress.endedAtMillis()));
             }
         });
         ready = true;
@@ -190,7 +190,7 @@
                 .with("partition", partition())
                 .with("epoch", epoch)
                 .with("jobs", jobs.size())
-                .with("ended", ended.size())
+                .with("ended", endedJobs.size())
                 .with("took_ms", (now - openedAtNanos) / 1_000_000)
                 .log(LOGGER.atInfo());
         events.loaded(this);
@@ -202,42 +202,45 @@
         Job job = new Job(specification, now - Duration.ofMillis(ageMillis).toNanos());
         job.restore(progress.map(JobCodec::decodeProgress).orElse(JobProgress.none()), epoch * RUNS_PER_EPOCH + 1);
         if (job.phase().isFinal()) {
-            ended.put(id, new Ended(job.phase(), job.endedAtMillis()));
+            endedJobs.put(id, new EndedJob(job.phase(), job.endedAtMillis()));
         } else {
             jobs.put(id, job);
         }
     }
 
-    /** Names the agents that may hold runs of the loaded jobs; those tasks wait until each has told or can't tell. */
+    /**
+     * Sets the agents that may hold runs of the loaded jobs. Tasks that may be running are not started until each of
+     * these agents has reported its runs, or has been unreachable for so long that they must have ended.
+     */
     void awaitAgents(Collection<String> agents) {
-        unheardAgents.addAll(agents);
-        releaseWhenHeard();
+        unreportedAgents.addAll(agents);
+        releaseWhenAllReported();
     }
 
-    Set<String> unheardAgents() {
-        return Set.copyOf(unheardAgents);
+    Set<String> unreportedAgents() {
+        return Set.copyOf(unreportedAgents);
     }
 
     long openedAtNanos() {
         return openedAtNanos;
     }
 
-    /** Notes that all of an agent's runs are known, or that none of them can go on. */
-    void agentHeard(String agent) {
-        if (unheardAgents.remove(agent)) {
-            releaseWhenHeard();
+    /** Records that an agent has reported all its runs, or that none of them can still be running. */
+    void agentReported(String agent) {
+        if (unreportedAgents.remove(agent)) {
+            releaseWhenAllReported();
         }
     }
 
-    private void releaseWhenHeard() {
-        if (!isReady() || !unheardAgents.isEmpty()) {
+    private void releaseWhenAllReported() {
+        if (!isReady() || !unreportedAgents.isEmpty()) {
             return;
         }
         List<Task> released = new ArrayList<>();
         for (Job job : jobs.values()) {
             for (Task task : job.tasksIn(Task.Status.UNCERTAIN)) {
-                if (!uncounted.contains(task)) {
-                    job.release(task);
+                if (!tasksWithUnstoredCrash.contains(task)) {
+                    job.markWaiting(task);
                     released.add(task);
                 }
             }
@@ -248,24 +251,24 @@
                     .with("epoch", epoch)
                     .with("tasks_to_start", released.size())
                     .log(LOGGER.atInfo());
-            mayStart(released);
+            place(released);
         }
     }
 
-    /** Takes a job on; the same id again gets the same answer. */
+    /** Accepts a job; a repeated submission of the same id gets the same answer. */
     void submit(JobSpecification specification, Consumer<JobAnswer> answer) {
         String id = specification.id();
         if (!isReady()) {
             answer.accept(new JobAnswer.NotOwner());
             return;
         }
-        if (jobs.containsKey(id) || ended.containsKey(id)) {
+        if (jobs.containsKey(id) || endedJobs.containsKey(id)) {
             answer.accept(new JobAnswer.Accepted());
             return;
         }
-        List<Consumer<JobAnswer>> others = accepting.get(id);
-        if (others != null) {
-            others.add(answer);
+        List<Consumer<JobAnswer>> waitingCallers = pendingSubmissions.get(id);
+        if (waitingCallers != null) {
+            waitingCallers.add(answer);
             return;
         }
         Optional<JobAnswer.Refused> refusal = refusal(specification);
@@ -279,23 +282,23 @@
             answer.accept(refusal.get());
             return;
         }
-        accepting.put(id, new ArrayList<>(List.of(answer)));
+        pendingSubmissions.put(id, new ArrayList<>(List.of(answer)));
         KeyedRecord stored =
                 new KeyedRecord(JOB_PREFIX + id, JobCodec.encode(specification).toByteArray());
-        writer.write(List.of(stored), true, result -> submitted(specification, result));
+        writer.write(List.of(stored), true, result -> submissionWritten(specification, result));
     }
 
     private Optional<JobAnswer.Refused> refusal(JobSpecification specification) {
         if (writer.isStalled()) {
-            return Optional.of(new JobAnswer.Refused(RefusalReason.LOG_UNAVAILABLE, LOG_RETRY));
+            return Optional.of(new JobAnswer.Refused(RefusalReason.LOG_UNAVAILABLE, LOG_RETRY_AFTER));
         }
         return events.refuse(new Job(specification, timers.nanos()));
     }
 
-    private void submitted(JobSpecification specification, PartitionWriter.Result result) {
+    private void submissionWritten(JobSpecification specification, PartitionWriter.Result result) {
         JobAnswer answer = switch (result) {
             case STORED -> new JobAnswer.Accepted();
-            case REFUSED -> new JobAnswer.Refused(RefusalReason.LOG_UNAVAILABLE, LOG_RETRY);
+            case REFUSED -> new JobAnswer.Refused(RefusalReason.LOG_UNAVAILABLE, LOG_RETRY_AFTER);
             case FENCED -> new JobAnswer.NotOwner();
         };
         if (result == PartitionWriter.Result.STORED) {
@@ -310,48 +313,48 @@
                     .log(LOGGER.atInfo());
             events.ready(job.tasksIn(Task.Status.WAITING));
         }
-        for (Consumer<JobAnswer> caller : accepting.remove(specification.id())) {
+        for (Consumer<JobAnswer> caller : pendingSubmissions.remove(specification.id())) {
             caller.accept(answer);
         }
-        loseIfFenced(result);
+        loseOwnershipIfFenced(result);
     }
 
-    private void loseIfFenced(PartitionWriter.Result result) {
+    private void loseOwnershipIfFenced(PartitionWriter.Result result) {
         if (result == PartitionWriter.Result.FENCED) {
-            lose("fenced");
+            loseOwnership("fenced");
         }
     }
 
-    /** Tells how far a job is. */
+    /** Returns the phase of a job. */
     JobAnswer query(String id) {
         if (!isReady()) {
             return new JobAnswer.NotOwner();
         }
         Job job = jobs.get(id);
         if (job != null) {
-            return new JobAnswer.State(job.shownPhase());
+            return new JobAnswer.State(job.reportedPhase());
         }
-        Ended end = ended.get(id);
+        EndedJob end = endedJobs.get(id);
         if (end != null) {
             return new JobAnswer.State(end.phase());
         }
-        return accepting.containsKey(id) ? new JobAnswer.State(JobPhase.QUEUED) : new JobAnswer.UnknownJob();
+        return pendingSubmissions.containsKey(id) ? new JobAnswer.State(JobPhase.QUEUED) : new JobAnswer.UnknownJob();
     }
 
-    /** Cancels a job; answers once that is stored. */
+    /** Cancels a job, and answers after the cancellation is stored. */
     void cancel(String id, Consumer<JobAnswer> answer) {
         if (!isReady()) {
             answer.accept(new JobAnswer.NotOwner());
             return;
         }
-        List<Consumer<JobAnswer>> others = accepting.get(id);
-        if (others != null) {
-            others.add(accepted -> cancel(id, answer));
+        List<Consumer<JobAnswer>> waitingCallers = pendingSubmissions.get(id);
+        if (waitingCallers != null) {
+            waitingCallers.add(accepted -> cancel(id, answer));
             return;
         }
         Job job = jobs.get(id);
         if (job == null) {
-            answer.accept(ended.containsKey(id) ? new JobAnswer.Cancelled() : new JobAnswer.UnknownJob());
+            answer.accept(endedJobs.containsKey(id) ? new JobAnswer.Cancelled() : new JobAnswer.UnknownJob());
             return;
         }
         if (!job.phase().isFinal()) {
@@ -362,126 +365,129 @@
     }
 
     @Override
-    public void ended(Task task, RunOutcome outcome, Runnable kept) {
+    public void ended(Task task, RunOutcome outcome, Runnable acknowledge) {
         Job job = task.job();
         boolean wasFinal = job.phase().isFinal();
-        List<Task> ready = job.end(task, outcome, timers.epochMillis());
+        List<Task> ready = job.recordRunEnd(task, outcome, timers.epochMillis());
         if (!wasFinal) {
-            judge(task, outcome);
+            applyCrashLimits(task, outcome);
         }
         boolean ended = !wasFinal && job.phase().isFinal();
         if (outcome == RunOutcome.CRASHED && !wasFinal && !ended) {
-            storeCrash(task, kept);
+            storeCrash(task, acknowledge);
             return;
         }
         if (!ready.isEmpty() && !job.phase().isFinal()) {
-            becameReady(ready);
+            placeWhenAllReported(ready);
         }
         if (outcome != RunOutcome.DONE && outcome != RunOutcome.FAILED && !ended) {
-            kept.run();
+            acknowledge.run();
             return;
         }
         if (wasFinal) {
-            toldAgain(task, kept);
+            reportedAgain(task, acknowledge);
             return;
         }
         if (job.phase().isFinal()) {
             events.ended(job);
-            writeEnd(job, stored -> keepIf(stored, kept));
+            writeEnd(job, stored -> acknowledgeIfStored(stored, acknowledge));
             return;
         }
-        write(job, List.of(progressOf(job)), stored -> keepIf(stored, kept));
+        write(job, List.of(progressOf(job)), stored -> acknowledgeIfStored(stored, acknowledge));
     }
 
     /**
-     * Has tasks placed whose turn has come; while agents aren't heard they wait for these like all that was loaded. The
-     * owner before may have been told the same end, and have started them at an agent that takes its starts still.
+     * Has ready tasks placed, or holds them like the loaded ones while agents have not reported. The previous owner may
+     * have received the same end and started these tasks at an agent that still accepts its starts.
      */
-    private void becameReady(List<Task> tasks) {
-        if (unheardAgents.isEmpty()) {
-            mayStart(tasks);
+    private void placeWhenAllReported(List<Task> tasks) {
+        if (unreportedAgents.isEmpty()) {
+            place(tasks);
             return;
         }
         for (Task task : tasks) {
-            task.job().doubt(task);
+            task.job().markUncertain(task);
         }
     }
 
     @Override
-    public void crashedBefore(Task task, long run, Runnable kept) {
+    public void earlierRunCrashed(Task task, long run, Runnable acknowledge) {
         Job job = task.job();
-        if (job.phase().isFinal() || task.status() == Task.Status.DONE || !task.crashed(run)) {
-            toldAgain(task, kept);
+        if (job.phase().isFinal() || task.status() == Task.Status.DONE || !task.recordCrash(run)) {
+            reportedAgain(task, acknowledge);
             return;
         }
-        boolean overLimit = crashes.crashed(task, run);
+        boolean overLimit = crashes.recordCrash(task, run);
         if (task.status() == Task.Status.PLACED
                 && CrashPolicy.isBounded(task.crashes().crashes())) {
-            // It was started before anybody here knew of this crash.
-            task.countStarts(1);
+            // Its current run was started before this crash was reported here.
+            task.adjustBoundedStarts(1);
         }
         if (overLimit) {
-            giveUp(task);
+            failJob(task);
             events.ended(job);
-            writeEnd(job, stored -> keepIf(stored, kept));
+            writeEnd(job, stored -> acknowledgeIfStored(stored, acknowledge));
         } else {
-            storeCrash(task, kept);
+            storeCrash(task, acknowledge);
         }
     }
 
     /**
-     * Stores the crashes of a task before it is started again: each run under which a minion crashed is then in the log
-     * before the next one exists, whichever owner hears of it.
+     * Stores the crash of a task before the task is started again. So each run that crashed a minion is in the log
+     * before the next run exists, whichever owner receives the report.
      */
-    private void storeCrash(Task task, Runnable kept) {
-        uncounted.add(task);
+    private void storeCrash(Task task, Runnable acknowledge) {
+        tasksWithUnstoredCrash.add(task);
         write(task.job(), List.of(progressOf(task.job())), stored -> {
-            uncounted.remove(task);
+            tasksWithUnstoredCrash.remove(task);
             if (!stored) {
                 return;
             }
-            kept.run();
+            acknowledge.run();
             if (!isReady() || task.job().phase().isFinal()) {
                 return;
             }
             if (task.status() == Task.Status.WAITING) {
-                becameReady(List.of(task));
+                placeWhenAllReported(List.of(task));
             } else {
-                releaseWhenHeard();
+                releaseWhenAllReported();
             }
         });
     }
 
-    /** Gives a task up that has crashed as many minions as are allowed, or that may be started no more. */
-    private void judge(Task task, RunOutcome outcome) {
+    /**
+     * Fails the job of a task that has crashed as many minions as the crash limit allows, or that has no starts left.
+     */
+    private void applyCrashLimits(Task task, RunOutcome outcome) {
         if (outcome == RunOutcome.NEVER_STARTED
                 && CrashPolicy.isBounded(task.crashes().crashes())) {
-            task.countStarts(-1);
+            task.adjustBoundedStarts(-1);
         }
-        boolean overLimit = outcome == RunOutcome.CRASHED && crashes.crashed(task, task.lastRun());
-        if (!task.job().phase().isFinal() && (overLimit || isUsedUp(task))) {
-            giveUp(task);
+        boolean overLimit = outcome == RunOutcome.CRASHED && crashes.recordCrash(task, task.lastRun());
+        if (!task.job().phase().isFinal() && (overLimit || hasNoStartsLeft(task))) {
+            failJob(task);
         }
     }
 
-    private static void keepIf(boolean stored, Runnable kept) {
+    private static void acknowledgeIfStored(boolean stored, Runnable acknowledge) {
         if (stored) {
-            kept.run();
+            acknowledge.run();
         }
     }
 
-    private static boolean isUsedUp(Task task) {
+    private static boolean hasNoStartsLeft(Task task) {
         return task.status() != Task.Status.DONE
-                && CrashPolicy.isUsedUp(task.crashes().crashes(), task.crashes().boundedStarts());
+                && CrashPolicy.hasUsedUpStarts(
+                        task.crashes().crashes(), task.crashes().boundedStarts());
     }
 
-    private void giveUp(Task task) {
-        crashes.givenUp(task);
+    private void failJob(Task task) {
+        crashes.recordGivenUp(task);
         task.job().finish(JobPhase.FAILED, timers.epochMillis());
     }
 
-    /** Has tasks placed, those whose starts are bounded only once the start is counted in the log. */
-    private void mayStart(List<Task> tasks) {
+    /** Has tasks placed; a task whose starts are limited is placed only after its start is counted in the log. */
+    private void place(List<Task> tasks) {
         List<Task> unbounded = new ArrayList<>();
         for (Task task : tasks) {
             if (CrashPolicy.isBounded(task.crashes().crashes())) {
@@ -500,13 +506,13 @@
         if (job.phase().isFinal()) {
             return;
         }
-        if (isUsedUp(task)) {
-            giveUp(task);
+        if (hasNoStartsLeft(task)) {
+            failJob(task);
             events.ended(job);
             writeEnd(job, stored -> {});
             return;
         }
-        task.countStarts(1);
+        task.adjustBoundedStarts(1);
         write(job, List.of(progressOf(job)), stored -> {
             boolean waits = task.status() == Task.Status.WAITING && !job.phase().isFinal();
             if (stored && waits && isReady()) {
@@ -516,30 +522,31 @@
     }
 
     /**
-     * Keeps an end only while nothing of its job is being written. Agents tell open ends again every half second, also
-     * while the log takes no writes: kept then, the minion forgets an end that no log has, and the next owner starts
-     * the task again. What is left out here is told again.
+     * Acknowledges a repeated end only while no write of its job is in progress. Agents repeat unacknowledged ends
+     * every 0.5 s, also while the log takes no writes. If such an end were acknowledged, the minion would discard an
+     * end that is in no log, and the next owner would start the task again. An end that is not acknowledged here is
+     * reported again.
      */
     @Override
-    public void toldAgain(Task task, Runnable kept) {
-        if (!writing.containsKey(task.key().jobId())) {
-            kept.run();
+    public void reportedAgain(Task task, Runnable acknowledge) {
+        if (!pendingWrites.containsKey(task.key().jobId())) {
+            acknowledge.run();
         }
     }
 
     private void write(Job job, List<KeyedRecord> records, Consumer<Boolean> answer) {
         String id = job.specification().id();
-        writing.merge(id, 1, Integer::sum);
+        pendingWrites.merge(id, 1, Integer::sum);
         writer.write(records, false, result -> {
-            writing.computeIfPresent(id, (same, count) -> count > 1 ? count - 1 : null);
+            pendingWrites.computeIfPresent(id, (same, count) -> count > 1 ? count - 1 : null);
             answer.accept(result == PartitionWriter.Result.STORED);
-            loseIfFenced(result);
+            loseOwnershipIfFenced(result);
         });
     }
 
     private void writeEnd(Job job, Consumer<Boolean> answer) {
         String id = job.specification().id();
-        List<KeyedRecord> records = List.of(progressOf(job), KeyedRecord.dropping(JOB_PREFIX + id));
+        List<KeyedRecord> records = List.of(progressOf(job), KeyedRecord.tombstone(JOB_PREFIX + id));
         write(job, records, stored -> {
             if (stored) {
                 endStored(job);
@@ -549,12 +556,12 @@
     }
 
     private void endStored(Job job) {
-        job.endStored();
+        job.markEndStored();
         String id = job.specification().id();
         if (jobs.remove(id) == null) {
             return;
         }
-        ended.put(id, new Ended(job.phase(), job.endedAtMillis()));
+        endedJobs.put(id, new EndedJob(job.phase(), job.endedAtMillis()));
         EventLine.of("job-ended")
                 .with("job", id)
                 .with("queue", job.specification().terms().queue())
@@ -567,21 +574,25 @@
         return new KeyedRecord(PROGRESS_PREFIX + job.specification().id(), JobCodec.encode(job.progress()));
     }
 
-    /** Forgets jobs that ended longer ago than their state has to be kept. */
-    void forgetEndedBefore(long millis) {
+    /**
+     * Removes the jobs that ended before a time, as their state need not be kept any longer.
+     *
+     * @param millis the time, in milliseconds since the epoch
+     */
+    void purgeEndedBefore(long millis) {
         List<KeyedRecord> drops = new ArrayList<>();
-        ended.entrySet().removeIf(entry -> {
+        endedJobs.entrySet().removeIf(entry -> {
             boolean old = entry.getValue().atMillis() < millis;
             if (old) {
-                drops.add(KeyedRecord.dropping(PROGRESS_PREFIX + entry.getKey()));
+                drops.add(KeyedRecord.tombstone(PROGRESS_PREFIX + entry.getKey()));
             }
             return old;
         });
         if (!drops.isEmpty()) {
-            writer.write(drops, false, this::loseIfFenced);
+            writer.write(drops, false, this::loseOwnershipIfFenced);
         }
     }
 
-    /** How and when a job ended. */
-    private record Ended(JobPhase phase, long atMillis) {}
+    /** Final phase of a job, and when it ended. */
+    private record EndedJob(JobPhase phase, long atMillis) {}
 }
--- a/library/src/main/java/org/chivetally/queue/entry/QueueShares.java
+++ b/library/src/main/java/org/chivetally/queue/entry/QueueShares.java
@@ -9,41 +9,42 @@
 import org.chivetally.logging.EventLine;
 import org.chivetally.queue.Job;
 import org.chivetally.queue.QueueTerms;
-import org.chivetally.queue.placement.Turns;
+import org.chivetally.queue.placement.FairShareOrder;
 import org.chivetally.queue.placement.WaitingTasks;
 import org.chivetally.queue.placement.Worker;
-import org.chivetally.queue.share.Division;
-import org.chivetally.queue.share.LoadsElsewhere;
+import org.chivetally.queue.share.FairShares;
+import org.chivetally.queue.share.PeerLoads;
 import org.chivetally.queue.share.QueueAdmission;
 import org.chivetally.queue.share.QueueLoads;
-import org.chivetally.queue.share.RefusedLately;
+import org.chivetally.queue.share.RecentlyRefusedJobs;
 import org.chivetally.time.Timers;
 
 /**
- * An entry's knowledge of how the queues of each service share its processors, while they ask for more than there is.
+ * Fair shares of queues in the processors of each service, from the loads of this entry and of the others. They apply
+ * while the queues of a service demand more than its capacity.
  */
 final class QueueShares {
     /**
-     * Time without contention after which a service counts as uncontended. At a load near the capacity the demands
-     * cross it several times a second, and each crossing would make a log line.
+     * Time without contention after which a service counts as uncontended. At a load near the capacity, demand crosses
+     * it several times a second, and each crossing would otherwise write a log line.
      */
-    static final Duration CALM = Duration.ofSeconds(1);
+    static final Duration UNCONTENDED_AFTER = Duration.ofSeconds(1);
 
     private static final FluentLogger LOGGER = FluentLogger.forEnclosingClass();
 
     private final Timers timers;
     private final WaitingTasks waiting;
     private final Collection<Worker> workers;
-    private final LoadsElsewhere elsewhere = new LoadsElsewhere();
-    private final RefusedLately refusedLately = new RefusedLately();
+    private final PeerLoads remoteLoads = new PeerLoads();
+    private final RecentlyRefusedJobs recentRefusals = new RecentlyRefusedJobs();
     private final Map<String, Long> contendedAtNanos = new HashMap<>();
-    private int silentEntries;
+    private int unreachableEntries;
 
     /**
-     * Creates the shares of an entry that is alone.
+     * Creates the shares of an entry without peers.
      *
-     * @param waiting the entry's waiting tasks, kept up by the entry
-     * @param workers all workers that it knows, kept up by the entry
+     * @param waiting the entry's waiting tasks, updated by the entry
+     * @param workers all known workers, updated by the entry
      */
     QueueShares(Timers timers, WaitingTasks waiting, Collection<Worker> workers) {
         this.timers = timers;
@@ -51,41 +52,47 @@
         this.workers = workers;
     }
 
-    /** Returns what this entry's runs hold and its waiting tasks need, by service and queue. */
-    Map<String, QueueLoads> own() {
+    /** Returns the loads of this entry's runs and waiting tasks, by service and queue. */
+    Map<String, QueueLoads> ownLoads() {
         Map<String, QueueLoads> byService = new HashMap<>();
-        waiting.addTo(byService);
+        waiting.addWaitingTo(byService);
         for (Worker worker : workers) {
             worker.addRunsTo(byService);
         }
         return byService;
     }
 
-    /** Notes what another entry tells of its queues. */
-    void told(String entry, Map<String, QueueLoads> byService, boolean leaving) {
-        elsewhere.told(entry, byService, leaving, timers.nanos());
+    /**
+     * Records the loads that another entry reports.
+     *
+     * @param entry name of that entry
+     * @param byService its loads by service and queue
+     * @param leaving whether it is shutting down
+     */
+    void updateRemoteLoads(String entry, Map<String, QueueLoads> byService, boolean leaving) {
+        remoteLoads.recordReport(entry, byService, leaving, timers.nanos());
     }
 
-    /** Returns how a service is divided now. */
-    Division division(String service) {
-        return division(service, own().getOrDefault(service, new QueueLoads()));
+    /** Returns the current division of a service's processors. */
+    FairShares division(String service) {
+        return division(service, ownLoads().getOrDefault(service, new QueueLoads()));
     }
 
-    private Division division(String service, QueueLoads own) {
-        LoadsElsewhere.Known known = elsewhere.of(service, timers.nanos());
-        return new Division(known.capacityOf(usableMillis(service)), own, known.loads());
+    private FairShares division(String service, QueueLoads own) {
+        PeerLoads.ServiceSnapshot known = remoteLoads.of(service, timers.nanos());
+        return new FairShares(known.reachableCapacity(usableMillis(service)), own, known.loads());
     }
 
     /**
-     * Returns the processors, in thousandths, that can be used: those that are held, and of each worker's free ones as
-     * many as whole waiting tasks can use. The rest of a worker that no task fits into would make the shares of queues
-     * that want more larger than what they can get.
+     * Returns the usable processors of a service in thousandths: those in use, and of the free ones of each worker as
+     * many as whole waiting tasks can use. If the remainder of a worker that no task fits into were included, queues
+     * that demand more would get larger shares than they can use.
      */
     private long usableMillis(String service) {
-        long unit = waiting.smallestRoom(service);
+        long unit = waiting.smallestMeanMillicores(service);
         long usable = 0;
         for (Worker worker : workers) {
-            Worker.View view = worker.view();
+            Worker.Report view = worker.lastReport();
             if (view.service().equals(service) && view.accepting()) {
                 long capacity = view.capacity().processorMillis();
                 long free = Math.max(0, view.free().processorMillis());
@@ -95,80 +102,87 @@
         return usable;
     }
 
-    /** Decides whether a job is taken on, by the forecast of its queue; returns when to come back if it isn't. */
+    /**
+     * Decides by the forecast of its queue whether a job is refused; returns the retry delay for its caller, or empty
+     * if the job is accepted.
+     */
     Optional<Duration> refuse(Job job) {
         QueueTerms terms = job.specification().terms();
         long ahead = waiting.workAhead(terms.service(), terms.queue(), terms.priority());
         long now = timers.nanos();
-        if (ahead == 0 && !job.isHopeless(now)) {
-            // Nothing waits before it, as is usual: no division is needed to tell that it has its turn at once.
+        if (ahead == 0 && !job.isTooLate(now)) {
+            // Usually nothing waits before the job. It can then start at once, whatever the division.
             return Optional.empty();
         }
         String id = job.specification().id();
-        long reach = division(terms.service()).ownReach(terms.queue());
-        Optional<Duration> refusal = QueueAdmission.refuse(job, now, ahead, reach, refusedLately.contains(id, now));
+        long reach = division(terms.service()).ownAvailableMillicores(terms.queue());
+        Optional<Duration> refusal = QueueAdmission.refuse(job, now, ahead, reach, recentRefusals.contains(id, now));
         if (refusal.isPresent()) {
-            refusedLately.refused(id, now);
+            recentRefusals.add(id, now);
         }
         return refusal;
     }
 
-    /** Returns when the caller of a job that is given back should come back, and notes that it may. */
-    Duration givenBack(Job job) {
+    /**
+     * Returns the retry delay for the caller of a job that is refused after it was accepted, and records the refusal,
+     * so that the retry of its caller is recognized.
+     */
+    Duration retryAfterRefusal(Job job) {
         QueueTerms terms = job.specification().terms();
         String id = job.specification().id();
-        refusedLately.refused(id, timers.nanos());
-        long reach = division(terms.service()).ownReach(terms.queue());
+        recentRefusals.add(id, timers.nanos());
+        long reach = division(terms.service()).ownAvailableMillicores(terms.queue());
         return QueueAdmission.retryAfter(id, waiting.work(terms.service(), terms.queue()), reach);
     }
 
     /**
      * Returns the order of a pass over the waiting tasks of a service.
      *
-     * @param own what this entry's runs hold and its waiting tasks need of the service
+     * @param own loads of this entry's runs and waiting tasks in the service
+     * @param limit maximum number of tasks to consider
      */
-    Turns turns(String service, QueueLoads own, int most) {
-        return waiting.turns(service, division(service, own), own, most);
+    FairShareOrder turns(String service, QueueLoads own, int limit) {
+        return waiting.fairShareOrder(service, division(service, own), own, limit);
     }
 
-    /** Returns the number of services whose queues have lately asked for more than there is. */
+    /** Returns the number of services whose queues have recently demanded more than the capacity. */
     int contendedServices() {
         return contendedAtNanos.size();
     }
 
-    /** Returns the number of entries that were out of reach at the last look. */
-    int silentEntries() {
-        return silentEntries;
+    /** Returns the number of entries that were unreachable at the last update. */
+    int unreachableEntries() {
+        return unreachableEntries;
     }
 
-    /** Looks which services are contended, and forgets entries that are gone. */
-    void look() {
+    /** Updates which services are contended, and removes entries that are gone. */
+    void updateContention() {
         long now = timers.nanos();
-        elsewhere.forgetGone(now);
-        silentEntries = elsewhere.of("", now).silent();
-        Map<String, QueueLoads> own = own();
+        remoteLoads.removeExpired(now);
+        unreachableEntries = remoteLoads.of("", now).unreachable();
+        Map<String, QueueLoads> own = ownLoads();
         for (Map.Entry<String, QueueLoads> service : own.entrySet()) {
-            Division division = division(service.getKey(), service.getValue());
+            FairShares division = division(service.getKey(), service.getValue());
             if (division.isContended() && contendedAtNanos.put(service.getKey(), now) == null) {
                 log("service-contended", service.getKey(), division);
             }
         }
-        contendedAtNanos.entrySet().removeIf(service -> isCalm(service, now));
+        contendedAtNanos.entrySet().removeIf(service -> isUncontended(service, now));
     }
 
-    private boolean isCalm(Map.Entry<String, Long> service, long now) {
-        boolean calm = now - service.getValue() > CALM.toNanos();
-        if (calm) {
+    private boolean isUncontended(Map.Entry<String, Long> service, long now) {
+        boolean uncontended = now - service.getValue() > UNCONTENDED_AFTER.toNanos();
+        if (uncontended) {
             log("service-uncontended", service.getKey(), division(service.getKey()));
         }
-        return calm;
+        return uncontended;
     }
 
-    private static void log(String event, String service, Division division) {
+    private static void log(String event, String service, FairShares division) {
         EventLine.of(event)
                 .with("service", service)
-                .with("usable_millicores", division.capacityMillis())
-                .with("demand_millicores", division.demandMillis())
+                .with("usable_millicores", division.capacityMillicores())
+                .with("demand_millicores", division.demandMillicores())
                 .with("shares", division)
                 .log(LOGGER.atInfo());
     }
--- a/library/src/test/java/org/chivetally/queue/JobTest.java
+++ b/library/src/test/java/org/chivetally/queue/JobTest.java
@@ -12,37 +12,37 @@
     private static final String ID = "00000000000000a1";
 
     @Test
-    void isCompletedWhenItsLastTaskIsDoneAndShownSoOnlyOnceStored() {
+    void reportsCompletionOnlyAfterItIsStored() {
         Job job = new Job(Jobs.of(ID, 2), 0);
         for (Task task : job.tasks()) {
-            job.place(task, "agent", 1);
-            job.end(task, RunOutcome.DONE, 5);
+            job.recordPlacement(task, "agent", 1);
+            job.recordRunEnd(task, RunOutcome.DONE, 5);
         }
         assertThat(job.phase(), is(JobPhase.COMPLETED));
-        assertThat(job.shownPhase(), is(JobPhase.RUNNING));
-        job.endStored();
-        assertThat(job.shownPhase(), is(JobPhase.COMPLETED));
+        assertThat(job.reportedPhase(), is(JobPhase.RUNNING));
+        job.markEndStored();
+        assertThat(job.reportedPhase(), is(JobPhase.COMPLETED));
     }
 
     @Test
-    void failsWhenOneTaskHasUsedUpItsAttempts() {
+    void failsAfterTheMaximumNumberOfFailedRunsOfATask() {
         Job job = new Job(Jobs.of(ID, 2), 0);
         Task task = job.tasks().getFirst();
-        job.place(task, "agent", 1);
-        assertThat(job.end(task, RunOutcome.FAILED, 5), is(List.of(task)));
-        job.place(task, "agent", 2);
-        assertThat(job.end(task, RunOutcome.FAILED, 6), is(empty()));
+        job.recordPlacement(task, "agent", 1);
+        assertThat(job.recordRunEnd(task, RunOutcome.FAILED, 5), is(List.of(task)));
+        job.recordPlacement(task, "agent", 2);
+        assertThat(job.recordRunEnd(task, RunOutcome.FAILED, 6), is(empty()));
         assertThat(job.phase(), is(JobPhase.FAILED));
     }
 
     @Test
-    void countsNoAttemptForRunsThatWereStoppedLapsedOrLost() {
+    void countsStoppedLapsedAndLostRunsNotAsFailures() {
         Job job = new Job(Jobs.of(ID, 1), 0);
         Task task = job.tasks().getFirst();
         for (RunOutcome outcome :
                 List.of(RunOutcome.STOPPED, RunOutcome.LAPSED, RunOutcome.LOST, RunOutcome.NEVER_STARTED)) {
-            job.place(task, "agent", task.lastRun() + 1);
-            assertThat(job.end(task, outcome, 5), is(List.of(task)));
+            job.recordPlacement(task, "agent", task.lastRun() + 1);
+            assertThat(job.recordRunEnd(task, outcome, 5), is(List.of(task)));
         }
         assertThat(task.failures(), is(0));
         assertThat(job.phase(), is(JobPhase.RUNNING));
@@ -53,30 +53,30 @@
      * start may have been carried out, that would be a guess.
      */
     @Test
-    void isQueuedAgainOnlyWhenNoStartCanHaveBeenCarriedOut() {
+    void returnsToQueuedOnlyIfNoRunCanHaveStarted() {
         Job job = new Job(Jobs.of(ID, 2), 0, 9_000_000_000L);
         Task first = job.tasks().getFirst();
         Task second = job.tasks().getLast();
-        job.place(first, "agent", 1);
-        job.place(second, "agent", 1);
-        job.end(first, RunOutcome.NEVER_STARTED, 5);
+        job.recordPlacement(first, "agent", 1);
+        job.recordPlacement(second, "agent", 1);
+        job.recordRunEnd(first, RunOutcome.NEVER_STARTED, 5);
         assertThat(job.phase(), is(JobPhase.RUNNING));
-        job.end(second, RunOutcome.NEVER_STARTED, 5);
+        job.recordRunEnd(second, RunOutcome.NEVER_STARTED, 5);
         assertThat(job.phase(), is(JobPhase.QUEUED));
-        job.place(first, "agent", 2);
-        job.end(first, RunOutcome.LOST, 6);
+        job.recordPlacement(first, "agent", 2);
+        job.recordRunEnd(first, RunOutcome.LOST, 6);
         assertThat(job.phase(), is(JobPhase.RUNNING));
     }
 
     @Test
-    void releasesALaterStepOnlyWhenAllOfTheEarlierOneIsDone() {
+    void unblocksAStepOnlyAfterAllTasksOfThePrecedingStepAreDone() {
         Job job = new Job(Jobs.chain(ID, 2, 3), 0);
         assertThat(job.tasksIn(Task.Status.WAITING), hasSize(2));
-        List<Task> first = job.tasksIn(Task.Status.WAITING);
-        job.place(first.get(0), "agent", 1);
-        assertThat(job.end(first.get(0), RunOutcome.DONE, 5), is(empty()));
-        job.place(first.get(1), "agent", 1);
-        assertThat(job.end(first.get(1), RunOutcome.DONE, 6), hasSize(3));
+        List<Task> firstStep = job.tasksIn(Task.Status.WAITING);
+        job.recordPlacement(firstStep.get(0), "agent", 1);
+        assertThat(job.recordRunEnd(firstStep.get(0), RunOutcome.DONE, 5), is(empty()));
+        job.recordPlacement(firstStep.get(1), "agent", 1);
+        assertThat(job.recordRunEnd(firstStep.get(1), RunOutcome.DONE, 6), hasSize(3));
     }
 
     /**
@@ -84,22 +84,22 @@
      * waiting, or they would run twice; and its run numbers must be higher than all of the owner before.
      */
     @Test
-    void isUncertainAboutUnfinishedTasksAfterARestore() {
-        Job before = new Job(Jobs.chain(ID, 2, 1), 0);
-        Task done = before.tasks().getFirst();
-        before.place(done, "agent", 1);
-        before.end(done, RunOutcome.DONE, 5);
+    void marksReadyTasksAsUncertainAfterARestore() {
+        Job original = new Job(Jobs.chain(ID, 2, 1), 0);
+        Task done = original.tasks().getFirst();
+        original.recordPlacement(done, "agent", 1);
+        original.recordRunEnd(done, RunOutcome.DONE, 5);
 
-        Job after = new Job(Jobs.chain(ID, 2, 1), 0);
-        after.restore(JobCodec.decodeProgress(JobCodec.encode(before.progress())), 129);
-        assertThat(after.tasks().get(0).status(), is(Task.Status.DONE));
-        assertThat(after.tasks().get(1).status(), is(Task.Status.UNCERTAIN));
-        assertThat(after.tasks().get(2).status(), is(Task.Status.BLOCKED));
-        assertThat(after.tasks().get(1).lastRun(), is(128L));
+        Job restored = new Job(Jobs.chain(ID, 2, 1), 0);
+        restored.restore(JobCodec.decodeProgress(JobCodec.encode(original.progress())), 129);
+        assertThat(restored.tasks().get(0).status(), is(Task.Status.DONE));
+        assertThat(restored.tasks().get(1).status(), is(Task.Status.UNCERTAIN));
+        assertThat(restored.tasks().get(2).status(), is(Task.Status.BLOCKED));
+        assertThat(restored.tasks().get(1).lastRun(), is(128L));
     }
 
     @Test
-    void survivesItsWayThroughTheLog() {
+    void specificationSurvivesEncodingAndDecoding() {
         JobSpecification job = Jobs.chain(ID, 2, 1);
         assertThat(JobCodec.decodeJob(JobCodec.encode(job).toByteArray()), is(job));
     }
--- a/library/src/test/java/org/chivetally/queue/entry/UnkeptJobsTest.java
+++ b/library/src/test/java/org/chivetally/queue/entry/InMemoryJobsTest.java
@@ -19,7 +19,7 @@
 import org.chivetally.queue.log.ScriptedKeyedLog;
 import org.junit.jupiter.api.Test;
 
-class UnkeptJobsTest {
+class InMemoryJobsTest {
     private static final String ID = "00000000000000b1";
     private static final String OTHER = "00000000000000b2";
 
@@ -30,13 +30,13 @@
         for (int number = 1; number <= count; number++) {
             cluster.agent("agent-" + number);
         }
-        cluster.settled();
+        cluster.awaitLinks();
     }
 
     @Test
-    void answersTheCallerWithTheEndAndStoresNothing() {
+    void answersTheCallerWithTheOutcomeAndStoresNothing() {
         agents(1);
-        List<JobAnswer> answers = cluster.submitUnkept(entry, Jobs.of(ID, 2), 2_000);
+        List<JobAnswer> answers = cluster.submitInMemory(entry, Jobs.of(ID, 2), 2_000);
         cluster.advance(50);
         assertThat(answers, is(empty()));
         cluster.finish(ID, RunOutcome.DONE);
@@ -50,9 +50,9 @@
     @Test
     void servesWhileTheLogIsDown() {
         agents(1);
-        cluster.log.mood = ScriptedKeyedLog.Mood.SILENT;
+        cluster.log.appendBehavior = ScriptedKeyedLog.AppendBehavior.SILENT;
         cluster.advance(5_000);
-        List<JobAnswer> answers = cluster.submitUnkept(entry, Jobs.of(ID, 1), 2_000);
+        List<JobAnswer> answers = cluster.submitInMemory(entry, Jobs.of(ID, 1), 2_000);
         cluster.advance(50);
         cluster.finish(ID, RunOutcome.DONE);
         assertThat(answers, contains(new JobAnswer.State(JobPhase.COMPLETED)));
@@ -61,8 +61,8 @@
     @Test
     void runsTheSameIdOnceWhileItIsInProgress() {
         agents(1);
-        List<JobAnswer> first = cluster.submitUnkept(entry, Jobs.of(ID, 1), 2_000);
-        List<JobAnswer> again = cluster.submitUnkept(entry, Jobs.of(ID, 1), 2_000);
+        List<JobAnswer> first = cluster.submitInMemory(entry, Jobs.of(ID, 1), 2_000);
+        List<JobAnswer> again = cluster.submitInMemory(entry, Jobs.of(ID, 1), 2_000);
         cluster.advance(50);
         assertThat(cluster.running(ID), hasSize(1));
         cluster.finish(ID, RunOutcome.DONE);
@@ -72,16 +72,16 @@
 
     /** The caller hangs up. Its work would go on for nobody, and keep others from the room; it is stopped at once. */
     @Test
-    void stopsTheWorkOfACallerThatHasGone() {
+    void stopsTheRunsOfADisconnectedCaller() {
         agents(1);
         List<JobAnswer> answers = new ArrayList<>();
         Consumer<JobAnswer> caller = answers::add;
-        entry.unkept().submit(Jobs.of(ID, 1), cluster.timers.nanos() + 2_000_000_000L, caller);
+        entry.inMemoryJobs().submit(Jobs.of(ID, 1), cluster.timers.nanos() + 2_000_000_000L, caller);
         cluster.advance(50);
-        entry.unkept().callerLeft(ID, caller);
+        entry.inMemoryJobs().callerDisconnected(ID, caller);
         cluster.advance(50);
         assertThat(cluster.running(ID), is(empty()));
-        assertThat(entry.unkept().size(), is(0));
+        assertThat(entry.inMemoryJobs().size(), is(0));
     }
 
     /**
@@ -89,11 +89,11 @@
      * more, which is true, and the caller doesn't wait for the rest of its time in vain.
      */
     @Test
-    void refusesAWaitingJobAsSoonAsItCanNotMakeIt() {
+    void refusesAWaitingJobOnceItCannotMeetItsDeadline() {
         agents(1);
-        cluster.submitUnkept(entry, Jobs.of(OTHER, 2, 0, 5_000), 9_000);
+        cluster.submitInMemory(entry, Jobs.of(OTHER, 2, 0, 5_000), 9_000);
         cluster.advance(50);
-        List<JobAnswer> answers = cluster.submitUnkept(entry, Jobs.of(ID, 1, 0, 400), 1_000);
+        List<JobAnswer> answers = cluster.submitInMemory(entry, Jobs.of(ID, 1, 0, 400), 1_000);
         cluster.advance(550);
         assertThat(answers, is(empty()));
         cluster.advance(400);
@@ -107,16 +107,16 @@
      * those.
      */
     @Test
-    void startsNothingThatItReadsJustAfterItStoodStill() {
+    void startsNothingReadJustAfterASuspension() {
         agents(1);
         cluster.advance(2_000);
         cluster.timers.stall(Duration.ofSeconds(3));
-        List<JobAnswer> answers = cluster.submitUnkept(entry, Jobs.of(ID, 1), 2_000);
+        List<JobAnswer> answers = cluster.submitInMemory(entry, Jobs.of(ID, 1), 2_000);
         assertThat(answers, contains(instanceOf(JobAnswer.Refused.class)));
         cluster.advance(200);
         assertThat(cluster.running(ID), is(empty()));
         cluster.advance(800);
-        cluster.submitUnkept(entry, Jobs.of(OTHER, 1), 2_000);
+        cluster.submitInMemory(entry, Jobs.of(OTHER, 1), 2_000);
         cluster.advance(50);
         assertThat(cluster.running(OTHER), hasSize(1));
     }
@@ -127,7 +127,7 @@
      * the entry keeps up, it serves again.
      */
     @Test
-    void startsNothingWhileItStillReadsWhatWaited() {
+    void startsNothingWhileReadingQueuedRequests() {
         agents(1);
         cluster.advance(2_000);
         cluster.timers.stall(Duration.ofSeconds(3));
@@ -136,10 +136,10 @@
             cluster.timers.stall(Duration.ofMillis(90));
             cluster.advance(1);
         }
-        List<JobAnswer> answers = cluster.submitUnkept(entry, Jobs.of(ID, 1), 2_000);
+        List<JobAnswer> answers = cluster.submitInMemory(entry, Jobs.of(ID, 1), 2_000);
         assertThat(answers, contains(instanceOf(JobAnswer.Refused.class)));
         cluster.advance(400);
-        cluster.submitUnkept(entry, Jobs.of(OTHER, 1), 2_000);
+        cluster.submitInMemory(entry, Jobs.of(OTHER, 1), 2_000);
         cluster.advance(50);
         assertThat(cluster.running(OTHER), hasSize(1));
     }
@@ -158,7 +158,7 @@
             cluster.timers.stall(Duration.ofMillis(90));
             cluster.advance(1);
         }
-        List<JobAnswer> answers = cluster.submitUnkept(entry, Jobs.of(ID, 1), 2_000);
+        List<JobAnswer> answers = cluster.submitInMemory(entry, Jobs.of(ID, 1), 2_000);
         assertThat(answers, is(empty()));
     }
 
@@ -167,19 +167,19 @@
      * again elsewhere; the entry hears of that only once it has read its sockets, and starts nothing before.
      */
     @Test
-    void startsNothingThatWaitedUntilItHasReadItsSockets() {
+    void startsNoWaitingJobBeforeItsSocketsAreRead() {
         agents(1);
-        cluster.submitUnkept(entry, Jobs.of(OTHER, 2, 0, 5_000), 9_000);
+        cluster.submitInMemory(entry, Jobs.of(OTHER, 2, 0, 5_000), 9_000);
         cluster.advance(50);
         List<JobAnswer> answers = new ArrayList<>();
         Consumer<JobAnswer> caller = answers::add;
-        entry.unkept().submit(Jobs.of(ID, 1, 0, 1_000), cluster.timers.nanos() + 9_000_000_000L, caller);
+        entry.inMemoryJobs().submit(Jobs.of(ID, 1, 0, 1_000), cluster.timers.nanos() + 9_000_000_000L, caller);
         cluster.advance(50);
         cluster.finish(OTHER, RunOutcome.DONE);
         cluster.timers.stall(Duration.ofSeconds(1));
         cluster.advance(100);
         assertThat(cluster.running(ID), is(empty()));
-        entry.unkept().callerLeft(ID, caller);
+        entry.inMemoryJobs().callerDisconnected(ID, caller);
         cluster.advance(1_000);
         assertThat(cluster.running(ID), is(empty()));
     }
@@ -189,21 +189,21 @@
      * seconds; refused for that, callers would be turned away though the other agents come a moment later.
      */
     @Test
-    void refusesNothingWhileTheAgentsAreStillComing() {
+    void refusesNothingWhileAgentsAreConnecting() {
         cluster.agent("agent-1");
         cluster.advance(700);
         List<JobAnswer> answers = new ArrayList<>();
         for (int number = 0; number < 40; number++) {
-            answers.addAll(cluster.submitUnkept(entry, Jobs.of("00000000000001" + (10 + number), 4), 2_000));
+            answers.addAll(cluster.submitInMemory(entry, Jobs.of("00000000000001" + (10 + number), 4), 2_000));
         }
         assertThat(answers, is(empty()));
     }
 
     /** The caller's time ends while its job runs: that it has not run can't be said, and its runs are stopped. */
     @Test
-    void doesNotSayThatAStartedJobHasNotRun() {
+    void reportsAStartedJobAsUndecidedAtItsDeadline() {
         agents(1);
-        List<JobAnswer> answers = cluster.submitUnkept(entry, Jobs.of(ID, 1), 1_000);
+        List<JobAnswer> answers = cluster.submitInMemory(entry, Jobs.of(ID, 1), 1_000);
         cluster.advance(1_100);
         assertThat(answers, contains(instanceOf(JobAnswer.Undecided.class)));
         assertThat(cluster.running(ID), is(empty()));
@@ -216,14 +216,14 @@
     @Test
     void movesTheRunsOfALostAgentWithoutRunningThemTwice() {
         agents(2);
-        List<JobAnswer> answers = cluster.submitUnkept(entry, Jobs.of(ID, 1), 9_000);
+        List<JobAnswer> answers = cluster.submitInMemory(entry, Jobs.of(ID, 1), 9_000);
         cluster.advance(50);
         String agent = cluster.minions.entrySet().stream()
                 .filter(known -> !known.getValue().running.isEmpty())
                 .findFirst()
                 .orElseThrow()
                 .getKey();
-        cluster.network.cut("entry-1", agent, true);
+        cluster.network.setCut("entry-1", agent, true);
         for (int step = 0; step < 350; step++) {
             cluster.advance(10);
             assertThat(cluster.running(ID).size() <= 1, is(true));
@@ -234,13 +234,13 @@
     }
 
     @Test
-    void triesAFailedTaskOnceMoreOnAnotherWorker() {
+    void retriesAFailedTaskOnAnotherWorker() {
         agents(2);
-        List<JobAnswer> answers = cluster.submitUnkept(entry, Jobs.of(ID, 1), 9_000);
+        List<JobAnswer> answers = cluster.submitInMemory(entry, Jobs.of(ID, 1), 9_000);
         cluster.advance(50);
-        var first = cluster.runner(ID).orElseThrow();
+        var first = cluster.minionRunning(ID).orElseThrow();
         cluster.finish(ID, RunOutcome.FAILED);
-        assertThat(cluster.runner(ID).orElseThrow() != first, is(true));
+        assertThat(cluster.minionRunning(ID).orElseThrow() != first, is(true));
         cluster.finish(ID, RunOutcome.FAILED);
         assertThat(answers, contains(new JobAnswer.State(JobPhase.FAILED)));
     }
@@ -250,11 +250,11 @@
      * the end is refused at once as not run; a short one is served.
      */
     @Test
-    void takesOnlyJobsOnThatEndBeforeItStops() {
+    void acceptsOnlyJobsThatEndBeforeShutdown() {
         agents(1);
-        entry.unkept().stopAt(cluster.timers.nanos() + 1_000_000_000L);
-        List<JobAnswer> longer = cluster.submitUnkept(entry, Jobs.of(ID, 1, 0, 700), 5_000);
-        List<JobAnswer> shorter = cluster.submitUnkept(entry, Jobs.of(OTHER, 1, 0, 100), 5_000);
+        entry.inMemoryJobs().stopAt(cluster.timers.nanos() + 1_000_000_000L);
+        List<JobAnswer> longer = cluster.submitInMemory(entry, Jobs.of(ID, 1, 0, 700), 5_000);
+        List<JobAnswer> shorter = cluster.submitInMemory(entry, Jobs.of(OTHER, 1, 0, 100), 5_000);
         assertThat(longer, contains(instanceOf(JobAnswer.Refused.class)));
         cluster.advance(50);
         cluster.finish(OTHER, RunOutcome.DONE);
@@ -263,11 +263,11 @@
 
     /** The entry's time is over while a job runs: its caller is told so, instead of a connection that breaks. */
     @Test
-    void answersWhoeverStillWaitsWhenTheProcessEnds() {
+    void answersWaitingCallersAtShutdown() {
         agents(1);
-        List<JobAnswer> answers = cluster.submitUnkept(entry, Jobs.of(ID, 1), 5_000);
+        List<JobAnswer> answers = cluster.submitInMemory(entry, Jobs.of(ID, 1), 5_000);
         cluster.advance(50);
-        entry.unkept().endAll();
+        entry.inMemoryJobs().expireAll();
         assertThat(answers, contains(instanceOf(JobAnswer.Undecided.class)));
     }
 
@@ -276,25 +276,25 @@
      * on another worker, so that their callers still get an answer.
      */
     @Test
-    void movesRunsFromAWorkerWhereTasksStandStill() {
+    void movesRunsFromAStalledWorker() {
         cluster.capacity = new Room(36_000, 10_000, 0);
         agents(3);
         List<String> ids = new ArrayList<>();
         List<List<JobAnswer>> answers = new ArrayList<>();
         for (int job = 0; job < 12; job++) {
             ids.add("00000000000000%02x".formatted(job));
-            answers.add(cluster.submitUnkept(entry, Jobs.of(ids.getLast(), 1, 0, 100), 9_000));
+            answers.add(cluster.submitInMemory(entry, Jobs.of(ids.getLast(), 1, 0, 100), 9_000));
         }
         cluster.advance(50);
-        var still = cluster.minions.get("agent-1");
-        assertThat(still.running.keySet(), hasSize(4));
+        var stalled = cluster.minions.get("agent-1");
+        assertThat(stalled.running.keySet(), hasSize(4));
         for (var minion : cluster.minions.values()) {
-            if (minion != still) {
+            if (minion != stalled) {
                 List.copyOf(minion.running.keySet()).forEach(run -> minion.end(run, RunOutcome.DONE));
             }
         }
         cluster.advance(900);
-        assertThat(still.running.keySet(), is(empty()));
+        assertThat(stalled.running.keySet(), is(empty()));
         ids.forEach(id -> cluster.finish(id, RunOutcome.DONE));
         for (List<JobAnswer> answer : answers) {
             assertThat(answer, contains(new JobAnswer.State(JobPhase.COMPLETED)));
@@ -309,8 +309,8 @@
     void runsJobsElsewhereWhileAMinionIsDown() {
         agents(2);
         cluster.minions.get("agent-1").down = true;
-        List<JobAnswer> first = cluster.submitUnkept(entry, Jobs.of(ID, 1), 2_000);
-        List<JobAnswer> second = cluster.submitUnkept(entry, Jobs.of(OTHER, 1), 2_000);
+        List<JobAnswer> first = cluster.submitInMemory(entry, Jobs.of(ID, 1), 2_000);
+        List<JobAnswer> second = cluster.submitInMemory(entry, Jobs.of(OTHER, 1), 2_000);
         cluster.advance(30);
         assertThat(cluster.minions.get("agent-1").starts.size() <= 2, is(true));
         cluster.finish(ID, RunOutcome.DONE);
--- a/library/src/test/java/org/chivetally/queue/entry/QueueSharesTest.java
+++ b/library/src/test/java/org/chivetally/queue/entry/QueueSharesTest.java
@@ -10,7 +10,7 @@
 import org.chivetally.queue.RefusalReason;
 import org.chivetally.queue.Room;
 import org.chivetally.queue.RunOutcome;
-import org.chivetally.queue.share.Division;
+import org.chivetally.queue.share.FairShares;
 import org.chivetally.wire.v1.EntryBeat;
 import org.chivetally.wire.v1.QueueDemand;
 import org.junit.jupiter.api.Test;
@@ -24,24 +24,24 @@
     private final EntryNode second = cluster.entry("entry-2");
 
     /** One worker with room for eight tasks; eight of a burst of ten run, and two jobs of another queue wait. */
-    private void contend() {
+    private void createContention() {
         cluster.capacity = new Room(8 * TASK, 10_000, 0);
         cluster.agent("agent-1");
-        cluster.settled();
-        cluster.submitUnkept(first, Jobs.of("00000000000000a1", 10, 0, 10_000), 60_000);
+        cluster.awaitLinks();
+        cluster.submitInMemory(first, Jobs.of("00000000000000a1", 10, 0, 10_000), 60_000);
         cluster.advance(100);
-        cluster.submitUnkept(second, Jobs.of("00000000000000a2", 2, 1, 10_000), 60_000);
+        cluster.submitInMemory(second, Jobs.of("00000000000000a2", 2, 1, 10_000), 60_000);
         cluster.advance(600);
     }
 
-    private static Division division(EntryNode entry) {
+    private static FairShares division(EntryNode entry) {
         return entry.queueShares().orElseThrow().division(SERVICE);
     }
 
     /** Entries that divide by what only they know would each take another queue for the one that is below its share. */
     @Test
-    void allEntriesDivideByWhatAllOfThemRunAndNeed() {
-        contend();
+    void allEntriesDivideByTheLoadsOfAllEntries() {
+        createContention();
         for (EntryNode entry : cluster.entries.values()) {
             assertThat(division(entry).share("queue-0"), is(6 * TASK));
             assertThat(division(entry).share("queue-1"), is(2 * TASK));
@@ -57,35 +57,35 @@
      * other one goes on with its own callers.
      */
     @Test
-    void entriesThatDoNotReachEachOtherKeepToEqualParts() {
-        contend();
-        cluster.network.cut("entry-1", "entry-2", true);
+    void entriesThatCannotReachEachOtherUseEqualParts() {
+        createContention();
+        cluster.network.setCut("entry-1", "entry-2", true);
         cluster.advance(1_700);
         assertThat(division(first).share("queue-0"), is(6 * TASK));
         cluster.advance(600);
-        assertThat(division(first).capacityMillis(), is(4 * TASK));
-        assertThat(first.silentEntries(), is(1));
+        assertThat(division(first).capacityMillicores(), is(4 * TASK));
+        assertThat(first.unreachableEntries(), is(1));
         assertThat(division(first).share("queue-0"), is(4 * TASK));
-        cluster.network.cut("entry-1", "entry-2", false);
+        cluster.network.setCut("entry-1", "entry-2", false);
         cluster.advance(3_000);
         assertThat(division(first).share("queue-0"), is(6 * TASK));
     }
 
     /** An entry that takes its leave runs nothing more; a part left to it would be used by nobody. */
     @Test
-    void nothingIsLeftToAnEntryThatHasLeft() {
-        contend();
+    void reservesNoCapacityForAnEntryThatHasLeft() {
+        createContention();
         second.leave(() -> {});
         cluster.advance(100);
         cluster.kill("entry-2");
         cluster.advance(2_600);
-        assertThat(division(first).capacityMillis(), is(8 * TASK));
+        assertThat(division(first).capacityMillicores(), is(8 * TASK));
     }
 
     /** The service is told as contended only while it is, or operators would look for a cause that is gone. */
     @Test
     void theServiceIsNoLongerContendedAfterTheBurst() {
-        contend();
+        createContention();
         cluster.minions.get("agent-1").running.keySet().stream()
                 .toList()
                 .forEach(run -> cluster.minions.get("agent-1").end(run, RunOutcome.DONE));
@@ -102,13 +102,13 @@
     void aJobIsRefusedByTheForecastOfItsOwnQueueOnly() {
         cluster.capacity = new Room(8 * TASK, 10_000, 0);
         cluster.agent("agent-1");
-        cluster.settled();
+        cluster.awaitLinks();
         for (int number = 0; number < 10; number++) {
-            cluster.submitUnkept(first, Jobs.of("%016x".formatted(number), 8, 0, 1_000), 60_000);
+            cluster.submitInMemory(first, Jobs.of("%016x".formatted(number), 8, 0, 1_000), 60_000);
         }
         cluster.advance(100);
-        List<JobAnswer> other = cluster.submitUnkept(first, Jobs.of("00000000000000b1", 2, 1, 1_000), 2_500);
-        List<JobAnswer> burst = cluster.submitUnkept(first, Jobs.of("00000000000000b2", 8, 0, 1_000), 2_500);
+        List<JobAnswer> other = cluster.submitInMemory(first, Jobs.of("00000000000000b1", 2, 1, 1_000), 2_500);
+        List<JobAnswer> burst = cluster.submitInMemory(first, Jobs.of("00000000000000b2", 8, 0, 1_000), 2_500);
         assertThat(other, is(List.of()));
         assertThat(burst.size(), is(1));
         JobAnswer.Refused refused = (JobAnswer.Refused) burst.getFirst();
@@ -117,7 +117,7 @@
     }
 
     @Test
-    void withoutTheSettingNothingIsShared() {
+    void hasNoSharesWithoutTheSetting() {
         Cluster plain = new Cluster();
         EntryNode entry = plain.entry("entry-1");
         assertThat(entry.queueShares(), is(Optional.empty()));
@@ -128,7 +128,7 @@
      * A heartbeat of another implementation may hold amounts that make no sense; taken as they are, shares overflow.
      */
     @Test
-    void negativeAmountsCountAsNothing() {
+    void countsNegativeAmountsAsZero() {
         EntryBeat beat = EntryBeat.newBuilder()
                 .addQueueDemand(QueueDemand.newBuilder()
                         .setService(SERVICE)
@@ -136,6 +136,6 @@
                         .setRunningMillis(-5)
                         .setWaitingMillis(7))
                 .build();
-        assertThat(QueueDemands.decode(beat).get(SERVICE).of("queue-0").demandMillis(), is(7L));
+        assertThat(QueueDemandCodec.decode(beat).get(SERVICE).of("queue-0").demandMillicores(), is(7L));
     }
 }
--- a/library/src/test/java/org/chivetally/queue/entry/UnevenSpeedsTest.java
+++ b/library/src/test/java/org/chivetally/queue/entry/UnevenSpeedsTest.java
@@ -24,9 +24,9 @@
     private final Map<RunKey, Integer> ranMillis = new HashMap<>();
 
     /** Ends the runs of agent-1 after 60 ms and all others after 240, while a job of 100 ms comes every 60 ms. */
-    private void work(EntryNode entry, int firstJob, int jobs) {
+    private void submitJobs(EntryNode entry, int firstJob, int jobs) {
         for (int number = firstJob; number < firstJob + jobs; number++) {
-            cluster.submitUnkept(entry, Jobs.of("%016x".formatted(number), 1), 2_000);
+            cluster.submitInMemory(entry, Jobs.of("%016x".formatted(number), 1), 2_000);
             for (int step = 0; step < 6; step++) {
                 cluster.advance(STEP_MILLIS);
                 endDue("agent-1", 60);
@@ -58,7 +58,7 @@
         cluster.agent("agent-1");
         cluster.labels = List.of("slow");
         SLOW.forEach(cluster::agent);
-        cluster.settled();
+        cluster.awaitLinks();
     }
 
     @Test
@@ -66,27 +66,27 @@
         cluster.scheduling = new SchedulingSettings(true, false, 0);
         EntryNode first = cluster.entry("entry-1");
         startAgents();
-        work(first, 0, 60);
+        submitJobs(first, 0, 60);
         assertThat(first.speedSpread(), is(greaterThan(1.8)));
         assertThat(first.startsBySpeed(), is(greaterThan(0L)));
         int before = slowStarts();
-        work(first, 60, 20);
+        submitJobs(first, 60, 20);
         assertThat(slowStarts() - before, is(lessThan(10)));
 
         EntryNode second = cluster.entry("entry-2");
         cluster.advance(1_000);
         before = slowStarts();
-        cluster.submitUnkept(second, Jobs.of("%016x".formatted(1_000), 1), 2_000);
+        cluster.submitInMemory(second, Jobs.of("%016x".formatted(1_000), 1), 2_000);
         cluster.advance(20);
         assertThat(second.speedSpread(), is(greaterThan(1.8)));
         assertThat(slowStarts(), is(before));
     }
 
     @Test
-    void agentsLearnNothingWhereTheSettingIsOff() {
+    void agentsLearnNothingWithoutTheSetting() {
         EntryNode entry = cluster.entry("entry-1");
         startAgents();
-        work(entry, 0, 10);
+        submitJobs(entry, 0, 10);
         assertThat(cluster.agents.get("agent-1").stretch(), is(LearnedStretch.UNKNOWN));
         assertThat(entry.speedSpread(), is(1.0));
         assertThat(entry.startsBySpeed(), is(0L));
--- a/library/src/test/java/org/chivetally/queue/entry/WakeUps.java
+++ b/library/src/test/java/org/chivetally/queue/entry/WakeUpCounter.java
@@ -10,19 +10,19 @@
 import org.chivetally.time.Timers;
 
 /** Counts what wakes each process of a {@link Cluster} up: its timers, and the frames that reach it. */
-final class WakeUps {
+final class WakeUpCounter {
     private final Timers shared;
     private final Map<String, Map<String, Integer>> causes = new HashMap<>();
     private final Map<String, Set<Long>> instants = new HashMap<>();
 
-    WakeUps(Timers shared, MemoryNetwork network) {
+    WakeUpCounter(Timers shared, MemoryNetwork network) {
         this.shared = shared;
-        network.whenArrived(this::count);
+        network.onArrival(this::count);
     }
 
     /** Returns timers of a process that are counted by their delay. */
     Timers of(String process) {
-        return new Counted(process);
+        return new CountingTimers(process);
     }
 
     void clear() {
@@ -45,10 +45,10 @@
         instants.computeIfAbsent(process, name -> new HashSet<>()).add(shared.nanos());
     }
 
-    private final class Counted implements Timers {
+    private final class CountingTimers implements Timers {
         private final String process;
 
-        private Counted(String process) {
+        private CountingTimers(String process) {
             this.process = process;
         }
 
--- a/library/src/test/java/org/chivetally/queue/link/StallDetectorTest.java
+++ b/library/src/test/java/org/chivetally/queue/link/StallDetectorTest.java
@@ -17,11 +17,11 @@
      * reached it before.
      */
     @Test
-    void doubtsNobodyBecauseTheProcessIsSlowToStart() {
+    void acceptsRequestsAfterASlowStart() {
         timers.stall(Duration.ofMillis(1_700));
-        detector.opened();
+        detector.markListening();
 
-        assertThat(detector.look(), is(false));
+        assertThat(detector.check(), is(false));
     }
 
     /**
@@ -29,22 +29,22 @@
      * and be about to come again elsewhere, so what is read then is doubtful, however young the process is.
      */
     @Test
-    void doubtsWhatWaitedInAProcessThatHasJustBegunToListen() {
-        detector.opened();
+    void detectsAStallShortlyAfterTheProcessStartedListening() {
+        detector.markListening();
         timers.stall(Duration.ofMillis(800));
 
-        assertThat(detector.look(), is(true));
+        assertThat(detector.check(), is(true));
     }
 
     @Test
-    void doubtsWhatWaitedInAProcessThatHasServedForLong() {
-        detector.opened();
+    void detectsAStallAfterLongOperation() {
+        detector.markListening();
         for (int number = 0; number < 20; number++) {
             timers.advance(Duration.ofMillis(250));
-            assertThat(detector.look(), is(false));
+            assertThat(detector.check(), is(false));
         }
         timers.stall(Duration.ofMillis(800));
 
-        assertThat(detector.look(), is(true));
+        assertThat(detector.check(), is(true));
     }
 }
--- a/library/src/test/java/org/chivetally/queue/placement/WorstLoadTest.java
+++ b/library/src/test/java/org/chivetally/queue/placement/OverloadSimulationTest.java
@@ -16,30 +16,30 @@
 import java.util.Random;
 import java.util.Set;
 import java.util.SplittableRandom;
+import org.chivetally.queue.CompletionForecast;
 import org.chivetally.queue.Job;
 import org.chivetally.queue.JobPhase;
 import org.chivetally.queue.Jobs;
-import org.chivetally.queue.Outlook;
 import org.chivetally.queue.Room;
 import org.chivetally.queue.RunOutcome;
 import org.chivetally.queue.Task;
 import org.junit.jupiter.api.Test;
 
 /** Replays of the loads that the decisions answer, with a service that has nothing to spare. */
-class WorstLoadTest {
-    private static final long MILLISECOND = Duration.ofMillis(1).toNanos();
+class OverloadSimulationTest {
+    private static final long MILLISECOND_NANOS = Duration.ofMillis(1).toNanos();
 
     /** Objective of {@link Jobs}: 1.6 times the work of 100 ms, and 60 ms more. */
-    private static final long OBJECTIVE = 220 * MILLISECOND;
+    private static final long OBJECTIVE_NANOS = 220 * MILLISECOND_NANOS;
 
     /** Latest end that is worth anything. */
-    private static final long LATE = 3 * OBJECTIVE;
+    private static final long LATE_LIMIT_NANOS = 3 * OBJECTIVE_NANOS;
 
     private static final Room CAPACITY = new Room(60_000, 131_072, 0);
     private static final int WORKERS = 11;
 
     /** Tasks of {@link Jobs} that a worker holds at once. */
-    private static final int SLOTS = 10;
+    private static final int TASKS_PER_WORKER = 10;
 
     private final PriorityQueue<Run> running = new PriorityQueue<>(Comparator.comparing(Run::endNanos));
     private final WaitingTasks waiting = new WaitingTasks();
@@ -51,12 +51,12 @@
     private int failedJobs;
     private int inTime;
 
-    private record Run(Task task, Worker worker, Worker.Sent sent, boolean fails, long endNanos) {}
+    private record Run(Task task, Worker worker, Worker.SentStart sent, boolean fails, long endNanos) {}
 
-    WorstLoadTest() {
+    OverloadSimulationTest() {
         for (int number = 0; number < WORKERS; number++) {
             Worker worker = new Worker("worker-" + number, 0);
-            worker.linked("link");
+            worker.linkOpened("link");
             workers.add(worker);
         }
     }
@@ -67,8 +67,8 @@
      * have missed theirs give way, and after a moment the others are served in time again.
      */
     @Test
-    void aBacklogThatStaysDoesNotMakeEveryJobLate() {
-        int perSecond = 99 * WORKERS * SLOTS / 10 / 2;
+    void persistentBacklogDoesNotMakeEveryJobLate() {
+        int perSecond = 99 * WORKERS * TASKS_PER_WORKER / 10 / 2;
         List<Job> jobs = new ArrayList<>();
         for (int number = 0; number < perSecond; number++) {
             jobs.add(arrive(number));
@@ -88,8 +88,8 @@
      * part of every job that waits, twice, and a job whose task has failed twice is failed for good.
      */
     @Test
-    void aWorkerThatFailsAllDoesNotFailWholeJobs() {
-        int perSecond = 95 * WORKERS * SLOTS / 10 / 2;
+    void workerThatFailsEveryRunDoesNotFailJobs() {
+        int perSecond = 95 * WORKERS * TASKS_PER_WORKER / 10 / 2;
         for (int number = 0; number < 6 * perSecond; number++) {
             advanceTo(Duration.ofSeconds(1).toNanos() * number / perSecond);
             arrive(number, "worker-0");
@@ -104,26 +104,26 @@
      * no fewer are served in time.
      */
     @Test
-    void whoGetsNoTurnInABurstIsToldWithinTheObjective() {
-        int perSecond = 150 * WORKERS * SLOTS / 10 / 2;
+    void unservableJobsInABurstAreRefusedWithinTheObjective() {
+        int perSecond = 150 * WORKERS * TASKS_PER_WORKER / 10 / 2;
         ArrivalRate arrivals = new ArrivalRate();
-        Set<Job> untold = new HashSet<>();
+        Set<Job> notRefused = new HashSet<>();
         for (int number = 0; number < 3 * perSecond; number++) {
             advanceTo(Duration.ofSeconds(1).toNanos() * number / perSecond);
-            Job fresh = arrive(number);
-            untold.add(fresh);
-            arrivals.arrived(fresh.specification(), nowNanos);
-            long spare = WORKERS * CAPACITY.processorMillis() - arrivals.processorMillis(nowNanos);
-            for (Job job : waiting.withoutProspect("reports", spare, nowNanos)) {
-                long waited = nowNanos - job.acceptedAtNanos();
-                assertThat(waited, lessThan(number < perSecond ? LATE : OBJECTIVE));
+            Job arrived = arrive(number);
+            notRefused.add(arrived);
+            arrivals.recordArrival(arrived.specification(), nowNanos);
+            long spareMillicores = WORKERS * CAPACITY.processorMillis() - arrivals.arrivingMillicores(nowNanos);
+            for (Job job : waiting.unservableJobs("reports", spareMillicores, nowNanos)) {
+                long waitedNanos = nowNanos - job.acceptedAtNanos();
+                assertThat(waitedNanos, lessThan(number < perSecond ? LATE_LIMIT_NANOS : OBJECTIVE_NANOS));
                 job.tasks().forEach(waiting::remove);
-                untold.remove(job);
+                notRefused.remove(job);
             }
         }
-        untold.removeIf(job -> job.phase() != JobPhase.QUEUED || !job.isHopeless(nowNanos));
+        notRefused.removeIf(job -> job.phase() != JobPhase.QUEUED || !job.isTooLate(nowNanos));
         assertThat((double) inTime / (3 * perSecond), greaterThan(0.55));
-        assertThat(untold, is(empty()));
+        assertThat(notRefused, is(empty()));
     }
 
     private String failingWorker = "";
@@ -160,18 +160,18 @@
         boolean open = !job.phase().isFinal();
         if (run.fails()) {
             failingRuns++;
-            run.worker().health().failed(job.specification().id(), nowNanos);
+            run.worker().health().recordFailedRun(job.specification().id(), nowNanos);
         } else {
-            run.worker().ended(run.sent(), nowNanos);
+            run.worker().recordEnd(run.sent(), nowNanos);
         }
         run.worker().remove(run.task().key());
         RunOutcome outcome = run.fails() ? RunOutcome.FAILED : RunOutcome.DONE;
-        for (Task ready : job.end(run.task(), outcome, 0)) {
+        for (Task ready : job.recordRunEnd(run.task(), outcome, 0)) {
             waiting.add(ready, nowNanos);
         }
         if (open && job.phase().isFinal()) {
             failedJobs += run.fails() ? 1 : 0;
-            inTime += !run.fails() && nowNanos - job.acceptedAtNanos() <= OBJECTIVE ? 1 : 0;
+            inTime += !run.fails() && nowNanos - job.acceptedAtNanos() <= OBJECTIVE_NANOS ? 1 : 0;
         }
     }
 
@@ -180,13 +180,14 @@
         for (Worker worker : workers) {
             report(worker);
         }
-        PlacementPolicy.Pass placement = policy.over(workers, nowNanos);
-        for (Task task : waiting.first("reports", SLOTS)) {
-            if (task.job().phase().isFinal() || task.job().outlook(nowNanos).reach() == Outlook.Reach.HOPELESS) {
+        PlacementPolicy.Pass pass = policy.newPass(workers, nowNanos);
+        for (Task task : waiting.first("reports", TASKS_PER_WORKER)) {
+            if (task.job().phase().isFinal()
+                    || task.job().completionForecast(nowNanos).timeliness() == CompletionForecast.Timeliness.TOO_LATE) {
                 waiting.remove(task);
                 continue;
             }
-            Optional<Worker> chosen = placement.choose(task);
+            Optional<Worker> chosen = pass.choose(task);
             if (chosen.isEmpty()) {
                 return;
             }
@@ -196,21 +197,23 @@
 
     private void report(Worker worker) {
         Room free = CAPACITY;
-        for (Worker.Sent sent : worker.sent()) {
+        for (Worker.SentStart sent : worker.inProgress()) {
             free = free.minus(sent.task().room());
         }
-        worker.report(
-                new Worker.View("boot", "reports", CAPACITY, free, true, List.of(), "north", Long.MAX_VALUE), nowNanos);
+        worker.recordReport(
+                new Worker.Report("boot", "reports", CAPACITY, free, true, List.of(), "north", Long.MAX_VALUE),
+                nowNanos);
     }
 
     private void start(Task task, Worker worker) {
         waiting.remove(task);
         long run = task.lastRun() + 1;
-        Worker.Sent sent = worker.send(task, run, nowNanos);
-        task.job().place(task, worker.process(), run);
+        Worker.SentStart sent = worker.send(task, run, nowNanos);
+        task.job().recordPlacement(task, worker.process(), run);
         boolean fails = worker.process().equals(failingWorker);
-        long work = fails ? MILLISECOND : 90 * MILLISECOND + random.nextInt((int) (20 * MILLISECOND));
-        running.add(new Run(task, worker, sent, fails, nowNanos + work));
+        long durationNanos =
+                fails ? MILLISECOND_NANOS : 90 * MILLISECOND_NANOS + random.nextInt((int) (20 * MILLISECOND_NANOS));
+        running.add(new Run(task, worker, sent, fails, nowNanos + durationNanos));
         report(worker);
     }
 }
