--- a/library/src/main/java/org/chivetally/queue/entry/AgentAnnouncement.java
+++ b/library/src/main/java/org/chivetally/queue/entry/AgentAnnouncement.java
@@ -33,7 +33,7 @@
     public void start(Consumer<Peer> listener) {
         agent.whenMinionChanges(this::minionChanged);
         directory.readOnce(listener, () -> {
-            directory.minionOf(self.process()).ifPresent(agent.supervisor()::recall);
+            directory.minionOf(self.process()).ifPresent(agent.supervisor()::restore);
             announced = agent.supervisor().minion();
             directoryRead = true;
             directory.announce(self, announced);
