--- a/library/src/main/java/org/chivetally/queue/warmup/SimulatedMinion.java
+++ b/library/src/main/java/org/chivetally/queue/warmup/SimulatedMinion.java
@@ -30,10 +30,10 @@
     }
 
     @Override
-    public void start(String boot, StartOrder order, Consumer<StartAnswer> callback) {
+    public void start(String boot, StartRequest order, Consumer<StartResult> callback) {
         running.add(order.run());
         timers.after(RUN_DURATION, () -> finishRun(order.run()));
-        timers.after(RESPONSE_DELAY, () -> callback.accept(new StartAnswer.Started(clockMillis())));
+        timers.after(RESPONSE_DELAY, () -> callback.accept(new StartResult.Started(clockMillis())));
     }
 
     private void finishRun(RunKey run) {
@@ -50,12 +50,12 @@
     }
 
     @Override
-    public void look(String boot, LookOrder order, Consumer<LookAnswer> callback) {
-        ends.headMap(order.keptThrough(), true).clear();
-        Duration wait = order.longestWait().isZero() ? RESPONSE_DELAY : RUN_DURATION;
+    public void poll(String boot, PollRequest order, Consumer<PollResult> callback) {
+        ends.headMap(order.acknowledgedThrough(), true).clear();
+        Duration wait = order.maximumWait().isZero() ? RESPONSE_DELAY : RUN_DURATION;
         timers.after(
                 wait,
                 () -> callback.accept(
-                        new LookAnswer.Lists(clockMillis(), List.copyOf(running), List.copyOf(ends.values()))));
+                        new PollResult.Lists(clockMillis(), List.copyOf(running), List.copyOf(ends.values()))));
     }
 }
