--- a/library/src/main/java/org/chivetally/queue/placement/SpeedCandidates.java
+++ b/library/src/main/java/org/chivetally/queue/placement/SpeedCandidates.java
@@ -36,11 +36,11 @@
     }
 
     /** Discards the candidates of the previous task. */
-    void reset(int classCount) {
-        classCount = classCount;
-        Arrays.fill(bestWorkers, 0, classCount, null);
-        Arrays.fill(freeMillicores, 0, classCount, 0);
-        Arrays.fill(capacityMillicores, 0, classCount, 0);
+    void reset(int classes) {
+        classCount = classes;
+        Arrays.fill(bestWorkers, 0, classes, null);
+        Arrays.fill(freeMillicores, 0, classes, 0);
+        Arrays.fill(capacityMillicores, 0, classes, 0);
     }
 
     /**
--- a/library/src/test/java/org/chivetally/queue/placement/FleetSimulation.java
+++ b/library/src/test/java/org/chivetally/queue/placement/FleetSimulation.java
@@ -80,7 +80,7 @@
     /** One start, as it was sent. */
     record Placement(long atNanos, int entry, int worker) {}
 
-    private record Event(long atNanos, long order, Runnable action) {}
+    private record Event(long atNanos, long number, Runnable action) {}
 
     final List<JobCounts> jobCounts = new ArrayList<>();
     final List<Placement> placements = new ArrayList<>();
@@ -102,7 +102,7 @@
     private final Random arrivals;
     private final Random durations;
     private final PriorityQueue<Event> events =
-            new PriorityQueue<>(Comparator.comparing(Event::atNanos).thenComparing(Event::order));
+            new PriorityQueue<>(Comparator.comparing(Event::atNanos).thenComparing(Event::number));
     private long eventCount;
     private long nowNanos;
     private long jobNumber;
@@ -158,13 +158,13 @@
 
     private void scheduleArrival(Workload workload, int domain) {
         double seconds = nowNanos / 1e9;
-        double demandFactor = 1
+        double domainFactor = 1
                 + DEMAND_AMPLITUDE
                         * Math.sin(2 * Math.PI * (seconds / DEMAND_PERIOD_SECONDS + (double) domain / DOMAINS));
         double rate = demandFactor
                 * workload.jobsPerSecond()
                 / DOMAINS
-                * demandFactor
+                * domainFactor
                 * (workload.priority() == burstQueue ? burstFactor : 1);
         schedule((long) (-1e9 * Math.log(1 - arrivals.nextDouble()) / rate), () -> {
             arrive(workload, domain);
@@ -319,7 +319,7 @@
     }
 
     /** A start that waits for room at its agent. */
-    private record HeldStart(Entry entry, Worker.SentStart sent) {}
+    private record WaitingStart(Entry entry, Worker.SentStart sent) {}
 
     /** One worker and its agent. */
     final class Agent {
@@ -329,14 +329,14 @@
         boolean reportsNoSpeed;
         private final List<Long> latestStarts = new ArrayList<>();
         private final RunStretch stretch = new RunStretch();
-        private final List<HeldStart> waitingStarts = new ArrayList<>();
+        private final List<WaitingStart> waitingStarts = new ArrayList<>();
         private Room free;
         private boolean reportScheduled;
 
-        private Agent(int number, double speed, int processorMillis) {
+        private Agent(int number, double speed, int millicores) {
             this.number = number;
             this.speed = speed;
-            this.capacity = new Room(processorMillis, 256_000, 0);
+            this.capacity = new Room(millicores, 256_000, 0);
             this.free = capacity;
         }
 
@@ -347,7 +347,7 @@
                     refuse(entry, sent);
                     return;
                 }
-                HeldStart waiting = new HeldStart(entry, sent);
+                WaitingStart waiting = new WaitingStart(entry, sent);
                 waitingStarts.add(waiting);
                 schedule(START_WAIT_NANOS, () -> {
                     if (waitingStarts.remove(waiting)) {
@@ -381,7 +381,7 @@
             send(entry, () -> entry.ended(number, sent, RunOutcome.DONE));
             while (!waitingStarts.isEmpty()
                     && waitingStarts.getFirst().sent().task().room().fitsInto(free)) {
-                HeldStart next = waitingStarts.removeFirst();
+                WaitingStart next = waitingStarts.removeFirst();
                 begin(next.entry(), next.sent());
             }
             boolean scarce = 4 * free.processorMillis() < capacity.processorMillis();
