--- a/library/src/main/java/org/chivetally/queue/Job.java
+++ b/library/src/main/java/org/chivetally/queue/Job.java
@@ -15,7 +15,7 @@
  */
 public final class Job {
     /** Callers count a job as not served if it ends later than this many times its objective after acceptance. */
-    static final int USEFUL_OBJECTIVES = 3;
+    static final int USEFUL_DURATION_FACTOR = 3;
 
     /**
      * Share of the queueing time allowed by its objective after which a queued job yields to newer jobs. Under a
@@ -100,7 +100,7 @@
     }
 
     private static long usefulDurationNanos(JobSpecification specification) {
-        return USEFUL_OBJECTIVES * objectiveDurationNanos(specification);
+        return USEFUL_DURATION_FACTOR * objectiveDurationNanos(specification);
     }
 
     private void createTasks() {
@@ -146,7 +146,7 @@
         if (unfinishedInStep.length == 1) {
             return 0;
         }
-        long remaining = specification.criticalPathMillis(place -> unfinishedInStep[place] > 0);
+        long remaining = specification.criticalPathMillis(step -> unfinishedInStep[step] > 0);
         return Math.max(0, remaining - task.step().estimatedMillis());
     }
 
@@ -156,7 +156,7 @@
      * @param nowNanos current time on the monotonic clock, in nanoseconds
      */
     public CompletionForecast completionForecast(long nowNanos) {
-        long remaining = Duration.ofMillis(specification.criticalPathMillis(place -> unfinishedInStep[place] > 0))
+        long remaining = Duration.ofMillis(specification.criticalPathMillis(step -> unfinishedInStep[step] > 0))
                 .toNanos();
         long latestOnTimeStart = objectiveNanos - remaining;
         if (phase == JobPhase.QUEUED) {
@@ -176,7 +176,7 @@
      * out, according to the estimates, in nanoseconds on the monotonic clock. A durable job has no such limit.
      */
     public long latestStartNanos() {
-        long remaining = Duration.ofMillis(specification.criticalPathMillis(place -> unfinishedInStep[place] > 0))
+        long remaining = Duration.ofMillis(specification.criticalPathMillis(step -> unfinishedInStep[step] > 0))
                 .toNanos();
         return deadlineNanos - remaining;
     }
--- a/library/src/main/java/org/chivetally/queue/link/LinkTable.java
+++ b/library/src/main/java/org/chivetally/queue/link/LinkTable.java
@@ -24,8 +24,8 @@
     private static final FluentLogger LOGGER = FluentLogger.forEnclosingClass();
 
     /**
-     * Time without a received frame after which a link is closed. Heartbeats arrive every 250 ms, or at least every 750
-     * ms without work; even a machine slowed down fivefold sends one within this time.
+     * Time without a received frame after which a link is closed. Heartbeats arrive every 250 ms, or every 750 ms if
+     * there is no work; even a machine slowed down fivefold sends one within this time.
      */
     public static final Duration SILENCE_TIMEOUT = Duration.ofMillis(1_500);
 
@@ -60,7 +60,7 @@
         this.listener = listener;
     }
 
-    /** Returns a listener for one connection that is opened by a peer. */
+    /** Returns a listener for the connections that peers open. */
     public FrameListener acceptor() {
         return new Handshake(Optional.empty());
     }
@@ -209,15 +209,15 @@
                 }
                 return;
             }
-            linkOf(connection).ifPresent(newest -> {
-                newest.recordReceived(timers.nanos());
-                listener.received(newest, frame);
+            linkOf(connection).ifPresent(link -> {
+                link.recordReceived(timers.nanos());
+                listener.received(link, frame);
             });
         }
 
         @Override
         public void disconnected(FrameConnection connection, String reason) {
-            linkOf(connection).ifPresent(newest -> closeLink(newest, reason));
+            linkOf(connection).ifPresent(link -> closeLink(link, reason));
             if (!helloReceived && !ended) {
                 ended = true;
                 target.ifPresent(Target::scheduleRedial);
--- a/library/src/main/java/org/chivetally/queue/link/StallDetector.java
+++ b/library/src/main/java/org/chivetally/queue/link/StallDetector.java
@@ -15,8 +15,8 @@
  */
 public final class StallDetector {
     /**
-     * Time between two checks above which the process counts as stalled. Checks run every 250 ms; a caller retries 1.3
-     * s after its connection broke, and an agent refuses starts 0.6 s after the entry was last responsive.
+     * Time between two checks above which the process counts as stalled. Checks run every 250 ms. A caller retries
+     * after 1.3 s if its connection broke, and an agent refuses starts 0.6 s after the entry was last responsive.
      */
     static final Duration STALL_THRESHOLD = Duration.ofMillis(700);
 
--- a/library/src/main/java/org/chivetally/queue/link/SuspensionDetector.java
+++ b/library/src/main/java/org/chivetally/queue/link/SuspensionDetector.java
@@ -19,7 +19,7 @@
     static final long SHORTEST_SUSPENSION_MILLIS = Duration.ofMillis(500).toMillis();
 
     private final Timers timers;
-    private long steadyNanos;
+    private long monotonicNanos;
     private long wallMillis;
 
     /**
@@ -29,16 +29,16 @@
      */
     public SuspensionDetector(Timers timers) {
         this.timers = timers;
-        this.steadyNanos = timers.nanos();
+        this.monotonicNanos = timers.nanos();
         this.wallMillis = timers.epochMillis();
     }
 
     /** Returns how long the machine seems to have been suspended since the last check, in milliseconds; 0 for not. */
     public long check() {
-        long steady = timers.nanos();
+        long monotonic = timers.nanos();
         long wall = timers.epochMillis();
-        long gap = wall - wallMillis - (steady - steadyNanos) / 1_000_000;
-        steadyNanos = steady;
+        long gap = wall - wallMillis - (monotonic - monotonicNanos) / 1_000_000;
+        monotonicNanos = monotonic;
         wallMillis = wall;
         return gap >= SHORTEST_SUSPENSION_MILLIS ? gap : 0;
     }
--- a/library/src/main/java/org/chivetally/queue/log/PartitionWriter.java
+++ b/library/src/main/java/org/chivetally/queue/log/PartitionWriter.java
@@ -183,8 +183,8 @@
         }
         inFlight = true;
         sentAtNanos = timers.nanos();
-        Optional<AppendId> stamp = Optional.of(new AppendId(writer, epoch, sequence + 1));
-        log.append(stream, stamp, records, this::handleOutcome);
+        Optional<AppendId> id = Optional.of(new AppendId(writer, epoch, sequence + 1));
+        log.append(stream, id, records, this::handleOutcome);
     }
 
     private void handleOutcome(AppendOutcome outcome) {
--- a/library/src/main/java/org/chivetally/queue/warmup/SimulatedMinion.java
+++ b/library/src/main/java/org/chivetally/queue/warmup/SimulatedMinion.java
@@ -30,9 +30,9 @@
     }
 
     @Override
-    public void start(String boot, StartRequest order, Consumer<StartResult> callback) {
-        running.add(order.run());
-        timers.after(RUN_DURATION, () -> finishRun(order.run()));
+    public void start(String boot, StartRequest request, Consumer<StartResult> callback) {
+        running.add(request.run());
+        timers.after(RUN_DURATION, () -> finishRun(request.run()));
         timers.after(RESPONSE_DELAY, () -> callback.accept(new StartResult.Started(clockMillis())));
     }
 
@@ -50,9 +50,9 @@
     }
 
     @Override
-    public void poll(String boot, PollRequest order, Consumer<PollResult> callback) {
-        ends.headMap(order.acknowledgedThrough(), true).clear();
-        Duration wait = order.maximumWait().isZero() ? RESPONSE_DELAY : RUN_DURATION;
+    public void poll(String boot, PollRequest request, Consumer<PollResult> callback) {
+        ends.headMap(request.acknowledgedThrough(), true).clear();
+        Duration wait = request.maximumWait().isZero() ? RESPONSE_DELAY : RUN_DURATION;
         timers.after(
                 wait,
                 () -> callback.accept(
