--- a/library/src/main/java/org/chivetally/queue/entry/RunCoordinator.java
+++ b/library/src/main/java/org/chivetally/queue/entry/RunCoordinator.java
@@ -441,7 +441,7 @@
         Optional<JobOwner> owner = run.getUnkept()
                 ? Optional.of(inMemoryJobs)
                 : partitionOwnerOf(key).map(JobOwner.class::cast);
-        Optional<Task> known = owner.flatMap(place -> place.task(key));
+        Optional<Task> known = owner.flatMap(candidate -> candidate.task(key));
         boolean needed = known.isPresent() && !known.get().job().phase().isFinal();
         if (needed && known.get().status() == Task.Status.UNCERTAIN) {
             Task task = known.get();
@@ -493,14 +493,14 @@
         Task task = known.get();
         if (end.outcome() == RunOutcome.CRASHED) {
             jobOwnerOf(task)
-                    .ifPresent(home -> home.earlierRunCrashed(task, end.run().run(), acknowledge));
+                    .ifPresent(owner -> owner.earlierRunCrashed(task, end.run().run(), acknowledge));
             return;
         }
         if (task.status() == Task.Status.UNCERTAIN || completesTask(task, end)) {
             stopNewerRun(task);
             endUntrackedRun(worker, task, end, acknowledge);
         } else {
-            jobOwnerOf(task).ifPresent(home -> home.reportedAgain(task, acknowledge));
+            jobOwnerOf(task).ifPresent(owner -> owner.reportedAgain(task, acknowledge));
         }
     }
 
@@ -557,7 +557,7 @@
                 .with("outcome", outcome)
                 .with("failures", task.failures())
                 .log(LOGGER.atInfo());
-        jobOwnerOf(task).ifPresent(home -> home.ended(task, outcome, acknowledge));
+        jobOwnerOf(task).ifPresent(owner -> owner.ended(task, outcome, acknowledge));
         passes.schedule();
     }
 
@@ -617,9 +617,9 @@
      */
     private void moveFromSlowWorkers(long now) {
         List<Worker> slow = new ArrayList<>();
-        int open = 0;
+        int accepting = 0;
         for (Worker worker : workers.values()) {
-            open += worker.acceptsStarts(now) ? 1 : 0;
+            accepting += worker.acceptsStarts(now) ? 1 : 0;
             boolean late = !worker.markNewlyOverdue(now).isEmpty();
             if (worker.health().isSlow()) {
                 slow.add(worker);
@@ -631,7 +631,7 @@
                 }
             }
         }
-        if (PlacementPolicy.MINIMUM_WORKERS_PER_AVOIDED * slow.size() > open) {
+        if (PlacementPolicy.MINIMUM_WORKERS_PER_AVOIDED * slow.size() > accepting) {
             return;
         }
         for (Worker worker : slow) {
@@ -683,7 +683,7 @@
         if (isolated) {
             worker.addSuspect(task.key());
         } else if (crashes.isSuspect(task)) {
-            worker.inProgress().forEach(beside -> crashes.recordStart(beside.task(), false));
+            worker.inProgress().forEach(other -> crashes.recordStart(other.task(), false));
         }
         crashes.recordStart(task, isolated);
         EventLine placed = EventLine.of("run-placed")
