--- a/library/src/main/java/org/chivetally/queue/entry/EntryNode.java
+++ b/library/src/main/java/org/chivetally/queue/entry/EntryNode.java
@@ -70,9 +70,8 @@
     static final Duration AGENT_HEARTBEAT_INTERVAL = Duration.ofMillis(1_000);
 
     /**
-     * Minimum time between two echoes to an agent with runs of this entry. As agents send heartbeats every 0.25 s, the
-     * latest heartbeat with an echo at the agent is at most 0.5 s old. The agent stops runs of in-memory jobs when it
-     * is 0.8 s old.
+     * Minimum time between two echoes to an agent with runs of this entry. As agents send heartbeats every 0.25 s, an
+     * agent's newest echoed heartbeat is at most 0.5 s old, below the 0.8 s at which the agent stops runs.
      */
     static final Duration ECHO_INTERVAL = Duration.ofMillis(150);
 
@@ -98,8 +97,8 @@
 
     /**
      * Delay before a partition that was assigned in the {@link #REBALANCE_WINDOW} is opened. Without it, a freshly
-     * started entry opened sixteen partitions at once: this blocked it for 0.5 s, in which no agent could connect, and
-     * ten of the partitions were then reassigned.
+     * started entry opened sixteen partitions at once, ten of them in vain as they were then reassigned. This blocked
+     * it for 0.5 s, in which no agent could connect.
      */
     static final Duration OPENING_DELAY = Duration.ofMillis(250);
 
--- a/library/src/main/java/org/chivetally/queue/entry/InMemoryJobs.java
+++ b/library/src/main/java/org/chivetally/queue/entry/InMemoryJobs.java
@@ -149,7 +149,7 @@
     }
 
     /** Refuses the jobs without a started task that can no longer end before their deadlines. */
-    void refuseInfeasible() {
+    void refuseTooLate() {
         long now = timers.nanos();
         for (OpenJob candidate : new ArrayList<>(openJobs.values())) {
             if (candidate.job.phase() == JobPhase.QUEUED && candidate.job.isTooLate(now)) {
--- a/library/src/main/java/org/chivetally/queue/entry/PartitionOwner.java
+++ b/library/src/main/java/org/chivetally/queue/entry/PartitionOwner.java
@@ -514,8 +514,9 @@
         }
         task.adjustBoundedStarts(1);
         write(job, List.of(progressOf(job)), stored -> {
-            boolean waits = task.status() == Task.Status.WAITING && !job.phase().isFinal();
-            if (stored && waits && isReady()) {
+            boolean isWaiting =
+                    task.status() == Task.Status.WAITING && !job.phase().isFinal();
+            if (stored && isWaiting && isReady()) {
                 events.ready(List.of(task));
             }
         });
@@ -580,16 +581,16 @@
      * @param millis the time, in milliseconds since the epoch
      */
     void purgeEndedBefore(long millis) {
-        List<KeyedRecord> drops = new ArrayList<>();
+        List<KeyedRecord> tombstones = new ArrayList<>();
         endedJobs.entrySet().removeIf(entry -> {
             boolean old = entry.getValue().atMillis() < millis;
             if (old) {
-                drops.add(KeyedRecord.tombstone(PROGRESS_PREFIX + entry.getKey()));
+                tombstones.add(KeyedRecord.tombstone(PROGRESS_PREFIX + entry.getKey()));
             }
             return old;
         });
-        if (!drops.isEmpty()) {
-            writer.write(drops, false, this::loseOwnershipIfFenced);
+        if (!tombstones.isEmpty()) {
+            writer.write(tombstones, false, this::loseOwnershipIfFenced);
         }
     }
 
--- a/library/src/main/java/org/chivetally/queue/entry/PlacementPasses.java
+++ b/library/src/main/java/org/chivetally/queue/entry/PlacementPasses.java
@@ -125,55 +125,58 @@
     }
 
     private void place(long now) {
-        PlacementPolicy.Pass choices = placement.newPass(workers, now);
+        PlacementPolicy.Pass pass = placement.newPass(workers, now);
         Map<String, QueueLoads> own =
                 queueShares.isPresent() ? queueShares.get().ownLoads() : Map.of();
         for (String service : waiting.services()) {
-            double part = shares.of(service).backlogShare();
-            boolean contended = PlacementPolicy.isContended(choices, service, waiting.waitingMillicores(service), part);
-            double bound = contended ? part : 1;
+            double backlogShare = shares.of(service).backlogShare();
+            boolean contended =
+                    PlacementPolicy.isContended(pass, service, waiting.waitingMillicores(service), backlogShare);
+            double freeShare = contended ? backlogShare : 1;
             if (queueShares.isPresent()) {
                 placeByShares(
-                        choices,
-                        queueShares.get().turns(service, own.get(service), TASKS_PER_PASS + crashes.suspects()),
-                        bound,
-                        part,
+                        pass,
+                        queueShares
+                                .get()
+                                .placementOrder(service, own.get(service), TASKS_PER_PASS + crashes.suspects()),
+                        freeShare,
+                        backlogShare,
                         now);
             } else {
-                placeInOrder(choices, service, bound, part);
+                placeInOrder(pass, service, freeShare, backlogShare);
             }
         }
     }
 
-    private void placeInOrder(PlacementPolicy.Pass choices, String service, double bound, double part) {
+    private void placeInOrder(PlacementPolicy.Pass pass, String service, double freeShare, double backlogShare) {
         int misses = 0;
         // Suspects that wait for a worker without other suspects don't hold back the tasks behind them.
         for (Task task : waiting.first(service, TASKS_PER_PASS + crashes.suspects())) {
-            PlacementDecision choice = choices.decide(task, bound, part);
-            if (choice.worker().isPresent()) {
-                starter.start(choice.worker().get(), task, choice.bySpeed());
-            } else if (!choice.deferred() && !crashes.isSuspect(task) && ++misses >= MISSES_PER_PASS) {
+            PlacementDecision decision = pass.decide(task, freeShare, backlogShare);
+            if (decision.worker().isPresent()) {
+                starter.start(decision.worker().get(), task, decision.bySpeed());
+            } else if (!decision.deferred() && !crashes.isSuspect(task) && ++misses >= MISSES_PER_PASS) {
                 break;
             }
         }
     }
 
     private void placeByShares(
-            PlacementPolicy.Pass choices, FairShareOrder turns, double bound, double part, long now) {
+            PlacementPolicy.Pass pass, FairShareOrder order, double freeShare, double backlogShare, long now) {
         List<Job> startedJobs = new ArrayList<>();
-        for (Optional<Task> turn = turns.next(); turn.isPresent(); turn = turns.next()) {
-            Task task = turn.get();
-            PlacementDecision choice = choices.decide(task, bound, part);
-            if (choice.worker().isPresent()) {
+        for (Optional<Task> next = order.next(); next.isPresent(); next = order.next()) {
+            Task task = next.get();
+            PlacementDecision decision = pass.decide(task, freeShare, backlogShare);
+            if (decision.worker().isPresent()) {
                 if (task.job().phase() == JobPhase.QUEUED) {
                     startedJobs.add(task.job());
                 }
-                starter.start(choice.worker().get(), task, choice.bySpeed());
-                turns.taskPlaced();
-            } else if (choice.deferred() || crashes.isSuspect(task)) {
-                turns.taskDeferred();
+                starter.start(decision.worker().get(), task, decision.bySpeed());
+                order.taskPlaced();
+            } else if (decision.deferred() || crashes.isSuspect(task)) {
+                order.taskDeferred();
             } else {
-                turns.noWorkerFound();
+                order.noWorkerFound();
             }
         }
         for (Job job : startedJobs) {
--- a/library/src/main/java/org/chivetally/queue/entry/QueueShares.java
+++ b/library/src/main/java/org/chivetally/queue/entry/QueueShares.java
@@ -73,14 +73,14 @@
         remoteLoads.recordReport(entry, byService, leaving, timers.nanos());
     }
 
-    /** Returns the current division of a service's processors. */
-    FairShares division(String service) {
-        return division(service, ownLoads().getOrDefault(service, new QueueLoads()));
+    /** Returns the current fair shares of queues in a service. */
+    FairShares fairShares(String service) {
+        return fairShares(service, ownLoads().getOrDefault(service, new QueueLoads()));
     }
 
-    private FairShares division(String service, QueueLoads own) {
-        PeerLoads.ServiceSnapshot known = remoteLoads.of(service, timers.nanos());
-        return new FairShares(known.reachableCapacity(usableMillis(service)), own, known.loads());
+    private FairShares fairShares(String service, QueueLoads ownLoads) {
+        PeerLoads.ServiceSnapshot peers = remoteLoads.of(service, timers.nanos());
+        return new FairShares(peers.reachableCapacity(usableMillicores(service)), ownLoads, peers.loads());
     }
 
     /**
@@ -88,14 +88,14 @@
      * many as whole waiting tasks can use. If the remainder of a worker that no task fits into were included, queues
      * that demand more would get larger shares than they can use.
      */
-    private long usableMillis(String service) {
+    private long usableMillicores(String service) {
         long unit = waiting.smallestMeanMillicores(service);
         long usable = 0;
         for (Worker worker : workers) {
-            Worker.Report view = worker.lastReport();
-            if (view.service().equals(service) && view.accepting()) {
-                long capacity = view.capacity().processorMillis();
-                long free = Math.max(0, view.free().processorMillis());
+            Worker.Report report = worker.lastReport();
+            if (report.service().equals(service) && report.accepting()) {
+                long capacity = report.capacity().processorMillis();
+                long free = Math.max(0, report.free().processorMillis());
                 usable += unit > 0 ? capacity - free % unit : capacity;
             }
         }
@@ -111,12 +111,13 @@
         long ahead = waiting.workAhead(terms.service(), terms.queue(), terms.priority());
         long now = timers.nanos();
         if (ahead == 0 && !job.isTooLate(now)) {
-            // Usually nothing waits before the job. It can then start at once, whatever the division.
+            // Usually nothing waits before the job. It can then start at once, whatever the shares.
             return Optional.empty();
         }
         String id = job.specification().id();
-        long reach = division(terms.service()).ownAvailableMillicores(terms.queue());
-        Optional<Duration> refusal = QueueAdmission.refuse(job, now, ahead, reach, recentRefusals.contains(id, now));
+        long available = fairShares(terms.service()).ownAvailableMillicores(terms.queue());
+        Optional<Duration> refusal =
+                QueueAdmission.refuse(job, now, ahead, available, recentRefusals.contains(id, now));
         if (refusal.isPresent()) {
             recentRefusals.add(id, now);
         }
@@ -131,8 +132,8 @@
         QueueTerms terms = job.specification().terms();
         String id = job.specification().id();
         recentRefusals.add(id, timers.nanos());
-        long reach = division(terms.service()).ownAvailableMillicores(terms.queue());
-        return QueueAdmission.retryAfter(id, waiting.work(terms.service(), terms.queue()), reach);
+        long available = fairShares(terms.service()).ownAvailableMillicores(terms.queue());
+        return QueueAdmission.retryAfter(id, waiting.work(terms.service(), terms.queue()), available);
     }
 
     /**
@@ -141,8 +142,8 @@
      * @param own loads of this entry's runs and waiting tasks in the service
      * @param limit maximum number of tasks to consider
      */
-    FairShareOrder turns(String service, QueueLoads own, int limit) {
-        return waiting.fairShareOrder(service, division(service, own), own, limit);
+    FairShareOrder placementOrder(String service, QueueLoads own, int limit) {
+        return waiting.fairShareOrder(service, fairShares(service, own), own, limit);
     }
 
     /** Returns the number of services whose queues have recently demanded more than the capacity. */
@@ -162,9 +163,9 @@
         unreachableEntries = remoteLoads.of("", now).unreachable();
         Map<String, QueueLoads> own = ownLoads();
         for (Map.Entry<String, QueueLoads> service : own.entrySet()) {
-            FairShares division = division(service.getKey(), service.getValue());
-            if (division.isContended() && contendedAtNanos.put(service.getKey(), now) == null) {
-                log("service-contended", service.getKey(), division);
+            FairShares shares = fairShares(service.getKey(), service.getValue());
+            if (shares.isContended() && contendedAtNanos.put(service.getKey(), now) == null) {
+                log("service-contended", service.getKey(), shares);
             }
         }
         contendedAtNanos.entrySet().removeIf(service -> isUncontended(service, now));
@@ -173,17 +174,17 @@
     private boolean isUncontended(Map.Entry<String, Long> service, long now) {
         boolean uncontended = now - service.getValue() > UNCONTENDED_AFTER.toNanos();
         if (uncontended) {
-            log("service-uncontended", service.getKey(), division(service.getKey()));
+            log("service-uncontended", service.getKey(), fairShares(service.getKey()));
         }
         return uncontended;
     }
 
-    private static void log(String event, String service, FairShares division) {
+    private static void log(String event, String service, FairShares shares) {
         EventLine.of(event)
                 .with("service", service)
-                .with("usable_millicores", division.capacityMillicores())
-                .with("demand_millicores", division.demandMillicores())
-                .with("shares", division)
+                .with("usable_millicores", shares.capacityMillicores())
+                .with("demand_millicores", shares.demandMillicores())
+                .with("shares", shares)
                 .log(LOGGER.atInfo());
     }
 }
--- a/library/src/main/java/org/chivetally/queue/entry/RunCoordinator.java
+++ b/library/src/main/java/org/chivetally/queue/entry/RunCoordinator.java
@@ -70,7 +70,9 @@
      */
     static final Duration BACKLOG_GRACE = Duration.ofSeconds(2);
 
-    /** Pause of a worker that refused a start for another reason than lack of room: one heartbeat interval. */
+    /**
+     * Time without starts for a worker that refused one for another reason than lack of room: one heartbeat interval.
+     */
     static final Duration REFUSAL_PAUSE = Duration.ofMillis(250);
 
     /**
@@ -86,7 +88,7 @@
     private final Map<Integer, PartitionOwner> partitions;
     private final InMemoryJobs inMemoryJobs;
     private final BooleanSupplier mayReadStaleRequests;
-    private final LongSupplier keptUpAtNanos;
+    private final LongSupplier lastResponsiveNanos;
     private final PlacementPolicy placement;
     private final CrashTracker crashes;
     private final long startedAtNanos;
@@ -107,7 +109,7 @@
      * @param partitions the partitions that the entry owns, by number; updated by the entry
      * @param mayStart whether the entry's ownership is certain enough to start tasks
      * @param mayReadStaleRequests whether requests that the entry reads now may be stale
-     * @param keptUpAtNanos when the entry last had no backlog of unread input, in nanoseconds of the monotonic clock
+     * @param keptUpAtNanos when the entry was last known to be responsive, in nanoseconds of the monotonic clock
      * @param scheduling optional scheduling features that are enabled
      */
     RunCoordinator(
@@ -118,10 +120,10 @@
             Map<Integer, PartitionOwner> partitions,
             BooleanSupplier mayStart,
             BooleanSupplier mayReadStaleRequests,
-            LongSupplier keptUpAtNanos,
+            LongSupplier lastResponsiveNanos,
             SchedulingSettings scheduling) {
         this.mayReadStaleRequests = mayReadStaleRequests;
-        this.keptUpAtNanos = keptUpAtNanos;
+        this.lastResponsiveNanos = lastResponsiveNanos;
         this.placement = placement;
         this.crashes = crashes;
         this.timers = timers;
@@ -155,7 +157,7 @@
 
                     @Override
                     public void forecastsChanged(long nowNanos) {
-                        refuseInfeasible(nowNanos);
+                        refuseUnservable(nowNanos);
                     }
                 });
     }
@@ -212,15 +214,15 @@
         return timers.nanos() - startedAtNanos < BACKLOG_GRACE.toNanos();
     }
 
-    private void refuseInfeasible(long now) {
-        inMemoryJobs.refuseInfeasible();
+    private void refuseUnservable(long now) {
+        inMemoryJobs.refuseTooLate();
         if (isInBacklogGrace()) {
             return;
         }
         for (String service : waiting.services()) {
-            EntryCapacityShare processors = shares.of(service);
-            if (processors.capacityMillicores() > 0) {
-                refuseOvertaken(service, waiting.unservableJobs(service, processors.spareMillicores(), now));
+            EntryCapacityShare share = shares.of(service);
+            if (share.capacityMillicores() > 0) {
+                refuseOvertaken(service, waiting.unservableJobs(service, share.spareMillicores(), now));
             }
         }
     }
@@ -233,10 +235,10 @@
         if (overtaken.isEmpty()) {
             return;
         }
-        Optional<FairShares> division = queueShares.map(all -> all.division(service));
+        Optional<FairShares> shares = queueShares.map(all -> all.fairShares(service));
         for (Job job : overtaken) {
-            boolean isCoveredByShare = division.isPresent()
-                    && division.get().isSatisfied(job.specification().terms().queue());
+            boolean isCoveredByShare = shares.isPresent()
+                    && shares.get().isSatisfied(job.specification().terms().queue());
             if (!isCoveredByShare) {
                 inMemoryJobs.refuseOvertaken(job);
             }
@@ -370,7 +372,7 @@
 
     /**
      * Compares this entry's runs at an agent with everything that the agent holds: takes over runs that were started by
-     * a former owner, stops unneeded ones, and ends those that the agent doesn't hold.
+     * a former owner, stops unneeded ones, and records those that the agent doesn't hold as lost.
      */
     void reconcile(PeerLink link, RunInventory inventory) {
         report(link, inventory.getReport());
@@ -605,7 +607,7 @@
             }
         }
         moveFromSlowWorkers(now);
-        refuseInfeasible(now);
+        refuseUnservable(now);
         queueShares.ifPresent(QueueShares::updateContention);
         passes.schedule();
     }
@@ -710,7 +712,7 @@
                         .setUnkept(token.inMemory())
                         .setSuspected(isolated)
                         .setEchoNanos(link.peerStampNanos())
-                        .setStampAgeNanos(link.stampAgeNanos(keptUpAtNanos.getAsLong()))
+                        .setStampAgeNanos(link.stampAgeNanos(lastResponsiveNanos.getAsLong()))
                         .setEstimatedMillis(
                                 placement.learnsSpeeds()
                                         ? Math.max(0, task.step().estimatedMillis())
--- a/library/src/main/java/org/chivetally/queue/entry/ServiceShares.java
+++ b/library/src/main/java/org/chivetally/queue/entry/ServiceShares.java
@@ -48,13 +48,13 @@
     }
 
     private long capacity(String service) {
-        long processors = 0;
+        long millicores = 0;
         for (Worker worker : workers) {
             boolean serves = worker.lastReport().service().equals(service)
                     && worker.lastReport().accepting();
-            processors += serves ? worker.lastReport().capacity().processorMillis() : 0;
+            millicores += serves ? worker.lastReport().capacity().processorMillis() : 0;
         }
-        return processors;
+        return millicores;
     }
 
     /** Returns this entry's demand for each service's workers. */
@@ -68,9 +68,9 @@
 
     private ServiceDemand demand(String service) {
         ArrivalRate arriving = arrivals.get(service);
-        long arrivingMillis = arriving == null ? 0 : arriving.arrivingMillicores(timers.nanos());
+        long arrivingMillicores = arriving == null ? 0 : arriving.arrivingMillicores(timers.nanos());
         // A job that was stored before estimates were validated may have a negative estimate.
-        return new ServiceDemand(Math.max(0, arrivingMillis), Math.max(0, waiting.work(service)));
+        return new ServiceDemand(Math.max(0, arrivingMillicores), Math.max(0, waiting.work(service)));
     }
 
     /** Records the demand of another entry for each service's workers. */
--- a/library/src/test/java/org/chivetally/queue/entry/QueueSharesTest.java
+++ b/library/src/test/java/org/chivetally/queue/entry/QueueSharesTest.java
@@ -34,8 +34,8 @@
         cluster.advance(600);
     }
 
-    private static FairShares division(EntryNode entry) {
-        return entry.queueShares().orElseThrow().division(SERVICE);
+    private static FairShares fairShares(EntryNode entry) {
+        return entry.queueShares().orElseThrow().fairShares(SERVICE);
     }
 
     /** Entries that divide by what only they know would each take another queue for the one that is below its share. */
@@ -43,13 +43,13 @@
     void allEntriesDivideByTheLoadsOfAllEntries() {
         createContention();
         for (EntryNode entry : cluster.entries.values()) {
-            assertThat(division(entry).share("queue-0"), is(6 * TASK));
-            assertThat(division(entry).share("queue-1"), is(2 * TASK));
+            assertThat(fairShares(entry).share("queue-0"), is(6 * TASK));
+            assertThat(fairShares(entry).share("queue-1"), is(2 * TASK));
             assertThat(entry.contendedServices(), is(1));
         }
-        assertThat(division(first).ownShare("queue-0"), is(6 * TASK));
-        assertThat(division(first).ownShare("queue-1"), is(0L));
-        assertThat(division(second).ownShare("queue-1"), is(2 * TASK));
+        assertThat(fairShares(first).ownShare("queue-0"), is(6 * TASK));
+        assertThat(fairShares(first).ownShare("queue-1"), is(0L));
+        assertThat(fairShares(second).ownShare("queue-1"), is(2 * TASK));
     }
 
     /**
@@ -61,14 +61,14 @@
         createContention();
         cluster.network.cut("entry-1", "entry-2", true);
         cluster.advance(1_700);
-        assertThat(division(first).share("queue-0"), is(6 * TASK));
+        assertThat(fairShares(first).share("queue-0"), is(6 * TASK));
         cluster.advance(600);
-        assertThat(division(first).capacityMillicores(), is(4 * TASK));
+        assertThat(fairShares(first).capacityMillicores(), is(4 * TASK));
         assertThat(first.unreachableEntries(), is(1));
-        assertThat(division(first).share("queue-0"), is(4 * TASK));
+        assertThat(fairShares(first).share("queue-0"), is(4 * TASK));
         cluster.network.cut("entry-1", "entry-2", false);
         cluster.advance(3_000);
-        assertThat(division(first).share("queue-0"), is(6 * TASK));
+        assertThat(fairShares(first).share("queue-0"), is(6 * TASK));
     }
 
     /** An entry that takes its leave runs nothing more; a part left to it would be used by nobody. */
@@ -79,7 +79,7 @@
         cluster.advance(100);
         cluster.kill("entry-2");
         cluster.advance(2_600);
-        assertThat(division(first).capacityMillicores(), is(8 * TASK));
+        assertThat(fairShares(first).capacityMillicores(), is(8 * TASK));
     }
 
     /** The service is told as contended only while it is, or operators would look for a cause that is gone. */
