--- a/library/src/main/java/org/chivetally/queue/entry/JobOwner.java
+++ b/library/src/main/java/org/chivetally/queue/entry/JobOwner.java
@@ -18,7 +18,7 @@
     void ended(Task task, RunOutcome outcome, Runnable acknowledge);
 
     /**
-     * Handles a reported end that has no effect any more, since it was reported before or its run was given up as lost.
+     * Handles a reported end that has no effect any more, since it was reported before or its run counts as lost.
      *
      * @param acknowledge run once the minion may discard the end; not run if the end has to be reported again
      */
--- a/library/src/main/java/org/chivetally/queue/entry/PartitionOwner.java
+++ b/library/src/main/java/org/chivetally/queue/entry/PartitionOwner.java
@@ -576,7 +576,7 @@
     }
 
     /**
-     * Removes the jobs that ended before a time, as their state need not be kept any longer.
+     * Removes the jobs that ended before a time, whose state is no longer retained.
      *
      * @param millis the time, in milliseconds since the epoch
      */
--- a/library/src/main/java/org/chivetally/queue/entry/RunCoordinator.java
+++ b/library/src/main/java/org/chivetally/queue/entry/RunCoordinator.java
@@ -386,7 +386,7 @@
             });
         }
         for (RunEnd end : inventory.getEndsList()) {
-            // A crash is reported until it is stored, and doesn't tell the state of a later run of the task.
+            // A crash is reported until it is stored, and is no evidence about a later run of the task.
             EndCodec.decode(end)
                     .filter(ended -> ended.outcome() != RunOutcome.CRASHED)
                     .ifPresent(ended -> listed.add(ended.run().task()));
--- a/library/src/test/java/org/chivetally/queue/entry/CancellationBoundTest.java
+++ b/library/src/test/java/org/chivetally/queue/entry/CancellationBoundTest.java
@@ -16,9 +16,9 @@
 import org.chivetally.queue.agent.ModelMinion;
 import org.junit.jupiter.api.Test;
 
-/** A cancelled job's tasks stop in time, whatever its owner and its agents can reach of each other. */
+/** The tasks of a cancelled job stop in bounded time, whichever links between its owner and the agents are broken. */
 class CancellationBoundTest {
-    /** From the acknowledgement, or from a late start, until nothing of the job may run. */
+    /** Time from the acknowledgement, or from a late start, after which nothing of the job may run. */
     private static final long BOUND_MILLIS = 4_050;
 
     private static final String ID = "00000000000000a1";
@@ -43,7 +43,7 @@
                 .getKey();
     }
 
-    private String runner() {
+    private String runnerName() {
         for (Map.Entry<String, ModelMinion> known : cluster.minions.entrySet()) {
             if (!known.getValue().running.isEmpty()) {
                 return known.getKey();
@@ -71,24 +71,24 @@
     }
 
     /**
-     * The owner loses the agent in the moment of the cancel, at any moment between two heartbeats, so that no stop
-     * reaches it. The agent stops the run by itself.
+     * The owner loses the link to the agent at the moment of the cancellation, so that no stop reaches the agent. The
+     * agent has to stop the run by itself, at whichever moment between two heartbeats the link breaks.
      */
     @Test
     void runStopsInTimeWhenNoStopReachesItsAgent() {
         for (int phase = 0; phase < 250; phase += 25) {
-            CancellationBoundTest again = new CancellationBoundTest();
-            again.startCluster();
-            again.cluster.submit(again.cluster.entries.get(again.ownerName()), Jobs.of(ID, 1));
-            again.cluster.advance(500 + phase);
-            again.cluster.network.cut(again.runner(), again.ownerName(), true);
-            again.cancelAcknowledged(again.cluster.entries.get(again.ownerName()));
-            again.cluster.advance(BOUND_MILLIS);
-            assertThat("runs at phase " + phase, again.isRunning(), is(false));
+            CancellationBoundTest test = new CancellationBoundTest();
+            test.startCluster();
+            test.cluster.submit(test.cluster.entries.get(test.ownerName()), Jobs.of(ID, 1));
+            test.cluster.advance(500 + phase);
+            test.cluster.network.cut(test.runnerName(), test.ownerName(), true);
+            test.cancelAcknowledged(test.cluster.entries.get(test.ownerName()));
+            test.cluster.advance(BOUND_MILLIS);
+            assertThat("runs at phase " + phase, test.isRunning(), is(false));
         }
     }
 
-    /** The entry that started the task is gone for good; whoever owns the job then is asked to cancel it. */
+    /** The entry that started the task has died, and the next owner of the job receives the cancellation. */
     @Test
     void runStopsInTimeAfterItsOwnerDied() {
         startCluster();
@@ -103,7 +103,7 @@
         assertThat(isRunning(), is(false));
     }
 
-    /** No entry is left at all: the agent stops what runs, as nobody could tell it of a cancel. */
+    /** All entries are down. The agent stops the run, since no entry could send it a cancellation. */
     @Test
     void runStopsWhenAllEntriesAreDown() {
         startCluster();
@@ -117,8 +117,8 @@
     }
 
     /**
-     * The minion leaves the start and the stops unanswered, and carries the start out after the cancel. The agent sees
-     * the run as soon as the minion answers again.
+     * The minion leaves the start and the stops unanswered, and executes the start after the cancellation. The agent
+     * finds the run as soon as the minion answers again.
      */
     @Test
     void stopsAStartExecutedAfterTheCancellation() {
@@ -142,7 +142,7 @@
         assertThat(minion.running.keySet(), is(empty()));
     }
 
-    /** The same, but the minion crashes in between and another incarnation under its id carries the start out. */
+    /** As above, but the minion crashes in between, and its next incarnation under the same id executes the start. */
     @Test
     void stopsACancelledStartExecutedByTheNextIncarnation() {
         startCluster();
--- a/library/src/test/java/org/chivetally/queue/entry/Cluster.java
+++ b/library/src/test/java/org/chivetally/queue/entry/Cluster.java
@@ -23,11 +23,11 @@
 import org.chivetally.settings.SchedulingSettings;
 import org.chivetally.time.Timers;
 
-/** Entries and agents in one test: a network and a log in memory, and clocks that the test advances. */
+/** Entries and agents of one test, with a network and a log in memory and a clock that the test advances. */
 final class Cluster {
     static final int PARTITIONS = 4;
 
-    /** Fair shares and nothing else. */
+    /** Settings with only fair shares enabled. */
     static final SchedulingSettings FAIR_SHARES = new SchedulingSettings(false, true, 0);
 
     final ManualTimers timers = new ManualTimers();
@@ -39,7 +39,7 @@
     Room capacity = new Room(12_000, 1_000, 0);
     List<String> labels = List.of("a");
     SchedulingSettings scheduling;
-    /** Wraps the timers of each process, for tests that count what wakes it up. */
+    /** Wraps the timers of each process, for tests that count wake-ups. */
     BiFunction<String, Timers, Timers> timersOf = (name, shared) -> shared;
 
     private long incarnations;
@@ -101,13 +101,16 @@
         return agent;
     }
 
-    /** Lets everybody find everybody. */
+    /** Advances the clock until all processes have discovered and linked each other. */
     Cluster awaitLinks() {
         timers.advance(Duration.ofSeconds(3));
         return this;
     }
 
-    /** Kills an entry: its timers go on in the test's clock, but it neither hears nor reaches anybody. */
+    /**
+     * Kills an entry. Its timers still fire, as the clock is shared, but it is cut off from the log and all other
+     * processes.
+     */
     void kill(String name) {
         network.kill(name);
         log.setDisconnected(name, true);
@@ -144,7 +147,7 @@
         return answers;
     }
 
-    /** Returns the minion that runs anything of a job. */
+    /** Returns the minion that runs a task of a job. */
     Optional<ModelMinion> minionRunning(String jobId) {
         return minions.values().stream()
                 .filter(minion -> minion.running.keySet().stream()
@@ -152,7 +155,7 @@
                 .findFirst();
     }
 
-    /** Returns the runs of a job that are in progress under a lease. */
+    /** Returns the runs of a job that are in progress under a valid lease. */
     List<RunKey> running(String jobId) {
         List<RunKey> runs = new ArrayList<>();
         for (ModelMinion minion : minions.values()) {
--- a/library/src/test/java/org/chivetally/queue/entry/ContentionReplay.java
+++ b/library/src/test/java/org/chivetally/queue/entry/ContentionReplay.java
@@ -23,12 +23,13 @@
 import org.chivetally.settings.SchedulingSettings;
 
 /**
- * Replay in virtual time of a temporary shortage of capacity: three queues at their rates, a burst of the longest work
- * and a later one of the shortest, callers' estimates that are off by 40%, workers that differ in size and speed, and
- * entries that can't reach the others during the bursts. The load per worker is that of 70 workers and 12 entries.
+ * Replay, in virtual time, of a temporary shortage of capacity. Three queues submit at their usual rates, with a burst
+ * of the longest tasks and a later one of the shortest. Callers' estimates are off by 40%, workers differ in size and
+ * speed, and some entries can't reach the others during the bursts. The load per worker is that of 70 workers and 12
+ * entries.
  */
 final class ContentionReplay {
-    /** Workers of the replay for each one of the load that it stands for. */
+    /** Workers of the replay per worker of the replayed deployment. */
     private static final double SCALE = 21.0 / 70;
 
     private static final int ENTRIES = 6;
@@ -38,7 +39,7 @@
     private static final int LATENCY_MILLIS = 60;
     private static final int LATE_OBJECTIVES = 3;
 
-    /** Processors of a worker, in thousandths, at a mean of 32 over the kinds. */
+    /** Processors of a worker in thousandths; the mean over the kinds is 32 processors. */
     private static final long[] SIZES = {27_430, 27_430, 41_140};
 
     private static final double[] SPEEDS = {0.8, 1.0, 1.25};
@@ -60,7 +61,7 @@
     private final Map<String, Integer> refusals = new TreeMap<>();
     private long jobs;
 
-    /** What became of a job, by its caller's reckoning. */
+    /** Result of a job from the view of its caller. */
     enum Result {
         IN_TIME,
         LATE,
@@ -69,14 +70,14 @@
     }
 
     /**
-     * The jobs of one kind.
+     * Jobs of one kind.
      *
      * @param name name of the kind
      * @param queue name of its queue
      * @param priority its priority
-     * @param tasks tasks of a job
-     * @param taskMillis mean duration of a task
-     * @param perSecond jobs a second for 70 workers
+     * @param tasks tasks per job
+     * @param taskMillis mean duration of a task in milliseconds
+     * @param perSecond jobs per second in a deployment of 70 workers
      */
     record Load(String name, String queue, int priority, int tasks, int taskMillis, double perSecond) {}
 
@@ -86,20 +87,20 @@
         }
     }
 
-    /** A caller with its job, which it sends again when it is told when to come back. */
+    /** A caller with its job, which it submits again after the retry delay of a refusal. */
     private record Caller(JobSpecification job, String name, long firstNanos, long objectiveNanos) {
         private long limitNanos() {
             return firstNanos + LATE_OBJECTIVES * objectiveNanos;
         }
     }
 
-    /** The three queues of the load. */
+    /** The three queues of the replayed load. */
     static final List<Load> THREE_QUEUES = List.of(
             new Load("short", "short", 0, 8, 86, 144),
             new Load("usual", "usual", 1, 2, 286, 420),
             new Load("long", "long", 2, 4, 1_286, 26.3));
 
-    /** One queue with jobs of two widths, which needs all there is: the burst of the others is left out. */
+    /** One queue with jobs of two widths, which needs the whole capacity. Its priority has no burst. */
     static final List<Load> TWO_WIDTHS =
             List.of(new Load("narrow", "mixed", 1, 2, 286, 560), new Load("wide", "mixed", 1, 8, 286, 140));
 
@@ -123,7 +124,7 @@
         }
     }
 
-    /** Plays the load to its end. */
+    /** Replays the load to its end. */
     ContentionReplay run() {
         Logger logger = Logger.getLogger("org.chivetally.queue");
         Level before = logger.getLevel();
@@ -156,7 +157,7 @@
         return -Math.log(1 - random.nextDouble()) * 1_000 / (load.perSecond() * SCALE * factor);
     }
 
-    /** A third of the entries can't reach the others during the bursts; all of them reach the agents. */
+    /** Cuts a third of the entries off from the others during the bursts. All entries still reach the agents. */
     private void switchNetworkPartition(int millis) {
         boolean begins = millis == LONGEST_WORK.fromMillis() || millis == SHORTEST_WORK.fromMillis();
         boolean ends = millis == LONGEST_WORK.untilMillis() || millis == SHORTEST_WORK.untilMillis();
@@ -213,7 +214,7 @@
         results.get(caller.name()).merge(result, 1, Integer::sum);
     }
 
-    /** Ends each run that has started when its work is done. */
+    /** Schedules the end of each newly started run. */
     private void scheduleRunEnds() {
         for (Map.Entry<String, ModelMinion> entry : cluster.minions.entrySet()) {
             ModelMinion minion = entry.getValue();
@@ -230,25 +231,25 @@
         }
     }
 
-    /** Returns how many jobs of a queue had a result. */
-    int count(String queue, Result result) {
-        return results.get(queue).getOrDefault(result, 0);
+    /** Returns the number of jobs of a kind with a result. */
+    int count(String kind, Result result) {
+        return results.get(kind).getOrDefault(result, 0);
     }
 
-    /** Returns the part of a queue's jobs that were served within three objectives. */
-    double served(String queue) {
-        return (double) (count(queue, Result.IN_TIME) + count(queue, Result.LATE)) / all(queue);
+    /** Returns the fraction of a kind's jobs that were served within three objectives. */
+    double served(String kind) {
+        return (double) (count(kind, Result.IN_TIME) + count(kind, Result.LATE)) / all(kind);
     }
 
-    /** Returns the part of a queue's jobs that were in time. */
-    double inTime(String queue) {
-        return (double) count(queue, Result.IN_TIME) / all(queue);
+    /** Returns the fraction of a kind's jobs that were served within their objective. */
+    double inTime(String kind) {
+        return (double) count(kind, Result.IN_TIME) / all(kind);
     }
 
-    /** Returns how many jobs of a kind came. */
-    int all(String queue) {
+    /** Returns the number of jobs of a kind. */
+    int all(String kind) {
         int all = 0;
-        for (int count : results.get(queue).values()) {
+        for (int count : results.get(kind).values()) {
             all += count;
         }
         return all;
--- a/library/src/test/java/org/chivetally/queue/entry/ContentionReplayTest.java
+++ b/library/src/test/java/org/chivetally/queue/entry/ContentionReplayTest.java
@@ -13,9 +13,9 @@
 import org.chivetally.settings.SchedulingSettings;
 import org.junit.jupiter.api.Test;
 
-/** Replays of a temporary shortage of capacity with fair shares and without, in virtual time. */
+/** Compares scheduling with and without fair shares in replays of a temporary shortage of capacity. */
 class ContentionReplayTest {
-    /** Differences up to this size come from the order in which callers happen to arrive. */
+    /** Differences up to this size result from the random order of arrivals. */
     private static final double TOLERANCE = 0.01;
 
     private static final FluentLogger LOGGER = FluentLogger.forEnclosingClass();
@@ -24,9 +24,9 @@
     private static final List<String> QUEUES = List.of("short", "usual", "long");
 
     /**
-     * A seventh of the workers is away beside the bursts, so that a part of the jobs can't be served. Without shares
-     * the queue of the widest jobs is served worst, as other queues' late jobs and its own take the room of those
-     * begun.
+     * A seventh of the workers is missing during the whole replay, so that not all jobs can be served. Without shares
+     * the queue whose jobs have the most tasks is served worst, as late jobs, its own and those of other queues, take
+     * the room that its started jobs need.
      */
     @Test
     void fairSharesServeTheWorstServedQueueBetterInAShortage() {
@@ -38,7 +38,9 @@
         assertThat(served(fair, QUEUES), greaterThan(0.85));
     }
 
-    /** With all workers there is room for nearly all: shares must then cost nothing that shows. */
+    /**
+     * With all workers there is room for nearly all jobs; fair shares must then not reduce the number of served jobs.
+     */
     @Test
     void fairSharesServeNoFewerJobsWithAllWorkers() {
         List<ContentionReplay> plain = replay(SchedulingSettings.NONE, WHOLE_FLEET, 1);
@@ -49,7 +51,9 @@
         assertThat(servedOfWorst(fair), greaterThan(0.95));
     }
 
-    /** One queue with jobs of two and of eight tasks: those that have begun go first, so wide ones must not starve. */
+    /**
+     * One queue has jobs of two and of eight tasks. As started jobs take precedence, jobs of many tasks could starve.
+     */
     @Test
     void wideJobsAreServedAboutAsOftenAsNarrowOnes() {
         ContentionReplay fair =
@@ -75,14 +79,14 @@
 
     private static double part(List<ContentionReplay> replays, List<String> queues, Result result) {
         double counted = 0;
-        double all = 0;
+        double total = 0;
         for (ContentionReplay replay : replays) {
             for (String queue : queues) {
                 counted += replay.count(queue, result);
-                all += replay.all(queue);
+                total += replay.all(queue);
             }
         }
-        return counted / all;
+        return counted / total;
     }
 
     private static double served(List<ContentionReplay> replays, List<String> queues) {
--- a/library/src/test/java/org/chivetally/queue/entry/CrashingMinions.java
+++ b/library/src/test/java/org/chivetally/queue/entry/CrashingMinions.java
@@ -12,7 +12,7 @@
 import org.chivetally.queue.agent.MinionState;
 import org.chivetally.queue.agent.ModelMinion;
 
-/** Minions that carry tasks out, and that crash under some of them and come back under the same id. */
+/** Minions that execute tasks, crash under those of some jobs, and restart under the same id. */
 final class CrashingMinions {
     private static final long FIRST_START_EPOCH_MILLIS = 1_800_000_000_000L;
     private static final long STEP_MILLIS = 5;
@@ -103,7 +103,7 @@
         restartAt.put(name, nowMillis + downMillis);
     }
 
-    /** Returns how many different runs of a job's tasks minions have started. */
+    /** Returns the number of different runs of a job's tasks that minions have started. */
     long starts(String jobId) {
         return cluster.minions.values().stream()
                 .flatMap(minion -> minion.carriedOut.stream())
--- a/library/src/test/java/org/chivetally/queue/entry/CrashingTasksTest.java
+++ b/library/src/test/java/org/chivetally/queue/entry/CrashingTasksTest.java
@@ -25,6 +25,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
+/** Tasks that crash their minions: their jobs fail within the limits on crashes and starts, and no other job does. */
 class CrashingTasksTest {
     private static final String CRASHING_JOB = "00000000000000c1";
     private static final JobAnswer FAILED = new JobAnswer.State(JobPhase.FAILED);
@@ -71,8 +72,8 @@
     }
 
     /**
-     * A few tasks crash every minion that starts them, among many jobs whose tasks run beside them. Every guilty job is
-     * given up after two crashes of each of its tasks at most, and no other job is; those lose no attempt either.
+     * A few tasks crash every minion that starts them, among many jobs whose tasks run beside them. Each crashing job
+     * fails after at most two crashes per task. No other job fails or loses an attempt.
      */
     @ParameterizedTest
     @ValueSource(ints = {0, 1, 2, 3, 4})
@@ -103,7 +104,10 @@
         assertThat(crashCount(), is(8));
     }
 
-    /** All tasks of a job crash their minions at the same moment, with hundreds of suspects for few workers. */
+    /**
+     * All tasks of a job crash their minions at the same time. This makes hundreds of other tasks suspects too, with
+     * few workers to isolate them on.
+     */
     @ParameterizedTest
     @ValueSource(ints = {0, 1, 2, 3, 4})
     void failsAJobAllOfWhoseTasksCrash(int variant) {
@@ -128,7 +132,7 @@
         assertThat(others.stream().filter(FAILED::equals).toList(), is(empty()));
     }
 
-    /** Without a limit such a task goes on, as before, until its caller gives up. */
+    /** Without a crash limit, the task is retried until its caller's deadline. */
     @Test
     void retriesACrashingTaskWithoutALimit() {
         startCluster(0, 6, Set.of(CRASHING_JOB));
@@ -138,7 +142,7 @@
         assertThat(crashCount(), is(greaterThan(3)));
     }
 
-    /** Whatever the settings, a kept task starts three times after its third crash, and then its job has failed. */
+    /** Whatever the settings, a durable task starts three more times after its third crash, and then its job fails. */
     @Test
     void boundsTheStartsOfADurableTaskWithoutALimit() {
         startCluster(0, 8, Set.of(CRASHING_JOB));
@@ -149,7 +153,7 @@
         assertThat(cluster.query(entry(2), CRASHING_JOB), contains(FAILED));
     }
 
-    /** With the limit, a kept job is given up like any other, and its callers are told. */
+    /** With a crash limit, a durable job fails like an in-memory one, and its callers see this. */
     @Test
     void failsADurableJobAtTheLimit() {
         startCluster(2, 6, Set.of(CRASHING_JOB));
@@ -160,8 +164,8 @@
     }
 
     /**
-     * The entry that is told of each crash dies before the log has the count. The agents tell the next owner, so that
-     * the bound holds over all owners together.
+     * The owner of a job dies after each reported crash, before the log has stored it. The agents report the crashes to
+     * the next owner, so that the bound on starts holds over all owners together.
      */
     @Test
     void countsACrashWhoseOwnerDiesBeforeItIsStored() {
@@ -179,7 +183,7 @@
         assertThat(cluster.query(entry(Integer.parseInt(ownerName().substring(6))), CRASHING_JOB), contains(FAILED));
     }
 
-    /** The store is down when the third minion has crashed: nothing starts before the count is stored. */
+    /** The log is down when the third minion has crashed. Nothing starts before the crash is stored. */
     @Test
     void startsNothingAfterTheThirdCrashWhileTheLogIsDown() {
         startCluster(0, 8, Set.of(CRASHING_JOB));
@@ -193,7 +197,7 @@
         assertThat(minions.starts(CRASHING_JOB), is(6L));
     }
 
-    /** The minions are back before anybody has missed them, each under its id: the crashes count all the same. */
+    /** The minions restart under their ids before any process misses them. Their crashes must still count. */
     @Test
     void countsCrashesOfMinionsThatRestartAtOnce() {
         startCluster(2, 6, Set.of(CRASHING_JOB));
--- a/library/src/test/java/org/chivetally/queue/entry/DurableJobsTest.java
+++ b/library/src/test/java/org/chivetally/queue/entry/DurableJobsTest.java
@@ -23,6 +23,10 @@
 import org.chivetally.queue.log.ScriptedKeyedLog;
 import org.junit.jupiter.api.Test;
 
+/**
+ * Jobs that are stored in the log: none is lost and no task runs twice when owners, agents, minions, links or the log
+ * fail.
+ */
 class DurableJobsTest {
     private static final String ID = "00000000000000a1";
 
@@ -61,6 +65,7 @@
         cluster.awaitLinks();
     }
 
+    /** Callers may use any entry: all accept the same job, and all return its final phase. */
     @Test
     void servesAJobThroughAnyEntryAndShowsItsEnd() {
         startCluster();
@@ -80,8 +85,8 @@
     }
 
     /**
-     * The owner of a job dies while its tasks run. The next owner finds the job in the log and its runs at the agents,
-     * lets them go on, and shows the job completed: no task starts twice, and none is forgotten.
+     * The owner of a job dies while its tasks run. The next owner loads the job from the log, takes its runs over from
+     * the agents' reports and completes the job, without starting a task twice or losing one.
      */
     @Test
     void runsNoTaskTwiceWhenTheOwnerDies() {
@@ -101,9 +106,9 @@
     }
 
     /**
-     * A task ends while the log takes no writes, and its agent tells the end again and again. Were one of these taken
-     * for stored, the minion would forget the end, and the next owner would find it nowhere and start the task once
-     * more.
+     * A task ends while the log takes no writes, and its agent reports the end repeatedly. If one of these reports were
+     * acknowledged, the minion would discard the end, and the next owner would find it nowhere and start the task
+     * again.
      */
     @Test
     void acknowledgesNoEndBeforeItIsStored() {
@@ -123,8 +128,8 @@
     }
 
     /**
-     * The owner and an agent that runs its tasks are lost together. The next owner waits until the agent's lease must
-     * have ended, then starts the tasks again elsewhere under higher run numbers.
+     * An agent that runs the job's tasks is cut off from all entries. The owner waits until the agent's lease must have
+     * expired, then starts the tasks again elsewhere, with higher run numbers.
      */
     @Test
     void startsTasksOfALostAgentAgainOnlyAfterItsLease() {
@@ -148,7 +153,10 @@
         assertThat(cluster.running(ID).getFirst().run() > 1, is(true));
     }
 
-    /** Cuts the owner of a job off from the agent that runs it; that agent goes on with jobs of the other owners. */
+    /**
+     * Cuts the owner of a job off from the agent that runs it. Other owners still use that agent. Returns the agent's
+     * name.
+     */
     private String cutOwnerFromRunner(EntryNode owner) {
         String agent = runnerOf(ID);
         cluster.network.cut(agent, nameOf(owner), true);
@@ -164,7 +172,7 @@
                 .getKey();
     }
 
-    /** Hands in jobs of other owners, which end after 200 ms, so that every worker is busy all the time. */
+    /** Submits jobs of other owners that end after 200 ms, so that every worker is always busy. */
     private void keepBusy(EntryNode owner, int steps, Runnable check) {
         for (int step = 0; step < steps; step++) {
             String id = String.format("%016x", 0xb000 + step);
@@ -181,9 +189,9 @@
     }
 
     /**
-     * The owner of a job and the agent that runs it lose each other for good, while other owners keep the agent's
-     * worker busy. Each of their starts renews the lease of all that runs there. The owner gives the run up after its
-     * time and starts the task elsewhere: by then the old run must have ended, or the task runs twice.
+     * The owner of a job and the agent that runs it permanently lose their link, while the starts of other owners renew
+     * the lease of everything that runs there. The owner starts the task elsewhere after the run loss timeout. By then
+     * the old run must have ended, or the task runs twice.
      */
     @Test
     void stopsARunWhoseOwnerIsCutOffWhileOtherOwnersUseItsWorker() {
@@ -198,9 +206,9 @@
     }
 
     /**
-     * A task ends while its owner is cut off from the agent, whose worker others keep busy. The owner starts the task
-     * again after its time, and hears of the end later. Had the minion's lease been renewed all the while, the first
-     * end would count as well as the second start. The end must not count, or the task must not start again.
+     * A task ends while its owner is cut off from the agent, whose worker other owners keep busy. The owner starts the
+     * task again after the run loss timeout, and receives the end later. If the minion's lease had been renewed all the
+     * while, both the first end and the second start would count.
      */
     @Test
     void noEndCountsAfterItsTaskWasStartedAgain() {
@@ -222,8 +230,8 @@
     }
 
     /**
-     * A task is started again after its first run was given up, and then the first run's success is heard of. The job
-     * is done with that: the second run is stopped, since a caller must not have the work done twice.
+     * A task is started again after its first run counted as lost, and then the success of the first run is reported.
+     * This completes the job, and the second run is stopped so that the work isn't done twice.
      */
     @Test
     void stopsTheSecondRunWhenTheFirstHasSucceeded() {
@@ -241,7 +249,9 @@
         assertThat(cluster.query(owner, ID), contains(new JobAnswer.State(JobPhase.COMPLETED)));
     }
 
-    /** Returns the entry that owns the partition of a job now, other than one that thinks so still. */
+    /**
+     * Returns the entry that owns the job's partition now, other than a former owner that has not detected this yet.
+     */
     private EntryNode otherOwnerThan(EntryNode old) {
         int partition = Partitions.of(ID, Cluster.PARTITIONS);
         return cluster.entries.values().stream()
@@ -252,8 +262,8 @@
 
     /**
      * The owner of a job is cut off from the log and the other entries, and the next owner reaches only the agent that
-     * runs the first step. The step ends. The second step must wait until the other agent has been heard as well: the
-     * old owner may have started it there, as that agent takes its starts still.
+     * runs the first step. This step ends. The second step must wait until the other agent has reported too: the old
+     * owner may have started the step there, as that agent still accepts its starts.
      */
     @Test
     void startsNoNextStepBeforeAllAgentsHaveReported() {
@@ -276,9 +286,9 @@
     }
 
     /**
-     * An owner that was replaced is linked to both agents still; the next one has reached only the agent that runs the
-     * task, and has taken its end. The old owner's link to that agent breaks and comes back, and it finds neither the
-     * run nor its end there. It must not take the run for lost and start the task at the other agent.
+     * A superseded owner still has links to both agents. The new owner has reached only the agent that runs the task,
+     * and has received its end. The old owner reconnects to that agent and finds neither the run nor its end. It must
+     * not count the run as lost and start the task at the other agent.
      */
     @Test
     void aSupersededOwnerRestartsNothing() {
@@ -306,10 +316,9 @@
     }
 
     /**
-     * A minion leaves all looks unanswered while a task ends there, until its lease must have ended; the task is
-     * started elsewhere. When the minion answers again it lists the first end, just after the second start was sent.
-     * The job is done with the first end, which doesn't count at the minion since its lease ended, and the second run
-     * is stopped.
+     * A minion doesn't answer while a task ends there and its lease expires, so that the task is started elsewhere.
+     * Just after that start the minion answers again and lists the first end. This end completes the job, although it
+     * doesn't count at the minion as the lease has expired, and the second run is stopped.
      */
     @Test
     void acceptsAnEndReportedAfterTheLeaseHasExpired() {
@@ -333,9 +342,7 @@
         assertThat(cluster.query(owner, ID), contains(new JobAnswer.State(JobPhase.COMPLETED)));
     }
 
-    /**
-     * The log takes nothing: the caller is refused at once with a time to come back, and the job is truly not there.
-     */
+    /** The log rejects writes. The caller is refused with a retry delay, and the job doesn't exist afterwards. */
     @Test
     void refusesAJobWhenTheLogRejectsWrites() {
         startCluster();
@@ -349,6 +356,7 @@
         assertThat(cluster.query(ownerOf(ID), ID), contains(new JobAnswer.UnknownJob()));
     }
 
+    /** A cancellation through another entry than the owner stops the job's runs. */
     @Test
     void cancelsAJobAndStopsItsRuns() {
         startCluster();
@@ -368,9 +376,9 @@
     }
 
     /**
-     * All power was lost, and the first entry that is back gets all partitions and gives most to the others at once.
-     * Each opening costs cold code two calls to the log, in the moment in which callers wait for the links to the
-     * agents.
+     * After a power loss, the first entry that is back is assigned all partitions and returns most of them at once.
+     * Opening a partition costs a freshly started entry two calls to the log, while callers wait for the links to the
+     * agents. So only partitions that stay with the entry may be opened.
      */
     @Test
     void opensEachPartitionOnceWhenAllEntriesStartTogether() {
@@ -381,7 +389,10 @@
         assertThat(opened, hasSize(Cluster.PARTITIONS));
     }
 
-    /** All power is lost, and the minions live on. The new agents know them from the log and run what was accepted. */
+    /**
+     * All entries and agents lose power while the minions stay alive. The new agents restore them from the log at once
+     * and can start accepted jobs.
+     */
     @Test
     void restoresMinionsFromTheLogBeforeTheirAnnouncement() {
         startCluster();
@@ -398,7 +409,10 @@
         assertThat(cluster.agents.get("agent-1").supervisor().isAccepting(), is(true));
     }
 
-    /** An agent starts again and finds its minion in the log: its announcement costs one call, not one for each. */
+    /**
+     * An agent restarts and restores its minion from the log. Its announcement must cost one write, not one for the
+     * agent and one for the minion.
+     */
     @Test
     void announcesARestartedAgentOnce() {
         startCluster();
@@ -416,7 +430,7 @@
                 .count();
     }
 
-    /** All power is lost right after a job was accepted. A fresh fleet finds it in the log and runs it. */
+    /** All processes lose power right after a job was accepted. New ones load it from the log and run it. */
     @Test
     void runsAcceptedJobsAfterATotalPowerLoss() {
         startCluster();
--- a/library/src/test/java/org/chivetally/queue/entry/EvacuationTest.java
+++ b/library/src/test/java/org/chivetally/queue/entry/EvacuationTest.java
@@ -15,6 +15,7 @@
 import org.chivetally.queue.RefusalReason;
 import org.junit.jupiter.api.Test;
 
+/** Evacuations of failure domains: jobs are refused or placed elsewhere, also by an entry that can't read the log. */
 class EvacuationTest {
     private static final Evacuations NORTH = new Evacuations(5, Set.of("north"));
     private static final Evacuations NONE = new Evacuations(9, Set.of());
@@ -22,8 +23,8 @@
     private final Cluster cluster = new Cluster();
 
     /**
-     * The only failure domain with workers is evacuated. A caller who comes then is told so at once, and that its job
-     * has not run; after the domain was taken back, the next one is served.
+     * The only failure domain with workers is evacuated. A job that arrives then is refused at once as not run; after
+     * the evacuation is withdrawn, the next one is served.
      */
     @Test
     void refusesJobsAtOnceWhileNoFailureDomainIsLeft() {
@@ -45,8 +46,9 @@
     }
 
     /**
-     * One entry reads of the evacuation, the other is cut off from the log. Both go on with the workers of the domain
-     * that is left: the agents tell the second one that they take nothing, so none of its starts has to be refused.
+     * One entry reads the evacuation, the other is cut off from the log. Both continue with the workers of the
+     * remaining failure domain. The agents report to the second entry that they accept no starts, so that none of its
+     * starts has to be refused.
      */
     @Test
     void appliesAnEvacuationReportedByAgentsWithoutTheLog() {
--- a/library/src/test/java/org/chivetally/queue/entry/FleetCostTest.java
+++ b/library/src/test/java/org/chivetally/queue/entry/FleetCostTest.java
@@ -24,7 +24,7 @@
 import org.chivetally.wire.v1.Frame;
 import org.junit.jupiter.api.Test;
 
-/** What a fleet costs its entries and agents in frames and passes, where these grow with its size. */
+/** Frames and placement passes whose number grows with the size of a deployment. */
 class FleetCostTest {
     private static final String ID = "00000000000000c1";
 
@@ -43,8 +43,8 @@
     }
 
     /**
-     * Nothing runs. Each heartbeat of an agent was answered by an echo from each entry, so with fifteen entries an idle
-     * agent woke up sixty times a second for nothing: no lease depends on what an entry without runs has heard.
+     * Nothing runs. When each entry echoed each heartbeat of an agent, an idle agent among fifteen entries woke up
+     * sixty times a second needlessly: no lease depends on the echoes of an entry without runs at the agent.
      */
     @Test
     void agentsWithoutRunsRarelyReceiveEchoes() {
@@ -56,7 +56,7 @@
         assertThat(cluster.network.sent.get(Frame.BodyCase.BEAT_ECHO) / links, is(lessThanOrEqualTo(20)));
     }
 
-    /** The same agents with a run: they are told often enough that no run is stopped, however long it lasts. */
+    /** The same agents with runs. They receive echoes often enough that no run is stopped, however long it lasts. */
     @Test
     void runsContinueWhileTheirAgentSendsHeartbeats() {
         startFleet(3, 4);
@@ -72,8 +72,8 @@
     }
 
     /**
-     * All room is taken and a job comes every tenth of a millisecond. A pass over all workers for each of them finds no
-     * room again and again, and takes the processor from what would free some.
+     * No worker has room, and a job arrives every 0.1 ms. If each job started a pass over all workers, the passes would
+     * find no room again and again, and take processor time from the work that frees room.
      */
     @Test
     void limitsPassesWhileNoWorkerHasRoom() {
--- a/library/src/test/java/org/chivetally/queue/entry/IdleCostTest.java
+++ b/library/src/test/java/org/chivetally/queue/entry/IdleCostTest.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** What an idle fleet of the size of deployment A costs each process in frames and wake-ups. */
+/** Frames and wake-ups of each process in an idle deployment with the size of deployment A. */
 class IdleCostTest {
     private static final FluentLogger LOGGER = FluentLogger.forEnclosingClass();
     private static final int ENTRIES = 12;
@@ -19,7 +19,7 @@
 
     private void startFleet() {
         cluster.timersOf = (name, shared) -> wakeUps.of(name);
-        // Processes don't start in the same millisecond; if they did, their heartbeats would share wake-ups.
+        // Processes start at different times. Otherwise their heartbeats would share wake-ups.
         for (int number = 1; number <= ENTRIES; number++) {
             cluster.entry("entry-" + number);
             cluster.advance(13);
@@ -42,8 +42,8 @@
     }
 
     /**
-     * Heartbeats at the rate that runs need, and echoes and heartbeats of entries each at a time of their own, woke an
-     * idle entry up 310 times a second and an idle agent 17 times.
+     * With heartbeats at the rate that runs need, and with echoes and heartbeats of entries each sent at a time of its
+     * own, an idle entry woke up 310 times a second and an idle agent 17 times.
      */
     @Test
     void idleProcessesRarelyWakeUp() {
--- a/library/src/test/java/org/chivetally/queue/entry/IdleFleetTest.java
+++ b/library/src/test/java/org/chivetally/queue/entry/IdleFleetTest.java
@@ -13,7 +13,7 @@
 import org.chivetally.wire.v1.Frame;
 import org.junit.jupiter.api.Test;
 
-/** A fleet that had nothing to do for a while: what comes first is served as fast, and failures are noticed as soon. */
+/** A deployment that has been idle serves the first jobs as fast as others, and detects failures as soon. */
 class IdleFleetTest {
     private static final String ID = "00000000000000d1";
     private static final long IDLE_MILLIS = 19_000;
@@ -35,8 +35,9 @@
     }
 
     /**
-     * The heartbeats of idle agents are further apart than the time for which a start is valid. A start on an old stamp
-     * would be refused, and its task would wait for a quarter of a second; at any time between two heartbeats it isn't.
+     * The heartbeats of idle agents are further apart than the time for which a start is valid. A start with an
+     * outdated stamp would be refused, and its task would wait for 0.25 s. This must not happen at any time between two
+     * heartbeats.
      */
     @Test
     void firstJobsStartAtOnce() {
@@ -54,7 +55,10 @@
         assertThat(cluster.network.sent.getOrDefault(Frame.BodyCase.RUN_REFUSED, 0), is(0));
     }
 
-    /** The first runs after idleness last long; no agent may stop them because its owner heard it long ago. */
+    /**
+     * The first runs after an idle time last long. No agent may stop them because its owner echoed its last heartbeat
+     * long ago.
+     */
     @Test
     void firstRunsContinue() {
         EntryNode entry = startIdleFleet(2, 4);
@@ -69,7 +73,7 @@
         }
     }
 
-    /** An entry vanishes without an error: agents close their links to it after the time that always holds. */
+    /** An idle entry vanishes without an error. Agents close their links to it after the usual time of silence. */
     @Test
     void agentsDetectAFailedIdleEntry() {
         startIdleFleet(2, 4);
@@ -87,7 +91,7 @@
                 .forEach(agent -> assertThat(agent.links().link("entry-2").isPresent(), is(true)));
     }
 
-    /** An idle agent is cut off: its entries send it nothing once the silence and one look are over. */
+    /** An idle agent is cut off. Its entries send it no starts after the time of silence and one interval of checks. */
     @Test
     void entriesDetectAnUnreachableIdleAgent() {
         EntryNode entry = startIdleFleet(2, 4);
@@ -104,9 +108,9 @@
     }
 
     /**
-     * The link breaks right after the first start to an idle agent, so the entry has last heard that agent long before
-     * it relied on it, and the agent's stops are lost too, so the run ends by its lease alone. The task is started
-     * again, and never beside its first run.
+     * The link breaks right after the first start to an idle agent, whose last heartbeat came long before. The agent's
+     * stops are lost too, so that the run ends only when its lease expires. The task is started again, and never while
+     * its first run is in progress.
      */
     @Test
     void noTaskRunsTwiceWhenAnAgentIsCutOffAfterItsFirstStart() {
@@ -135,7 +139,7 @@
         }
     }
 
-    /** Idle processes keep all their links, and tell each other hardly anything. */
+    /** Idle processes keep all their links open although they exchange few frames. */
     @Test
     void linksStayOpenWhileIdle() {
         startIdleFleet(3, 4);
--- a/library/src/test/java/org/chivetally/queue/entry/InMemoryJobsTest.java
+++ b/library/src/test/java/org/chivetally/queue/entry/InMemoryJobsTest.java
@@ -19,6 +19,10 @@
 import org.chivetally.queue.log.ScriptedKeyedLog;
 import org.junit.jupiter.api.Test;
 
+/**
+ * Jobs that are held in memory: callers get a true answer in time and no task runs twice when the log, processes or
+ * links fail.
+ */
 class InMemoryJobsTest {
     private static final String ID = "00000000000000b1";
     private static final String OTHER = "00000000000000b2";
@@ -33,6 +37,7 @@
         cluster.awaitLinks();
     }
 
+    /** The caller gets the final phase, and the log is not used. */
     @Test
     void answersTheCallerWithTheOutcomeAndStoresNothing() {
         agents(1);
@@ -46,7 +51,7 @@
         }
     }
 
-    /** The log is down: unkept jobs don't need it, so their callers notice nothing. */
+    /** The log is down. In-memory jobs don't need it, so their callers are served as usual. */
     @Test
     void servesWhileTheLogIsDown() {
         agents(1);
@@ -58,6 +63,7 @@
         assertThat(answers, contains(new JobAnswer.State(JobPhase.COMPLETED)));
     }
 
+    /** A caller submits a job that is already running. The tasks run once, and both callers get the outcome. */
     @Test
     void runsTheSameIdOnceWhileItIsInProgress() {
         agents(1);
@@ -70,7 +76,7 @@
         assertThat(again, contains(new JobAnswer.State(JobPhase.COMPLETED)));
     }
 
-    /** The caller hangs up. Its work would go on for nobody, and keep others from the room; it is stopped at once. */
+    /** The caller disconnects. Its runs would take room from others for no purpose, and are stopped at once. */
     @Test
     void stopsTheRunsOfADisconnectedCaller() {
         agents(1);
@@ -85,8 +91,8 @@
     }
 
     /**
-     * The worker is full until after the caller's time. The job is refused as not run as soon as it can't make it any
-     * more, which is true, and the caller doesn't wait for the rest of its time in vain.
+     * The worker has no room until after the caller's deadline. The job is refused as not run as soon as it can no
+     * longer meet the deadline, so that its caller doesn't wait longer in vain.
      */
     @Test
     void refusesAWaitingJobOnceItCannotMeetItsDeadline() {
@@ -102,9 +108,8 @@
     }
 
     /**
-     * A caller sends a job while the entry stands still for three seconds, gives up and sends it to another entry,
-     * which runs it. The entry wakes up and reads the first request, which looks new. Its tasks must not start beside
-     * those.
+     * A caller submits a job while the entry is suspended for three seconds, times out and submits it to another entry,
+     * which runs it. The entry resumes and reads the first request, which looks new. Its tasks must not start.
      */
     @Test
     void startsNothingReadJustAfterASuspension() {
@@ -122,9 +127,8 @@
     }
 
     /**
-     * An entry goes on after it stood still, and reads what has waited for half a second: its timers fire late. A
-     * request that it reads at the end of that is as old as the first one, and its caller has sent it elsewhere. Once
-     * the entry keeps up, it serves again.
+     * After a suspension the entry needs 0.5 s to read the queued requests, and its timers fire late. A request read at
+     * the end of this time is as stale as the first one. The entry serves again once its timers are punctual.
      */
     @Test
     void startsNothingWhileReadingQueuedRequests() {
@@ -145,8 +149,8 @@
     }
 
     /**
-     * A machine stays slow after its process stood still, and no timer fires in time. It serves again all the same when
-     * what waited must have been read.
+     * A machine stays slow after a suspension, and no timer is punctual. The entry must serve again nevertheless, after
+     * the time in which it has read all queued requests.
      */
     @Test
     void servesAgainOnAMachineThatStaysSlow() {
@@ -163,8 +167,8 @@
     }
 
     /**
-     * A job waits for room when its entry stands still. Its caller's connection breaks meanwhile and the job comes
-     * again elsewhere; the entry hears of that only once it has read its sockets, and starts nothing before.
+     * A job waits for room when its entry is suspended. Meanwhile the caller's connection breaks, and the job is
+     * submitted elsewhere. The entry detects this only when it has read its sockets, and must not start the job before.
      */
     @Test
     void startsNoWaitingJobBeforeItsSocketsAreRead() {
@@ -185,8 +189,8 @@
     }
 
     /**
-     * All power was lost and callers are back at once. One agent of many is linked so far, so what waits would take it
-     * seconds; refused for that, callers would be turned away though the other agents come a moment later.
+     * After a power loss callers are back at once, but only one of many agents is connected. With this agent alone the
+     * backlog would take seconds. No job may be refused for it, as the other agents connect a moment later.
      */
     @Test
     void refusesNothingWhileAgentsAreConnecting() {
@@ -199,7 +203,10 @@
         assertThat(answers, is(empty()));
     }
 
-    /** The caller's time ends while its job runs: that it has not run can't be said, and its runs are stopped. */
+    /**
+     * The caller's deadline passes while its job runs. The answer must not be that the job has not run, and the runs
+     * are stopped.
+     */
     @Test
     void reportsAStartedJobAsUndecidedAtItsDeadline() {
         agents(1);
@@ -210,8 +217,8 @@
     }
 
     /**
-     * An agent is cut off with a run in progress. The run is started elsewhere, but never while the first one can still
-     * be at work.
+     * An agent with a run in progress is cut off. The run is started elsewhere, but not while the first one may be
+     * running.
      */
     @Test
     void movesTheRunsOfALostAgentWithoutRunningThemTwice() {
@@ -233,6 +240,7 @@
         assertThat(answers, contains(new JobAnswer.State(JobPhase.COMPLETED)));
     }
 
+    /** A task fails. It is tried once more on another worker, and its second failure fails the job. */
     @Test
     void retriesAFailedTaskOnAnotherWorker() {
         agents(2);
@@ -246,8 +254,8 @@
     }
 
     /**
-     * The entry gets SIGTERM, and a caller still sends it a job on an open connection. A job that would be cut off at
-     * the end is refused at once as not run; a short one is served.
+     * The entry has received SIGTERM, and a caller submits jobs on an open connection. A job that would be cut off by
+     * the shutdown is refused as not run; a short one is served.
      */
     @Test
     void acceptsOnlyJobsThatEndBeforeShutdown() {
@@ -261,7 +269,7 @@
         assertThat(shorter, contains(new JobAnswer.State(JobPhase.COMPLETED)));
     }
 
-    /** The entry's time is over while a job runs: its caller is told so, instead of a connection that breaks. */
+    /** The entry stops while a job runs. Its caller gets an answer instead of a broken connection. */
     @Test
     void answersWaitingCallersAtShutdown() {
         agents(1);
@@ -272,8 +280,8 @@
     }
 
     /**
-     * Tasks on one worker stand still. Their runs are stopped once they are far over their estimates, and started again
-     * on another worker, so that their callers still get an answer.
+     * The tasks on one worker stall. Their runs are stopped when they exceed their estimates by far, and are started
+     * again on another worker, so that their callers get an answer.
      */
     @Test
     void movesRunsFromAStalledWorker() {
@@ -302,8 +310,8 @@
     }
 
     /**
-     * One of two minions is down while jobs come. They run on the other one at once, instead of going back and forth
-     * between this entry and the agent whose worker looks empty.
+     * One of two minions is down. Jobs must run on the other one at once. The worker of the failed minion looks empty,
+     * so that starts could be sent to its agent again and again.
      */
     @Test
     void runsJobsElsewhereWhileAMinionIsDown() {
--- a/library/src/test/java/org/chivetally/queue/entry/QueueSharesTest.java
+++ b/library/src/test/java/org/chivetally/queue/entry/QueueSharesTest.java
@@ -15,6 +15,7 @@
 import org.chivetally.wire.v1.QueueDemand;
 import org.junit.jupiter.api.Test;
 
+/** Fair shares of queues over several entries. */
 class QueueSharesTest {
     private static final long TASK = Jobs.SIX_CORES.processorMillis();
     private static final String SERVICE = "reports";
@@ -23,7 +24,9 @@
     private final EntryNode first = cluster.entry("entry-1");
     private final EntryNode second = cluster.entry("entry-2");
 
-    /** One worker with room for eight tasks; eight of a burst of ten run, and two jobs of another queue wait. */
+    /**
+     * Starts one worker with room for eight tasks. Eight of a burst of ten run, and two tasks of another queue wait.
+     */
     private void createContention() {
         cluster.capacity = new Room(8 * TASK, 10_000, 0);
         cluster.agent("agent-1");
@@ -38,7 +41,7 @@
         return entry.queueShares().orElseThrow().fairShares(SERVICE);
     }
 
-    /** Entries that divide by what only they know would each take another queue for the one that is below its share. */
+    /** If each entry divided by its own loads only, the entries would disagree on which queue is below its share. */
     @Test
     void allEntriesDivideByTheLoadsOfAllEntries() {
         createContention();
@@ -53,8 +56,8 @@
     }
 
     /**
-     * The entries no longer reach each other. What was told last holds for 2 s; then each keeps to its half, as the
-     * other one goes on with its own callers.
+     * The link between the entries breaks. The last reports stay valid for 2 s; then each entry uses only half of the
+     * capacity, as the other one still serves its own callers.
      */
     @Test
     void entriesThatCannotReachEachOtherUseEqualParts() {
@@ -71,7 +74,7 @@
         assertThat(fairShares(first).share("queue-0"), is(6 * TASK));
     }
 
-    /** An entry that takes its leave runs nothing more; a part left to it would be used by nobody. */
+    /** An entry that has announced its shutdown runs nothing more. Capacity reserved for it would stay unused. */
     @Test
     void reservesNoCapacityForAnEntryThatHasLeft() {
         createContention();
@@ -82,7 +85,7 @@
         assertThat(fairShares(first).capacityMillicores(), is(8 * TASK));
     }
 
-    /** The service is told as contended only while it is, or operators would look for a cause that is gone. */
+    /** A service counts as contended only while it is; otherwise operators would search for a cause that is gone. */
     @Test
     void theServiceIsNoLongerContendedAfterTheBurst() {
         createContention();
@@ -95,8 +98,9 @@
     }
 
     /**
-     * A burst of the first queue fills all workers and its backlog takes longer than a caller of the second one waits.
-     * By the backlog of both, that caller would be refused, though its queue has its share; the burst's next one is.
+     * A burst of the first queue fills all workers, and its backlog takes longer than a caller of the second queue
+     * waits. By the backlog of both queues that caller would be refused although its queue is within its share. Only
+     * the next job of the burst is refused.
      */
     @Test
     void aJobIsRefusedByTheForecastOfItsOwnQueueOnly() {
@@ -124,9 +128,7 @@
         assertThat(entry.contendedServices(), is(0));
     }
 
-    /**
-     * A heartbeat of another implementation may hold amounts that make no sense; taken as they are, shares overflow.
-     */
+    /** Another implementation may send invalid amounts in a heartbeat, which would make shares overflow. */
     @Test
     void countsNegativeAmountsAsZero() {
         EntryBeat beat = EntryBeat.newBuilder()
--- a/library/src/test/java/org/chivetally/queue/entry/UnevenLoadTest.java
+++ b/library/src/test/java/org/chivetally/queue/entry/UnevenLoadTest.java
@@ -16,6 +16,7 @@
 import org.chivetally.queue.agent.ModelMinion;
 import org.junit.jupiter.api.Test;
 
+/** Jobs that arrive unevenly at the entries, or before the workers do. */
 class UnevenLoadTest {
     private static final int TASK_MILLIS = 100;
     private static final int ARRIVAL_MILLIS = 40;
@@ -27,9 +28,9 @@
     private long nowMillis;
 
     /**
-     * All callers come to one of three entries, with three fifths of what the workers can do. For a quarter of a second
-     * no task ends, so some jobs have to wait, and miss their objective. By equal parts the entry would take the
-     * workers for overloaded and turn these callers away, though the room for them comes free at once.
+     * All jobs, at three fifths of the workers' capacity, arrive at one of three entries. For 0.25 s no task ends, so
+     * that some jobs wait and miss their objective. If capacity were divided equally among the entries, this one would
+     * consider the workers overloaded and refuse these jobs, although room for them becomes free at once.
      */
     @Test
     void refusesNothingWhenOneEntryReceivesAllJobsAndWorkersHaveRoom() {
@@ -57,7 +58,7 @@
         assertThat(refused, is(List.of()));
     }
 
-    /** Lets the time of one arrival pass, and ends the tasks that have run long enough. */
+    /** Advances the clock by one arrival interval, and ends the tasks that have run long enough. */
     private void advanceOneArrival(int taskMillis) {
         for (int step = 0; step < ARRIVAL_MILLIS / 10; step++) {
             cluster.advance(10);
@@ -81,9 +82,9 @@
     }
 
     /**
-     * After a loss of power six entries have a backlog and see the first worker at the same moment. Each sends it all
-     * that it has room for; most of these starts come back, later than their callers can wait, and the agent is busy
-     * with refusing them.
+     * After a power loss six entries have a backlog and detect the first worker at the same time. If each sent it as
+     * many tasks as fit, most of these starts would be refused, too late for their callers, and the agent would be busy
+     * refusing them.
      */
     @Test
     void entriesWithABacklogDoNotAllFillTheFirstWorker() {
--- a/library/src/test/java/org/chivetally/queue/entry/UnevenSpeedsTest.java
+++ b/library/src/test/java/org/chivetally/queue/entry/UnevenSpeedsTest.java
@@ -15,7 +15,7 @@
 import org.chivetally.settings.SchedulingSettings;
 import org.junit.jupiter.api.Test;
 
-/** Learned speeds from an agent's runs to an entry's decisions, over all frames between them. */
+/** Learned speeds, from the runs of agents to the decisions of entries, over all frames in between. */
 class UnevenSpeedsTest {
     private static final int STEP_MILLIS = 10;
     private static final List<String> SLOW = List.of("agent-2", "agent-3", "agent-4");
@@ -23,7 +23,7 @@
     private final Cluster cluster = new Cluster();
     private final Map<RunKey, Integer> ranMillis = new HashMap<>();
 
-    /** Ends the runs of agent-1 after 60 ms and all others after 240, while a job of 100 ms comes every 60 ms. */
+    /** Submits a job of 100 ms every 60 ms, and ends the runs of agent-1 after 60 ms and all others after 240 ms. */
     private void submitJobs(EntryNode entry, int firstJob, int jobs) {
         for (int number = firstJob; number < firstJob + jobs; number++) {
             cluster.submitInMemory(entry, Jobs.of("%016x".formatted(number), 1), 2_000);
--- a/library/src/test/java/org/chivetally/queue/entry/WakeUpCounter.java
+++ b/library/src/test/java/org/chivetally/queue/entry/WakeUpCounter.java
@@ -9,7 +9,7 @@
 import org.chivetally.queue.link.MemoryNetwork;
 import org.chivetally.time.Timers;
 
-/** Counts what wakes each process of a {@link Cluster} up: its timers, and the frames that reach it. */
+/** Counts the wake-ups of each process of a {@link Cluster}, by its timers and the frames that it receives. */
 final class WakeUpCounter {
     private final Timers shared;
     private final Map<String, Map<String, Integer>> causes = new HashMap<>();
@@ -20,7 +20,7 @@
         network.onArrival(this::count);
     }
 
-    /** Returns timers of a process that are counted by their delay. */
+    /** Returns the timers of a process, whose wake-ups are counted by the delay of the timer. */
     Timers of(String process) {
         return new CountingTimers(process);
     }
@@ -30,12 +30,12 @@
         instants.clear();
     }
 
-    /** Returns how often each cause woke a process up. */
+    /** Returns the number of wake-ups of a process by cause. */
     Map<String, Integer> causes(String process) {
         return new TreeMap<>(causes.getOrDefault(process, Map.of()));
     }
 
-    /** Returns the number of distinct times at which a process had anything to do. */
+    /** Returns the number of distinct times at which a process woke up. */
     int instants(String process) {
         return instants.getOrDefault(process, Set.of()).size();
     }
