--- a/library/src/main/java/org/chivetally/queue/entry/RunCoordinator.java
+++ b/library/src/main/java/org/chivetally/queue/entry/RunCoordinator.java
@@ -534,7 +534,7 @@
             return;
         }
         link.send(Frame.newBuilder()
-                .setEndsKept(EndsKept.newBuilder().setMinion(end.boot()).addSequences(end.sequence()))
+                .setEndsKept(EndsKept.newBuilder().setMinion(end.incarnation()).addSequences(end.sequence()))
                 .build());
     }
 
--- a/library/src/main/java/org/chivetally/queue/warmup/SimulatedMinion.java
+++ b/library/src/main/java/org/chivetally/queue/warmup/SimulatedMinion.java
@@ -11,9 +11,9 @@
 import org.chivetally.queue.agent.MinionPort;
 import org.chivetally.time.Timers;
 
-/** A minion that does every run in the same short time. */
+/** Minion on which every run takes the same short time. */
 final class SimulatedMinion implements MinionPort {
-    private static final Duration ANSWER_DELAY = Duration.ofMillis(1);
+    private static final Duration RESPONSE_DELAY = Duration.ofMillis(1);
     private static final Duration RUN_DURATION = Duration.ofMillis(5);
 
     private final Timers timers;
@@ -30,10 +30,10 @@
     }
 
     @Override
-    public void start(String boot, StartOrder order, Consumer<StartAnswer> answer) {
+    public void start(String boot, StartRequest order, Consumer<StartResult> callback) {
         running.add(order.run());
         timers.after(RUN_DURATION, () -> finishRun(order.run()));
-        timers.after(ANSWER_DELAY, () -> answer.accept(new StartAnswer.Started(clockMillis())));
+        timers.after(RESPONSE_DELAY, () -> callback.accept(new StartResult.Started(clockMillis())));
     }
 
     private void finishRun(RunKey run) {
@@ -44,18 +44,18 @@
     }
 
     @Override
-    public void stop(String boot, RunKey run, long token, Consumer<Boolean> answer) {
+    public void stop(String boot, RunKey run, long token, Consumer<Boolean> callback) {
         running.remove(run);
-        timers.after(ANSWER_DELAY, () -> answer.accept(true));
+        timers.after(RESPONSE_DELAY, () -> callback.accept(true));
     }
 
     @Override
-    public void look(String boot, LookOrder order, Consumer<LookAnswer> answer) {
-        ends.headMap(order.keptThrough(), true).clear();
-        Duration wait = order.longestWait().isZero() ? ANSWER_DELAY : RUN_DURATION;
+    public void poll(String boot, PollRequest order, Consumer<PollResult> callback) {
+        ends.headMap(order.acknowledgedThrough(), true).clear();
+        Duration wait = order.maximumWait().isZero() ? RESPONSE_DELAY : RUN_DURATION;
         timers.after(
                 wait,
-                () -> answer.accept(
-                        new LookAnswer.Lists(clockMillis(), List.copyOf(running), List.copyOf(ends.values()))));
+                () -> callback.accept(
+                        new PollResult.Lists(clockMillis(), List.copyOf(running), List.copyOf(ends.values()))));
     }
 }
--- a/library/src/test/java/org/chivetally/queue/entry/CancellationBoundTest.java
+++ b/library/src/test/java/org/chivetally/queue/entry/CancellationBoundTest.java
@@ -13,7 +13,7 @@
 import org.chivetally.queue.JobAnswer;
 import org.chivetally.queue.Jobs;
 import org.chivetally.queue.Partitions;
-import org.chivetally.queue.agent.ModelMinion;
+import org.chivetally.queue.agent.FakeMinion;
 import org.junit.jupiter.api.Test;
 
 /** The tasks of a cancelled job stop in bounded time, whichever links between its owner and the agents are broken. */
@@ -44,7 +44,7 @@
     }
 
     private String runnerName() {
-        for (Map.Entry<String, ModelMinion> known : cluster.minions.entrySet()) {
+        for (Map.Entry<String, FakeMinion> known : cluster.minions.entrySet()) {
             if (!known.getValue().running.isEmpty()) {
                 return known.getKey();
             }
@@ -81,7 +81,7 @@
             test.startCluster();
             test.cluster.submit(test.cluster.entries.get(test.ownerName()), Jobs.of(ID, 1));
             test.cluster.advance(500 + phase);
-            test.cluster.network.cut(test.runnerName(), test.ownerName(), true);
+            test.cluster.network.setCut(test.runnerName(), test.ownerName(), true);
             test.cancelAcknowledged(test.cluster.entries.get(test.ownerName()));
             test.cluster.advance(BOUND_MILLIS);
             assertThat("runs at phase " + phase, test.isRunning(), is(false));
@@ -123,21 +123,21 @@
     @Test
     void stopsAStartExecutedAfterTheCancellation() {
         startCluster();
-        for (ModelMinion minion : cluster.minions.values()) {
-            minion.startsHeldUp = true;
+        for (FakeMinion minion : cluster.minions.values()) {
+            minion.startsDelayed = true;
         }
         cluster.submit(cluster.entries.get(ownerName()), Jobs.of(ID, 1));
         cluster.advance(60);
-        ModelMinion minion = cluster.minions.values().stream()
+        FakeMinion minion = cluster.minions.values().stream()
                 .filter(known -> !known.starts.isEmpty())
                 .findFirst()
                 .orElseThrow();
-        minion.silent = true;
+        minion.unresponsive = true;
         cancelAcknowledged(cluster.entries.get(ownerName()));
         cluster.advance(200);
-        minion.carryOut(minion.starts.getFirst());
+        minion.execute(minion.starts.getFirst());
         assertThat(minion.running.keySet(), hasSize(1));
-        minion.silent = false;
+        minion.unresponsive = false;
         cluster.advance(BOUND_MILLIS);
         assertThat(minion.running.keySet(), is(empty()));
     }
@@ -146,19 +146,19 @@
     @Test
     void stopsACancelledStartExecutedByTheNextIncarnation() {
         startCluster();
-        cluster.minions.values().forEach(minion -> minion.reborn(1_700_000_000_000L));
-        for (ModelMinion minion : cluster.minions.values()) {
-            minion.startsHeldUp = true;
+        cluster.minions.values().forEach(minion -> minion.restart(1_700_000_000_000L));
+        for (FakeMinion minion : cluster.minions.values()) {
+            minion.startsDelayed = true;
         }
         cluster.submit(cluster.entries.get(ownerName()), Jobs.of(ID, 1));
         cluster.advance(60);
-        ModelMinion minion = cluster.minions.values().stream()
+        FakeMinion minion = cluster.minions.values().stream()
                 .filter(known -> !known.starts.isEmpty())
                 .findFirst()
                 .orElseThrow();
         cancelAcknowledged(cluster.entries.get(ownerName()));
-        minion.reborn(1_800_000_000_000L);
-        minion.carryOut(minion.starts.getFirst());
+        minion.restart(1_800_000_000_000L);
+        minion.execute(minion.starts.getFirst());
         assertThat(minion.running.keySet(), hasSize(1));
         cluster.advance(BOUND_MILLIS);
         assertThat(minion.running.keySet(), is(empty()));
--- a/library/src/test/java/org/chivetally/queue/entry/DurableJobsTest.java
+++ b/library/src/test/java/org/chivetally/queue/entry/DurableJobsTest.java
@@ -18,7 +18,7 @@
 import org.chivetally.queue.Jobs;
 import org.chivetally.queue.Partitions;
 import org.chivetally.queue.RunOutcome;
-import org.chivetally.queue.agent.ModelMinion;
+import org.chivetally.queue.agent.FakeMinion;
 import org.chivetally.queue.log.LogStream;
 import org.chivetally.queue.log.ScriptedKeyedLog;
 import org.junit.jupiter.api.Test;
@@ -52,7 +52,7 @@
         return sumOverMinions(minion -> minion.starts.size());
     }
 
-    private int sumOverMinions(ToIntFunction<ModelMinion> figure) {
+    private int sumOverMinions(ToIntFunction<FakeMinion> figure) {
         return cluster.minions.values().stream().mapToInt(figure).sum();
     }
 
@@ -143,7 +143,7 @@
                 .orElseThrow()
                 .getKey();
         for (String entry : List.of("entry-1", "entry-2", "entry-3")) {
-            cluster.network.cut(agent, entry, true);
+            cluster.network.setCut(agent, entry, true);
         }
         for (int step = 0; step < 1_000; step++) {
             cluster.advance(10);
@@ -159,7 +159,7 @@
      */
     private String cutOwnerFromRunner(EntryNode owner) {
         String agent = runnerOf(ID);
-        cluster.network.cut(agent, nameOf(owner), true);
+        cluster.network.setCut(agent, nameOf(owner), true);
         return agent;
     }
 
@@ -220,10 +220,10 @@
         cluster.finish(ID, RunOutcome.DONE);
         keepBusy(owner, 70, () -> {});
         assertThat(cluster.running(ID), hasSize(1));
-        cluster.network.cut(agent, nameOf(owner), false);
+        cluster.network.setCut(agent, nameOf(owner), false);
         keepBusy(owner, 30, () -> {});
         assertThat(
-                cluster.minions.get(agent).noted.stream()
+                cluster.minions.get(agent).acknowledgedUnderLease.stream()
                         .filter(end -> end.run().task().jobId().equals(ID))
                         .toList(),
                 is(empty()));
@@ -243,7 +243,7 @@
         cluster.finish(ID, RunOutcome.DONE);
         cluster.advance(7_000);
         assertThat(cluster.running(ID), hasSize(1));
-        cluster.network.cut(agent, nameOf(owner), false);
+        cluster.network.setCut(agent, nameOf(owner), false);
         cluster.advance(3_000);
         assertThat(cluster.running(ID), is(empty()));
         assertThat(cluster.query(owner, ID), contains(new JobAnswer.State(JobPhase.COMPLETED)));
@@ -274,7 +274,7 @@
         String runner = runnerOf(ID);
         String other = "agent-1".equals(runner) ? "agent-2" : "agent-1";
         for (String entry : cluster.entries.keySet()) {
-            cluster.network.cut(other, entry, true);
+            cluster.network.setCut(other, entry, true);
         }
         cluster.kill(nameOf(old));
         cluster.advance(3_500);
@@ -301,15 +301,15 @@
         String other = "agent-1".equals(runner) ? "agent-2" : "agent-1";
         cluster.log.setDisconnected(oldName, true);
         for (String entry : cluster.entries.keySet()) {
-            cluster.network.cut(oldName, entry, true);
-            cluster.network.cut(other, entry, !entry.equals(oldName));
+            cluster.network.setCut(oldName, entry, true);
+            cluster.network.setCut(other, entry, !entry.equals(oldName));
         }
-        cluster.network.cut(runner, oldName, true);
+        cluster.network.setCut(runner, oldName, true);
         cluster.advance(3_500);
         cluster.finish(ID, RunOutcome.DONE);
         cluster.advance(300);
         assertThat(cluster.query(otherOwnerThan(old), ID), contains(new JobAnswer.State(JobPhase.COMPLETED)));
-        cluster.network.cut(runner, oldName, false);
+        cluster.network.setCut(runner, oldName, false);
         cluster.advance(1_500);
         assertThat(starts(), is(1));
         assertThat(old.localOwner(Partitions.of(ID, Cluster.PARTITIONS)).isPresent(), is(false));
@@ -326,17 +326,17 @@
         EntryNode owner = ownerOf(ID);
         cluster.submit(owner, Jobs.of(ID, 1));
         cluster.advance(100);
-        ModelMinion minion = cluster.minions.get(runnerOf(ID));
-        minion.silent = true;
+        FakeMinion minion = cluster.minions.get(runnerOf(ID));
+        minion.unresponsive = true;
         cluster.advance(200);
         cluster.finish(ID, RunOutcome.DONE);
         for (int step = 0; step < 4_000 && starts() < 2; step++) {
             cluster.advance(1);
         }
         assertThat(starts(), is(2));
-        minion.silent = false;
+        minion.unresponsive = false;
         cluster.advance(1_000);
-        assertThat(minion.noted, is(empty()));
+        assertThat(minion.acknowledgedUnderLease, is(empty()));
         assertThat(minion.ends.values(), is(empty()));
         assertThat(cluster.running(ID), is(empty()));
         assertThat(cluster.query(owner, ID), contains(new JobAnswer.State(JobPhase.COMPLETED)));
--- a/library/src/test/java/org/chivetally/queue/link/MemoryNetwork.java
+++ b/library/src/test/java/org/chivetally/queue/link/MemoryNetwork.java
@@ -14,48 +14,51 @@
 import org.chivetally.transport.FrameListener;
 import org.chivetally.wire.v1.Frame;
 
-/** Connections in memory between processes named by their hosts; a test can cut paths silently or end connections. */
+/**
+ * In-memory network of processes that are identified by their hosts. A test can drop frames silently or reset
+ * connections.
+ */
 public final class MemoryNetwork {
     private static final Duration ONE_WAY_DELAY = Duration.ofMillis(1);
 
     private final Timers timers;
-    /** Frames sent so far, by kind. */
+    /** Number of frames sent so far, by kind. */
     public final Map<Frame.BodyCase, Integer> sent = new EnumMap<>(Frame.BodyCase.class);
 
-    /** Frames received so far, by receiving host and kind. */
+    /** Number of frames received so far, by receiving host and kind. */
     public final Map<String, Map<Frame.BodyCase, Integer>> received = new HashMap<>();
 
     private final Map<String, FrameListener> listeners = new HashMap<>();
     private BiConsumer<String, String> arrivalListener = (host, cause) -> {};
     private final Set<String> cutPaths = new HashSet<>();
     private final Set<String> stopped = new HashSet<>();
-    private final List<Endpoint> ends = new ArrayList<>();
+    private final List<Endpoint> endpoints = new ArrayList<>();
 
     /** Creates a network without processes. */
     public MemoryNetwork(Timers timers) {
         this.timers = timers;
     }
 
-    /** Names who is told the host and the kind of each frame that arrives. */
+    /** Sets the listener that receives the host and the kind of each frame that arrives. */
     public void onArrival(BiConsumer<String, String> listener) {
         arrivalListener = listener;
     }
 
-    /** Listens on a host. */
+    /** Starts to accept connections on a host. */
     public void listen(String host, FrameListener listener) {
         listeners.put(host, listener);
         stopped.remove(host);
     }
 
-    /** Returns how a host dials. */
+    /** Returns the dialer of a host. */
     public Dialer dialer(String from) {
         return (host, port, listener) -> dial(from, host, listener);
     }
 
-    /** Loses everything between two hosts, without an error, until it is undone. */
-    public void cut(String one, String other, boolean off) {
+    /** Starts or ends a network partition between two hosts, in which frames are lost without an error. */
+    public void setCut(String one, String other, boolean cut) {
         for (String path : List.of(one + ">" + other, other + ">" + one)) {
-            if (off) {
+            if (cut) {
                 cutPaths.add(path);
             } else {
                 cutPaths.remove(path);
@@ -63,11 +66,11 @@
         }
     }
 
-    /** Ends a process: its connections are reset, and nobody can dial it. */
+    /** Ends a process: its connections are reset, and new ones to it fail. */
     public void kill(String host) {
         listeners.remove(host);
         stopped.add(host);
-        for (Endpoint end : List.copyOf(ends)) {
+        for (Endpoint end : List.copyOf(endpoints)) {
             if (end.from.equals(host)) {
                 end.reset();
             }
@@ -81,14 +84,14 @@
             return;
         }
         timers.after(ONE_WAY_DELAY, () -> {
-            Endpoint near = new Endpoint(from, to, dialling);
-            Endpoint far = new Endpoint(to, from, accepting);
-            near.other = far;
-            far.other = near;
-            ends.add(near);
-            ends.add(far);
-            accepting.connected(far);
-            dialling.connected(near);
+            Endpoint dialler = new Endpoint(from, to, dialling);
+            Endpoint acceptor = new Endpoint(to, from, accepting);
+            dialler.other = acceptor;
+            acceptor.other = dialler;
+            endpoints.add(dialler);
+            endpoints.add(acceptor);
+            accepting.connected(acceptor);
+            dialling.connected(dialler);
         });
     }
 
@@ -132,7 +135,7 @@
                 return;
             }
             open = false;
-            ends.remove(this);
+            endpoints.remove(this);
             listener.disconnected(this, "closed");
             if (!cutPaths.contains(from + ">" + to)) {
                 timers.after(ONE_WAY_DELAY, other::reset);
--- a/library/src/test/java/org/chivetally/queue/log/ScriptedKeyedLog.java
+++ b/library/src/test/java/org/chivetally/queue/log/ScriptedKeyedLog.java
@@ -13,12 +13,12 @@
 import org.chivetally.time.Timers;
 
 /**
- * A log in memory with the features that the queue path relies on: newest values by key, writers fenced by epochs,
- * sequences that make a repeat harmless, and a group that deals partitions out. Answers take time, and can be made to
- * fail for all callers or for some.
+ * In-memory log with the features that queues rely on: newest values by key, writers that are fenced by epochs,
+ * sequence numbers that make repeats harmless, and a group whose members are assigned partitions. Responses take time,
+ * and can be made to fail for all callers or for some.
  */
 public final class ScriptedKeyedLog {
-    private static final Duration ANSWER_DELAY = Duration.ofMillis(4);
+    private static final Duration RESPONSE_DELAY = Duration.ofMillis(4);
 
     private final Timers timers;
     private final Map<LogStream, Partition> partitions = new HashMap<>();
@@ -30,19 +30,19 @@
     private long generation;
     private final Set<String> disconnected = new HashSet<>();
 
-    /** What the log does with appends. */
+    /** How the log handles appends. */
     public enum AppendBehavior {
-        /** Takes them. */
+        /** Stores them and responds. */
         ACCEPTING,
-        /** Refuses them. */
+        /** Rejects them. */
         REFUSING,
-        /** Takes them, and the answer is lost. */
-        ANSWERS_LOST,
-        /** Neither takes nor answers them. */
+        /** Stores them, but the response is lost. */
+        RESPONSES_LOST,
+        /** Neither stores them nor responds. */
         SILENT
     }
 
-    /** What appends meet now. */
+    /** How the log handles appends at present. */
     public AppendBehavior appendBehavior = AppendBehavior.ACCEPTING;
 
     /** Creates an empty log. */
@@ -51,21 +51,21 @@
         this.partitionCount = partitionCount;
     }
 
-    /** Cuts one caller off, or lets it through again. */
-    public void setDisconnected(String caller, boolean off) {
-        if (off) {
+    /** Disconnects a caller from the log, or connects it again. */
+    public void setDisconnected(String caller, boolean disconnect) {
+        if (disconnect) {
             disconnected.add(caller);
         } else {
             disconnected.remove(caller);
         }
     }
 
-    /** Returns the streams that were appended to, one entry an append that was taken. */
+    /** Returns the stream of each append that was carried out, in order. */
     public List<LogStream> appends() {
         return appends;
     }
 
-    /** Returns the log as one caller reaches it. */
+    /** Returns the access of one caller to the log. */
     public Access access(String caller) {
         return new Access(caller);
     }
@@ -79,21 +79,21 @@
         return partitions.computeIfAbsent(stream, key -> new Partition());
     }
 
-    /** Deletes all records of a partition but the newest value of each key. */
+    /** Expires all records of a partition, except the newest value of each key. */
     public void expireHistory(LogStream stream) {
         Partition partition = partition(stream);
-        partition.firstKept = partition.records.size();
+        partition.firstRetained = partition.records.size();
     }
 
     private static final class Partition {
         private final List<KeyedRecord> records = new ArrayList<>();
-        private long firstKept;
+        private long firstRetained;
         private final TreeMap<String, byte[]> newest = new TreeMap<>();
         private final Map<String, Long> epochs = new HashMap<>();
         private final Map<String, Long> sequences = new HashMap<>();
     }
 
-    /** One caller's way to the log. */
+    /** Access of one caller to the log. */
     public final class Access implements KeyedLog, OwnershipGroup {
         private final String caller;
 
@@ -101,126 +101,128 @@
             this.caller = caller;
         }
 
-        private boolean isCut() {
+        private boolean isDisconnected() {
             return disconnected.contains(caller);
         }
 
         @Override
         public void append(
-                LogStream stream, Optional<AppendId> stamp, List<KeyedRecord> records, Consumer<AppendOutcome> answer) {
-            if (isCut() || appendBehavior == AppendBehavior.SILENT) {
-                timers.after(Duration.ofMillis(600), () -> answer.accept(new AppendOutcome.Unknown("silent")));
+                LogStream stream, Optional<AppendId> id, List<KeyedRecord> records, Consumer<AppendOutcome> callback) {
+            if (isDisconnected() || appendBehavior == AppendBehavior.SILENT) {
+                timers.after(Duration.ofMillis(600), () -> callback.accept(new AppendOutcome.Unknown("silent")));
                 return;
             }
             if (appendBehavior == AppendBehavior.REFUSING) {
-                timers.after(ANSWER_DELAY, () -> answer.accept(new AppendOutcome.Refused("busy")));
+                timers.after(RESPONSE_DELAY, () -> callback.accept(new AppendOutcome.Refused("busy")));
                 return;
             }
-            boolean lost = appendBehavior == AppendBehavior.ANSWERS_LOST;
-            timers.after(ANSWER_DELAY, () -> {
-                AppendOutcome outcome = carryOut(stream, stamp, records);
-                if (lost) {
-                    timers.after(Duration.ofMillis(600), () -> answer.accept(new AppendOutcome.Unknown("answer lost")));
+            boolean responseLost = appendBehavior == AppendBehavior.RESPONSES_LOST;
+            timers.after(RESPONSE_DELAY, () -> {
+                AppendOutcome outcome = applyAppend(stream, id, records);
+                if (responseLost) {
+                    timers.after(
+                            Duration.ofMillis(600), () -> callback.accept(new AppendOutcome.Unknown("response lost")));
                 } else {
-                    answer.accept(outcome);
+                    callback.accept(outcome);
                 }
             });
         }
 
-        private AppendOutcome carryOut(LogStream stream, Optional<AppendId> stamp, List<KeyedRecord> records) {
+        private AppendOutcome applyAppend(LogStream stream, Optional<AppendId> id, List<KeyedRecord> records) {
             Partition partition = partition(stream);
-            if (stamp.isPresent()) {
-                AppendId writer = stamp.get();
-                long epoch = partition.epochs.getOrDefault(writer.writer(), -1L);
-                if (writer.epoch() < epoch) {
+            if (id.isPresent()) {
+                AppendId appendId = id.get();
+                long epoch = partition.epochs.getOrDefault(appendId.writer(), -1L);
+                if (appendId.epoch() < epoch) {
                     return new AppendOutcome.Fenced();
                 }
-                long last = partition.sequences.getOrDefault(writer.writer(), 0L);
-                if (writer.epoch() == epoch && !records.isEmpty()) {
-                    if (writer.sequence() <= last && writer.sequence() > last - 5) {
+                long lastSequence = partition.sequences.getOrDefault(appendId.writer(), 0L);
+                if (appendId.epoch() == epoch && !records.isEmpty()) {
+                    if (appendId.sequence() <= lastSequence && appendId.sequence() > lastSequence - 5) {
                         return new AppendOutcome.Appended(partition.records.size());
                     }
-                    if (writer.sequence() != last + 1) {
-                        return new AppendOutcome.OutOfSequence(last + 1);
+                    if (appendId.sequence() != lastSequence + 1) {
+                        return new AppendOutcome.OutOfSequence(lastSequence + 1);
                     }
                 }
-                partition.epochs.put(writer.writer(), writer.epoch());
-                partition.sequences.put(writer.writer(), writer.sequence());
+                partition.epochs.put(appendId.writer(), appendId.epoch());
+                partition.sequences.put(appendId.writer(), appendId.sequence());
             }
             appends.add(stream);
-            for (KeyedRecord entry : records) {
-                partition.records.add(entry);
-                if (entry.isTombstone()) {
-                    partition.newest.remove(entry.key());
+            for (KeyedRecord record : records) {
+                partition.records.add(record);
+                if (record.isTombstone()) {
+                    partition.newest.remove(record.key());
                 } else {
-                    partition.newest.put(entry.key(), entry.value());
+                    partition.newest.put(record.key(), record.value());
                 }
             }
             return new AppendOutcome.Appended(partition.records.size());
         }
 
         @Override
-        public void readNewest(LogStream stream, String afterKey, Consumer<NewestOutcome> answer) {
-            if (isCut()) {
-                timers.after(Duration.ofMillis(600), () -> answer.accept(new NewestOutcome.Unavailable("cut off")));
+        public void readNewest(LogStream stream, String afterKey, Consumer<NewestOutcome> callback) {
+            if (isDisconnected()) {
+                timers.after(
+                        Duration.ofMillis(600), () -> callback.accept(new NewestOutcome.Unavailable("disconnected")));
                 return;
             }
-            timers.after(ANSWER_DELAY, () -> {
+            timers.after(RESPONSE_DELAY, () -> {
                 Partition partition = partition(stream);
                 List<KeyedRecord> items = new ArrayList<>();
                 partition
                         .newest
                         .tailMap(afterKey, false)
                         .forEach((key, value) -> items.add(new KeyedRecord(key, value)));
-                answer.accept(new NewestOutcome.Page(items, false, partition.records.size()));
+                callback.accept(new NewestOutcome.Page(items, false, partition.records.size()));
             });
         }
 
         @Override
-        public void read(LogStream stream, long from, Duration wait, Consumer<ReadOutcome> answer) {
-            if (isCut()) {
-                timers.after(Duration.ofMillis(600), () -> answer.accept(new ReadOutcome.Unavailable("cut off")));
+        public void read(LogStream stream, long from, Duration maximumWait, Consumer<ReadOutcome> callback) {
+            if (isDisconnected()) {
+                timers.after(
+                        Duration.ofMillis(600), () -> callback.accept(new ReadOutcome.Unavailable("disconnected")));
                 return;
             }
             Partition partition = partition(stream);
-            timers.after(partition.records.size() > from ? ANSWER_DELAY : Duration.ofMillis(50), () -> {
-                if (from < partition.firstKept) {
-                    answer.accept(new ReadOutcome.Expired());
+            timers.after(partition.records.size() > from ? RESPONSE_DELAY : Duration.ofMillis(50), () -> {
+                if (from < partition.firstRetained) {
+                    callback.accept(new ReadOutcome.Expired());
                     return;
                 }
                 List<KeyedRecord> records =
                         List.copyOf(partition.records.subList((int) from, partition.records.size()));
-                answer.accept(new ReadOutcome.Records(from + records.size(), records));
+                callback.accept(new ReadOutcome.Records(from + records.size(), records));
             });
         }
 
         @Override
-        public void join(String member, long known, Duration timeToLive, Consumer<JoinOutcome> answer) {
-            if (isCut() || appendBehavior == AppendBehavior.SILENT) {
-                timers.after(Duration.ofMillis(600), () -> answer.accept(new JoinOutcome.Unavailable("silent")));
+        public void join(String member, long knownGeneration, Duration timeToLive, Consumer<JoinOutcome> callback) {
+            if (isDisconnected() || appendBehavior == AppendBehavior.SILENT) {
+                timers.after(Duration.ofMillis(600), () -> callback.accept(new JoinOutcome.Unavailable("silent")));
                 return;
             }
-            timers.after(ANSWER_DELAY, () -> {
+            timers.after(RESPONSE_DELAY, () -> {
                 memberExpiries.put(member, timers.nanos() + timeToLive.toNanos());
                 reassign();
-                if (known >= generation) {
-                    // The member has learned what it has lost, so that can be dealt on.
-                    owners.replaceAll(
-                            (partition, holder) -> holder.equals(member) ? assignment.get(partition) : holder);
+                if (knownGeneration >= generation) {
+                    // The member has received the current generation and released what it lost to the new owners.
+                    owners.replaceAll((partition, owner) -> owner.equals(member) ? assignment.get(partition) : owner);
                 }
-                Set<Integer> own = new HashSet<>();
-                assignment.forEach((partition, next) -> {
-                    if (next.equals(member) && owners.get(partition).equals(member)) {
-                        own.add(partition);
+                Set<Integer> assigned = new HashSet<>();
+                assignment.forEach((partition, assignee) -> {
+                    if (assignee.equals(member) && owners.get(partition).equals(member)) {
+                        assigned.add(partition);
                     }
                 });
-                answer.accept(new JoinOutcome.Joined(generation, own));
+                callback.accept(new JoinOutcome.Joined(generation, assigned));
             });
         }
 
         @Override
         public void leave(String member, Runnable done) {
-            timers.after(ANSWER_DELAY, () -> {
+            timers.after(RESPONSE_DELAY, () -> {
                 memberExpiries.remove(member);
                 reassign();
                 done.run();
@@ -229,18 +231,18 @@
     }
 
     private void reassign() {
-        memberExpiries.values().removeIf(until -> until < timers.nanos());
+        memberExpiries.values().removeIf(expiryNanos -> expiryNanos < timers.nanos());
         List<String> members = new ArrayList<>(memberExpiries.keySet());
-        Map<Integer, String> next = new HashMap<>();
+        Map<Integer, String> newAssignment = new HashMap<>();
         for (int partition = 0; partition < partitionCount && !members.isEmpty(); partition++) {
-            next.put(partition, members.get(partition % members.size()));
+            newAssignment.put(partition, members.get(partition % members.size()));
         }
-        if (!next.equals(assignment)) {
+        if (!newAssignment.equals(assignment)) {
             assignment.clear();
-            assignment.putAll(next);
+            assignment.putAll(newAssignment);
             generation++;
         }
         assignment.forEach((partition, member) ->
-                owners.compute(partition, (same, holder) -> members.contains(holder) ? holder : member));
+                owners.compute(partition, (same, owner) -> members.contains(owner) ? owner : member));
     }
 }
