--- a/library/src/main/java/org/chivetally/queue/entry/RunCoordinator.java
+++ b/library/src/main/java/org/chivetally/queue/entry/RunCoordinator.java
@@ -70,7 +70,9 @@
      */
     static final Duration BACKLOG_GRACE = Duration.ofSeconds(2);
 
-    /** Pause of a worker that refused a start for another reason than lack of room: one heartbeat interval. */
+    /**
+     * Time without starts for a worker that refused one for another reason than lack of room: one heartbeat interval.
+     */
     static final Duration REFUSAL_PAUSE = Duration.ofMillis(250);
 
     /**
@@ -86,7 +88,7 @@
     private final Map<Integer, PartitionOwner> partitions;
     private final InMemoryJobs inMemoryJobs;
     private final BooleanSupplier mayReadStaleRequests;
-    private final LongSupplier keptUpAtNanos;
+    private final LongSupplier lastResponsiveNanos;
     private final PlacementPolicy placement;
     private final CrashTracker crashes;
     private final long startedAtNanos;
@@ -107,7 +109,7 @@
      * @param partitions the partitions that the entry owns, by number; updated by the entry
      * @param mayStart whether the entry's ownership is certain enough to start tasks
      * @param mayReadStaleRequests whether requests that the entry reads now may be stale
-     * @param keptUpAtNanos when the entry last had no backlog of unread input, in nanoseconds of the monotonic clock
+     * @param keptUpAtNanos when the entry was last known to be responsive, in nanoseconds of the monotonic clock
      * @param scheduling optional scheduling features that are enabled
      */
     RunCoordinator(
@@ -118,10 +120,10 @@
             Map<Integer, PartitionOwner> partitions,
             BooleanSupplier mayStart,
             BooleanSupplier mayReadStaleRequests,
-            LongSupplier keptUpAtNanos,
+            LongSupplier lastResponsiveNanos,
             SchedulingSettings scheduling) {
         this.mayReadStaleRequests = mayReadStaleRequests;
-        this.keptUpAtNanos = keptUpAtNanos;
+        this.lastResponsiveNanos = lastResponsiveNanos;
         this.placement = placement;
         this.crashes = crashes;
         this.timers = timers;
@@ -155,7 +157,7 @@
 
                     @Override
                     public void forecastsChanged(long nowNanos) {
-                        refuseInfeasible(nowNanos);
+                        refuseUnservable(nowNanos);
                     }
                 });
     }
@@ -212,15 +214,15 @@
         return timers.nanos() - startedAtNanos < BACKLOG_GRACE.toNanos();
     }
 
-    private void refuseInfeasible(long now) {
-        inMemoryJobs.refuseInfeasible();
+    private void refuseUnservable(long now) {
+        inMemoryJobs.refuseTooLate();
         if (isInBacklogGrace()) {
             return;
         }
         for (String service : waiting.services()) {
-            EntryCapacityShare processors = shares.of(service);
-            if (processors.capacityMillicores() > 0) {
-                refuseOvertaken(service, waiting.unservableJobs(service, processors.spareMillicores(), now));
+            EntryCapacityShare share = shares.of(service);
+            if (share.capacityMillicores() > 0) {
+                refuseOvertaken(service, waiting.unservableJobs(service, share.spareMillicores(), now));
             }
         }
     }
@@ -233,10 +235,10 @@
         if (overtaken.isEmpty()) {
             return;
         }
-        Optional<FairShares> division = queueShares.map(all -> all.division(service));
+        Optional<FairShares> shares = queueShares.map(all -> all.fairShares(service));
         for (Job job : overtaken) {
-            boolean isCoveredByShare = division.isPresent()
-                    && division.get().isSatisfied(job.specification().terms().queue());
+            boolean isCoveredByShare = shares.isPresent()
+                    && shares.get().isSatisfied(job.specification().terms().queue());
             if (!isCoveredByShare) {
                 inMemoryJobs.refuseOvertaken(job);
             }
@@ -370,7 +372,7 @@
 
     /**
      * Compares this entry's runs at an agent with everything that the agent holds: takes over runs that were started by
-     * a former owner, stops unneeded ones, and ends those that the agent doesn't hold.
+     * a former owner, stops unneeded ones, and records those that the agent doesn't hold as lost.
      */
     void reconcile(PeerLink link, RunInventory inventory) {
         report(link, inventory.getReport());
@@ -384,7 +386,7 @@
             });
         }
         for (RunEnd end : inventory.getEndsList()) {
-            // A crash is reported until it is stored, and doesn't tell the state of a later run of the task.
+            // A crash is reported until it is stored, and is no evidence about a later run of the task.
             EndCodec.decode(end)
                     .filter(ended -> ended.outcome() != RunOutcome.CRASHED)
                     .ifPresent(ended -> listed.add(ended.run().task()));
@@ -441,7 +443,7 @@
         Optional<JobOwner> owner = run.getUnkept()
                 ? Optional.of(inMemoryJobs)
                 : partitionOwnerOf(key).map(JobOwner.class::cast);
-        Optional<Task> known = owner.flatMap(place -> place.task(key));
+        Optional<Task> known = owner.flatMap(candidate -> candidate.task(key));
         boolean needed = known.isPresent() && !known.get().job().phase().isFinal();
         if (needed && known.get().status() == Task.Status.UNCERTAIN) {
             Task task = known.get();
@@ -493,14 +495,14 @@
         Task task = known.get();
         if (end.outcome() == RunOutcome.CRASHED) {
             jobOwnerOf(task)
-                    .ifPresent(home -> home.earlierRunCrashed(task, end.run().run(), acknowledge));
+                    .ifPresent(owner -> owner.earlierRunCrashed(task, end.run().run(), acknowledge));
             return;
         }
         if (task.status() == Task.Status.UNCERTAIN || completesTask(task, end)) {
             stopNewerRun(task);
             endUntrackedRun(worker, task, end, acknowledge);
         } else {
-            jobOwnerOf(task).ifPresent(home -> home.reportedAgain(task, acknowledge));
+            jobOwnerOf(task).ifPresent(owner -> owner.reportedAgain(task, acknowledge));
         }
     }
 
@@ -557,7 +559,7 @@
                 .with("outcome", outcome)
                 .with("failures", task.failures())
                 .log(LOGGER.atInfo());
-        jobOwnerOf(task).ifPresent(home -> home.ended(task, outcome, acknowledge));
+        jobOwnerOf(task).ifPresent(owner -> owner.ended(task, outcome, acknowledge));
         passes.schedule();
     }
 
@@ -605,7 +607,7 @@
             }
         }
         moveFromSlowWorkers(now);
-        refuseInfeasible(now);
+        refuseUnservable(now);
         queueShares.ifPresent(QueueShares::updateContention);
         passes.schedule();
     }
@@ -617,9 +619,9 @@
      */
     private void moveFromSlowWorkers(long now) {
         List<Worker> slow = new ArrayList<>();
-        int open = 0;
+        int accepting = 0;
         for (Worker worker : workers.values()) {
-            open += worker.acceptsStarts(now) ? 1 : 0;
+            accepting += worker.acceptsStarts(now) ? 1 : 0;
             boolean late = !worker.markNewlyOverdue(now).isEmpty();
             if (worker.health().isSlow()) {
                 slow.add(worker);
@@ -631,7 +633,7 @@
                 }
             }
         }
-        if (PlacementPolicy.MINIMUM_WORKERS_PER_AVOIDED * slow.size() > open) {
+        if (PlacementPolicy.MINIMUM_WORKERS_PER_AVOIDED * slow.size() > accepting) {
             return;
         }
         for (Worker worker : slow) {
@@ -683,7 +685,7 @@
         if (isolated) {
             worker.addSuspect(task.key());
         } else if (crashes.isSuspect(task)) {
-            worker.inProgress().forEach(beside -> crashes.recordStart(beside.task(), false));
+            worker.inProgress().forEach(other -> crashes.recordStart(other.task(), false));
         }
         crashes.recordStart(task, isolated);
         EventLine placed = EventLine.of("run-placed")
@@ -710,7 +712,7 @@
                         .setUnkept(token.inMemory())
                         .setSuspected(isolated)
                         .setEchoNanos(link.peerStampNanos())
-                        .setStampAgeNanos(link.stampAgeNanos(keptUpAtNanos.getAsLong()))
+                        .setStampAgeNanos(link.stampAgeNanos(lastResponsiveNanos.getAsLong()))
                         .setEstimatedMillis(
                                 placement.learnsSpeeds()
                                         ? Math.max(0, task.step().estimatedMillis())
