--- a/library/src/test/java/org/chivetally/queue/crash/CrashPolicyTest.java
+++ b/library/src/test/java/org/chivetally/queue/crash/CrashPolicyTest.java
@@ -6,12 +6,13 @@
 import java.time.Duration;
 import org.junit.jupiter.api.Test;
 
+/** Guards that a task that crashes minions is given up, without giving up the tasks that ran beside it. */
 class CrashPolicyTest {
     private static final long SECOND_NANOS = Duration.ofSeconds(1).toNanos();
 
     private final CrashPolicy limitOfTwo = new CrashPolicy(2);
 
-    /** Twenty tasks run on a minion that crashes: each is a suspect, and none is given up for one crash. */
+    /** Twenty tasks run on a minion that crashes: each is a suspect, and none is given up after one crash. */
     @Test
     void taskIsSuspectAfterOneCrashAndGivenUpAfterTwo() {
         assertThat(limitOfTwo.isSuspect(0), is(false));
@@ -20,14 +21,17 @@
         assertThat(limitOfTwo.isGivenUp(2, true), is(true));
     }
 
-    /** There are more suspects than workers, and several are under the second crash: one more tells which it was. */
+    /**
+     * There are more suspects than workers, so several run on the minion of the second crash. Another crash is needed
+     * to identify the cause.
+     */
     @Test
     void suspectBesideOthersIsGivenUpOneCrashLater() {
         assertThat(limitOfTwo.isGivenUp(2, false), is(false));
         assertThat(limitOfTwo.isGivenUp(3, false), is(true));
     }
 
-    /** A deployment that sets no limit: whatever crashes, tasks are placed as before. */
+    /** A deployment without a limit: tasks are placed as before, whatever crashes. */
     @Test
     void noTaskIsSuspectWithoutALimit() {
         assertThat(CrashPolicy.NONE.isSuspect(5), is(false));
@@ -35,8 +39,8 @@
     }
 
     /**
-     * The time of a suspect's caller is nearly over: held back, the job of an innocent task would be lost. Afterwards
-     * there is nothing to lose, and the suspect would only endanger others.
+     * Shortly before a suspect's latest start, waiting longer would lose the job of a task that is most likely not the
+     * cause. After the latest start there is nothing to lose, and the suspect would only endanger other tasks.
      */
     @Test
     void suspectIsUrgentJustBeforeItsLastStart() {
@@ -46,7 +50,7 @@
         assertThat(limitOfTwo.isUrgent(SECOND_NANOS + 1, SECOND_NANOS), is(false));
     }
 
-    /** After the third crash the starts are counted, whatever the limit, and the fourth of these is not made. */
+    /** After the third crash, starts are counted regardless of the limit, and no fourth one is made. */
     @Test
     void boundsTheStartsAfterTheThirdCrash() {
         assertThat(CrashPolicy.isBounded(2), is(false));
@@ -56,7 +60,9 @@
         assertThat(CrashPolicy.hasUsedUpStarts(3, 3), is(true));
     }
 
-    /** An agent tells a crash until it is stored, also to the next owner: it is one crash. */
+    /**
+     * An agent repeats the report of a crash until it is stored, also to the next owner. It must count as one crash.
+     */
     @Test
     void crashReportedTwiceCountsOnce() {
         CrashCount once = CrashCount.NONE.withCrash(65);
--- a/library/src/test/java/org/chivetally/queue/placement/EntryCapacityShareTest.java
+++ b/library/src/test/java/org/chivetally/queue/placement/EntryCapacityShareTest.java
@@ -7,6 +7,10 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
+/**
+ * Guards the division of capacity among entries: an entry that assumes too little refuses jobs that could run, and one
+ * that assumes too much accepts jobs that end too late.
+ */
 class EntryCapacityShareTest {
     private static final long CAPACITY_MILLICORES = 90_000;
 
@@ -29,8 +33,8 @@
     }
 
     /**
-     * An entry that has told nothing yet may have as many callers as this one; taken for idle, both would take too
-     * many.
+     * An entry that has not reported yet may have as many callers as this one. If it were assumed idle, both would
+     * accept too many jobs.
      */
     @Test
     void entryWithoutReportIsAssumedToHaveTheSameDemand() {
--- a/library/src/test/java/org/chivetally/queue/placement/FairShareOrderTest.java
+++ b/library/src/test/java/org/chivetally/queue/placement/FairShareOrderTest.java
@@ -20,6 +20,10 @@
 import org.chivetally.queue.share.QueueLoads;
 import org.junit.jupiter.api.Test;
 
+/**
+ * Guards the order of placement when queues share the processors of a service: no queue may lose its share to a burst
+ * of another, and jobs must not be left half started.
+ */
 class FairShareOrderTest {
     private static final long SECOND_NANOS = Duration.ofSeconds(1).toNanos();
     private static final long TASK_MILLICORES = Jobs.SIX_CORES.processorMillis();
@@ -44,7 +48,7 @@
                 "reports", new FairShares(capacityMillicores, ownLoads, new QueueLoads()), ownLoads, 64);
     }
 
-    /** Returns the jobs of the tasks that a pass with room for all of them places, in order. */
+    /** Returns the jobs of the tasks in the order in which a pass places them when there is room for all. */
     private static List<String> placeAll(FairShareOrder order, int maximumTasks) {
         List<String> jobs = new ArrayList<>();
         for (Optional<Task> next = order.next(); next.isPresent() && jobs.size() < maximumTasks; next = order.next()) {
@@ -55,8 +59,8 @@
     }
 
     /**
-     * A burst of the first queue by priority asks for all there is. In the usual order the second queue would get
-     * nothing until the burst is over, though it asks for less than half.
+     * A burst of the queue with the highest priority demands all processors. Ordered by priority alone, the second
+     * queue would get nothing until the burst is over, although it demands less than half.
      */
     @Test
     void queueBelowItsSharePrecedesBurstOfHigherPriority() {
@@ -68,7 +72,10 @@
                 contains("steady", "steady", "burst", "burst", "burst", "burst", "burst", "burst"));
     }
 
-    /** Each placed task counts at once: a queue that reaches its share within a pass leaves the rest to the other. */
+    /**
+     * Each placed task counts at once, so a queue that reaches its share within a pass leaves the remaining room to the
+     * other.
+     */
     @Test
     void queueThatReachesItsShareWithinPassYieldsToOthers() {
         job("burst", 0, 6, 0);
@@ -76,6 +83,7 @@
         assertThat(placeAll(order(4 * TASK_MILLICORES), 5), contains("burst", "burst", "steady", "steady", "burst"));
     }
 
+    /** Fair shares must not change the order while there is room for all tasks. */
     @Test
     void orderIsByPriorityAndAgeWhileAllQueuesAreBelowTheirShares() {
         job("late", 0, 2, 5);
@@ -84,7 +92,9 @@
         assertThat(placeAll(order(60 * TASK_MILLICORES), 9), contains("first", "late", "late", "other"));
     }
 
-    /** Jobs that nobody counts as served any more must not take the room of others by their queue's share. */
+    /**
+     * Tasks of jobs that would end too late must not take the room of others, even if their queue is below its share.
+     */
     @Test
     void tooLateTasksComeLastRegardlessOfShares() {
         ownLoads.add("queue-0", 6 * TASK_MILLICORES, 0);
@@ -93,7 +103,10 @@
         assertThat(placeAll(order(6 * TASK_MILLICORES), 9), contains("burst", "burst", "hopeless"));
     }
 
-    /** The first queue's tasks fit nowhere, as there is no worker with their label; the other queue has room. */
+    /**
+     * No worker has the label that the first queue's tasks require. If their misses ended the pass, the other queue
+     * would get no room although there is some.
+     */
     @Test
     void tasksWithoutEligibleWorkerDoNotEndPassForOtherQueues() {
         StepTraits traits = new StepTraits(false, false, false, "absent", "", 0, false, false, "", 0);
@@ -109,7 +122,7 @@
         assertThat(order.next().orElseThrow().job().specification().id(), is("fits"));
     }
 
-    /** With all workers full a pass would look at each of them for each of the first tasks of each queue. */
+    /** When all workers are full, a pass would otherwise try each of them for each of the first tasks of each queue. */
     @Test
     void tasksAsLargeAsOneWithoutRoomAreSkipped() {
         job("large", 0, 20, 0);
@@ -120,7 +133,9 @@
         assertThat(order.next(), is(Optional.empty()));
     }
 
-    /** Of two equal jobs one has a task running. Placed by age, both would wait for their last task. */
+    /**
+     * Of two equal jobs the younger one has a task running. Ordered by age, both jobs would wait for their last task.
+     */
     @Test
     void startedJobPrecedesOlderJobThatHasNotStarted() {
         Job older = job("older", 0, 2, 0);
@@ -133,8 +148,8 @@
     }
 
     /**
-     * All starts of a job were turned down. Kept before the others, it would go on with the longer wait of a running
-     * job.
+     * All starts of a job were refused. If it still counted as started, it would stay ahead of others, and could wait
+     * as long as a running job does.
      */
     @Test
     void jobWhoseStartsWereAllRefusedCountsAsNotStarted() {
@@ -151,7 +166,7 @@
         assertThat(older.tasks().size(), is(1));
     }
 
-    /** Without shares, the order must stay as it was: the oldest first, begun or not. */
+    /** Without fair shares, the oldest job comes first, whether it is started or not. */
     @Test
     void oldestJobComesFirstWithoutFairShares() {
         WaitingTasks withoutShares = new WaitingTasks();
--- a/library/src/test/java/org/chivetally/queue/placement/FleetSimulation.java
+++ b/library/src/test/java/org/chivetally/queue/placement/FleetSimulation.java
@@ -24,9 +24,9 @@
 import org.chivetally.queue.speed.RunStretch;
 
 /**
- * Replays a day of callers who wait on a fleet of uneven workers, with virtual time: eight entries that each see the
- * workers by their reports alone, agents that refuse what does not fit, three queues, estimates off by 40%, and one run
- * in 33 that takes seven times as long.
+ * Discrete-event simulation of a fleet with workers of different speeds, in virtual time. Eight entries know the
+ * workers only by their reports, and agents refuse starts that don't fit. Three queues have estimates that are off by
+ * 40%, and one run in 33 takes seven times as long as usual.
  */
 final class FleetSimulation {
     static final String SERVICE = "reports";
@@ -34,26 +34,44 @@
     static final int DOMAINS = 4;
 
     private static final long MILLISECOND_NANOS = 1_000_000;
+    /** Transmission time of a frame between entry and agent. */
     private static final long FRAME_DELAY_NANOS = 900_000;
+    /** Longest time until an agent detects the end of a run. */
     private static final long MAXIMUM_END_DETECTION_DELAY_NANOS = 15 * MILLISECOND_NANOS;
+
     private static final long HEARTBEAT_INTERVAL_NANOS = 250 * MILLISECOND_NANOS;
+    /** Delay after which an agent reports freed room while its room is scarce. */
     private static final long REPORT_INTERVAL_NANOS = 60 * MILLISECOND_NANOS;
+    /** Time for which an agent keeps a start that doesn't fit before it refuses it. */
     private static final long START_WAIT_NANOS = 30 * MILLISECOND_NANOS;
+
     private static final int MAXIMUM_WAITING_STARTS = 2;
+    /** Network time between caller and entry, which counts towards the response time. */
     private static final double CALLER_NETWORK_NANOS = 6 * MILLISECOND_NANOS;
+
     private static final double ESTIMATE_ERROR = 0.4;
     private static final double LONG_RUN_SHARE = 0.03;
     private static final double LONG_RUN_FACTOR = 7;
+    /** Relative amplitude of the periodic demand in each failure domain. */
     private static final double DEMAND_AMPLITUDE = 0.55;
+
     private static final double DEMAND_PERIOD_SECONDS = 17;
 
-    /** Most waiting tasks looked at, and most without a fitting worker, in a pass; as an entry does. */
+    /** Waiting tasks that a pass examines, and misses after which it ends; the same values as those of an entry. */
     private static final int TASKS_PER_PASS = 64;
 
     private static final int MISSES_PER_PASS = 8;
     private static final long PASS_INTERVAL_NANOS = 5 * MILLISECOND_NANOS;
 
-    /** A queue of equal jobs. */
+    /**
+     * A queue with jobs of equal size.
+     *
+     * @param priority priority and index of the queue
+     * @param tasks tasks of each job
+     * @param taskMillis true duration of each task in milliseconds on a worker of speed 1
+     * @param taskMillicores processors of each task
+     * @param jobsPerSecond mean arrival rate of the base load
+     */
     record Workload(int priority, int tasks, int taskMillis, int taskMillicores, double jobsPerSecond) {}
 
     static final List<Workload> WORKLOADS = List.of(
@@ -61,7 +79,7 @@
             new Workload(1, 2, 243, 4_800, 369),
             new Workload(2, 4, 1_086, 4_800, 23.1));
 
-    /** What became of the jobs of a queue. */
+    /** Counts of the ended jobs of a queue. */
     static final class JobCounts {
         int jobs;
         int inTime;
@@ -71,13 +89,16 @@
             return (double) inTime / jobs;
         }
 
-        /** Returns the share by the true duration of the longest task, which the entries don't know. */
+        /**
+         * Returns the share of jobs within an objective that is derived from the true duration of the tasks instead of
+         * the estimate. The entries don't know it.
+         */
         double inTimeShareByTrueDuration() {
             return (double) inTimeByTrueDuration / jobs;
         }
     }
 
-    /** One start, as it was sent. */
+    /** A start that an entry sent. */
     record Placement(long atNanos, int entry, int worker) {}
 
     private record Event(long atNanos, long number, Runnable action) {}
@@ -88,14 +109,16 @@
     final List<Agent> agents = new ArrayList<>();
     int refusedStarts;
 
-    /** Whether the jobs that come now count in the tallies. */
+    /** Whether jobs that arrive now are counted. */
     boolean countsArrivals;
 
     private final Set<Job> countedJobs = new HashSet<>();
-    /** Demand of all queues, as a multiple of that of column B. */
+    /** Factor on the demand of all queues in the base load. */
     double demandFactor = 1;
 
+    /** Additional factor on the demand of one queue. */
     double burstFactor = 1;
+
     int burstQueue;
 
     private final boolean learnsSpeeds;
@@ -108,9 +131,10 @@
     private long jobNumber;
 
     /**
-     * Creates a fleet that begins to work.
+     * Creates an idle fleet.
      *
-     * @param seed callers and tasks are the same for the same seed
+     * @param learnsSpeeds whether entries place tasks by learned speeds
+     * @param seed seed of arrivals and durations; the same seed gives the same jobs
      * @param speeds relative speed of the workers by kind
      */
     FleetSimulation(boolean learnsSpeeds, long seed, double... speeds) {
@@ -207,7 +231,7 @@
         return "domain-" + number % DOMAINS;
     }
 
-    /** One entry with its own view of the workers. */
+    /** An entry with its own state of the workers. */
     final class Entry {
         final int number;
         final PlacementPolicy policy;
@@ -303,13 +327,13 @@
             schedulePass();
         }
 
-        /** Returns how far the speeds of the workers lie apart, as the entry knows them now. */
+        /** Returns the ratio of run durations between slow and fast workers, as the entry knows it now. */
         double speedSpread() {
             policy.newPass(workers, nowNanos);
             return policy.speedSpread();
         }
 
-        /** Looks for overdue runs, as an entry does with each of its heartbeats. */
+        /** Marks overdue runs, as an entry does with each of its heartbeats. */
         private void findOverdueRuns() {
             for (Worker worker : workers) {
                 worker.markNewlyOverdue(nowNanos);
@@ -321,7 +345,7 @@
     /** A start that waits for room at its agent. */
     private record WaitingStart(Entry entry, Worker.SentStart sent) {}
 
-    /** One worker and its agent. */
+    /** A worker and its agent. */
     final class Agent {
         final int number;
         final Room capacity;
@@ -426,7 +450,7 @@
         }
     }
 
-    /** Returns the starts that a worker got in a span of time. */
+    /** Returns the number of starts that were sent to a worker within a time span. */
     int countStarts(int worker, double fromSeconds, double toSeconds) {
         int count = 0;
         for (Placement placement : placements) {
--- a/library/src/test/java/org/chivetally/queue/placement/LearnedSpeedsSimulationTest.java
+++ b/library/src/test/java/org/chivetally/queue/placement/LearnedSpeedsSimulationTest.java
@@ -11,22 +11,25 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Replays the load that learned speeds answer: workers that differ by 2.4 and look alike by their room. */
+/**
+ * Simulates the situation for which speeds are learned: workers that differ by a factor of 2.4 in speed and look alike
+ * by their free room.
+ */
 class LearnedSpeedsSimulationTest {
     private static final double[] DIFFERENT_SPEEDS = {0.7, 0.7, 1.7};
 
     private static final long SEED = 11;
 
-    /** Speeds of a fleet whose jobs are in time on any worker. */
+    /** Speeds of a fleet on which jobs are on time on any worker. */
     private static final double[] SIMILAR_SPEEDS = {0.8, 1, 1.25};
 
-    /** A worker of the fast kind, and all others of it. */
+    /** Index of one worker of the fast kind. */
     private static final int FAST_WORKER = 2;
 
     private static final int KINDS = 3;
     private static final int FAST_WORKERS = 17;
 
-    /** Deviation of a share that chance explains: three times the standard error of 2,500 jobs. */
+    /** Deviation of a share that chance explains: three times the standard error for 2,500 jobs. */
     private static final double SHARE_TOLERANCE = 0.025;
 
     private static FleetSimulation simulateBursts(boolean learnsSpeeds, long seed) {
@@ -57,9 +60,9 @@
     }
 
     /**
-     * Twice the demand takes four fifths of all workers, with peaks above what they can do. While short work left fast
-     * workers to what came later, and long work waited for them at the mere risk of being late, a fifth of the longest
-     * jobs was lost for it.
+     * Twice the base load uses four fifths of all workers, with peaks above the capacity. When short tasks left fast
+     * workers to later tasks, and long tasks waited for them at the mere risk of being late, this cost a fifth of the
+     * longest jobs.
      */
     @Test
     void noQueueIsWorseOffUnderOverload() {
@@ -78,8 +81,8 @@
     }
 
     /**
-     * Demand swings by 55% in each failure domain and each queue has a burst of 1.6 times. By free room alone a third
-     * of the longest jobs is late, as one of their four tasks is on a slow worker.
+     * Demand varies by 55% in each failure domain, and each queue has a burst of 1.6 times its demand. Placed by free
+     * room alone, a third of the longest jobs are late, as one of their four tasks is on a slow worker.
      */
     @ParameterizedTest
     @ValueSource(longs = {SEED, 31})
@@ -93,7 +96,7 @@
         assertThat((double) withSpeeds.refusedStarts / withSpeeds.placements.size(), is(lessThan(0.04)));
     }
 
-    /** Nothing changes where all workers are fast enough: each task goes where it would have gone. */
+    /** Where all workers are fast enough, each task is placed as it would be without learned speeds. */
     @Test
     void placesByFreeRoomWhereSpeedsAreSimilar() {
         FleetSimulation withoutSpeeds = new FleetSimulation(false, SEED, SIMILAR_SPEEDS);
@@ -113,8 +116,8 @@
     }
 
     /**
-     * A fast worker is slowed to a fifth. Its tasks make their jobs late, so it has to be left soon, and has to get its
-     * part again when it has recovered.
+     * A fast worker is slowed to a fifth of its speed. Its tasks make their jobs late, so it must soon be avoided, and
+     * must get its share again after it has recovered.
      */
     @Test
     void avoidsAWorkerWhileItIsSlow() {
@@ -135,8 +138,8 @@
     }
 
     /**
-     * An agent of an earlier release reports no speed. Its worker is taken for one of its kind, not for the best or
-     * worst.
+     * An agent of an earlier release reports no speed. Its worker must count as an average worker of its kind, and not
+     * as the best or worst.
      */
     @Test
     void treatsAWorkerWithoutReportedSpeedAsOneOfItsKind() {
@@ -148,7 +151,7 @@
                 is(both(greaterThan(0.7)).and(lessThan(1.4))));
     }
 
-    /** An entry that has just started places by what agents have learned with others, not by what it learns itself. */
+    /** A new entry places tasks by what agents have learned from the runs of other entries, not only by its own. */
     @Test
     void newEntryLearnsSpeedsFromTheFirstReports() {
         FleetSimulation simulation = new FleetSimulation(true, SEED, DIFFERENT_SPEEDS);
--- a/library/src/test/java/org/chivetally/queue/placement/OverloadSimulationTest.java
+++ b/library/src/test/java/org/chivetally/queue/placement/OverloadSimulationTest.java
@@ -25,20 +25,23 @@
 import org.chivetally.queue.Task;
 import org.junit.jupiter.api.Test;
 
-/** Replays of the loads that the decisions answer, with a service that has nothing to spare. */
+/**
+ * Simulates the overload situations for which the placement and admission rules exist, on a service without spare
+ * capacity.
+ */
 class OverloadSimulationTest {
     private static final long MILLISECOND_NANOS = Duration.ofMillis(1).toNanos();
 
-    /** Objective of {@link Jobs}: 1.6 times the work of 100 ms, and 60 ms more. */
+    /** Objective of {@link Jobs}: 1.6 times the work of 100 ms, plus 60 ms. */
     private static final long OBJECTIVE_NANOS = 220 * MILLISECOND_NANOS;
 
-    /** Latest end that is worth anything. */
+    /** Latest end of a job that is worth anything. */
     private static final long LATE_LIMIT_NANOS = 3 * OBJECTIVE_NANOS;
 
     private static final Room CAPACITY = new Room(60_000, 131_072, 0);
     private static final int WORKERS = 11;
 
-    /** Tasks of {@link Jobs} that a worker holds at once. */
+    /** Tasks of {@link Jobs} that fit on a worker at once. */
     private static final int TASKS_PER_WORKER = 10;
 
     private final PriorityQueue<Run> running = new PriorityQueue<>(Comparator.comparing(Run::endNanos));
@@ -62,9 +65,9 @@
     }
 
     /**
-     * All power was lost for a second, and callers come on at 99% of what the workers can do. Oldest first, the second
-     * of backlog stays for good and every job waits about as long as its objective allows, so half are late. Jobs that
-     * have missed theirs give way, and after a moment the others are served in time again.
+     * After a loss of power for one second, callers continue at 99% of the capacity. Served by age, the backlog of one
+     * second would persist, every job would wait about as long as its objective allows, and half would be late. Jobs
+     * that have missed their objective come later instead, and soon the others are served on time again.
      */
     @Test
     void persistentBacklogDoesNotMakeEveryJobLate() {
@@ -84,8 +87,8 @@
     }
 
     /**
-     * One of eleven workers fails every run at once, as the rest are full. It has room all the time and would fail a
-     * part of every job that waits, twice, and a job whose task has failed twice is failed for good.
+     * One of eleven workers fails every run at once while the others are full. It always has room and would fail some
+     * tasks of every waiting job twice, and a job fails for good when one of its tasks has failed twice.
      */
     @Test
     void workerThatFailsEveryRunDoesNotFailJobs() {
@@ -99,9 +102,9 @@
     }
 
     /**
-     * A burst of half as much again as the workers can do. A third of the jobs can't be served by anyone; held until
-     * they are hopeless, their callers would wait for up to twice the objective in vain. They are told within it, and
-     * no fewer are served in time.
+     * In a burst at 150% of the capacity, a third of the jobs can't be served. If they were kept until they are too
+     * late, their callers would wait in vain for up to twice the objective. They must be refused within the objective,
+     * with no fewer jobs served on time.
      */
     @Test
     void unservableJobsInABurstAreRefusedWithinTheObjective() {
--- a/library/src/test/java/org/chivetally/queue/placement/PlacementDecisionsTest.java
+++ b/library/src/test/java/org/chivetally/queue/placement/PlacementDecisionsTest.java
@@ -21,6 +21,7 @@
 import org.chivetally.queue.Task;
 import org.junit.jupiter.api.Test;
 
+/** Guards single decisions on placement, worker health, order and admission without learned speeds or fair shares. */
 class PlacementDecisionsTest {
     private static final Room CAPACITY = new Room(64_000, 131_072, 0);
     private static final PlacementPolicy POLICY = new PlacementPolicy("south", new SplittableRandom(1));
@@ -86,7 +87,7 @@
         assertThat(POLICY.newPass(List.of(worker), 1).choose(second), is(Optional.empty()));
     }
 
-    /** The data of the task is on one rack. A worker there is chosen before a freer one elsewhere. */
+    /** The data of the task is on one rack. A worker there is preferred to one elsewhere with more free room. */
     @Test
     void prefersTheRackOfTheData() {
         Worker near = new Worker("near", 0);
@@ -106,6 +107,7 @@
         assertThat(POLICY.newPass(workers, 1).choose(task("j", traits("", "rack-2", 0))), is(Optional.of(near)));
     }
 
+    /** The agent's report is older than the entry's last start, so the reported free room is partly taken. */
     @Test
     void subtractsOwnStartsThatTheAgentHasNotReportedYet() {
         Worker worker = worker("a", 11_000);
@@ -114,8 +116,8 @@
     }
 
     /**
-     * At full load eight workers report room for one task each, and three entries see it at once. If all choose the
-     * same one, two of three starts are refused; at random, about one in four.
+     * Under full load, eight workers report room for one task each, and three entries learn of it at once. If all chose
+     * the same worker, two of three starts would be refused; with a random choice it is about one in four.
      */
     @Test
     void entriesRarelyChooseTheSameWorkerWhenRoomIsScarce() {
@@ -139,7 +141,8 @@
     }
 
     /**
-     * Frames between failure domains are priced; a worker that is as good and near is chosen before one that is far.
+     * Frames between failure domains are charged for, so a nearby worker is preferred to one that is only slightly
+     * emptier.
      */
     @Test
     void prefersAWorkerOfItsOwnFailureDomain() {
@@ -158,8 +161,8 @@
     }
 
     /**
-     * One worker fails all that it starts. It always has the most room, so it would get every task and fail it; after
-     * three failures of different jobs it gets nothing while another worker has room.
+     * One worker fails every run, and so always has the most free room and would get every task. After failures of
+     * three different jobs it gets no starts while another worker has room.
      */
     @Test
     void avoidsAWorkerThatFailsEveryRun() {
@@ -175,8 +178,9 @@
     }
 
     /**
-     * One worker is slowed to a sixth. Its runs last beyond three times their estimate while those elsewhere end in
-     * time; after three of them it gets nothing as long as others have room, and some seconds later it is tried again.
+     * One worker is slowed to a sixth of its speed. Its runs last more than three times their estimate while those
+     * elsewhere end in time. After three such runs it gets no starts while others have room, and some seconds later it
+     * is tried again.
      */
     @Test
     void avoidsAWorkerWhoseRunsLastTooLong() {
@@ -195,7 +199,7 @@
         assertThat(POLICY.newPass(List.of(slow, good), afterAvoidance).choose(task("k")), is(Optional.of(slow)));
     }
 
-    /** Estimates are rough, so a run now and then lasts three times as long. That says nothing about its worker. */
+    /** As estimates are inaccurate, single runs last three times as long, which says nothing about the worker. */
     @Test
     void doesNotAvoidAWorkerForAFewLongRuns() {
         Worker worker = worker("a", 60_000);
@@ -208,7 +212,7 @@
         assertThat(worker.health().isSlow(), is(false));
     }
 
-    /** Jobs that can never be done fail on every worker. They must not make the workers look bad. */
+    /** Jobs that can never succeed fail on every worker. They must not make the workers look unhealthy. */
     @Test
     void doesNotAvoidAWorkerForRepeatedFailuresOfOneJob() {
         Worker worker = worker("a", 60_000);
@@ -219,8 +223,8 @@
     }
 
     /**
-     * A burst: a hundred jobs wait, and the oldest have run out of time. Those that can still make it go first, by
-     * priority and age; without that, the whole backlog would be late one after the other.
+     * In a burst a hundred jobs wait and the oldest can no longer end in time. Jobs that still can come first, by
+     * priority and age; otherwise the whole backlog would be late, one job after the other.
      */
     @Test
     void placesJobsThatCanEndInTimeBeforeThoseTooLate() {
@@ -246,7 +250,8 @@
     }
 
     /**
-     * The backlog is longer than the caller waits: it is told at once when to come back, not at the end of its time.
+     * The backlog takes longer than the caller waits. The caller is told at once when to retry, and not at the end of
+     * its deadline.
      */
     @Test
     void refusesAJobThatWouldStartTooLate() {
--- a/library/src/test/java/org/chivetally/queue/placement/SpeedPlacementTest.java
+++ b/library/src/test/java/org/chivetally/queue/placement/SpeedPlacementTest.java
@@ -18,18 +18,18 @@
 import org.chivetally.queue.speed.LearnedStretch;
 import org.junit.jupiter.api.Test;
 
-/** Single decisions by learned speeds: workers of stretch 0.6 and 1.5, tasks of six cores. */
+/** Placement by learned speeds, one decision at a time: workers of stretch 0.6 and 1.5, tasks of six cores. */
 class SpeedPlacementTest {
     private static final Room CAPACITY = new Room(60_000, 131_072, 0);
     private static final long MILLISECOND_NANOS = 1_000_000;
 
-    /** Neither scarce nor all. */
+    /** Free room that is not scarce, on a worker that is partly used. */
     private static final int SPARE_MILLICORES = 30_000;
 
-    /** Room for one task, which all entries compete for. */
+    /** Free room for one task, which is scarce and so contended by all entries. */
     private static final int SCARCE_MILLICORES = 7_000;
 
-    /** Room for no task. */
+    /** Free room that is too small for any task. */
     private static final int FULL_MILLICORES = 1_000;
 
     private final PlacementPolicy policy =
@@ -65,6 +65,7 @@
                 : decision.worker().map(Worker::kind).orElse("no room");
     }
 
+    /** The slow worker has more free room, but is not needed while the fast one has spare room. */
     @Test
     void prefersFastWorkersWhileTheyHaveRoomToSpare() {
         worker("slow", 60_000);
@@ -74,8 +75,8 @@
     }
 
     /**
-     * The last room of fast workers is for those that need it: 50 ms last 75 ms on a slow worker and may last 140,
-     * while 2 s last 3 s there and may last 3.26.
+     * The last room of fast workers is left to tasks that need it. A task of 50 ms lasts 75 ms on a slow worker and may
+     * last 140; one of 2 s lasts 3 s there and may last 3.26.
      */
     @Test
     void reservesScarceFastRoomForTasksThatWouldBeLateElsewhere() {
@@ -85,7 +86,7 @@
         assertThat(chosenKind(task(2_000), 0), is("fast"));
     }
 
-    /** With half of its objective gone, also a short task would be late on a slow worker. */
+    /** When half of the objective has passed, even a short task would be late on a slow worker. */
     @Test
     void placesTasksOfADelayedJobOnFastWorkers() {
         worker("slow", SPARE_MILLICORES);
@@ -93,9 +94,7 @@
         assertThat(chosenKind(task(50), 60), is("fast"));
     }
 
-    /**
-     * Under overload, work that is left to slow workers for the sake of what comes later makes more late than it saves.
-     */
+    /** Under overload, leaving fast workers to later tasks makes more tasks late than it saves. */
     @Test
     void choosesTheFastestWorkerWhenAllRoomIsScarce() {
         worker("slow", SCARCE_MILLICORES);
@@ -118,8 +117,8 @@
     }
 
     /**
-     * A fast worker ends a run of 30 ms every 3 ms. A task that has waited 0.4 s would end on the slow one after 3.4 s,
-     * later than its objective of 3.26 s; it gets the fast one's room in time.
+     * The fast worker ends a run of 30 ms every 3 ms. A task that has waited 0.4 s would end after 3.4 s on the slow
+     * worker, past its objective of 3.26 s, and gets room on the fast worker in time.
      */
     @Test
     void waitsForAFastWorkerThatWillHaveRoomInTime() {
@@ -129,7 +128,7 @@
         assertThat(chosenKind(task(50), 0), is("slow"));
     }
 
-    /** On the slow worker it may be late, if its estimate is too low, but it would rather be in time. */
+    /** On the slow worker, the task is late only if its estimate is too low, which is no reason to wait. */
     @Test
     void doesNotWaitWhenTheTaskIsExpectedInTime() {
         worker("slow", SPARE_MILLICORES);
@@ -138,7 +137,7 @@
     }
 
     /**
-     * Runs of several seconds hold the fast worker. The task would be late there too, so it is done where there is
+     * Runs of several seconds use the fast worker. The task would be late there too, so it is placed where there is
      * room.
      */
     @Test
@@ -148,7 +147,7 @@
         assertThat(chosenKind(task(2_000), 0), is("slow"));
     }
 
-    /** The objective is missed anywhere, but the job is still worth something. */
+    /** The job misses its objective on any worker but is still worth something. */
     @Test
     void choosesASlowWorkerForAJobThatIsLateOnAnyWorker() {
         worker("slow", SPARE_MILLICORES);
@@ -156,7 +155,10 @@
         assertThat(chosenKind(task(2_000), 3_000), is("slow"));
     }
 
-    /** Tasks that wait for the same fast worker get its room one after the other. */
+    /**
+     * Tasks that wait for the same fast worker get its room one after another, so each of them adds to the wait of the
+     * next.
+     */
     @Test
     void accountsForTasksAlreadyWaitingForAFastWorker() {
         worker("slow", 60_000);
@@ -169,7 +171,7 @@
         assertThat(deferred > 1 && deferred < 20, is(true));
     }
 
-    /** The rack of a task's data outweighs speed, as it outweighs room. */
+    /** The rack of a task's data outweighs speed, as it outweighs free room. */
     @Test
     void prefersTheRackOfTheDataOverSpeed() {
         worker("slow", SPARE_MILLICORES, "rack-2");
@@ -181,6 +183,7 @@
         assertThat(chosenKind(job.tasks().getFirst(), 0), is("slow"));
     }
 
+    /** Without an estimate nothing is known about the end of the task on either worker. */
     @Test
     void placesByFreeRoomWithoutAnEstimate() {
         worker("slow", 60_000);
@@ -189,7 +192,7 @@
         assertThat(decide(task(0), 0).bySpeed(), is(false));
     }
 
-    /** A queue that allows for more than the workers differ is placed by room. */
+    /** The queue's slack factor exceeds the ratio between slow and fast workers, so speeds don't matter. */
     @Test
     void placesByFreeRoomWhenTheSlackFactorCoversTheSpread() {
         worker("slow", 60_000);
@@ -201,8 +204,8 @@
     }
 
     /**
-     * Workers come and go between two computations of the speeds. Classes of an earlier set of workers must not be
-     * taken for those of the present one.
+     * Workers come and go between two computations of the speeds. Classes of an earlier set of workers must not be used
+     * for the current one.
      */
     @Test
     void recomputesClassesWhenWorkersComeAndGo() {
@@ -218,7 +221,7 @@
         assertThat(chosenKind(task(50), 3), is("no room"));
     }
 
-    /** A slow kind of worker is not sick: its runs last 2.5 times their estimate by nature. */
+    /** A slow kind of worker is not unhealthy: its runs usually last 2.5 times as long as on the fast kind. */
     @Test
     void doesNotTreatASlowKindAsUnhealthy() {
         Worker slow = worker("slow", SPARE_MILLICORES);
--- a/library/src/test/java/org/chivetally/queue/share/FairSharesTest.java
+++ b/library/src/test/java/org/chivetally/queue/share/FairSharesTest.java
@@ -7,6 +7,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
+/** Guards that entries compute consistent shares of a service's queues, also when some are unreachable. */
 class FairSharesTest {
     private static final String SERVICE = "reports";
     private static final long SECOND_NANOS = Duration.ofSeconds(1).toNanos();
@@ -29,7 +30,7 @@
         peerLoads.recordReport(entry, Map.of(SERVICE, loads), false, nowNanos);
     }
 
-    /** Entries that are told the same must come to the same shares, or each would take a queue for the poorer one. */
+    /** Entries with the same reports must compute the same shares; otherwise they would prefer different queues. */
     @Test
     void allEntriesComputeTheSameShares() {
         QueueLoads first = loads(10_000, 60_000);
@@ -58,8 +59,8 @@
     }
 
     /**
-     * An entry is cut off from two others. Taking them for gone, it would claim the whole service for its own queues,
-     * and so would they.
+     * An entry loses its links to two others. If it considered them stopped, it would claim the whole service for its
+     * own queues, and so would they.
      */
     @Test
     void isolatedEntryFallsBackToAnEqualPart() {
@@ -72,7 +73,7 @@
         assertThat(shares(90_000, own, 31 * SECOND_NANOS).ownShare("long"), is(90_000L));
     }
 
-    /** Those that still hear each other must leave the parts of those out of reach, which go on with them. */
+    /** Entries that still reach each other must leave equal parts to unreachable ones, which continue to use them. */
     @Test
     void othersLeaveAnEqualPartToAnUnreachableEntry() {
         recordReport("second", loads(0, 60_000), 0);
@@ -81,6 +82,7 @@
         assertThat(shares(90_000, loads(0, 60_000), 5 * SECOND_NANOS).share("long"), is(60_000L));
     }
 
+    /** An entry that has announced its stop uses no processors afterwards, so none are reserved for it. */
     @Test
     void noPartIsLeftToAnEntryThatHasAnnouncedItsStop() {
         peerLoads.recordReport("second", Map.of(SERVICE, loads(0, 60_000)), true, 0);
--- a/library/src/test/java/org/chivetally/queue/share/MaxMinFairnessTest.java
+++ b/library/src/test/java/org/chivetally/queue/share/MaxMinFairnessTest.java
@@ -13,6 +13,10 @@
 import net.jqwik.api.constraints.Size;
 import org.junit.jupiter.api.Test;
 
+/**
+ * Guards that a queue's burst is limited to capacity that the others leave unused, and that the whole capacity is
+ * allocated.
+ */
 class MaxMinFairnessTest {
     private static final long MAXIMUM_CAPACITY = 100_000_000L;
 
@@ -22,7 +26,10 @@
         return MaxMinFairness.allocate(capacity, demands, weights);
     }
 
-    /** The longest work asks for 2.3 times its normal demand; the other queues must not lose any of theirs. */
+    /**
+     * The queue with the longest tasks demands 2.3 times its normal amount. The other queues must keep their whole
+     * demand.
+     */
     @Test
     void burstOfOneQueueDoesNotReduceTheSharesOfOthers() {
         assertThat(allocateEqually(2_000, 327, 793, 1_026), is(new long[] {327, 793, 880}));
@@ -40,7 +47,10 @@
                 is(new long[] {540, 270, 90}));
     }
 
-    /** The rest of a division by whole units went to the last claimant, which then had more than it demanded. */
+    /**
+     * The remainder of the division into whole units was once allocated to the last claimant, which then had more than
+     * its demand.
+     */
     @Test
     void roundingRemainderDoesNotExceedAnyDemand() {
         assertThat(
@@ -55,7 +65,7 @@
         assertThat(allocateEqually(7), is(new long[] {}));
     }
 
-    /** Laws of the division, up to the rounding to whole units. */
+    /** Properties of max-min fairness, up to rounding to whole units. */
     @Property
     void sharesStayWithinDemandsAndUseAllCapacity(
             @ForAll @LongRange(min = 0, max = MAXIMUM_CAPACITY) long capacity,
@@ -80,7 +90,7 @@
         assertUnsatisfiedClaimantsHaveTheLargestSharesByWeight(demands, weights, shares);
     }
 
-    /** One that gets less than it demands has, by weight, at least as much as every other one. */
+    /** A claimant that gets less than its demand has at least as much as every other one, relative to its weight. */
     private static void assertUnsatisfiedClaimantsHaveTheLargestSharesByWeight(
             long[] demands, long[] weights, long[] shares) {
         for (int unsatisfied = 0; unsatisfied < demands.length; unsatisfied++) {
--- a/library/src/test/java/org/chivetally/queue/share/QueueAdmissionTest.java
+++ b/library/src/test/java/org/chivetally/queue/share/QueueAdmissionTest.java
@@ -18,6 +18,7 @@
 import org.chivetally.queue.Jobs;
 import org.junit.jupiter.api.Test;
 
+/** Guards that jobs are refused by the backlog of their own queue, and that retries after a refusal succeed. */
 class QueueAdmissionTest {
     private static final long SECOND_NANOS = Duration.ofSeconds(1).toNanos();
     private static final long CAPACITY_MILLICORES = 64_000;
@@ -31,7 +32,7 @@
         assertThat(QueueAdmission.refuse(job("j"), 0, 500 * 64, CAPACITY_MILLICORES, false), is(Optional.empty()));
     }
 
-    /** The caller is told at once, not at the end of its time. */
+    /** The caller is told at once when to retry, and not at the end of its deadline. */
     @Test
     void refusesAJobThatWouldStartTooLate() {
         Duration retry = QueueAdmission.refuse(job("j"), 0, 3_000 * 64, CAPACITY_MILLICORES, false)
@@ -45,7 +46,10 @@
         assertThat(QueueAdmission.refuse(job("j"), 0, 3_000 * 64, 0, false), is(Optional.empty()));
     }
 
-    /** Refused again in favour of a new caller, one that does as it was told would never get a turn in a long burst. */
+    /**
+     * If retries were refused in favor of new jobs, a caller that retries as told would never be served during a long
+     * burst.
+     */
     @Property
     void retriedJobIsNotRefusedWhileANewOneIsAdmitted(
             @ForAll @LongRange(min = 0, max = 1_000_000) long workAhead,
@@ -59,7 +63,9 @@
         assertThat(retryRefused && !newRefused, is(false));
     }
 
-    /** The forecast is near the limit: estimates are off, so a new job is refused, but not one that comes back. */
+    /**
+     * The forecast is close to the limit. As estimates are inaccurate, a new job is refused, but a retry is admitted.
+     */
     @Test
     void admitsARetriedJobWithAForecastCloseToTheLimit() {
         long nearTheLimit = 700 * 64;
@@ -70,7 +76,7 @@
         assertThat(QueueAdmission.refuse(job("j"), 0, nearTheLimit, CAPACITY_MILLICORES, true), is(Optional.empty()));
     }
 
-    /** A hundred callers refused in one second would come back in one second, and most be refused again. */
+    /** A hundred jobs refused within one second would be retried within one second, and most of them refused again. */
     @Test
     void jobsRefusedTogetherGetDifferentRetryDelays() {
         Map<Long, Integer> jobsByDelayMillis = new TreeMap<>();
@@ -84,7 +90,7 @@
         assertThat(jobsByDelayMillis.get(2_000L), greaterThan(30));
     }
 
-    /** A backlog that no worker is known for must not tell a caller to come back next year. */
+    /** A backlog without any known worker must not result in a retry delay of a year. */
     @Test
     void retryDelayIsBounded() {
         assertThat(QueueAdmission.retryAfter("j", Long.MAX_VALUE / 2, 1).toSeconds(), lessThanOrEqualTo(45L));
--- a/library/src/test/java/org/chivetally/queue/share/RecentlyRefusedJobsTest.java
+++ b/library/src/test/java/org/chivetally/queue/share/RecentlyRefusedJobsTest.java
@@ -17,7 +17,7 @@
         assertThat(refused.contains("b", 5), is(false));
     }
 
-    /** Refusals come by the hundred in a second; all of them kept, they would fill an entry's memory. */
+    /** There are hundreds of refusals per second. If all were kept, they would fill the memory of the entry. */
     @Test
     void evictsTheOldestJobBeyondTheMaximum() {
         for (int number = 0; number <= RecentlyRefusedJobs.MAXIMUM_JOBS; number++) {
@@ -27,7 +27,7 @@
         assertThat(refused.contains("job-1", 9), is(true));
     }
 
-    /** One that comes back and is refused again has to be known for as long as before. */
+    /** A job that is retried and refused again must be remembered as long as after the first refusal. */
     @Test
     void jobRefusedAgainIsTheNewest() {
         refused.add("a", 0);
--- a/library/src/test/java/org/chivetally/queue/speed/EstimateCalibratorTest.java
+++ b/library/src/test/java/org/chivetally/queue/speed/EstimateCalibratorTest.java
@@ -7,6 +7,7 @@
 import java.util.Random;
 import org.junit.jupiter.api.Test;
 
+/** Guards against two errors: following estimates that say nothing about the task, and ignoring estimates that do. */
 class EstimateCalibratorTest {
     private static final double ESTIMATE_ERROR = 0.4;
 
@@ -28,7 +29,7 @@
         assertThat(calibrator.expectedMillis("queue", 0), is(0.0));
     }
 
-    /** All tasks last equally long, so an estimate of half of that says nothing of the task. */
+    /** All tasks have the same duration, so an estimate of half of it says nothing about the task. */
     @Test
     void ignoresEstimatesOfAQueueOfEqualTasks() {
         recordRuns("equal", 2_000, 0);
@@ -36,7 +37,7 @@
         assertThat(calibrator.expectedMillis("equal", 480), is(closeTo(250, 30)));
     }
 
-    /** Tasks differ by a factor of ten and more, so the estimates say nearly all. */
+    /** Durations differ by a factor of ten and more, so the estimates determine most of the expected duration. */
     @Test
     void followsEstimatesOfAQueueOfDifferentTasks() {
         recordRuns("different", 2_000, 1.2);
@@ -44,7 +45,7 @@
         assertThat(calibrator.expectedMillis("different", 2_430), is(closeTo(2_000, 400)));
     }
 
-    /** Three runs are no reason to distrust callers. */
+    /** Three runs are too few to ignore the estimates of callers. */
     @Test
     void followsEstimatesAfterAFewRuns() {
         recordRuns("fresh", 3, 0);
--- a/library/src/test/java/org/chivetally/queue/speed/KindStretchesTest.java
+++ b/library/src/test/java/org/chivetally/queue/speed/KindStretchesTest.java
@@ -10,6 +10,7 @@
 import java.util.Random;
 import org.junit.jupiter.api.Test;
 
+/** Guards the learned speeds of kinds and workers against few runs, idle kinds and damaged reports. */
 class KindStretchesTest {
     private static final LearnedStretch SLOW_STRETCH = new LearnedStretch(1_430, 60);
     private static final LearnedStretch FAST_STRETCH = new LearnedStretch(590, 60);
@@ -33,8 +34,8 @@
     }
 
     /**
-     * An agent that reports nothing, as an earlier release's, is taken for one of its kind, and an unknown kind for the
-     * mean.
+     * A worker whose agent reports no speed, such as one of an earlier release, gets the stretch of its kind, and an
+     * unknown kind the mean of all kinds.
      */
     @Test
     void workerWithoutReportHasTheStretchOfItsKind() {
@@ -44,7 +45,7 @@
         assertThat(kinds.stretch("never seen", LearnedStretch.UNKNOWN), is(closeTo(0.92, 0.05)));
     }
 
-    /** Two runs that last three times as long come by chance; sixty don't. */
+    /** Two runs that last three times as long occur by chance; sixty don't. */
     @Test
     void weighsAWorkerByTheNumberOfItsRuns() {
         learn(0, SLOW_STRETCH, FAST_STRETCH);
@@ -52,7 +53,10 @@
         assertThat(kinds.stretch("fast", new LearnedStretch(1_800, 60)), is(greaterThan(1.3)));
     }
 
-    /** A fast worker has just turned slow. It must not be the next best while its mean passes that of the slow kind. */
+    /**
+     * A fast worker has just become slow. While its mean rises past that of the slow kind, it must not count as the
+     * next best worker.
+     */
     @Test
     void workerSlowerThanItsKindRanksBelowTheSlowestKind() {
         learn(0, SLOW_STRETCH, FAST_STRETCH);
@@ -62,8 +66,8 @@
     }
 
     /**
-     * All work goes to the fast workers for minutes, so the slow ones tell of no runs. Taken for average they would get
-     * a share of it again.
+     * All tasks go to fast workers for minutes, so the slow ones report no new runs. If they counted as average, they
+     * would get a share of the tasks again.
      */
     @Test
     void retainsAKindWithoutNewRuns() {
@@ -73,14 +77,14 @@
         assertThat(kinds.stretch("slow"), is(closeTo(1.4, 0.1)));
     }
 
-    /** An entry that has just started hears of workers whose runs ended long ago. */
+    /** A new entry receives reports of workers whose runs all ended long ago. */
     @Test
     void learnsFromTheFirstReportsOfIdleWorkers() {
         learn(0, new LearnedStretch(1_430, 0), FAST_STRETCH);
         assertThat(kinds.stretch("slow") / kinds.stretch("fast"), is(greaterThan(1.8)));
     }
 
-    /** A damaged report must not make all workers of a kind look useless. */
+    /** A damaged report must not make a whole kind of workers look unusable. */
     @Test
     void limitsTheInfluenceOfOneReport() {
         learn(0, SLOW_STRETCH, FAST_STRETCH);
@@ -94,8 +98,8 @@
     }
 
     /**
-     * Kinds of speed 0.8, 1 and 1.25 differ by less than the slack factor of 1.6. With the error of 54 runs, the
-     * slowest worker of the slowest kind must not look slower than that beside the fastest.
+     * Kinds of stretch 0.8, 1 and 1.25 differ by less than the slack factor of 1.6. With the error of 54 runs, the
+     * slowest worker of the slowest kind must not seem to differ by more than that from the fastest.
      */
     @Test
     void samplingErrorDoesNotCountAsSpread() {
--- a/library/src/test/java/org/chivetally/queue/speed/RunStretchTest.java
+++ b/library/src/test/java/org/chivetally/queue/speed/RunStretchTest.java
@@ -9,6 +9,7 @@
 import java.util.Random;
 import org.junit.jupiter.api.Test;
 
+/** Guards that a worker's stretch is learned despite inaccurate estimates and follows changes quickly. */
 class RunStretchTest {
     private static final long MILLISECOND_NANOS = 1_000_000;
     private static final int RUN_INTERVAL_MILLIS = 28;
@@ -18,7 +19,7 @@
     private long nowNanos = -5 * MILLISECOND_NANOS;
 
     /**
-     * Replays a worker of column B: 36 ends a second, estimates off by 40%, 3% of the runs take seven times as long.
+     * Simulates a loaded worker: 36 runs per second, estimates off by 40%, and 3% of the runs take seven times as long.
      */
     private void simulateRuns(int millis, double slowness) {
         for (int elapsedMillis = 0; elapsedMillis < millis; elapsedMillis += RUN_INTERVAL_MILLIS) {
@@ -50,7 +51,7 @@
         assertThat(meanStretch(), is(lessThan(1.4 * before)));
     }
 
-    /** A worker without work keeps its mean, but nobody should count on it for long. */
+    /** An idle worker keeps its mean, but its weight must fall, as the worker may have changed. */
     @Test
     void weightDecaysWithTime() {
         simulateRuns(4_000, 1);
@@ -59,7 +60,7 @@
         assertThat(stretch.at(nowNanos), is(new LearnedStretch(permille, 0)));
     }
 
-    /** Without an estimate, or with a clock that has not moved, a run tells nothing. */
+    /** A run without an estimate, or with a duration of zero because the clock did not advance, gives no ratio. */
     @Test
     void ignoresRunsWithoutEstimateOrDuration() {
         stretch.recordRun(MILLISECOND_NANOS, 0, nowNanos);
--- a/library/src/test/java/org/chivetally/queue/speed/SpeedClassesTest.java
+++ b/library/src/test/java/org/chivetally/queue/speed/SpeedClassesTest.java
@@ -7,6 +7,10 @@
 
 import org.junit.jupiter.api.Test;
 
+/**
+ * Guards the grouping of workers by speed: equal workers must share a class, and slow ones must not share it with fast
+ * ones.
+ */
 class SpeedClassesTest {
     @Test
     void groupsWorkersOfSimilarSpeed() {
@@ -22,7 +26,10 @@
         assertThat(SpeedClasses.of(new double[0]).spread(), is(1.0));
     }
 
-    /** Workers of any speed between one and four: chained into one class, the slowest would pass for the fastest. */
+    /**
+     * Stretches range from one to four in small steps. In one common class, the slowest workers would count as the
+     * fastest.
+     */
     @Test
     void doesNotChainManySlightlyDifferentWorkersIntoOneClass() {
         double[] stretches = new double[50];
