--- a/library/src/main/java/org/chivetally/queue/placement/PlacementPolicy.java
+++ b/library/src/main/java/org/chivetally/queue/placement/PlacementPolicy.java
@@ -178,6 +178,7 @@
             return free;
         }
 
+        /** Tells whether a worker should get no start now: it is avoided, or on probation with a run in progress. */
         private boolean isUnhealthy(Worker worker) {
             return worker.health().isAvoided(nowNanos)
                     || worker.health().isOnProbation(nowNanos) && worker.hasRunsNotOverdue();
--- a/library/src/main/java/org/chivetally/queue/placement/SpeedCandidates.java
+++ b/library/src/main/java/org/chivetally/queue/placement/SpeedCandidates.java
@@ -149,8 +149,8 @@
      * ended later for it.
      */
     private boolean isWorthWaiting(int rank, TaskForecast task, SpeedClasses classes, WaitEstimator waitEstimator) {
-        long endNowNanos = task.expectedEndNanos(classes.stretch(rank));
-        if (endNowNanos <= task.objectiveNanos()) {
+        long endWithoutWaitNanos = task.expectedEndNanos(classes.stretch(rank));
+        if (endWithoutWaitNanos <= task.objectiveNanos()) {
             return false;
         }
         for (int fasterRank = 0; fasterRank < rank; fasterRank++) {
@@ -159,8 +159,8 @@
             }
             long endAfterWaitNanos = task.endNanos(classes.stretch(fasterRank), waitEstimator.waitMillis(fasterRank));
             boolean meetsMore = endAfterWaitNanos <= task.objectiveNanos()
-                    || endNowNanos > task.usefulUntilNanos() && endAfterWaitNanos <= task.usefulUntilNanos();
-            if (endAfterWaitNanos < endNowNanos && meetsMore) {
+                    || endWithoutWaitNanos > task.usefulUntilNanos() && endAfterWaitNanos <= task.usefulUntilNanos();
+            if (endAfterWaitNanos < endWithoutWaitNanos && meetsMore) {
                 waitEstimator.reserve(fasterRank);
                 return true;
             }
--- a/library/src/main/java/org/chivetally/queue/placement/Worker.java
+++ b/library/src/main/java/org/chivetally/queue/placement/Worker.java
@@ -27,7 +27,7 @@
     private WorkerSpeed speed = WorkerSpeed.UNKNOWN;
     private Object link;
     private Room unacknowledgedRoom = Room.NONE;
-    private long lastNumber;
+    private long lastStartNumber;
     private long lastReportAtNanos;
     private long lastStartAtNanos;
     private long pausedUntilNanos;
@@ -195,7 +195,7 @@
     /** Records a new link. Starts on it are numbered from 1. */
     public void linkOpened(Object newLink) {
         link = newLink;
-        lastNumber = 0;
+        lastStartNumber = 0;
         unacknowledgedRoom = Room.NONE;
         reportedSuspectRuns = 0;
         lastReport = Report.NONE;
@@ -293,9 +293,9 @@
      * @return the start with its number
      */
     public SentStart send(Task task, long run, long nowNanos, double expectedMillis) {
-        lastNumber++;
+        lastStartNumber++;
         lastStartAtNanos = nowNanos;
-        SentStart start = new SentStart(task, run, link, lastNumber, nowNanos, expectedMillis);
+        SentStart start = new SentStart(task, run, link, lastStartNumber, nowNanos, expectedMillis);
         startsInProgress.put(task.key(), start);
         unacknowledgedRoom = unacknowledgedRoom.plus(task.room());
         return start;
@@ -363,8 +363,7 @@
     }
 
     private boolean isOverdue(SentStart start, long nowNanos) {
-        // Compares with the stretch of the worker's kind, not with its own: that would hide a worker that has become
-        // slow.
+        // By the stretch of the worker's kind: its own stretch would hide that it has become slow.
         return start.isOverdue(nowNanos, speed.kindStretch());
     }
 
--- a/library/src/main/java/org/chivetally/queue/placement/WorkerSpeeds.java
+++ b/library/src/main/java/org/chivetally/queue/placement/WorkerSpeeds.java
@@ -21,7 +21,7 @@
     private final Map<String, ServiceSpeeds> services = new HashMap<>();
     private long version;
     private long refreshedAtNanos;
-    private int refreshedWorkers;
+    private int refreshedWorkerCount;
     private double spread = 1;
 
     /**
@@ -32,14 +32,14 @@
     void refresh(List<Worker> workers, long nowNanos) {
         boolean current = version > 0
                 && nowNanos - refreshedAtNanos < REFRESH_INTERVAL.toNanos()
-                && workers.size() == refreshedWorkers
-                && !hasUncoveredWorker(workers);
+                && workers.size() == refreshedWorkerCount
+                && !hasNewWorker(workers);
         if (current) {
             return;
         }
         version++;
         refreshedAtNanos = nowNanos;
-        refreshedWorkers = workers.size();
+        refreshedWorkerCount = workers.size();
         for (ServiceSpeeds service : services.values()) {
             service.workers.clear();
         }
@@ -60,7 +60,7 @@
     }
 
     /** Tells whether there is a worker that the last computation did not include. */
-    private boolean hasUncoveredWorker(List<Worker> workers) {
+    private boolean hasNewWorker(List<Worker> workers) {
         for (Worker worker : workers) {
             if (worker.speed().version() != version) {
                 return true;
--- a/library/src/test/java/org/chivetally/queue/placement/FleetSimulation.java
+++ b/library/src/test/java/org/chivetally/queue/placement/FleetSimulation.java
@@ -24,9 +24,9 @@
 import org.chivetally.queue.speed.RunStretch;
 
 /**
- * Discrete-event simulation of a fleet with workers of different speeds, in virtual time. Eight entries know the
- * workers only by their reports, and agents refuse starts that don't fit. Three queues have estimates that are off by
- * 40%, and one run in 33 takes seven times as long as usual.
+ * Discrete-event simulation of a fleet with workers of different speeds, in virtual time. Eight entries get the state
+ * of the workers only from reports, and agents refuse starts that don't fit. Three queues have estimates that are off
+ * by 40%, and one run in 33 takes seven times as long as usual.
  */
 final class FleetSimulation {
     static final String SERVICE = "reports";
@@ -85,13 +85,14 @@
         int inTime;
         int inTimeByTrueDuration;
 
+        /** Returns the share of jobs that ended within their objective, as derived from the estimates. */
         double inTimeShare() {
             return (double) inTime / jobs;
         }
 
         /**
-         * Returns the share of jobs within an objective that is derived from the true duration of the tasks instead of
-         * the estimate. The entries don't know it.
+         * Returns the share of jobs that ended within an objective derived from the true duration of their tasks, which
+         * the entries do not have.
          */
         double inTimeShareByTrueDuration() {
             return (double) inTimeByTrueDuration / jobs;
@@ -327,7 +328,7 @@
             schedulePass();
         }
 
-        /** Returns the ratio of run durations between slow and fast workers, as the entry knows it now. */
+        /** Returns the ratio of run durations between slow and fast workers, as last computed by the entry. */
         double speedSpread() {
             policy.newPass(workers, nowNanos);
             return policy.speedSpread();
--- a/library/src/test/java/org/chivetally/queue/placement/LearnedSpeedsSimulationTest.java
+++ b/library/src/test/java/org/chivetally/queue/placement/LearnedSpeedsSimulationTest.java
@@ -12,8 +12,8 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Simulates the situation for which speeds are learned: workers that differ by a factor of 2.4 in speed and look alike
- * by their free room.
+ * Simulates the situation for which speeds are learned: workers differ by a factor of 2.4 in speed, which their free
+ * room does not show.
  */
 class LearnedSpeedsSimulationTest {
     private static final double[] DIFFERENT_SPEEDS = {0.7, 0.7, 1.7};
--- a/library/src/test/java/org/chivetally/queue/placement/OverloadSimulationTest.java
+++ b/library/src/test/java/org/chivetally/queue/placement/OverloadSimulationTest.java
@@ -88,7 +88,7 @@
 
     /**
      * One of eleven workers fails every run at once while the others are full. It always has room and would fail some
-     * tasks of every waiting job twice, and a job fails for good when one of its tasks has failed twice.
+     * tasks of every waiting job twice, and a job fails when one of its tasks has failed twice.
      */
     @Test
     void workerThatFailsEveryRunDoesNotFailJobs() {
--- a/library/src/test/java/org/chivetally/queue/placement/PlacementDecisionsTest.java
+++ b/library/src/test/java/org/chivetally/queue/placement/PlacementDecisionsTest.java
@@ -78,6 +78,7 @@
         assertThat(POLICY.newPass(workers, 1).choose(task("j", traits("b", "", 0))), is(Optional.empty()));
     }
 
+    /** The step allows one task per worker, and the only worker already runs one. */
     @Test
     void placesNoMoreTasksOfAStepOnAWorkerThanAllowed() {
         Worker worker = worker("a", 60_000);
@@ -212,7 +213,7 @@
         assertThat(worker.health().isSlow(), is(false));
     }
 
-    /** Jobs that can never succeed fail on every worker. They must not make the workers look unhealthy. */
+    /** Jobs that can never succeed fail on every worker. Such failures must not count against the workers. */
     @Test
     void doesNotAvoidAWorkerForRepeatedFailuresOfOneJob() {
         Worker worker = worker("a", 60_000);
@@ -250,8 +251,8 @@
     }
 
     /**
-     * The backlog takes longer than the caller waits. The caller is told at once when to retry, and not at the end of
-     * its deadline.
+     * The backlog takes longer than the caller waits. The caller gets the refusal and retry delay at once, and not at
+     * the end of its deadline.
      */
     @Test
     void refusesAJobThatWouldStartTooLate() {
--- a/library/src/test/java/org/chivetally/queue/share/QueueAdmissionTest.java
+++ b/library/src/test/java/org/chivetally/queue/share/QueueAdmissionTest.java
@@ -32,7 +32,7 @@
         assertThat(QueueAdmission.refuse(job("j"), 0, 500 * 64, CAPACITY_MILLICORES, false), is(Optional.empty()));
     }
 
-    /** The caller is told at once when to retry, and not at the end of its deadline. */
+    /** The caller gets the refusal and retry delay at once, and not at the end of its deadline. */
     @Test
     void refusesAJobThatWouldStartTooLate() {
         Duration retry = QueueAdmission.refuse(job("j"), 0, 3_000 * 64, CAPACITY_MILLICORES, false)
--- a/library/src/test/java/org/chivetally/queue/speed/KindStretchesTest.java
+++ b/library/src/test/java/org/chivetally/queue/speed/KindStretchesTest.java
@@ -84,7 +84,7 @@
         assertThat(kinds.stretch("slow") / kinds.stretch("fast"), is(greaterThan(1.8)));
     }
 
-    /** A damaged report must not make a whole kind of workers look unusable. */
+    /** A damaged report must not distort the stretch of a whole kind of workers. */
     @Test
     void limitsTheInfluenceOfOneReport() {
         learn(0, SLOW_STRETCH, FAST_STRETCH);
