--- a/linkage/src/main/java/org/chivetally/linkage/TypeSwitchSite.java
+++ b/linkage/src/main/java/org/chivetally/linkage/TypeSwitchSite.java
@@ -12,9 +12,8 @@
 import java.util.List;
 
 /**
- * The label selection of a pattern switch, as {@code SwitchBootstraps.typeSwitch} and {@code enumSwitch} specify it: -1
- * for null, otherwise the index of the first matching label at or after the restart index, otherwise the number of
- * labels.
+ * The label selection of a pattern switch, as {@code SwitchBootstraps.typeSwitch} and {@code enumSwitch} specify it.
+ * The result is -1 for null, the index of the first matching label from the restart index on, or the number of labels.
  *
  * @param operation name of the bootstrap method
  * @param type method type; the parameters are the selector and the restart index, the result is an index
