--- a/library/src/main/java/org/chivetally/coordination/Starter.java
+++ b/library/src/main/java/org/chivetally/coordination/Starter.java
@@ -49,7 +49,7 @@
     private void place(ServiceProgress service, WaitingQueue queue) {
         List<TaskProgress> setAside = new ArrayList<>();
         while (queue.size() > 0 && policy.hasCandidates(service.fleet) && setAside.size() < MAXIMUM_SET_ASIDE) {
-            TaskProgress task = queue.look();
+            TaskProgress task = queue.poll();
             if (task == null) {
                 break;
             }
--- a/library/src/main/java/org/chivetally/coordination/WaitingQueue.java
+++ b/library/src/main/java/org/chivetally/coordination/WaitingQueue.java
@@ -68,7 +68,7 @@
     }
 
     /** Takes the next task; null when none may have its turn. */
-    TaskProgress look() {
+    TaskProgress poll() {
         while (!turns.isEmpty()) {
             Lane lane = turns.peekFirst();
             if (lane.size == 0) {
