--- a/library/src/main/java/org/chivetally/queue/agent/AgentNode.java
+++ b/library/src/main/java/org/chivetally/queue/agent/AgentNode.java
@@ -219,9 +219,9 @@
     }
 
     /** Goes by the newest evacuations that any entry has read; what runs here ends by itself. */
-    private void updateEvacuations(Evacuations told) {
+    private void updateEvacuations(Evacuations received) {
         boolean before = isEvacuated();
-        evacuations = evacuations.newerOf(told);
+        evacuations = evacuations.newerOf(received);
         boolean evacuated = isEvacuated();
         if (evacuated == before) {
             return;
@@ -246,7 +246,7 @@
 
     private void handleStart(PeerLink link, RunStart start) {
         leaveIdleRate();
-        startsSeen.computeIfPresent(link, (same, seen) -> Math.max(seen, start.getNumber()));
+        startsSeen.computeIfPresent(link, (same, number) -> Math.max(number, start.getNumber()));
         Optional<TaskKey> task = TaskKey.parse(start.getTask());
         if (task.isEmpty()) {
             refuse(link, start, "no such task name");
@@ -382,8 +382,8 @@
     }
 
     @Override
-    public boolean mayRenew(Set<RunOwner> following) {
-        return owners.mayRenew(following);
+    public boolean mayRenew(Set<RunOwner> runOwners) {
+        return owners.mayRenew(runOwners);
     }
 
     @Override
@@ -514,9 +514,9 @@
         reportedRoomScarce = isRoomScarce();
         WorkerReport report = report().build();
         for (PeerLink link : links.links()) {
-            long seen = startsSeen.getOrDefault(link, 0L);
-            if (seen != report.getStartsSeen()) {
-                report = report.toBuilder().setStartsSeen(seen).build();
+            long number = startsSeen.getOrDefault(link, 0L);
+            if (number != report.getStartsSeen()) {
+                report = report.toBuilder().setStartsSeen(number).build();
             }
             link.send(Frame.newBuilder()
                     .setAgentBeat(AgentBeat.newBuilder()
--- a/library/src/main/java/org/chivetally/queue/agent/DepartureCheck.java
+++ b/library/src/main/java/org/chivetally/queue/agent/DepartureCheck.java
@@ -55,18 +55,18 @@
     /** Looks at the minion until it is gone or has been there long enough. */
     void poll() {
         polls++;
-        PollRequest order = new PollRequest(token.value(), 0, OptionalLong.empty(), Duration.ZERO);
-        port.poll(minion.id(), order, this::answered);
+        PollRequest request = new PollRequest(token.value(), 0, OptionalLong.empty(), Duration.ZERO);
+        port.poll(minion.id(), request, this::answered);
     }
 
-    private void answered(PollResult answer) {
-        boolean isGone = switch (answer) {
+    private void answered(PollResult result) {
+        boolean hasDeparted = switch (result) {
             case PollResult.Lists lists -> !minion.mayHaveStartedAt(lists.startedAtMillis());
             case PollResult.Refused refused -> !refused.fenced();
             case PollResult.Unreachable unreachable -> true;
             case PollResult.Unknown unknown -> false;
         };
-        if (isGone) {
+        if (hasDeparted) {
             whenDeparted.run();
         } else if (polls < MAXIMUM_POLLS) {
             timers.after(POLL_INTERVAL, this::poll);
--- a/library/src/main/java/org/chivetally/queue/agent/EndedRun.java
+++ b/library/src/main/java/org/chivetally/queue/agent/EndedRun.java
@@ -16,7 +16,7 @@
 public record EndedRun(String incarnation, long sequence, RunKey run, RunOutcome outcome, String checkpoint) {
     /** Refuses missing parts. */
     public EndedRun {
-        Objects.requireNonNull(incarnation, "boot");
+        Objects.requireNonNull(incarnation, "incarnation");
         Objects.requireNonNull(run, "run");
         Objects.requireNonNull(outcome, "outcome");
         Objects.requireNonNull(checkpoint, "checkpoint");
--- a/library/src/main/java/org/chivetally/queue/agent/HeldRun.java
+++ b/library/src/main/java/org/chivetally/queue/agent/HeldRun.java
@@ -68,8 +68,8 @@
     }
 
     /** Returns an end of the run that the minion does not list, and so needs no word from the owner. */
-    OwnedEnd unlistedEnd(String boot, RunOutcome outcome) {
-        return new OwnedEnd(owner, new EndedRun(boot, 0, key, outcome, ""));
+    OwnedEnd unlistedEnd(String incarnation, RunOutcome outcome) {
+        return new OwnedEnd(owner, new EndedRun(incarnation, 0, key, outcome, ""));
     }
 
     /**
@@ -79,11 +79,11 @@
      * @param from the incarnation that was replaced
      * @param outcome how the run has ended if it isn't there
      */
-    void carryOver(Incarnation from, RunOutcome outcome) {
+    void carryOver(Incarnation replaced, RunOutcome outcome) {
         if (previousIncarnation != null) {
             return;
         }
-        previousIncarnation = from;
+        previousIncarnation = replaced;
         outcomeIfAbsent = outcome;
         stopConfirmed = false;
     }
--- a/library/src/main/java/org/chivetally/queue/agent/HeldRuns.java
+++ b/library/src/main/java/org/chivetally/queue/agent/HeldRuns.java
@@ -62,10 +62,10 @@
     }
 
     /** Removes all; returns their ends at a minion of that name. */
-    List<OwnedEnd> endAll(String minion, RunOutcome outcome) {
+    List<OwnedEnd> endAll(String incarnation, RunOutcome outcome) {
         List<OwnedEnd> ended = new ArrayList<>();
         for (HeldRun run : runs.values()) {
-            ended.add(run.isCarriedOver() ? run.endAtPreviousIncarnation() : run.unlistedEnd(minion, outcome));
+            ended.add(run.isCarriedOver() ? run.endAtPreviousIncarnation() : run.unlistedEnd(incarnation, outcome));
         }
         runs.clear();
         room = Room.NONE;
--- a/library/src/main/java/org/chivetally/queue/agent/Incarnation.java
+++ b/library/src/main/java/org/chivetally/queue/agent/Incarnation.java
@@ -19,8 +19,8 @@
     }
 
     /** Returns the incarnation of that id and start; 0 for none. */
-    public static Incarnation of(String id, long bornAtMillis) {
-        return new Incarnation(id, bornAtMillis, bornAtMillis == 0 ? id : id + "@" + bornAtMillis);
+    public static Incarnation of(String id, long startedAtMillis) {
+        return new Incarnation(id, startedAtMillis, startedAtMillis == 0 ? id : id + "@" + startedAtMillis);
     }
 
     /** Tells whether the other may be this one: the ids are equal, and the starts where both are known. */
@@ -34,8 +34,8 @@
     }
 
     /** Tells whether a start, 0 for none, may be that of this one. */
-    boolean mayHaveStartedAt(long otherMillis) {
-        return startedAtMillis == otherMillis || startedAtMillis == 0 || otherMillis == 0;
+    boolean mayHaveStartedAt(long otherStartedAtMillis) {
+        return startedAtMillis == otherStartedAtMillis || startedAtMillis == 0 || otherStartedAtMillis == 0;
     }
 
     /** Tells whether both have one id and this one started before the other. */
--- a/library/src/main/java/org/chivetally/queue/agent/IncarnationHistory.java
+++ b/library/src/main/java/org/chivetally/queue/agent/IncarnationHistory.java
@@ -52,8 +52,8 @@
     }
 
     private boolean isReplaced(Incarnation incarnation) {
-        Long newest = newestReplaced.get(incarnation.id());
-        return newest != null && incarnation.startedAtMillis() <= newest;
+        Long replacedAtMillis = newestReplaced.get(incarnation.id());
+        return replacedAtMillis != null && incarnation.startedAtMillis() <= replacedAtMillis;
     }
 
     private static boolean logStale(MinionState state, String reason) {
@@ -84,19 +84,19 @@
      * @param accept told of the incarnation once it has answered for itself
      */
     void verify(MinionState state, long token, Consumer<MinionState> accept) {
-        PollRequest order = new PollRequest(token, 0, OptionalLong.empty(), Duration.ZERO);
-        port.poll(state.minionId(), order, answer -> {
-            boolean isThere = answer instanceof PollResult.Lists lists
+        PollRequest request = new PollRequest(token, 0, OptionalLong.empty(), Duration.ZERO);
+        port.poll(state.minionId(), request, result -> {
+            boolean isPresent = result instanceof PollResult.Lists lists
                             && state.incarnation().mayHaveStartedAt(lists.startedAtMillis())
-                    || answer instanceof PollResult.Refused refused && refused.fenced();
-            if (isThere && !isReplaced(state.incarnation())) {
+                    || result instanceof PollResult.Refused refused && refused.fenced();
+            if (isPresent && !isReplaced(state.incarnation())) {
                 accept.accept(state);
                 return;
             }
             EventLine.of("minion-unconfirmed")
                     .with("minion", state.incarnation().name())
                     .with("service", state.service())
-                    .with("answer", answer.getClass().getSimpleName())
+                    .with("answer", result.getClass().getSimpleName())
                     .log(LOGGER.atWarning());
         });
     }
--- a/library/src/main/java/org/chivetally/queue/agent/LeaseExtensionCheck.java
+++ b/library/src/main/java/org/chivetally/queue/agent/LeaseExtensionCheck.java
@@ -33,14 +33,14 @@
         }
         Set<RunOwner> owners = held.owners();
         owners.addAll(ends.ownersOfUnstoredEndsUnderLease());
-        boolean given = owners.isEmpty() || listener.mayRenew(owners);
-        if (given == denied) {
-            denied = !given;
-            EventLine.of(given ? "lease-renewed-again" : "lease-not-renewed")
+        boolean allowed = owners.isEmpty() || listener.mayRenew(owners);
+        if (allowed == denied) {
+            denied = !allowed;
+            EventLine.of(allowed ? "lease-renewed-again" : "lease-not-renewed")
                     .with("runs", held.size())
                     .with("owners", owners)
                     .log(LOGGER.atWarning());
         }
-        return given;
+        return allowed;
     }
 }
--- a/library/src/main/java/org/chivetally/queue/agent/MinionLease.java
+++ b/library/src/main/java/org/chivetally/queue/agent/MinionLease.java
@@ -27,9 +27,9 @@
 
     /** Extends the lease as far as the minion grants; returns until when, on the minion's clock in milliseconds. */
     long extend(long nowNanos) {
-        long until = clock.lowerBoundMillis(nowNanos) + MAXIMUM_MILLIS;
-        latestEndMillis = Math.max(latestEndMillis, until);
-        return until;
+        long endMillis = clock.lowerBoundMillis(nowNanos) + MAXIMUM_MILLIS;
+        latestEndMillis = Math.max(latestEndMillis, endMillis);
+        return endMillis;
     }
 
     /** Tells whether every extension that was ever sent has run out at the minion. */
@@ -38,7 +38,7 @@
     }
 
     /** Tells whether a lease has ended for certain at a reading of the minion's clock. */
-    static boolean isExpired(long untilMillis, long clockMillis) {
-        return clockMillis > untilMillis + EXPIRY_MARGIN_MILLIS;
+    static boolean isExpired(long endMillis, long clockMillis) {
+        return clockMillis > endMillis + EXPIRY_MARGIN_MILLIS;
     }
 }
--- a/library/src/main/java/org/chivetally/queue/agent/MinionPort.java
+++ b/library/src/main/java/org/chivetally/queue/agent/MinionPort.java
@@ -11,13 +11,13 @@
 /** Calls to the minion beside the agent. Each answers once, on the event loop. */
 public interface MinionPort {
     /** Starts a run. */
-    void start(String boot, StartRequest order, Consumer<StartResult> answer);
+    void start(String minionId, StartRequest request, Consumer<StartResult> callback);
 
     /** Stops a run; tells whether the minion took the order. */
-    void stop(String boot, RunKey run, long token, Consumer<Boolean> answer);
+    void stop(String minionId, RunKey run, long token, Consumer<Boolean> callback);
 
     /** Renews the lease and looks at what runs and what has ended. */
-    void poll(String boot, PollRequest order, Consumer<PollResult> answer);
+    void poll(String minionId, PollRequest request, Consumer<PollResult> callback);
 
     /**
      * What a start carries.
@@ -40,8 +40,8 @@
      */
     record PollRequest(long token, long acknowledgedThrough, OptionalLong leaseEndMillis, Duration maximumWait) {
         /** Returns the same look with another wait. */
-        PollRequest withMaximumWait(Duration wait) {
-            return new PollRequest(token, acknowledgedThrough, leaseEndMillis, wait);
+        PollRequest withMaximumWait(Duration newMaximumWait) {
+            return new PollRequest(token, acknowledgedThrough, leaseEndMillis, newMaximumWait);
         }
     }
 
@@ -110,8 +110,8 @@
         }
 
         /** Returns the end as one of a minion by the name of its incarnation. */
-        EndedRun toEndedRun(String minion) {
-            return new EndedRun(minion, sequence, run, outcome, checkpoint);
+        EndedRun toEndedRun(String incarnation) {
+            return new EndedRun(incarnation, sequence, run, outcome, checkpoint);
         }
     }
 }
--- a/library/src/main/java/org/chivetally/queue/agent/MinionReconciler.java
+++ b/library/src/main/java/org/chivetally/queue/agent/MinionReconciler.java
@@ -20,8 +20,8 @@
     private final Timers timers;
     private final HeldRuns held;
     private final UnacknowledgedEnds ends;
-    private final RunCommands calls;
-    private final RunEndReporter runEnds;
+    private final RunCommands commands;
+    private final RunEndReporter endReporter;
     private final int partitions;
     private final UnknownRuns unknownRuns = new UnknownRuns();
     private boolean complete;
@@ -30,14 +30,14 @@
             Timers timers,
             HeldRuns held,
             UnacknowledgedEnds ends,
-            RunCommands calls,
-            RunEndReporter runEnds,
+            RunCommands commands,
+            RunEndReporter endReporter,
             int partitions) {
         this.timers = timers;
         this.held = held;
         this.ends = ends;
-        this.calls = calls;
-        this.runEnds = runEnds;
+        this.commands = commands;
+        this.endReporter = endReporter;
         this.partitions = partitions;
     }
 
@@ -63,23 +63,23 @@
      * @param sentAtNanos when it was asked
      * @return ends that are new
      */
-    List<OwnedEnd> reconcile(Incarnation at, PollResult.Lists lists, long sentAtNanos) {
-        List<OwnedEnd> fresh = reconcileEnds(at, lists.ends());
-        reconcileRunning(at, lists, sentAtNanos);
-        return fresh;
+    List<OwnedEnd> reconcile(Incarnation incarnation, PollResult.Lists lists, long sentAtNanos) {
+        List<OwnedEnd> newEnds = reconcileEnds(incarnation, lists.ends());
+        reconcileRunning(incarnation, lists, sentAtNanos);
+        return newEnds;
     }
 
-    private List<OwnedEnd> reconcileEnds(Incarnation at, List<ListedEnd> listed) {
-        List<OwnedEnd> fresh = new ArrayList<>();
+    private List<OwnedEnd> reconcileEnds(Incarnation incarnation, List<ListedEnd> listed) {
+        List<OwnedEnd> newEnds = new ArrayList<>();
         for (ListedEnd end : listed) {
             HeldRun run = held.of(end.run().task());
-            boolean followed = run != null && run.key().equals(end.run());
-            RunOwner owner = followed ? run.owner() : partitionOf(end.run());
+            boolean isHeld = run != null && run.key().equals(end.run());
+            RunOwner owner = isHeld ? run.owner() : partitionOf(end.run());
             if (!ends.add(end, owner)) {
                 continue;
             }
-            fresh.add(new OwnedEnd(owner, end.toEndedRun(at.name())));
-            if (followed) {
+            newEnds.add(new OwnedEnd(owner, end.toEndedRun(incarnation.name())));
+            if (isHeld) {
                 held.remove(run);
             }
             if (owner instanceof RunOwner.Entry) {
@@ -87,50 +87,50 @@
                 ends.markStored(end.sequence());
             }
         }
-        return fresh;
+        return newEnds;
     }
 
-    private void reconcileRunning(Incarnation at, PollResult.Lists lists, long sentAtNanos) {
+    private void reconcileRunning(Incarnation incarnation, PollResult.Lists lists, long sentAtNanos) {
         Set<RunKey> running = new HashSet<>(lists.running());
         Set<RunKey> unknown = new HashSet<>(running);
         List<OwnedEnd> lost = new ArrayList<>();
         for (HeldRun run : held.all()) {
             unknown.remove(run.key());
             if (running.contains(run.key())) {
-                confirmRunning(at, run);
+                confirmRunning(incarnation, run);
             } else if (run.isCarriedOver()) {
                 held.remove(run);
                 lost.add(run.endAtPreviousIncarnation());
             } else if (run.isStartRuledOut(lists.clockMillis(), sentAtNanos)) {
-                runEnds.reportNeverStarted(at, run);
+                endReporter.reportNeverStarted(incarnation, run);
             } else if (run.stage() == HeldRun.Stage.RUNNING && sentAtNanos - run.stageSinceNanos() > 0) {
-                reportVanished(at, run);
+                reportVanished(incarnation, run);
             }
         }
-        runEnds.reportLost(at.name(), lost, "reborn");
+        endReporter.reportLost(incarnation.name(), lost, "reborn");
         // Runs of an agent before this one: their room isn't known here, so nothing is started until their lease,
         // which nobody renews, has ended. Once none is left, nobody knows a run that turns up, and it is stopped.
         unknownRuns.update(unknown);
         complete |= unknownRuns.isEmpty();
         if (complete) {
-            calls.stopUnknownRuns(at, unknownRuns);
+            commands.stopUnknownRuns(incarnation, unknownRuns);
         }
     }
 
-    private void confirmRunning(Incarnation at, HeldRun run) {
+    private void confirmRunning(Incarnation incarnation, HeldRun run) {
         boolean stopAgain = run.isCarriedOver() && run.isStopRequested();
         run.listed(timers.nanos());
         if (stopAgain) {
-            calls.stop(at, run);
+            commands.stop(incarnation, run);
         }
     }
 
-    private void reportVanished(Incarnation at, HeldRun run) {
+    private void reportVanished(Incarnation incarnation, HeldRun run) {
         EventLine.of("run-vanished")
                 .with("run", run.key())
-                .with("minion", at.name())
+                .with("minion", incarnation.name())
                 .log(LOGGER.atWarning());
-        runEnds.report(run, run.unlistedEnd(at.name(), RunOutcome.LOST));
+        endReporter.report(run, run.unlistedEnd(incarnation.name(), RunOutcome.LOST));
     }
 
     /** Returns the owner of a run that an agent before this one started: only kept jobs have owners that last. */
--- a/library/src/main/java/org/chivetally/queue/agent/MinionState.java
+++ b/library/src/main/java/org/chivetally/queue/agent/MinionState.java
@@ -33,8 +33,8 @@
 
     /** Creates the state of a minion that tells neither its start nor the number of the announcement. */
     public MinionState(
-            String boot, String service, Room capacity, List<String> labels, boolean leaving, long clockMillis) {
-        this(Incarnation.of(boot, 0), service, capacity, labels, leaving, clockMillis, 0);
+            String minionId, String service, Room capacity, List<String> labels, boolean leaving, long clockMillis) {
+        this(Incarnation.of(minionId, 0), service, capacity, labels, leaving, clockMillis, 0);
     }
 
     /** Returns the id that calls to the minion carry. */
@@ -48,13 +48,19 @@
     }
 
     /** Returns the same with the incarnation as it is known from elsewhere. */
-    MinionState withIncarnation(Incarnation as) {
-        return new MinionState(as, service, capacity, labels, leaving, clockMillis, sequence);
+    MinionState withIncarnation(Incarnation newIncarnation) {
+        return new MinionState(newIncarnation, service, capacity, labels, leaving, clockMillis, sequence);
     }
 
     /** Returns the state of a minion that has come back under the same id and has announced nothing yet. */
-    MinionState restarted(long bornAtMillis, long clock) {
+    MinionState restarted(long newStartedAtMillis, long newClockMillis) {
         return new MinionState(
-                Incarnation.of(incarnation.id(), bornAtMillis), service, capacity, labels, false, clock, 0);
+                Incarnation.of(incarnation.id(), newStartedAtMillis),
+                service,
+                capacity,
+                labels,
+                false,
+                newClockMillis,
+                0);
     }
 }
--- a/library/src/main/java/org/chivetally/queue/agent/RetryingMinionPort.java
+++ b/library/src/main/java/org/chivetally/queue/agent/RetryingMinionPort.java
@@ -50,14 +50,14 @@
     }
 
     @Override
-    public void start(String boot, StartRequest order, Consumer<StartResult> answer) {
+    public void start(String minionId, StartRequest request, Consumer<StartResult> callback) {
         new Call<StartResult>(
-                        "start " + order.run(),
+                        "start " + request.run(),
                         number -> Duration.ZERO,
-                        (number, told) -> port.start(boot, order, told),
-                        told -> !(told instanceof StartResult.Unknown),
+                        (number, received) -> port.start(minionId, request, received),
+                        received -> !(received instanceof StartResult.Unknown),
                         RetryingMinionPort::withUnansweredAttempts,
-                        answer)
+                        callback)
                 .attempt();
     }
 
@@ -69,29 +69,29 @@
     }
 
     @Override
-    public void stop(String boot, RunKey run, long token, Consumer<Boolean> answer) {
+    public void stop(String minionId, RunKey run, long token, Consumer<Boolean> callback) {
         new Call<Boolean>(
                         "stop " + run,
                         number -> Duration.ZERO,
-                        (number, told) -> port.stop(boot, run, token, told),
-                        taken -> taken,
+                        (number, received) -> port.stop(minionId, run, token, received),
+                        accepted -> accepted,
                         UnaryOperator.identity(),
-                        answer)
+                        callback)
                 .attempt();
     }
 
     @Override
-    public void poll(String boot, PollRequest order, Consumer<PollResult> answer) {
-        boolean shortened = hasRecentLoss() && order.maximumWait().compareTo(MAXIMUM_WAIT_AFTER_LOSS) > 0;
-        PollRequest first = shortened ? order.withMaximumWait(MAXIMUM_WAIT_AFTER_LOSS) : order;
-        PollRequest repeated = order.withMaximumWait(Duration.ZERO);
+    public void poll(String minionId, PollRequest request, Consumer<PollResult> callback) {
+        boolean shortened = hasRecentLoss() && request.maximumWait().compareTo(MAXIMUM_WAIT_AFTER_LOSS) > 0;
+        PollRequest first = shortened ? request.withMaximumWait(MAXIMUM_WAIT_AFTER_LOSS) : request;
+        PollRequest repeated = request.withMaximumWait(Duration.ZERO);
         new Call<PollResult>(
                         "look",
                         number -> number == 1 ? first.maximumWait() : Duration.ZERO,
-                        (number, told) -> port.poll(boot, number == 1 ? first : repeated, told),
-                        told -> !(told instanceof PollResult.Unknown),
+                        (number, received) -> port.poll(minionId, number == 1 ? first : repeated, received),
+                        received -> !(received instanceof PollResult.Unknown),
                         UnaryOperator.identity(),
-                        answer)
+                        callback)
                 .attempt();
     }
 
@@ -156,9 +156,9 @@
             unansweredAttempts++;
             int number = attempts;
             long sentAtNanos = timers.nanos();
-            Duration held = maximumHold.apply(number);
-            retryTimer = timers.after(held.plus(retryTimeout.timeout()), () -> retry(number));
-            attempt.send(number, answer -> answered(answer, held.isZero(), timers.nanos() - sentAtNanos));
+            Duration hold = maximumHold.apply(number);
+            retryTimer = timers.after(hold.plus(retryTimeout.timeout()), () -> retry(number));
+            attempt.send(number, answer -> answered(answer, hold.isZero(), timers.nanos() - sentAtNanos));
         }
 
         private void retry(int number) {
@@ -173,14 +173,14 @@
             attempt();
         }
 
-        private void answered(A answer, boolean atOnce, long tookNanos) {
-            boolean settled = isConclusive.test(answer);
-            unansweredAttempts -= settled ? 1 : 0;
-            if (settled && atOnce) {
-                retryTimeout.observe(tookNanos);
+        private void answered(A answer, boolean immediate, long durationNanos) {
+            boolean conclusive = isConclusive.test(answer);
+            unansweredAttempts -= conclusive ? 1 : 0;
+            if (conclusive && immediate) {
+                retryTimeout.observe(durationNanos);
             }
-            boolean mayStillBeAnswered = !settled && attempts < MAXIMUM_ATTEMPTS;
-            if (finished || mayStillBeAnswered) {
+            boolean awaitsAnswer = !conclusive && attempts < MAXIMUM_ATTEMPTS;
+            if (finished || awaitsAnswer) {
                 return;
             }
             finished = true;
--- a/library/src/main/java/org/chivetally/queue/agent/RunCommands.java
+++ b/library/src/main/java/org/chivetally/queue/agent/RunCommands.java
@@ -41,10 +41,10 @@
     /** What the calls ask of and tell to the supervisor of the minion. */
     interface Callbacks {
         /** Tells whether a run is still held at the incarnation to which a call about it was sent. */
-        boolean isHeld(Incarnation at, HeldRun run);
+        boolean isHeld(Incarnation incarnation, HeldRun run);
 
         /** The run isn't there and never will be. */
-        void reportNeverStarted(Incarnation at, HeldRun run);
+        void reportNeverStarted(Incarnation incarnation, HeldRun run);
 
         /** Nobody listens at the minion's address. */
         void unreachable();
@@ -54,60 +54,60 @@
     }
 
     /** Sends a start. */
-    void start(Incarnation at, HeldRun run, StartRequest order) {
-        port.start(at.id(), order, answer -> startAnswered(at, run, answer));
-        timers.after(START_TIMEOUT, () -> markUnconfirmed(at, run, "no answer yet"));
+    void start(Incarnation incarnation, HeldRun run, StartRequest request) {
+        port.start(incarnation.id(), request, result -> startAnswered(incarnation, run, result));
+        timers.after(START_TIMEOUT, () -> markUnconfirmed(incarnation, run, "no answer yet"));
     }
 
-    private void startAnswered(Incarnation at, HeldRun run, StartResult answer) {
-        if (!callbacks.isHeld(at, run)) {
+    private void startAnswered(Incarnation incarnation, HeldRun run, StartResult result) {
+        if (!callbacks.isHeld(incarnation, run)) {
             return;
         }
-        switch (answer) {
+        switch (result) {
             case StartResult.Started started -> {
                 lease.observe(started.clockMillis(), timers.nanos());
                 run.enterStage(HeldRun.Stage.RUNNING, timers.nanos());
                 if (run.isStopRequested()) {
-                    stop(at, run);
+                    stop(incarnation, run);
                 }
                 callbacks.poll();
             }
             case StartResult.Rejected rejected -> {
-                logRejected(at, run, rejected.reason());
+                logRejected(incarnation, run, rejected.reason());
                 if (rejected.fenced()) {
                     token.raise();
                 }
-                callbacks.reportNeverStarted(at, run);
+                callbacks.reportNeverStarted(incarnation, run);
             }
             case StartResult.Unreachable unreachable -> {
-                logRejected(at, run, unreachable.reason());
+                logRejected(incarnation, run, unreachable.reason());
                 callbacks.unreachable();
-                callbacks.reportNeverStarted(at, run);
+                callbacks.reportNeverStarted(incarnation, run);
                 callbacks.poll();
             }
-            case StartResult.Unknown unknown -> markUnconfirmed(at, run, unknown.reason());
+            case StartResult.Unknown unknown -> markUnconfirmed(incarnation, run, unknown.reason());
         }
     }
 
-    private static void logRejected(Incarnation at, HeldRun run, String reason) {
+    private static void logRejected(Incarnation incarnation, HeldRun run, String reason) {
         EventLine.of("run-rejected")
                 .with("run", run.key())
-                .with("minion", at.name())
+                .with("minion", incarnation.name())
                 .with("reason", reason)
                 .log(LOGGER.atInfo());
     }
 
-    private void markUnconfirmed(Incarnation at, HeldRun run, String reason) {
-        if (!callbacks.isHeld(at, run) || run.stage() != HeldRun.Stage.STARTING) {
+    private void markUnconfirmed(Incarnation incarnation, HeldRun run, String reason) {
+        if (!callbacks.isHeld(incarnation, run) || run.stage() != HeldRun.Stage.STARTING) {
             return;
         }
         EventLine.of("run-doubtful")
                 .with("run", run.key())
-                .with("minion", at.name())
+                .with("minion", incarnation.name())
                 .with("reason", reason)
                 .log(LOGGER.atWarning());
         run.enterStage(HeldRun.Stage.UNCONFIRMED, timers.nanos());
-        timers.after(UNCONFIRMED_STOP_DELAY, () -> stopUnconfirmed(at, run));
+        timers.after(UNCONFIRMED_STOP_DELAY, () -> stopUnconfirmed(incarnation, run));
         callbacks.poll();
     }
 
@@ -115,42 +115,42 @@
      * Rules a doubtful start out. A stop that was answered keeps the minion from ever taking this run, so the room is
      * free from the next look that does not list it; without that, a start carried out late would overfill the worker.
      */
-    private void stopUnconfirmed(Incarnation at, HeldRun run) {
-        boolean isOpen = callbacks.isHeld(at, run) && run.stage() == HeldRun.Stage.UNCONFIRMED;
-        if (isOpen && !run.isStopConfirmed()) {
-            stop(at, run);
+    private void stopUnconfirmed(Incarnation incarnation, HeldRun run) {
+        boolean isUnconfirmed = callbacks.isHeld(incarnation, run) && run.stage() == HeldRun.Stage.UNCONFIRMED;
+        if (isUnconfirmed && !run.isStopConfirmed()) {
+            stop(incarnation, run);
         }
     }
 
     /** Sends a stop, and again until it is answered. */
-    void stop(Incarnation at, HeldRun run) {
-        port.stop(at.id(), run.key(), token.value(), taken -> stopAnswered(at, run, taken));
+    void stop(Incarnation incarnation, HeldRun run) {
+        port.stop(incarnation.id(), run.key(), token.value(), accepted -> stopAnswered(incarnation, run, accepted));
     }
 
-    private void stopAnswered(Incarnation at, HeldRun run, boolean taken) {
-        if (!callbacks.isHeld(at, run)) {
+    private void stopAnswered(Incarnation incarnation, HeldRun run, boolean accepted) {
+        if (!callbacks.isHeld(incarnation, run)) {
             return;
         }
-        if (taken) {
+        if (accepted) {
             run.confirmStop(timers.nanos());
             callbacks.poll();
             return;
         }
         timers.after(STOP_RETRY_INTERVAL, () -> {
-            if (callbacks.isHeld(at, run) && !run.isStopConfirmed()) {
-                stop(at, run);
+            if (callbacks.isHeld(incarnation, run) && !run.isStopConfirmed()) {
+                stop(incarnation, run);
             }
         });
     }
 
     /** Sends stops to runs that nobody here knows. */
-    void stopUnknownRuns(Incarnation at, UnknownRuns unknownRuns) {
+    void stopUnknownRuns(Incarnation incarnation, UnknownRuns unknownRuns) {
         for (RunKey run : unknownRuns.dueForStop(timers.nanos())) {
             EventLine.of("run-unknown")
                     .with("run", run)
-                    .with("minion", at.name())
+                    .with("minion", incarnation.name())
                     .log(LOGGER.atWarning());
-            port.stop(at.id(), run, token.value(), taken -> callbacks.poll());
+            port.stop(incarnation.id(), run, token.value(), accepted -> callbacks.poll());
         }
     }
 }
--- a/library/src/main/java/org/chivetally/queue/agent/RunEndReporter.java
+++ b/library/src/main/java/org/chivetally/queue/agent/RunEndReporter.java
@@ -21,8 +21,8 @@
     }
 
     /** Ends a run that isn't at a minion and never will be. */
-    void reportNeverStarted(Incarnation at, HeldRun run) {
-        report(run, run.unlistedEnd(at.name(), RunOutcome.NEVER_STARTED));
+    void reportNeverStarted(Incarnation incarnation, HeldRun run) {
+        report(run, run.unlistedEnd(incarnation.name(), RunOutcome.NEVER_STARTED));
     }
 
     /** Ends one run. */
@@ -33,25 +33,26 @@
     }
 
     /** Ends all runs that are held. */
-    void reportAllLost(String minion, RunOutcome outcome, String reason) {
-        reportLost(minion, held.endAll(minion, outcome), reason);
+    void reportAllLost(String incarnation, RunOutcome outcome, String reason) {
+        reportLost(incarnation, held.endAll(incarnation, outcome), reason);
     }
 
     /** Reports runs that are no longer held. */
-    void reportLost(String minion, List<OwnedEnd> lost, String reason) {
+    void reportLost(String incarnation, List<OwnedEnd> lost, String reason) {
         if (lost.isEmpty()) {
             return;
         }
         EventLine.of("runs-lost")
-                .with("minion", minion)
+                .with("minion", incarnation)
                 .with("runs", lost.size())
                 .with("reason", reason)
                 .with("outcome", lost.getFirst().end().outcome())
                 .log(LOGGER.atWarning());
         List<OwnedEnd> reported = new ArrayList<>();
         for (OwnedEnd end : lost) {
-            boolean isCounted = end.end().outcome() == RunOutcome.CRASHED && end.owner() instanceof RunOwner.Partition;
-            reported.add(isCounted ? unstoredCrashes.add(end) : end);
+            boolean awaitsStorage =
+                    end.end().outcome() == RunOutcome.CRASHED && end.owner() instanceof RunOwner.Partition;
+            reported.add(awaitsStorage ? unstoredCrashes.add(end) : end);
         }
         listener.ended(reported);
     }
--- a/library/src/main/java/org/chivetally/queue/agent/RunOwners.java
+++ b/library/src/main/java/org/chivetally/queue/agent/RunOwners.java
@@ -64,8 +64,8 @@
 
     /** Notes an owner's epoch; tells whether it is higher than any before. */
     boolean raiseEpoch(int partition, long epoch, PeerLink owner) {
-        PartitionOwner known = partitionOwners.get(partition);
-        if (known != null && known.epoch() >= epoch) {
+        PartitionOwner knownOwner = partitionOwners.get(partition);
+        if (knownOwner != null && knownOwner.epoch() >= epoch) {
             return false;
         }
         partitionOwners.put(partition, new PartitionOwner(epoch, owner.peer().process()));
@@ -84,14 +84,14 @@
 
     /** Returns the highest epoch heard of for a partition; 0 for none. */
     long epoch(int partition) {
-        PartitionOwner known = partitionOwners.get(partition);
-        return known == null ? 0 : known.epoch();
+        PartitionOwner knownOwner = partitionOwners.get(partition);
+        return knownOwner == null ? 0 : knownOwner.epoch();
     }
 
     /** Lists the epochs, for an owner that may have been replaced. */
     void addKnownEpochs(RunInventory.Builder inventory) {
-        partitionOwners.forEach((partition, fence) -> inventory.addFenced(
-                OwnedPartition.newBuilder().setPartition(partition).setEpoch(fence.epoch())));
+        partitionOwners.forEach((partition, owner) -> inventory.addFenced(
+                OwnedPartition.newBuilder().setPartition(partition).setEpoch(owner.epoch())));
     }
 
     /**
@@ -154,17 +154,17 @@
     }
 
     private long newestEchoNanos(RunOwner.Partition partition) {
-        PartitionOwner fence = partitionOwners.get(partition.number());
-        if (fence == null) {
+        PartitionOwner owner = partitionOwners.get(partition.number());
+        if (owner == null) {
             return Long.MIN_VALUE;
         }
-        long heard = fence.echoNanos();
+        long newestNanos = owner.echoNanos();
         Optional<PeerLink> link = linkTo(partition);
         if (link.isPresent() && link.get().echoNanos() != 0) {
-            heard = Math.max(heard, link.get().echoNanos());
-            partitionOwners.put(partition.number(), new PartitionOwner(fence.epoch(), fence.process(), heard));
+            newestNanos = Math.max(newestNanos, link.get().echoNanos());
+            partitionOwners.put(partition.number(), new PartitionOwner(owner.epoch(), owner.process(), newestNanos));
         }
-        return heard;
+        return newestNanos;
     }
 
     /** Takes what came before a suspension for old: it was meant for an agent that may have been given up since. */
@@ -183,7 +183,7 @@
                 links.link(entry.process()).filter(link -> link.peer().incarnation() == entry.incarnation());
             case RunOwner.Partition partition ->
                 Optional.ofNullable(partitionOwners.get(partition.number()))
-                        .flatMap(fence -> links.link(fence.process()));
+                        .flatMap(known -> links.link(known.process()));
         };
     }
 
--- a/library/src/main/java/org/chivetally/queue/agent/RunSupervisor.java
+++ b/library/src/main/java/org/chivetally/queue/agent/RunSupervisor.java
@@ -232,8 +232,8 @@
         if (history.isStale(state, minion.orElse(null))) {
             return;
         }
-        boolean another = minion.isPresent() && !minion.get().incarnation().matches(state.incarnation());
-        if (another && !restored && responsive && reconciled) {
+        boolean isAnother = minion.isPresent() && !minion.get().incarnation().matches(state.incarnation());
+        if (isAnother && !restored && responsive && reconciled) {
             history.verify(state, token.value(), this::acceptVerified);
         } else {
             accept(state, true);
@@ -260,9 +260,9 @@
         }
         minion = Optional.of(same ? update(before.get(), reported) : reported);
         MinionState now = minion.get();
-        boolean news = !same || before.get().leaving() != now.leaving() || awaitingAnnouncement && announced;
+        boolean changed = !same || before.get().leaving() != now.leaving() || awaitingAnnouncement && announced;
         awaitingAnnouncement = !announced;
-        if (news) {
+        if (changed) {
             EventLine.of("minion-announced")
                     .with("minion", now.incarnation().name())
                     .with("leaving", now.leaving())
@@ -305,11 +305,11 @@
     }
 
     /** Notes that the minion has taken its leave; whatever ran on it is gone. */
-    public void departed(String boot) {
-        if (minion.isEmpty() || !minion.get().minionId().equals(boot) || departing) {
+    public void departed(String minionId) {
+        if (minion.isEmpty() || !minion.get().minionId().equals(minionId) || departing) {
             return;
         }
-        if (!history.hasEarlierIncarnation(boot)) {
+        if (!history.hasEarlierIncarnation(minionId)) {
             discardMinion(RunOutcome.LOST, "departed");
             return;
         }
@@ -350,7 +350,7 @@
      * @param nextId id of the one that is there instead; empty when there is none
      * @param outcome how its runs have ended
      */
-    private void discardIncarnation(MinionState old, String nextId, RunOutcome outcome, String reason) {
+    private void discardIncarnation(MinionState old, String newMinionId, RunOutcome outcome, String reason) {
         restored = false;
         awaitingAnnouncement = false;
         departing = false;
@@ -360,7 +360,7 @@
         responsive = true;
         pollScheduled = false;
         pollNumber++;
-        if (old.minionId().equals(nextId)) {
+        if (old.minionId().equals(newMinionId)) {
             carryOver(old, outcome);
         } else {
             endReporter.reportAllLost(old.incarnation().name(), outcome, reason);
@@ -425,11 +425,11 @@
             return Optional.of("lease held back");
         }
         used = true;
-        long until = lease.extend(now);
-        HeldRun fresh = new HeldRun(run, owner, room, until, suspected, now);
-        held.add(fresh);
-        StartRequest order = new StartRequest(run, payload, until, token.value(), checkpoint);
-        commands.start(minion.orElseThrow().incarnation(), fresh, order);
+        long leaseEndMillis = lease.extend(now);
+        HeldRun newRun = new HeldRun(run, owner, room, leaseEndMillis, suspected, now);
+        held.add(newRun);
+        StartRequest request = new StartRequest(run, payload, leaseEndMillis, token.value(), checkpoint);
+        commands.start(minion.orElseThrow().incarnation(), newRun, request);
         poll();
         return Optional.empty();
     }
@@ -481,14 +481,14 @@
         pollInFlight = true;
         pollNumber++;
         long number = pollNumber;
-        Incarnation at = minion.get().incarnation();
-        PollRequest order = pollRequest(now);
-        port.poll(at.id(), order, answer -> {
+        Incarnation incarnation = minion.get().incarnation();
+        PollRequest request = pollRequest(now);
+        port.poll(incarnation.id(), request, result -> {
             pollInFlight = false;
             if (number == pollNumber
                     && minion.isPresent()
-                    && minion.get().incarnation().matches(at)) {
-                handlePollResult(at, answer, now, order.acknowledgedThrough());
+                    && minion.get().incarnation().matches(incarnation)) {
+                handlePollResult(incarnation, result, now, request.acknowledgedThrough());
             } else {
                 poll();
             }
@@ -496,9 +496,9 @@
     }
 
     private PollRequest pollRequest(long now) {
-        boolean another = mayHaveRestarted();
-        Duration wait = held.isEmpty() || !reconciled || another ? Duration.ZERO : POLL_WAIT;
-        return new PollRequest(token.value(), another ? 0 : ends.storedThrough(), renewal(now), wait);
+        boolean uncertain = mayHaveRestarted();
+        Duration wait = held.isEmpty() || !reconciled || uncertain ? Duration.ZERO : POLL_WAIT;
+        return new PollRequest(token.value(), uncertain ? 0 : ends.storedThrough(), renewal(now), wait);
     }
 
     /**
@@ -518,8 +518,8 @@
     }
 
     private OptionalLong renewal(long now) {
-        boolean another = !reconciled || mayHaveRestarted();
-        if (held.isEmpty() || another || now - lastAnswerNanos > RENEWAL_CUTOFF_NANOS || !leaseCheck.isAllowed(now)) {
+        boolean uncertain = !reconciled || mayHaveRestarted();
+        if (held.isEmpty() || uncertain || now - lastAnswerNanos > RENEWAL_CUTOFF_NANOS || !leaseCheck.isAllowed(now)) {
             return OptionalLong.empty();
         }
         return OptionalLong.of(lease.extend(now));
@@ -540,12 +540,13 @@
         }
     }
 
-    private void handlePollResult(Incarnation at, PollResult answer, long sentAtNanos, long keptWithIt) {
-        connectionRefused = answer instanceof PollResult.Unreachable;
-        switch (answer) {
+    private void handlePollResult(
+            Incarnation incarnation, PollResult result, long sentAtNanos, long acknowledgedByPoll) {
+        connectionRefused = result instanceof PollResult.Unreachable;
+        switch (result) {
             case PollResult.Lists listed -> {
-                if (!at.mayHaveStartedAt(listed.startedAtMillis())) {
-                    handleOtherIncarnation(at, listed);
+                if (!incarnation.mayHaveStartedAt(listed.startedAtMillis())) {
+                    handleOtherIncarnation(incarnation, listed);
                     return;
                 }
                 recordStartTime(listed.startedAtMillis());
@@ -556,18 +557,18 @@
                     // The agent before this one may have extended the lease a moment ago.
                     lease.extend(lastAnswerNanos);
                 }
-                acknowledgedThrough = Math.max(acknowledgedThrough, keptWithIt);
-                boolean news = applyLists(listed, sentAtNanos);
-                boolean quick = lastAnswerNanos - sentAtNanos < EMPTY_POLL_PAUSE.toNanos();
-                if (news) {
+                acknowledgedThrough = Math.max(acknowledgedThrough, acknowledgedByPoll);
+                boolean hasNewEnds = applyLists(listed, sentAtNanos);
+                boolean immediate = lastAnswerNanos - sentAtNanos < EMPTY_POLL_PAUSE.toNanos();
+                if (hasNewEnds) {
                     pollAfter(PAUSE_AFTER_ENDS);
                 } else {
-                    pollAfter(quick ? EMPTY_POLL_PAUSE : Duration.ZERO);
+                    pollAfter(immediate ? EMPTY_POLL_PAUSE : Duration.ZERO);
                 }
             }
             case PollResult.Refused refused -> {
                 EventLine.of("look-refused")
-                        .with("minion", at.name())
+                        .with("minion", incarnation.name())
                         .with("reason", refused.reason())
                         .log(LOGGER.atWarning());
                 if (refused.fenced()) {
@@ -578,12 +579,12 @@
                 }
             }
             case PollResult.Unreachable unreachable -> {
-                logUnanswered(at, unreachable.reason());
+                logUnanswered(incarnation, unreachable.reason());
                 markUnresponsive();
                 pollAfter(POLL_RETRY_PAUSE);
             }
             case PollResult.Unknown unknown -> {
-                logUnanswered(at, unknown.reason());
+                logUnanswered(incarnation, unknown.reason());
                 if (timers.nanos() - lastAnswerNanos > UNRESPONSIVE_NANOS) {
                     markUnresponsive();
                     pollAfter(POLL_RETRY_PAUSE);
@@ -594,9 +595,9 @@
         }
     }
 
-    private static void logUnanswered(Incarnation at, String reason) {
+    private static void logUnanswered(Incarnation incarnation, String reason) {
         EventLine.of("look-unanswered")
-                .with("minion", at.name())
+                .with("minion", incarnation.name())
                 .with("reason", reason)
                 .log(LOGGER.atInfo());
     }
@@ -620,10 +621,10 @@
         }
     }
 
-    private void recordStartTime(long bornAtMillis) {
+    private void recordStartTime(long startedAtMillis) {
         MinionState known = minion.orElseThrow();
-        if (bornAtMillis != 0 && known.incarnation().startedAtMillis() == 0) {
-            minion = Optional.of(known.withIncarnation(Incarnation.of(known.minionId(), bornAtMillis)));
+        if (startedAtMillis != 0 && known.incarnation().startedAtMillis() == 0) {
+            minion = Optional.of(known.withIncarnation(Incarnation.of(known.minionId(), startedAtMillis)));
         }
     }
 
@@ -645,16 +646,16 @@
     private boolean applyLists(PollResult.Lists listed, long sentAtNanos) {
         Room before = free();
         boolean acceptingBefore = isAccepting();
-        List<OwnedEnd> fresh = reconciler.reconcile(minion.orElseThrow().incarnation(), listed, sentAtNanos);
+        List<OwnedEnd> newEnds = reconciler.reconcile(minion.orElseThrow().incarnation(), listed, sentAtNanos);
         responsive = true;
         reconciled = true;
-        if (!fresh.isEmpty()) {
-            listener.ended(fresh);
+        if (!newEnds.isEmpty()) {
+            listener.ended(newEnds);
         }
         if (!before.equals(free()) || acceptingBefore != isAccepting()) {
             listener.roomChanged();
         }
-        return !fresh.isEmpty();
+        return !newEnds.isEmpty();
     }
 
     /** Stops everything that an owner has here. */
@@ -674,15 +675,15 @@
     /** What calls about single runs ask of and tell to this. */
     private final class CommandCallbacks implements RunCommands.Callbacks {
         @Override
-        public boolean isHeld(Incarnation at, HeldRun run) {
+        public boolean isHeld(Incarnation incarnation, HeldRun run) {
             return held.has(run)
                     && minion.isPresent()
-                    && minion.get().incarnation().matches(at);
+                    && minion.get().incarnation().matches(incarnation);
         }
 
         @Override
-        public void reportNeverStarted(Incarnation at, HeldRun run) {
-            endReporter.reportNeverStarted(at, run);
+        public void reportNeverStarted(Incarnation incarnation, HeldRun run) {
+            endReporter.reportNeverStarted(incarnation, run);
         }
 
         @Override
--- a/library/src/main/java/org/chivetally/queue/agent/TimingMinionPort.java
+++ b/library/src/main/java/org/chivetally/queue/agent/TimingMinionPort.java
@@ -65,48 +65,48 @@
     }
 
     @Override
-    public void start(String boot, StartRequest order, Consumer<StartResult> answer) {
-        resetForNewMinion(boot);
-        RunKey run = order.run();
-        if (!order.checkpoint().isEmpty()) {
+    public void start(String minionId, StartRequest request, Consumer<StartResult> callback) {
+        resetForNewMinion(minionId);
+        RunKey run = request.run();
+        if (!request.checkpoint().isEmpty()) {
             // It does only the rest of the work, of which there is no estimate.
             runs.remove(run);
         }
         long sentAtNanos = timers.nanos();
-        port.start(boot, order, answered -> {
+        port.start(minionId, request, result -> {
             long now = timers.nanos();
-            boolean dated =
-                    answered instanceof StartResult.Started && now - sentAtNanos <= MAXIMUM_ANSWER_TIME.toNanos();
+            boolean startKnown =
+                    result instanceof StartResult.Started && now - sentAtNanos <= MAXIMUM_ANSWER_TIME.toNanos();
             TimedRun timed = runs.get(run);
-            if (timed != null && dated) {
+            if (timed != null && startKnown) {
                 timed.startedAtNanos = now;
                 timed.startTimeKnown = true;
             } else {
                 runs.remove(run);
             }
-            answer.accept(answered);
+            callback.accept(result);
         });
     }
 
     @Override
-    public void stop(String boot, RunKey run, long token, Consumer<Boolean> answer) {
+    public void stop(String minionId, RunKey run, long token, Consumer<Boolean> callback) {
         runs.remove(run);
-        port.stop(boot, run, token, answer);
+        port.stop(minionId, run, token, callback);
     }
 
     @Override
-    public void poll(String boot, PollRequest order, Consumer<PollResult> answer) {
-        resetForNewMinion(boot);
-        port.poll(boot, order, answered -> {
-            if (boot.equals(timedMinionId)) {
-                recordEnds(answered);
+    public void poll(String minionId, PollRequest request, Consumer<PollResult> callback) {
+        resetForNewMinion(minionId);
+        port.poll(minionId, request, result -> {
+            if (minionId.equals(timedMinionId)) {
+                recordEnds(result);
             }
-            answer.accept(answered);
+            callback.accept(result);
         });
     }
 
-    private void recordEnds(PollResult answer) {
-        if (answer instanceof PollResult.Lists lists) {
+    private void recordEnds(PollResult result) {
+        if (result instanceof PollResult.Lists lists) {
             for (ListedEnd end : lists.ends()) {
                 TimedRun run = runs.remove(end.run());
                 if (run != null && run.startTimeKnown && endTimesKnown && end.outcome() == RunOutcome.DONE) {
@@ -122,13 +122,13 @@
     }
 
     /** Forgets everything when another minion is called: it may be of another kind. */
-    private void resetForNewMinion(String boot) {
-        if (!boot.equals(timedMinionId)) {
+    private void resetForNewMinion(String minionId) {
+        if (!minionId.equals(timedMinionId)) {
             if (!timedMinionId.isEmpty()) {
                 runs.clear();
                 stretch.clear();
             }
-            timedMinionId = boot;
+            timedMinionId = minionId;
             endTimesKnown = true;
         }
     }
--- a/library/src/main/java/org/chivetally/queue/agent/UnacknowledgedEnds.java
+++ b/library/src/main/java/org/chivetally/queue/agent/UnacknowledgedEnds.java
@@ -22,9 +22,9 @@
 
     /** Notes that an end is stored, or that nobody needs it. */
     void markStored(long sequence) {
-        TrackedEnd entry = ends.get(sequence);
-        if (entry != null) {
-            entry.stored = true;
+        TrackedEnd tracked = ends.get(sequence);
+        if (tracked != null) {
+            tracked.stored = true;
         }
         while (!ends.isEmpty() && ends.firstEntry().getValue().stored) {
             storedThrough = ends.pollFirstEntry().getKey();
@@ -33,17 +33,17 @@
 
     /** Notes that the minion's lease has ended since all of these, so that they no longer count at the minion. */
     void markLeaseExpired() {
-        for (TrackedEnd entry : ends.values()) {
-            entry.leaseExpired = true;
+        for (TrackedEnd tracked : ends.values()) {
+            tracked.leaseExpired = true;
         }
     }
 
     /** Returns the owners that haven't stored an end yet since which the lease has not ended. */
     Set<RunOwner> ownersOfUnstoredEndsUnderLease() {
         Set<RunOwner> owners = new HashSet<>();
-        for (TrackedEnd entry : ends.values()) {
-            if (!entry.stored && !entry.leaseExpired) {
-                owners.add(entry.owner);
+        for (TrackedEnd tracked : ends.values()) {
+            if (!tracked.stored && !tracked.leaseExpired) {
+                owners.add(tracked.owner);
             }
         }
         return owners;
@@ -55,14 +55,14 @@
     }
 
     /** Returns the ends that aren't kept. */
-    List<OwnedEnd> unstored(String boot) {
-        List<OwnedEnd> open = new ArrayList<>();
-        for (TrackedEnd entry : ends.values()) {
-            if (!entry.stored) {
-                open.add(new OwnedEnd(entry.owner, entry.end.toEndedRun(boot)));
+    List<OwnedEnd> unstored(String incarnation) {
+        List<OwnedEnd> unstored = new ArrayList<>();
+        for (TrackedEnd tracked : ends.values()) {
+            if (!tracked.stored) {
+                unstored.add(new OwnedEnd(tracked.owner, tracked.end.toEndedRun(incarnation)));
             }
         }
-        return open;
+        return unstored;
     }
 
     boolean isEmpty() {
--- a/library/src/main/java/org/chivetally/queue/agent/UnstoredCrashes.java
+++ b/library/src/main/java/org/chivetally/queue/agent/UnstoredCrashes.java
@@ -29,18 +29,18 @@
     OwnedEnd add(OwnedEnd end) {
         sequence++;
         EndedRun run = end.end();
-        OwnedEnd numbered =
+        OwnedEnd numberedEnd =
                 new OwnedEnd(end.owner(), new EndedRun(name, sequence, run.run(), run.outcome(), run.checkpoint()));
-        crashes.put(sequence, numbered);
+        crashes.put(sequence, numberedEnd);
         if (crashes.size() > MAXIMUM_CRASHES) {
             crashes.pollFirstEntry();
         }
-        return numbered;
+        return numberedEnd;
     }
 
     /** Forgets ends that are stored, if they are from here; tells whether they are. */
-    boolean markStored(String minion, List<Long> sequences) {
-        if (!name.equals(minion)) {
+    boolean markStored(String incarnation, List<Long> sequences) {
+        if (!name.equals(incarnation)) {
             return false;
         }
         sequences.forEach(crashes::remove);
