--- a/library/src/main/java/org/chivetally/queue/agent/AgentNode.java
+++ b/library/src/main/java/org/chivetally/queue/agent/AgentNode.java
@@ -39,54 +39,63 @@
 import org.chivetally.wire.v1.WorkerReport;
 
 /**
- * An agent among its entries: takes starts from the owners of partitions, refuses those of owners that were replaced,
- * and tells owners what became of their runs.
+ * Connects an agent with the entries. It accepts starts from partition owners, refuses those of owners that have been
+ * replaced, and reports to owners how their runs ended.
  */
 public final class AgentNode implements LinkListener, SupervisorListener {
     /**
-     * Interval of heartbeats, and of all else that is looked at regularly: on half a core, wake-ups are most of what an
-     * idle agent costs. Three fit into the silence after which runs are stopped, six into that which closes a link.
+     * Interval of heartbeats and of all periodic work; on half a core, wake-ups are most of the cost of an idle agent.
+     * Three heartbeats fit into the timeout after which runs are stopped, six into the one after which a link is
+     * closed.
      */
     static final Duration HEARTBEAT_INTERVAL = Duration.ofMillis(250);
 
     /**
-     * The same while nothing runs, waits or is still to be told. Entries answer each heartbeat, so two in each
-     * direction fit into the silence of 1.5 s that closes a link, and one of them may come late.
+     * Interval of heartbeats while no run, unstored end, waiting start or unsent inventory is left. Entries answer each
+     * heartbeat, so heartbeat, so two in each direction fit into the 1.5 s of silence after which a link is closed, and
+     * one of them may be late.
      */
     static final Duration IDLE_HEARTBEAT_INTERVAL = Duration.ofMillis(700);
 
-    /** Time without work after which an agent counts as idle: under load the next start comes long before. */
+    /** Time without work after which an agent counts as idle. Under load, the next start arrives long before. */
     static final Duration IDLE_AFTER = Duration.ofSeconds(2);
 
-    /** Pause before a changed room is told, so that a burst of ends makes one frame to each entry. */
+    /**
+     * Delay before a change of the free resources is reported, so that a burst of ends causes one frame to each entry.
+     */
     static final Duration REPORT_DELAY = Duration.ofMillis(10);
 
     /**
-     * Entries up to which the pause is enough. With more it grows with them, so that an agent sends no more than 300
-     * reports a second: 60 agents under full load would else take half a small entry's processor for these alone.
+     * Number of entries up to which {@link #REPORT_DELAY} applies. With more entries the delay grows in proportion, so
+     * that an agent sends at most 300 reports a second: 60 agents under full load would otherwise use half of a small
+     * entry's processor for reports alone.
      */
     static final int ENTRIES_PER_REPORT_DELAY = 3;
 
     /**
-     * Reports a second that all agents together send to one entry between their heartbeats. Without a bound they grow
-     * with the agents, until a small entry has no time left to place anything; with so many agents, it hears of free
-     * room often enough as it is.
+     * Maximum number of reports a second that all agents together send to one entry between their heartbeats. Without
+     * this bound the number grows with that of the agents until a small entry has no time left for placement. With so
+     * many agents, an entry still learns of free resources often enough.
      */
     static final int MAXIMUM_REPORTS_PER_SECOND = 800;
 
-    /** Heartbeats after which ends that nobody has stored are told again, for an owner that was not ready for them. */
+    /**
+     * Number of heartbeats after which ends that no owner has stored are reported again, as the owner may not have been
+     * ready for them.
+     */
     static final int HEARTBEATS_PER_END_RETRY = 2;
 
     /**
-     * Part of the capacity under which a change of the free room is told at once. Above it no entry waits for room, and
-     * the next heartbeat is soon enough, and each change told costs every entry a frame.
+     * Divisor of the capacity that gives the threshold of scarce resources. Below it, each change is reported without
+     * waiting for the next heartbeat. Above it no entry waits for free resources, and each report costs every entry a
+     * frame.
      */
     static final int SCARCE_ROOM_DIVISOR = 4;
 
-    /** How often an agent without any link looks for entries: all that it knew may be gone. */
+    /** How often an agent without any link searches for entries, as all those it knew may be gone. */
     static final Duration DISCOVERY_INTERVAL = Duration.ofMillis(1_000);
 
-    /** Refusal of a start in an evacuated failure domain. */
+    /** Reason for refusing a start in an evacuated failure domain. */
     static final String EVACUATED = "evacuated";
 
     private static final FluentLogger LOGGER = FluentLogger.forEnclosingClass();
@@ -107,7 +116,7 @@
     private long nextHeartbeatNanos;
     private long lastBusyNanos;
     private long disconnectedSinceNanos;
-    /** Agents that the entry heard last is linked to. */
+    /** Number of agents linked to the entry whose heartbeat came last. */
     private int agents;
 
     private boolean reportScheduled;
@@ -116,7 +125,13 @@
     private Runnable minionListener = () -> {};
     private Runnable entryDiscovery = () -> {};
 
-    /** Creates an agent that dials nobody yet. */
+    /**
+     * Creates an agent that has no links yet.
+     *
+     * @param self this process as its peers see it
+     * @param minion calls to the minion
+     * @param partitions number of partitions among which durable jobs are divided
+     */
     public AgentNode(Peer self, Timers timers, Dialer dialer, MinionPort minion, int partitions) {
         this.self = self;
         this.timers = timers;
@@ -130,37 +145,37 @@
         scheduleHeartbeat(HEARTBEAT_INTERVAL);
     }
 
-    /** Returns what keeps the minion's runs. */
+    /** Returns the supervisor of the minion's runs. */
     public RunSupervisor supervisor() {
         return supervisor;
     }
 
-    /** Returns how long the minion's runs last compared with their estimates, as far as learned. */
+    /** Returns the learned ratio of the durations of the minion's runs to their estimates. */
     public LearnedStretch stretch() {
         return timing.stretch();
     }
 
-    /** Names who is told when the minion has changed. */
+    /** Sets the action that runs when the minion was replaced, has departed or is about to leave. */
     public void whenMinionChanges(Runnable listener) {
         minionListener = listener;
     }
 
-    /** Names who looks for entries; called every {@link #DISCOVERY_INTERVAL} while there is no link to any. */
+    /** Sets the action that searches for entries. It runs every {@link #DISCOVERY_INTERVAL} while no link is up. */
     public void whenDisconnected(Runnable listener) {
         entryDiscovery = listener;
     }
 
-    /** Returns the links. */
+    /** Returns the links to the entries. */
     public LinkTable links() {
         return links;
     }
 
-    /** Returns who is told about connections that others open. */
+    /** Returns the listener for connections that other processes open. */
     public FrameListener acceptor() {
         return links.acceptor();
     }
 
-    /** Dials an entry from now on. */
+    /** Adds an entry to which the agent keeps a link. Agents and this process itself are ignored. */
     public void addEntry(Peer entry) {
         if (!entry.agent() && !entry.process().equals(self.process())) {
             links.dial(entry);
@@ -177,7 +192,7 @@
 
     @Override
     public void down(PeerLink link, String reason) {
-        // Nobody follows them any more; the entry finds them in no inventory and starts them elsewhere.
+        // The entry finds these starts in no inventory and starts their tasks elsewhere.
         waitingStarts.removeIf(waiting -> waiting.link() == link);
         startsSeen.remove(link);
         awaitingInventory.remove(link);
@@ -218,7 +233,7 @@
         }
     }
 
-    /** Goes by the newest evacuations that any entry has read; what runs here ends by itself. */
+    /** Adopts received evacuations if they are newer than the known ones. Runs in progress continue. */
     private void updateEvacuations(Evacuations received) {
         boolean before = isEvacuated();
         evacuations = evacuations.newerOf(received);
@@ -263,7 +278,7 @@
         }
     }
 
-    /** Starts a run; returns why not, if it isn't. */
+    /** Starts a run. Returns the reason of a refusal; empty if the start was sent to the minion. */
     private Optional<String> tryStart(PeerLink link, RunStart start, RunKey run) {
         Optional<String> refusal = refusal(link, start);
         if (refusal.isEmpty()) {
@@ -290,7 +305,7 @@
         return refusal;
     }
 
-    /** Lets a start wait for room; tells whether there was a place for it. */
+    /** Queues a start until resources are free. Returns false if the queue is full. */
     private boolean addWaiting(PeerLink link, RunStart start, RunKey run) {
         Optional<WaitingStarts.WaitingStart> waiting = waitingStarts.add(link, start, run);
         waiting.ifPresent(added ->
@@ -317,7 +332,7 @@
     private Optional<String> refusal(PeerLink link, RunStart start) {
         owners.checkForSuspension();
         if (isEvacuated()) {
-            // An entry that is cut off from the log does not know of it, and would go on sending.
+            // An entry that is cut off from the log doesn't know of the evacuation and would keep sending starts.
             return Optional.of(EVACUATED);
         }
         if (isFenced(start)) {
@@ -327,8 +342,8 @@
         if (!owners.isValid(start.getEchoNanos(), start.getStampAgeNanos())) {
             return Optional.of("stale by " + (timers.nanos() - sentNanos) / 1_000_000 + " ms");
         }
-        // A start proves that its owner has heard the agent, also before the first echo has come.
-        // Without that, the lease is held back, and the first starts after a loss of all power are refused.
+        // A start proves that its owner has received a stamp of the agent, even before the owner's first heartbeat.
+        // Otherwise the lease isn't extended, and the first starts after a complete power loss are refused.
         link.recordEcho(sentNanos);
         if (!start.getUnkept()) {
             owners.raiseEpoch(start.getPartition(), start.getEpoch(), link);
@@ -413,7 +428,8 @@
         boolean wasScarce = reportedRoomScarce;
         startWaiting();
         if (shrunk) {
-            // They would wait for ends that give the room of other starts back, and have a better chance elsewhere.
+            // The resources that come free first are taken by the runs in excess of the new capacity, so that these
+            // starts have a better chance elsewhere.
             refuseWaiting(RunSupervisor.NO_ROOM, waiting -> true);
         }
         if (shrunk || wasScarce) {
@@ -456,7 +472,7 @@
         return supervisor.isIdle() && waitingStarts.isEmpty() && awaitingInventory.isEmpty();
     }
 
-    /** Goes over to the full rate of heartbeats, unless the next one is due within its interval anyway. */
+    /** Returns to the full heartbeat rate, unless the next heartbeat is due within its interval anyway. */
     private void leaveIdleRate() {
         lastBusyNanos = timers.nanos();
         if (nextHeartbeatNanos - lastBusyNanos > HEARTBEAT_INTERVAL.toNanos()) {
@@ -532,7 +548,8 @@
             return;
         }
         for (PeerLink link : awaitingInventory) {
-            // An inventory says that what it doesn't list never runs, so nothing may wait beside it.
+            // An inventory asserts that a run that it doesn't list never starts, so no start of this entry may remain
+            // queued.
             refuseWaiting("inventory", waiting -> waiting.link() == link);
             link.send(inventory(link));
         }
@@ -562,7 +579,7 @@
         return report().setStartsSeen(startsSeen.getOrDefault(link, 0L)).build();
     }
 
-    /** Returns what all entries are told, without what each of them has sent. */
+    /** Returns a report with the part that is the same for all entries. */
     private WorkerReport.Builder report() {
         LearnedStretch stretch = timing.stretch();
         WorkerReport.Builder report = WorkerReport.newBuilder()
--- a/library/src/main/java/org/chivetally/queue/agent/DepartureCheck.java
+++ b/library/src/main/java/org/chivetally/queue/agent/DepartureCheck.java
@@ -9,14 +9,18 @@
 import org.chivetally.time.Timers;
 
 /**
- * Finds out which incarnation a departure is about. It names the id only: held up by a partition, the departure of an
- * earlier incarnation would end every run of the one that has come back under the same id.
+ * Determines which incarnation of a minion a departure message refers to. The message contains only the minion's id. If
+ * it is delayed by a network partition, the departure of an earlier incarnation would otherwise end every run of the
+ * one that has been started since under the same id.
  */
 final class DepartureCheck {
-    /** Pause between two looks at a minion that has taken its leave and still answers. */
+    /** Pause between two polls of a minion that has announced its departure and still answers. */
     static final Duration POLL_INTERVAL = Duration.ofMillis(100);
 
-    /** Looks after which a minion that still answers has not left; one that does ends within a second. */
+    /**
+     * Number of polls after which a minion that still answers has not departed. A departing minion ends within a
+     * second.
+     */
     static final int MAXIMUM_POLLS = 10;
 
     private static final FluentLogger LOGGER = FluentLogger.forEnclosingClass();
@@ -30,12 +34,12 @@
     private int polls;
 
     /**
-     * Creates a check that has not begun.
+     * Creates a check. The first poll is sent by {@link #poll}.
      *
-     * @param minion the incarnation that is known
-     * @param token of the agent's calls
-     * @param whenDeparted called when it isn't there any more
-     * @param whenPresent called when it has gone on answering, or can't be asked
+     * @param minion the current incarnation
+     * @param token fencing token of the agent's calls
+     * @param whenDeparted called if the incarnation is gone
+     * @param whenPresent called if it still answers after all polls, or if it can't be determined
      */
     DepartureCheck(
             Timers timers,
@@ -52,7 +56,7 @@
         this.whenPresent = whenPresent;
     }
 
-    /** Looks at the minion until it is gone or has been there long enough. */
+    /** Polls the minion until it is gone or the maximum number of polls is reached. */
     void poll() {
         polls++;
         PollRequest request = new PollRequest(token.value(), 0, OptionalLong.empty(), Duration.ZERO);
--- a/library/src/main/java/org/chivetally/queue/agent/EndCodec.java
+++ b/library/src/main/java/org/chivetally/queue/agent/EndCodec.java
@@ -6,11 +6,11 @@
 import org.chivetally.queue.TaskKey;
 import org.chivetally.wire.v1.RunEnd;
 
-/** Translates ends of runs to frames and back. */
+/** Converts ends of runs to protocol buffers and back. */
 public final class EndCodec {
     private EndCodec() {}
 
-    /** Writes an end. */
+    /** Converts an end to its message. */
     public static RunEnd encode(EndedRun end) {
         return RunEnd.newBuilder()
                 .setMinion(end.incarnation())
@@ -22,7 +22,7 @@
                 .build();
     }
 
-    /** Reads an end; empty when it names no task or an outcome that this release doesn't know. */
+    /** Converts a message to an end; empty if its task name is malformed or this release doesn't know its outcome. */
     public static Optional<EndedRun> decode(RunEnd end) {
         Optional<RunOutcome> outcome = decode(end.getOutcome());
         Optional<TaskKey> task = TaskKey.parse(end.getTask());
--- a/library/src/main/java/org/chivetally/queue/agent/EndedRun.java
+++ b/library/src/main/java/org/chivetally/queue/agent/EndedRun.java
@@ -5,16 +5,17 @@
 import org.chivetally.queue.RunOutcome;
 
 /**
- * The end of a run, as it is told to the run's owner.
+ * The end of a run, as it is reported to the run's owner.
  *
- * @param incarnation start of the minion that listed the end
- * @param sequence number of the end in that minion's list; 0 where the minion lists none
+ * @param incarnation name of the minion's incarnation that listed the end, see {@link Incarnation#name}, or that of the
+ *     agent's list of crashes
+ * @param sequence number of the end in that list; 0 if the minion doesn't list it
  * @param run the run
  * @param outcome how it ended
- * @param checkpoint newest checkpoint; empty for none
+ * @param checkpoint the latest checkpoint; empty for none
  */
 public record EndedRun(String incarnation, long sequence, RunKey run, RunOutcome outcome, String checkpoint) {
-    /** Refuses missing parts. */
+    /** Rejects null components. */
     public EndedRun {
         Objects.requireNonNull(incarnation, "incarnation");
         Objects.requireNonNull(run, "run");
--- a/library/src/main/java/org/chivetally/queue/agent/FencingToken.java
+++ b/library/src/main/java/org/chivetally/queue/agent/FencingToken.java
@@ -6,12 +6,12 @@
 import org.chivetally.time.Timers;
 
 /**
- * What an agent's calls carry so that a minion refuses those of the agent before it, which may still reach the minion
- * after that one was killed. It begins with the time of day, which is higher than at any earlier start, as a restart
- * takes longer than clocks are apart.
+ * The fencing token in an agent's calls. It makes the minion refuse calls of the agent's predecessor that arrive after
+ * the predecessor was killed. The initial value is the time of day in milliseconds, which is higher than that of any
+ * earlier start, as a restart takes longer than clocks differ.
  */
 final class FencingToken {
-    /** Step by which a token that was refused is raised at least; more than clocks are apart. */
+    /** Minimum increase of a token that was refused; larger than the difference between clocks. */
     static final Duration MINIMUM_INCREASE = Duration.ofSeconds(10);
 
     private static final FluentLogger LOGGER = FluentLogger.forEnclosingClass();
@@ -28,12 +28,15 @@
         return value;
     }
 
-    /** Passes to the next token, so that what was sent with the one before is refused wherever this one was seen. */
+    /** Increments the token, so that a minion that has seen the new value refuses calls with the old one. */
     void increment() {
         value++;
     }
 
-    /** Raises the token: only the agent of this machine calls the minion, so whoever had a higher one is gone. */
+    /**
+     * Raises the token after a refusal. Only the agent on this machine calls the minion, so the process that used the
+     * higher token is gone.
+     */
     void raise() {
         value = Math.max(value + MINIMUM_INCREASE.toMillis(), timers.epochMillis());
         EventLine.of("agent-token-raised").with("token", value).log(LOGGER.atWarning());
--- a/library/src/main/java/org/chivetally/queue/agent/HeldRun.java
+++ b/library/src/main/java/org/chivetally/queue/agent/HeldRun.java
@@ -4,15 +4,15 @@
 import org.chivetally.queue.RunKey;
 import org.chivetally.queue.RunOutcome;
 
-/** A run whose room is taken at the minion: it runs, stops, or may still start. */
+/** A run that occupies resources of the minion: it is running or being stopped, or it may still start. */
 final class HeldRun {
-    /** How far the run is. */
+    /** Progress of the run's start. */
     enum Stage {
-        /** The start is on its way. */
+        /** The start was sent and not answered yet. */
         STARTING,
-        /** The start got no answer; it may have been carried out, or may be later. */
+        /** The start was not answered in time. The minion may have executed it, or may execute it later. */
         UNCONFIRMED,
-        /** The minion has listed it, or has answered the start. */
+        /** The minion has listed the run or confirmed its start. */
         RUNNING
     }
 
@@ -45,7 +45,7 @@
         return owner;
     }
 
-    /** Tells whether its task was on a minion that crashed. */
+    /** Tells whether the run's task was running on a minion when that minion crashed. */
     boolean isSuspected() {
         return suspected;
     }
@@ -55,10 +55,10 @@
     }
 
     /**
-     * Tells whether a run that a look doesn't list will never be there.
+     * Tells whether a run that isn't in the minion's lists will never start.
      *
-     * @param clockMillis the minion's clock at its answer
-     * @param sentAtNanos when the look was sent
+     * @param clockMillis the minion's clock in its answer, in milliseconds
+     * @param sentAtNanos when the poll was sent, on the monotonic clock in nanoseconds
      */
     boolean isStartRuledOut(long clockMillis, long sentAtNanos) {
         if (stage != Stage.UNCONFIRMED || sentAtNanos - stageSinceNanos < 0) {
@@ -67,17 +67,17 @@
         return stopConfirmed || MinionLease.isExpired(leaseEndMillis, clockMillis);
     }
 
-    /** Returns an end of the run that the minion does not list, and so needs no word from the owner. */
+    /** Returns an end that the minion doesn't list, so that no owner has to acknowledge it. */
     OwnedEnd unlistedEnd(String incarnation, RunOutcome outcome) {
         return new OwnedEnd(owner, new EndedRun(incarnation, 0, key, outcome, ""));
     }
 
     /**
-     * Notes that its minion was replaced under the same id. Its start may have been carried out by either incarnation,
-     * so the new one's lists decide whether it is there.
+     * Marks the run as carried over to a later incarnation with the same id. Either incarnation may have executed its
+     * start, so the lists of the new one decide whether the run exists.
      *
-     * @param from the incarnation that was replaced
-     * @param outcome how the run has ended if it isn't there
+     * @param replaced the incarnation that was replaced
+     * @param outcome how the run has ended if the new incarnation doesn't list it
      */
     void carryOver(Incarnation replaced, RunOutcome outcome) {
         if (previousIncarnation != null) {
@@ -92,7 +92,7 @@
         return previousIncarnation != null;
     }
 
-    /** Notes that the incarnation that answers now lists it. */
+    /** Records that the current incarnation lists the run. */
     void listed(long nowNanos) {
         previousIncarnation = null;
         if (stage != Stage.RUNNING) {
@@ -100,7 +100,7 @@
         }
     }
 
-    /** Returns the end of a run that was carried over and isn't there. */
+    /** Returns the end of a carried-over run that the new incarnation doesn't list. */
     OwnedEnd endAtPreviousIncarnation() {
         return unlistedEnd(previousIncarnation.name(), outcomeIfAbsent);
     }
@@ -130,7 +130,7 @@
         return stopConfirmed;
     }
 
-    /** Notes that the minion took the stop; what it lists from now on is final. */
+    /** Records that the minion accepted the stop. A run that later lists don't contain will never start. */
     void confirmStop(long nowNanos) {
         stopConfirmed = true;
         stageSinceNanos = nowNanos;
--- a/library/src/main/java/org/chivetally/queue/agent/HeldRuns.java
+++ b/library/src/main/java/org/chivetally/queue/agent/HeldRuns.java
@@ -11,7 +11,7 @@
 import org.chivetally.queue.RunOutcome;
 import org.chivetally.queue.TaskKey;
 
-/** The runs whose room is taken at the minion, one for each task, and the sum of their room. */
+/** The runs that occupy resources of the minion, at most one for each task, and the sum of their resources. */
 final class HeldRuns {
     private final Map<TaskKey, HeldRun> runs = new LinkedHashMap<>();
     private Room room = Room.NONE;
@@ -25,7 +25,7 @@
         return runs.size();
     }
 
-    /** Returns the run of a task; null when there is none. */
+    /** Returns the run of a task; null if there is none. */
     HeldRun of(TaskKey task) {
         return runs.get(task);
     }
@@ -46,22 +46,27 @@
         suspected -= run.isSuspected() ? 1 : 0;
     }
 
-    /** Returns the room that all of them take. */
+    /** Returns the resources that all runs occupy. */
     Room room() {
         return room;
     }
 
-    /** Returns how many are of tasks that were on a minion that crashed. */
+    /** Returns the number of runs whose tasks were running on a minion when that minion crashed. */
     int suspected() {
         return suspected;
     }
 
-    /** Returns all of them as they are now. */
+    /** Returns a copy of all runs. */
     List<HeldRun> all() {
         return List.copyOf(runs.values());
     }
 
-    /** Removes all; returns their ends at a minion of that name. */
+    /**
+     * Removes all runs and returns their ends.
+     *
+     * @param incarnation name of the minion's incarnation
+     * @param outcome how the runs ended, except those that were carried over from an earlier incarnation
+     */
     List<OwnedEnd> endAll(String incarnation, RunOutcome outcome) {
         List<OwnedEnd> ended = new ArrayList<>();
         for (HeldRun run : runs.values()) {
@@ -73,7 +78,7 @@
         return ended;
     }
 
-    /** Returns whose runs these are. */
+    /** Returns the owners of all runs. */
     Set<RunOwner> owners() {
         Set<RunOwner> owners = new HashSet<>();
         for (HeldRun run : runs.values()) {
@@ -82,7 +87,7 @@
         return owners;
     }
 
-    /** Returns the owners by run. */
+    /** Returns the owner of each run. */
     Map<RunKey, RunOwner> byKey() {
         Map<RunKey, RunOwner> byKey = new LinkedHashMap<>();
         for (HeldRun run : runs.values()) {
--- a/library/src/main/java/org/chivetally/queue/agent/Incarnation.java
+++ b/library/src/main/java/org/chivetally/queue/agent/Incarnation.java
@@ -3,42 +3,46 @@
 import java.util.Objects;
 
 /**
- * One start of a minion: its id, and when it started where it tells that. A minion may come back under the same id, and
- * then holds no runs and counts from the beginning.
+ * One start of a minion's process. A minion may be restarted under the same id; it then has no runs, and its counters
+ * restart.
  *
- * @param id id that its calls and announcements carry
- * @param startedAtMillis start by its own account, in milliseconds since 1970; 0 when it told none, so that the id
- *     alone counts
- * @param name tells incarnations of one id apart in frames and logs; the id alone without a start
+ * @param id id of the minion in calls and announcements
+ * @param startedAtMillis start time that the minion reports, in milliseconds since 1970; 0 if it reports none, so that
+ *     only the id is compared
+ * @param name distinguishes the incarnations with one id in messages and logs; equal to the id if there is no start
+ *     time
  */
 public record Incarnation(String id, long startedAtMillis, String name) {
-    /** Refuses missing parts. */
+    /** Rejects null components. */
     public Incarnation {
         Objects.requireNonNull(id, "id");
         Objects.requireNonNull(name, "name");
     }
 
-    /** Returns the incarnation of that id and start; 0 for none. */
+    /** Returns the incarnation with an id and a start time in milliseconds since 1970; 0 for an unknown start time. */
     public static Incarnation of(String id, long startedAtMillis) {
         return new Incarnation(id, startedAtMillis, startedAtMillis == 0 ? id : id + "@" + startedAtMillis);
     }
 
-    /** Tells whether the other may be this one: the ids are equal, and the starts where both are known. */
+    /**
+     * Tells whether the other may be the same incarnation: the ids are equal, and so are the start times if both are
+     * known.
+     */
     boolean matches(Incarnation other) {
         return hasId(other.id) && mayHaveStartedAt(other.startedAtMillis);
     }
 
-    /** Tells whether it has that id. */
+    /** Tells whether this incarnation has an id. */
     boolean hasId(String otherId) {
         return id.equals(otherId);
     }
 
-    /** Tells whether a start, 0 for none, may be that of this one. */
+    /** Tells whether this incarnation may have a start time. An unknown one, which is 0, matches any. */
     boolean mayHaveStartedAt(long otherStartedAtMillis) {
         return startedAtMillis == otherStartedAtMillis || startedAtMillis == 0 || otherStartedAtMillis == 0;
     }
 
-    /** Tells whether both have one id and this one started before the other. */
+    /** Tells whether both have the same id and this incarnation started before the other. */
     boolean isEarlierThan(Incarnation other) {
         return hasId(other.id) && !mayHaveStartedAt(other.startedAtMillis) && startedAtMillis < other.startedAtMillis;
     }
--- a/library/src/main/java/org/chivetally/queue/agent/IncarnationHistory.java
+++ b/library/src/main/java/org/chivetally/queue/agent/IncarnationHistory.java
@@ -10,31 +10,34 @@
 import org.chivetally.queue.agent.MinionPort.PollRequest;
 import org.chivetally.queue.agent.MinionPort.PollResult;
 
-/** The incarnations that were announced for one minion: which have been replaced, and whether a new one is there. */
+/**
+ * The incarnations that were announced for one minion. Rejects announcements of incarnations that have been replaced,
+ * and verifies that a newly announced one exists.
+ */
 final class IncarnationHistory {
     private static final FluentLogger LOGGER = FluentLogger.forEnclosingClass();
 
     private final MinionPort port;
-    /** Newest start that was replaced, by id; 0 for an incarnation that told none. */
+    /** Start time of the latest replaced incarnation by id, in milliseconds since 1970; 0 if it reported none. */
     private final Map<String, Long> newestReplaced = new HashMap<>();
 
     IncarnationHistory(MinionPort port) {
         this.port = port;
     }
 
-    /** Tells whether none has been replaced so far. */
+    /** Tells whether no incarnation has been replaced yet. */
     boolean isEmpty() {
         return newestReplaced.isEmpty();
     }
 
-    /** Tells whether an earlier incarnation had the same id, so that a message which names the id may be about it. */
+    /** Tells whether an incarnation with this id has been replaced, so that a message with the id may refer to it. */
     boolean hasEarlierIncarnation(String id) {
         return newestReplaced.containsKey(id);
     }
 
     /**
-     * Tells whether an announcement was held up and says nothing any more: its incarnation has been replaced, or the
-     * one that is known has said something newer.
+     * Tells whether an announcement is outdated because it was delayed: its incarnation has been replaced, or the
+     * current one has sent a later announcement.
      */
     boolean isStale(MinionState state, MinionState known) {
         if (isReplaced(state.incarnation())) {
@@ -65,23 +68,23 @@
         return true;
     }
 
-    /** Notes that an incarnation is gone for good. */
+    /** Records that an incarnation is gone. */
     void markReplaced(Incarnation incarnation) {
         newestReplaced.merge(incarnation.id(), incarnation.startedAtMillis(), Math::max);
     }
 
-    /** Forgets what was replaced under an id, as an earlier start than that is there after all. */
+    /** Discards the replaced incarnations with an id, as an earlier one than those turned out to be running. */
     void remove(String id) {
         newestReplaced.remove(id);
     }
 
     /**
-     * Asks whether an announced incarnation is there before it replaces one that answers. An announcement can come from
-     * somebody else and name a minion that there never was; taken at its word, every run of the one that works would be
-     * lost.
+     * Polls an announced incarnation before it replaces one that answers. An announcement may come from another sender
+     * and name a minion that doesn't exist; accepted without this check, it would end every run of the working minion.
      *
-     * @param token the agent's own, which a boot that has seen a higher one refuses
-     * @param accept told of the incarnation once it has answered for itself
+     * @param state the announced state
+     * @param token the agent's fencing token, which is refused by a minion that has seen a higher one
+     * @param accept receives the state once the incarnation has answered
      */
     void verify(MinionState state, long token, Consumer<MinionState> accept) {
         PollRequest request = new PollRequest(token, 0, OptionalLong.empty(), Duration.ZERO);
--- a/library/src/main/java/org/chivetally/queue/agent/LeaseExtensionCheck.java
+++ b/library/src/main/java/org/chivetally/queue/agent/LeaseExtensionCheck.java
@@ -4,7 +4,7 @@
 import java.util.Set;
 import org.chivetally.logging.EventLine;
 
-/** Whether the minion's one lease may be extended, by a renewal or by a start. */
+/** Decides whether a renewal or a start may extend the minion's lease, which covers all of its runs. */
 final class LeaseExtensionCheck {
     private static final FluentLogger LOGGER = FluentLogger.forEnclosingClass();
 
@@ -22,10 +22,10 @@
     }
 
     /**
-     * Tells whether the lease may be extended now. Not while the owner of anything there may have given it up: an owner
-     * that is cut off starts its tasks elsewhere after a time, relying on the lease to have ended by then. The starts
-     * of other owners would keep the old runs going beside the new ones, and would make an end that the owner never
-     * heard of count although its task was started again.
+     * Tells whether the lease may be extended now. It may not if the owner of any run or unstored end has lost contact
+     * with the agent: such an owner starts its tasks elsewhere after a timeout and relies on the lease having expired
+     * by then. Starts of other owners would keep the old runs going beside the new ones, and would validate an end that
+     * its owner never received although the task was started again.
      */
     boolean isAllowed(long nowNanos) {
         if (lease.hasExpired(nowNanos)) {
--- a/library/src/main/java/org/chivetally/queue/agent/MinionPort.java
+++ b/library/src/main/java/org/chivetally/queue/agent/MinionPort.java
@@ -8,67 +8,106 @@
 import org.chivetally.queue.RunKey;
 import org.chivetally.queue.RunOutcome;
 
-/** Calls to the minion beside the agent. Each answers once, on the event loop. */
+/** Calls to the minion beside the agent. The callback of each call runs once, on the event loop. */
 public interface MinionPort {
-    /** Starts a run. */
+    /**
+     * Starts a run.
+     *
+     * @param minionId id of the incarnation that is meant; a minion with another id refuses the call
+     * @param request the start
+     * @param callback receives the result
+     */
     void start(String minionId, StartRequest request, Consumer<StartResult> callback);
 
-    /** Stops a run; tells whether the minion took the order. */
+    /**
+     * Stops a run.
+     *
+     * @param minionId id of the incarnation that is meant; a minion with another id refuses the call
+     * @param run the run
+     * @param token fencing token
+     * @param callback receives whether the minion accepted the stop
+     */
     void stop(String minionId, RunKey run, long token, Consumer<Boolean> callback);
 
-    /** Renews the lease and looks at what runs and what has ended. */
+    /**
+     * Renews the lease, acknowledges ends, and requests the lists of running and ended runs. This is a long poll: the
+     * minion may hold its answer back until a run ends.
+     *
+     * @param minionId id of the incarnation that is meant; a minion with another id refuses the call
+     * @param request the poll
+     * @param callback receives the result
+     */
     void poll(String minionId, PollRequest request, Consumer<PollResult> callback);
 
     /**
-     * What a start carries.
+     * Request to start a run.
      *
      * @param run the run
-     * @param payload text of the job
-     * @param leaseEndMillis when the lease ends unless renewed, on the minion's clock; the start is refused after it
-     * @param token fences calls of agents that were replaced
-     * @param checkpoint where to resume from; empty for the beginning
+     * @param payload payload of the job
+     * @param leaseEndMillis end of the lease on the minion's clock in milliseconds, unless it is renewed; a later start
+     *     is refused
+     * @param token fencing token, by which the minion refuses calls of agents that were replaced
+     * @param checkpoint where to resume from; empty to start from the beginning
      */
     record StartRequest(RunKey run, String payload, long leaseEndMillis, long token, String checkpoint) {}
 
     /**
-     * What a look carries.
+     * Request to poll the minion.
      *
-     * @param token fences calls of agents that were replaced
-     * @param acknowledgedThrough ends up to this sequence are forgotten by the minion
-     * @param leaseEndMillis when the lease of all that runs ends, on the minion's clock; empty to leave it
-     * @param maximumWait how long the minion may wait for an end
+     * @param token fencing token, by which the minion refuses calls of agents that were replaced
+     * @param acknowledgedThrough the minion may discard the ends up to this sequence
+     * @param leaseEndMillis new end of the lease of all runs, on the minion's clock in milliseconds; empty to leave it
+     * @param maximumWait how long the minion may wait for an end before it answers
      */
     record PollRequest(long token, long acknowledgedThrough, OptionalLong leaseEndMillis, Duration maximumWait) {
-        /** Returns the same look with another wait. */
+        /** Returns the same request with another maximum wait. */
         PollRequest withMaximumWait(Duration newMaximumWait) {
             return new PollRequest(token, acknowledgedThrough, leaseEndMillis, newMaximumWait);
         }
     }
 
-    /** What became of a start. */
+    /** The result of a start. */
     sealed interface StartResult {
-        /** The run is there. */
+        /**
+         * The run was started.
+         *
+         * @param clockMillis the minion's clock in its answer, in milliseconds
+         */
         record Started(long clockMillis) implements StartResult {}
 
-        /** Nothing was started, and this start never will be. */
+        /**
+         * The run wasn't started, and this request will never start it.
+         *
+         * @param reason for logs
+         * @param fenced whether the fencing token was too low
+         */
         record Rejected(String reason, boolean fenced) implements StartResult {}
 
-        /** The start never left, as nobody listens at the minion's address. */
+        /**
+         * The request wasn't sent, as the minion's address refused the connection.
+         *
+         * @param reason for logs
+         */
         record Unreachable(String reason) implements StartResult {}
 
-        /** It was or wasn't started, or will be. */
+        /**
+         * The run may have been started, or may be started later.
+         *
+         * @param reason for logs
+         */
         record Unknown(String reason) implements StartResult {}
     }
 
-    /** What became of a look. */
+    /** The result of a poll. */
     sealed interface PollResult {
         /**
          * The minion's lists.
          *
-         * @param startedAtMillis start of the incarnation that lists, in milliseconds since 1970; 0 when it tells none
-         * @param clockMillis its clock
-         * @param running what runs there
-         * @param ends ends that it was not told to forget
+         * @param startedAtMillis start time of the incarnation that answers, in milliseconds since 1970; 0 if it
+         *     reports none
+         * @param clockMillis the minion's clock, in milliseconds
+         * @param running runs in progress
+         * @param ends ends that were not acknowledged
          */
         record Lists(long startedAtMillis, long clockMillis, List<RunKey> running, List<ListedEnd> ends)
                 implements PollResult {
@@ -78,38 +117,51 @@
                 ends = List.copyOf(ends);
             }
 
-            /** Creates the lists of a minion that does not tell its start. */
+            /** Creates the lists of a minion that reports no start time. */
             public Lists(long clockMillis, List<RunKey> running, List<ListedEnd> ends) {
                 this(0, clockMillis, running, ends);
             }
         }
 
-        /** The minion is another boot, or refuses this agent's token. */
+        /**
+         * The minion has another id, or it refused the agent's fencing token.
+         *
+         * @param reason for logs
+         * @param fenced whether the fencing token was too low
+         */
         record Refused(String reason, boolean fenced) implements PollResult {}
 
-        /** Nobody listens at the minion's address. */
+        /**
+         * The minion's address refused the connection.
+         *
+         * @param reason for logs
+         */
         record Unreachable(String reason) implements PollResult {}
 
-        /** No answer that could be used. */
+        /**
+         * No usable answer arrived.
+         *
+         * @param reason for logs
+         */
         record Unknown(String reason) implements PollResult {}
     }
 
     /**
      * An end in the minion's list.
      *
-     * @param sequence its number in this boot, from 1
+     * @param sequence number of the end in this incarnation, from 1
      * @param run the run
      * @param outcome how it ended
-     * @param checkpoint newest checkpoint; empty for none
+     * @param checkpoint the latest checkpoint; empty for none
      */
     record ListedEnd(long sequence, RunKey run, RunOutcome outcome, String checkpoint) {
-        /** Refuses missing parts. */
+        /** Rejects null components. */
         public ListedEnd {
             Objects.requireNonNull(run, "run");
             Objects.requireNonNull(outcome, "outcome");
         }
 
-        /** Returns the end as one of a minion by the name of its incarnation. */
+        /** Returns the end with the name of the incarnation that listed it. */
         EndedRun toEndedRun(String incarnation) {
             return new EndedRun(incarnation, sequence, run, outcome, checkpoint);
         }
--- a/library/src/main/java/org/chivetally/queue/agent/MinionReconciler.java
+++ b/library/src/main/java/org/chivetally/queue/agent/MinionReconciler.java
@@ -13,7 +13,7 @@
 import org.chivetally.queue.agent.MinionPort.PollResult;
 import org.chivetally.time.Timers;
 
-/** Brings what is held in line with a minion's lists of what runs and what has ended. */
+/** Reconciles the agent's view of a minion with the minion's lists of running and ended runs. */
 final class MinionReconciler {
     private static final FluentLogger LOGGER = FluentLogger.forEnclosingClass();
 
@@ -41,27 +41,31 @@
         this.partitions = partitions;
     }
 
-    /** Tells whether everything that the lists have shown so far is known here, or was at one time. */
+    /**
+     * Tells whether all listed runs have been known to the agent at some poll. Until then, runs that its predecessor
+     * started may be left.
+     */
     boolean isComplete() {
         return complete;
     }
 
-    /** Tells whether runs are there that nobody here knows. */
+    /** Tells whether the minion runs anything that the agent doesn't know. */
     boolean hasUnknownRuns() {
         return !unknownRuns.isEmpty();
     }
 
-    /** Forgets what an earlier incarnation listed. */
+    /** Discards the unknown runs, as their incarnation was replaced. */
     void clear() {
         unknownRuns.clear();
     }
 
     /**
-     * Takes the lists over.
+     * Reconciles the agent's view with the minion's lists.
      *
-     * @param at the incarnation that lists
-     * @param sentAtNanos when it was asked
-     * @return ends that are new
+     * @param incarnation the incarnation that answered
+     * @param lists its lists
+     * @param sentAtNanos when the poll was sent, on the monotonic clock in nanoseconds
+     * @return the ends that were not listed before
      */
     List<OwnedEnd> reconcile(Incarnation incarnation, PollResult.Lists lists, long sentAtNanos) {
         List<OwnedEnd> newEnds = reconcileEnds(incarnation, lists.ends());
@@ -83,7 +87,7 @@
                 held.remove(run);
             }
             if (owner instanceof RunOwner.Entry) {
-                // Nothing of such a job is stored, so the minion may forget the end as soon as it was told here.
+                // Ends of in-memory jobs are not stored, so the minion may discard this one now.
                 ends.markStored(end.sequence());
             }
         }
@@ -108,8 +112,8 @@
             }
         }
         endReporter.reportLost(incarnation.name(), lost, "reborn");
-        // Runs of an agent before this one: their room isn't known here, so nothing is started until their lease,
-        // which nobody renews, has ended. Once none is left, nobody knows a run that turns up, and it is stopped.
+        // The agent's predecessor started these runs, so their resources aren't known here. Nothing is started until
+        // their lease, which isn't renewed, has expired. Runs that show up after that have no owner and are stopped.
         unknownRuns.update(unknown);
         complete |= unknownRuns.isEmpty();
         if (complete) {
@@ -133,7 +137,10 @@
         endReporter.report(run, run.unlistedEnd(incarnation.name(), RunOutcome.LOST));
     }
 
-    /** Returns the owner of a run that an agent before this one started: only kept jobs have owners that last. */
+    /**
+     * Returns the owner of a run that the agent's predecessor started. Only durable jobs have an owner that is still
+     * there.
+     */
     private RunOwner partitionOf(RunKey run) {
         return new RunOwner.Partition(Partitions.of(run.task().jobId(), partitions));
     }
--- a/library/src/main/java/org/chivetally/queue/agent/MinionState.java
+++ b/library/src/main/java/org/chivetally/queue/agent/MinionState.java
@@ -5,15 +5,15 @@
 import org.chivetally.queue.Room;
 
 /**
- * What a minion tells about itself.
+ * The state that a minion announces.
  *
  * @param incarnation this start of the minion
- * @param service service that it belongs to
- * @param capacity room of its worker
- * @param labels kind of its worker, and rack
- * @param leaving whether it is about to end
- * @param clockMillis its clock, in milliseconds
- * @param sequence number of the announcement within the incarnation; 0 when this is from none
+ * @param service the service to which the minion belongs
+ * @param capacity resources of its worker
+ * @param labels kind and rack of its worker
+ * @param leaving whether the minion is about to stop
+ * @param clockMillis the minion's clock, in milliseconds
+ * @param sequence number of the announcement within the incarnation; 0 if the state isn't from an announcement
  */
 public record MinionState(
         Incarnation incarnation,
@@ -23,7 +23,7 @@
         boolean leaving,
         long clockMillis,
         long sequence) {
-    /** Copies the labels. */
+    /** Copies the labels and rejects null components. */
     public MinionState {
         Objects.requireNonNull(incarnation, "incarnation");
         Objects.requireNonNull(service, "service");
@@ -31,28 +31,33 @@
         labels = List.copyOf(labels);
     }
 
-    /** Creates the state of a minion that tells neither its start nor the number of the announcement. */
+    /** Creates the state of a minion that reports neither its start time nor a sequence number. */
     public MinionState(
             String minionId, String service, Room capacity, List<String> labels, boolean leaving, long clockMillis) {
         this(Incarnation.of(minionId, 0), service, capacity, labels, leaving, clockMillis, 0);
     }
 
-    /** Returns the id that calls to the minion carry. */
+    /** Returns the id of the minion in calls. */
     public String minionId() {
         return incarnation.id();
     }
 
-    /** Returns the same of a minion that is about to end. */
+    /** Returns this state of a minion that is about to stop. */
     MinionState asLeaving() {
         return new MinionState(incarnation, service, capacity, labels, true, clockMillis, sequence);
     }
 
-    /** Returns the same with the incarnation as it is known from elsewhere. */
+    /** Returns this state with another incarnation. */
     MinionState withIncarnation(Incarnation newIncarnation) {
         return new MinionState(newIncarnation, service, capacity, labels, leaving, clockMillis, sequence);
     }
 
-    /** Returns the state of a minion that has come back under the same id and has announced nothing yet. */
+    /**
+     * Returns the state of a minion that was restarted under the same id and has not announced itself yet.
+     *
+     * @param newStartedAtMillis its start time, in milliseconds since 1970
+     * @param newClockMillis its clock, in milliseconds
+     */
     MinionState restarted(long newStartedAtMillis, long newClockMillis) {
         return new MinionState(
                 Incarnation.of(incarnation.id(), newStartedAtMillis),
--- a/library/src/main/java/org/chivetally/queue/agent/RetryTimeoutEstimator.java
+++ b/library/src/main/java/org/chivetally/queue/agent/RetryTimeoutEstimator.java
@@ -3,14 +3,14 @@
 import java.time.Duration;
 
 /**
- * How long a minion takes to answer, as observed, and so after which time an answer is likely to be lost. The estimate
- * is that of TCP's retransmission timer (RFC 6298): the smoothed time and four times its smoothed deviation.
+ * Estimates the time after which an answer of the minion is probably lost, like TCP's retransmission timer (RFC 6298):
+ * the smoothed response time plus four times its smoothed deviation.
  */
 final class RetryTimeoutEstimator {
-    /** Least patience: an answer takes a millisecond, and a busy agent reads it a few milliseconds later. */
+    /** Shortest timeout: an answer takes a millisecond, and a busy agent reads it a few milliseconds later. */
     static final Duration MINIMUM = Duration.ofMillis(12);
 
-    /** Longest patience: the objectives of callers leave 60 ms beside the work. */
+    /** Longest timeout: callers' objectives allow 60 ms beyond the work. */
     static final Duration MAXIMUM = Duration.ofMillis(60);
 
     private static final double MEAN_GAIN = 1.0 / 8;
@@ -21,7 +21,7 @@
     private double meanNanos;
     private double deviationNanos;
 
-    /** Notes the time that one answer took. */
+    /** Records the time that an answer took, in nanoseconds. */
     void observe(long nanos) {
         if (!observed) {
             observed = true;
@@ -33,7 +33,7 @@
         meanNanos += MEAN_GAIN * (nanos - meanNanos);
     }
 
-    /** Returns how long to wait for an answer before the call is repeated; the longest time while none was observed. */
+    /** Returns how long to wait for an answer before the call is retried; {@link #MAXIMUM} before the first answer. */
     Duration timeout() {
         if (!observed) {
             return MAXIMUM;
--- a/library/src/main/java/org/chivetally/queue/agent/RetryingMinionPort.java
+++ b/library/src/main/java/org/chivetally/queue/agent/RetryingMinionPort.java
@@ -12,24 +12,26 @@
 import org.chivetally.time.Timers;
 
 /**
- * Calls to a minion, repeated while they get no answer.
+ * Retries the calls to a minion until they are answered.
  *
- * <p>The load it answers: a minion leaves a share of its calls unanswered, or carries them out without an answer. A job
- * of eight tasks has one such start in every third job at one call in twenty, and waiting it out costs more than the
- * job's objective allows. All calls are idempotent: a start that is there already is answered as started, and a copy
- * that is carried out after the run was stopped or has ended is refused, as is one after its lease.
+ * <p>A faulty minion leaves a share of its calls unanswered, and may have executed them. With one call in twenty lost,
+ * every third job of eight tasks has an unanswered start, and waiting for its timeout takes longer than the job's
+ * objective allows. All calls are idempotent: the minion confirms a start of a run that it has already, and refuses a
+ * duplicate that arrives after the run was stopped or has ended, or after its lease.
  */
 public final class RetryingMinionPort implements MinionPort {
-    /** Attempts of one call: with every second call lost, one start in 250 is left for its owner to doubt. */
+    /** Maximum number of attempts of a call. With half of all calls lost, one start in 250 remains unconfirmed. */
     static final int MAXIMUM_ATTEMPTS = 8;
 
     /**
-     * Longest wait of a look while answers get lost. A lost look holds back all ends that come in its time, and nothing
-     * tells it from one that waits.
+     * Longest wait of a poll while calls are being lost. A lost poll delays all ends that occur meanwhile, and it can't
+     * be distinguished from one that waits for an end.
      */
     static final Duration MAXIMUM_WAIT_AFTER_LOSS = Duration.ofMillis(30);
 
-    /** Time for which answers count as getting lost after one was: at one call in twenty lost, several come in it. */
+    /**
+     * How long calls count as being lost after a loss. With one call in twenty lost, several losses occur in this time.
+     */
     static final Duration LOSS_MEMORY = Duration.ofSeconds(2);
 
     private static final FluentLogger LOGGER = FluentLogger.forEnclosingClass();
@@ -40,9 +42,9 @@
     private OptionalLong lastLossNanos = OptionalLong.empty();
 
     /**
-     * Creates a port that repeats the calls of another.
+     * Creates a port that retries the calls of another one.
      *
-     * @param port makes each attempt
+     * @param port sends each attempt
      */
     public RetryingMinionPort(Timers timers, MinionPort port) {
         this.timers = timers;
@@ -61,11 +63,11 @@
                 .attempt();
     }
 
-    /** A refusal of one copy doesn't keep another one, which may still be on its way, from being carried out. */
+    /** A refusal of one attempt doesn't keep the minion from executing another one that may still be in transit. */
     private static StartResult withUnansweredAttempts(StartResult answer) {
         return answer instanceof StartResult.Started
                 ? answer
-                : new StartResult.Unknown("refused beside an attempt without an answer");
+                : new StartResult.Unknown("refused while another attempt is unanswered");
     }
 
     @Override
@@ -100,19 +102,24 @@
     }
 
     /**
-     * Makes one attempt of a call.
+     * Sends one attempt of a call.
      *
-     * @param <A> what is answered
+     * @param <A> type of the answer
      */
     private interface Attempt<A> {
-        /** Makes the attempt of that number, from 1. */
+        /**
+         * Sends an attempt.
+         *
+         * @param number number of the attempt, from 1
+         * @param answer receives its answer
+         */
         void send(int number, Consumer<A> answer);
     }
 
     /**
-     * One call and its attempts, until one of them is answered or all are given up.
+     * A call with all of its attempts. It ends when one of them is answered or the last one has failed.
      *
-     * @param <A> what is answered
+     * @param <A> type of the answer
      */
     private final class Call<A> {
         private final String name;
@@ -127,14 +134,14 @@
         private Timers.Timer retryTimer = () -> {};
 
         /**
-         * Creates a call that isn't made yet.
+         * Creates a call. {@link #attempt()} sends the first attempt.
          *
          * @param name for logs
-         * @param heldBack how long the minion may hold the answer of an attempt back, by its number
-         * @param attempt makes one attempt
-         * @param isSettled whether an answer says what became of its attempt
-         * @param besideUnsettled what an answer means beside attempts of which nothing is known
-         * @param result told once
+         * @param maximumHold how long the minion may hold back its answer, by the number of the attempt
+         * @param attempt sends one attempt
+         * @param isConclusive whether an answer tells if its attempt was executed
+         * @param withUnansweredAttempts converts an answer that is received while other attempts are unanswered
+         * @param callback receives the result once
          */
         private Call(
                 String name,
--- a/library/src/main/java/org/chivetally/queue/agent/RunCommands.java
+++ b/library/src/main/java/org/chivetally/queue/agent/RunCommands.java
@@ -8,18 +8,21 @@
 import org.chivetally.queue.agent.MinionPort.StartResult;
 import org.chivetally.time.Timers;
 
-/** Starts and stops of single runs at the minion, until it is certain what became of each. */
+/** Starts and stops runs at the minion. Retries stops, and stops starts whose result remains unknown. */
 final class RunCommands {
     /**
-     * Time without an answer after which a start is doubted. Answers take a millisecond, and the tasks of callers who
-     * wait last 85 ms and more: any later, the job would miss its objective by the doubt alone.
+     * Time after which an unanswered start counts as unconfirmed. Answers take a millisecond, and the tasks of waiting
+     * callers take 85 ms or more; with a longer timeout, the job would miss its objective by this wait alone.
      */
     static final Duration START_TIMEOUT = Duration.ofMillis(100);
 
-    /** How long a doubtful start may show up in a look before it is stopped; the next look comes within it. */
+    /**
+     * Time before an unconfirmed start is stopped, unless a poll lists the run before. The next poll is answered within
+     * it.
+     */
     static final Duration UNCONFIRMED_STOP_DELAY = Duration.ofMillis(60);
 
-    /** Pause before a stop without an answer is sent again, so that a minion that is down isn't called in a loop. */
+    /** Pause before an unanswered stop is sent again, so that an unavailable minion isn't called in a tight loop. */
     static final Duration STOP_RETRY_INTERVAL = Duration.ofMillis(100);
 
     private static final FluentLogger LOGGER = FluentLogger.forEnclosingClass();
@@ -38,18 +41,18 @@
         this.callbacks = supervision;
     }
 
-    /** What the calls ask of and tell to the supervisor of the minion. */
+    /** What the commands need from the supervisor of the minion. */
     interface Callbacks {
-        /** Tells whether a run is still held at the incarnation to which a call about it was sent. */
+        /** Tells whether a run is still held at the incarnation to which the call about it was sent. */
         boolean isHeld(Incarnation incarnation, HeldRun run);
 
-        /** The run isn't there and never will be. */
+        /** Reports that the run wasn't started and never will be. */
         void reportNeverStarted(Incarnation incarnation, HeldRun run);
 
-        /** Nobody listens at the minion's address. */
+        /** Reports that the minion's address refused the connection. */
         void unreachable();
 
-        /** The minion is to be looked at soon. */
+        /** Polls the minion soon. */
         void poll();
     }
 
@@ -112,8 +115,9 @@
     }
 
     /**
-     * Rules a doubtful start out. A stop that was answered keeps the minion from ever taking this run, so the room is
-     * free from the next look that does not list it; without that, a start carried out late would overfill the worker.
+     * Stops a run whose start is unconfirmed. Once the minion has accepted the stop it never starts the run, so the
+     * resources are free when a later poll doesn't list it. Without the stop, a start that is executed late would
+     * overcommit the worker.
      */
     private void stopUnconfirmed(Incarnation incarnation, HeldRun run) {
         boolean isUnconfirmed = callbacks.isHeld(incarnation, run) && run.stage() == HeldRun.Stage.UNCONFIRMED;
@@ -122,7 +126,7 @@
         }
     }
 
-    /** Sends a stop, and again until it is answered. */
+    /** Sends a stop and retries it until it is answered. */
     void stop(Incarnation incarnation, HeldRun run) {
         port.stop(incarnation.id(), run.key(), token.value(), accepted -> stopAnswered(incarnation, run, accepted));
     }
@@ -143,7 +147,7 @@
         });
     }
 
-    /** Sends stops to runs that nobody here knows. */
+    /** Stops runs that the agent doesn't know. */
     void stopUnknownRuns(Incarnation incarnation, UnknownRuns unknownRuns) {
         for (RunKey run : unknownRuns.dueForStop(timers.nanos())) {
             EventLine.of("run-unknown")
--- a/library/src/main/java/org/chivetally/queue/agent/RunEndReporter.java
+++ b/library/src/main/java/org/chivetally/queue/agent/RunEndReporter.java
@@ -6,7 +6,7 @@
 import org.chivetally.logging.EventLine;
 import org.chivetally.queue.RunOutcome;
 
-/** Ends of runs that the minion doesn't list: frees their room and reports them to their owners. */
+/** Ends runs that the minion doesn't list as ended: releases their resources and reports them to their owners. */
 final class RunEndReporter {
     private static final FluentLogger LOGGER = FluentLogger.forEnclosingClass();
 
@@ -20,7 +20,7 @@
         this.unstoredCrashes = ledger;
     }
 
-    /** Ends a run that isn't at a minion and never will be. */
+    /** Ends a run that was not started at an incarnation and never will be. */
     void reportNeverStarted(Incarnation incarnation, HeldRun run) {
         report(run, run.unlistedEnd(incarnation.name(), RunOutcome.NEVER_STARTED));
     }
@@ -32,12 +32,24 @@
         listener.roomChanged();
     }
 
-    /** Ends all runs that are held. */
+    /**
+     * Ends all runs that are held.
+     *
+     * @param incarnation name of the incarnation that ran them
+     * @param outcome how they ended
+     * @param reason for logs
+     */
     void reportAllLost(String incarnation, RunOutcome outcome, String reason) {
         reportLost(incarnation, held.endAll(incarnation, outcome), reason);
     }
 
-    /** Reports runs that are no longer held. */
+    /**
+     * Reports ends of runs that were released already.
+     *
+     * @param incarnation name of the minion's incarnation, for logs
+     * @param lost the ends
+     * @param reason for logs
+     */
     void reportLost(String incarnation, List<OwnedEnd> lost, String reason) {
         if (lost.isEmpty()) {
             return;
--- a/library/src/main/java/org/chivetally/queue/agent/RunOwner.java
+++ b/library/src/main/java/org/chivetally/queue/agent/RunOwner.java
@@ -3,23 +3,24 @@
 import java.util.Objects;
 import org.chivetally.queue.link.Peer;
 
-/** Whoever started a run and follows it. */
+/** The owner of a run, which started it and receives its end. */
 public sealed interface RunOwner {
     /**
-     * The owner of a partition, whichever entry that is. Its runs outlive an entry, as the next owner takes them over.
+     * The owner of a partition, whichever entry that is. The runs survive the failure of an entry, as the next owner of
+     * the partition takes them over.
      *
      * @param number the partition
      */
     record Partition(int number) implements RunOwner {}
 
     /**
-     * An entry at one start of it. Its runs are worth nothing without it, as nobody else knows their job.
+     * One start of an entry. Its runs are useless after it ends, as no other process knows their jobs.
      *
      * @param process name of the entry
      * @param incarnation its start
      */
     record Entry(String process, long incarnation) implements RunOwner {
-        /** Refuses a missing name. */
+        /** Rejects a null name. */
         public Entry {
             Objects.requireNonNull(process, "process");
         }
@@ -29,13 +30,13 @@
             return new Entry(peer.process(), peer.incarnation());
         }
 
-        /** As by default, but written out: each start and look compares the owners of all runs. */
+        /** Equal to the default implementation but faster; each start and poll compares the owners of all runs. */
         @Override
         public boolean equals(Object other) {
             return other instanceof Entry entry && incarnation == entry.incarnation && process.equals(entry.process);
         }
 
-        /** As by default, but written out, for the reason that {@link #equals} has. */
+        /** Equal to the default implementation but faster; see {@link #equals}. */
         @Override
         public int hashCode() {
             return process.hashCode() + Long.hashCode(incarnation);
--- a/library/src/main/java/org/chivetally/queue/agent/RunOwners.java
+++ b/library/src/main/java/org/chivetally/queue/agent/RunOwners.java
@@ -16,32 +16,32 @@
 import org.chivetally.wire.v1.RunInventory;
 
 /**
- * Whose runs an agent may keep going: the highest epoch that it has heard of for each partition, and how old each
- * owner's knowledge of this agent is, by the stamps of the agent's own clock that come back.
+ * The owners of an agent's runs: the highest known epoch of each partition, and how recently each owner was in contact
+ * with the agent. That is the age of the latest stamp of the agent's own clock that the owner has echoed.
  */
 final class RunOwners {
     /**
-     * How old the owner's knowledge of this agent may be before the runs of its kept jobs are stopped. Longer than a
-     * failover, which takes about 2.5 s, so that an owner's death does not cost the work in progress. A run that was
-     * cancelled while the owner is cut off has to have ended 4.05 s later, and the age is looked at with each
+     * Age of a partition owner's latest echo after which the runs of its durable jobs are stopped. It exceeds a
+     * failover, which takes about 2.5 s, so that the failure of an owner doesn't discard the work in progress. A run
+     * that is cancelled while its owner is cut off has to end within 4.05 s, and the age is checked with each
      * heartbeat.
      */
     private static final Duration PARTITION_OWNER_TIMEOUT =
             Duration.ofMillis(4_000).minus(AgentNode.HEARTBEAT_INTERVAL.plusMillis(50));
 
     /**
-     * How old an entry's knowledge of this agent may be before the runs of its unkept jobs are stopped. Their callers
-     * send a job again 1.3 s after its entry has failed them; with one heartbeat until it is noticed and 50 ms for a
-     * stop, the old runs have ended by then.
+     * Age of an entry's latest echo after which the runs of its in-memory jobs are stopped. Callers resubmit a job 1.3
+     * s after its entry has failed. With one heartbeat until the age is checked and 50 ms for a stop, the old runs have
+     * ended by then.
      */
     private static final Duration ENTRY_TIMEOUT = Duration.ofMillis(800);
 
-    /** How much longer runs of owners that were not heard are renewed, while they are being stopped. */
+    /** How much longer the lease of runs without contact to their owner is renewed while they are being stopped. */
     private static final Duration STOP_MARGIN = Duration.ofMillis(350);
 
     /**
-     * How long a start may have been held up on its way to be taken. After a longer time it may have been given up and
-     * sent elsewhere.
+     * Longest delay of a start on its way to the agent. After a longer one, its owner may have given up on it and
+     * started the task elsewhere.
      */
     private static final Duration MAXIMUM_START_DELAY = Duration.ofMillis(600);
 
@@ -54,7 +54,7 @@
     private final Map<RunOwner.Entry, Long> entryEchoes = new HashMap<>();
     private long oldestValidStampNanos;
 
-    /** Creates the owners of an agent that has heard of nobody yet. */
+    /** Creates an instance without any known owner. */
     RunOwners(Timers timers, LinkTable links) {
         this.timers = timers;
         this.links = links;
@@ -62,7 +62,7 @@
         this.oldestValidStampNanos = timers.nanos();
     }
 
-    /** Notes an owner's epoch; tells whether it is higher than any before. */
+    /** Records the epoch of a partition's owner. Returns whether it is higher than the known one. */
     boolean raiseEpoch(int partition, long epoch, PeerLink owner) {
         PartitionOwner knownOwner = partitionOwners.get(partition);
         if (knownOwner != null && knownOwner.epoch() >= epoch) {
@@ -77,33 +77,33 @@
         return true;
     }
 
-    /** Tells whether the partition has an owner of a higher epoch. */
+    /** Tells whether a higher epoch of the partition is known. */
     boolean isFenced(int partition, long epoch) {
         return epoch(partition) > epoch;
     }
 
-    /** Returns the highest epoch heard of for a partition; 0 for none. */
+    /** Returns the highest known epoch of a partition; 0 for none. */
     long epoch(int partition) {
         PartitionOwner knownOwner = partitionOwners.get(partition);
         return knownOwner == null ? 0 : knownOwner.epoch();
     }
 
-    /** Lists the epochs, for an owner that may have been replaced. */
+    /** Adds the known epochs to an inventory, so that an owner learns if it was replaced. */
     void addKnownEpochs(RunInventory.Builder inventory) {
         partitionOwners.forEach((partition, owner) -> inventory.addFenced(
                 OwnedPartition.newBuilder().setPartition(partition).setEpoch(owner.epoch())));
     }
 
     /**
-     * Tells whether a start may still be taken. Its stamp and its age together are a time of this agent's clock before
-     * which the start was not sent, so the difference to the clock bounds how long it was held up, also when the agent
-     * has nothing to do and its last heartbeat is older than the validity.
+     * Tells whether a start may still be accepted. The sum of its stamp and the stamp's age is a time on this agent's
+     * clock before which the start was not sent, which bounds the delay of the start. That holds also for an idle
+     * agent, whose latest heartbeat may be older than {@link #MAXIMUM_START_DELAY}.
      *
-     * <p>A time in the future means that this clock stood still since the stamp, so it bounds nothing; an age over the
-     * silence that closes links comes from a sender that should have closed this one.
+     * <p>A sum in the future means that this clock was suspended after the stamp, so that it bounds nothing. An age
+     * above the silence timeout of links comes from a sender that should have closed its link.
      *
-     * @param stampNanos newest stamp of this agent that the sender had
-     * @param ageNanos least time by which this agent's clock had gone on since, when the start was sent
+     * @param stampNanos latest stamp of this agent that the sender had received, in nanoseconds on this agent's clock
+     * @param ageNanos minimum age of that stamp when the start was sent, in nanoseconds
      */
     boolean isValid(long stampNanos, long ageNanos) {
         if (stampNanos < oldestValidStampNanos || ageNanos < 0 || ageNanos > LinkTable.SILENCE_TIMEOUT.toNanos()) {
@@ -113,7 +113,7 @@
         return heldUpNanos >= 0 && heldUpNanos <= MAXIMUM_START_DELAY.toNanos();
     }
 
-    /** Tells whether leases may be extended while runs of these owners are there. */
+    /** Tells whether the lease may be extended while runs of these owners are present. */
     boolean mayRenew(Set<RunOwner> owners) {
         checkForSuspension();
         for (RunOwner owner : owners) {
@@ -124,7 +124,7 @@
         return true;
     }
 
-    /** Returns those of the owners of all runs that have been silent so long that their runs are to be stopped. */
+    /** Returns those of the owners of all runs that have been silent for so long that their runs are to be stopped. */
     Set<RunOwner> silentOwners(Set<RunOwner> owners) {
         checkForSuspension();
         Set<RunOwner> silent = new HashSet<>();
@@ -167,7 +167,10 @@
         return newestNanos;
     }
 
-    /** Takes what came before a suspension for old: it was meant for an agent that may have been given up since. */
+    /**
+     * Rejects what was sent before a suspension: it was meant for an agent whose runs may have been started elsewhere
+     * since.
+     */
     void checkForSuspension() {
         long gap = suspension.check();
         if (gap > 0) {
@@ -187,7 +190,10 @@
         };
     }
 
-    /** Highest epoch seen of a partition, whose it is, and the newest stamp of ours that the owner has had. */
+    /**
+     * The highest known epoch of a partition, the process of its owner, and the latest stamp of this agent that the
+     * owner has echoed.
+     */
     private record PartitionOwner(long epoch, String process, long echoNanos) {
         private PartitionOwner(long epoch, String process) {
             this(epoch, process, Long.MIN_VALUE);
--- a/library/src/main/java/org/chivetally/queue/agent/RunSupervisor.java
+++ b/library/src/main/java/org/chivetally/queue/agent/RunSupervisor.java
@@ -17,45 +17,54 @@
 import org.chivetally.time.Timers;
 
 /**
- * Keeps the runs of one minion. The only caller of that minion, so its count of the room is exact: room is taken from
- * before a start is sent until the run's end is listed, or until it is certain that the start will not be carried out.
+ * Supervises the runs of one minion. It is the minion's only caller, so its account of the resources is exact: those of
+ * a run are occupied from before its start is sent until its end is listed or its start is ruled out.
  */
 public final class RunSupervisor {
     /**
-     * Longest wait of one look. Ends are learned by looks alone, so an answer that is lost delays all ends by the wait
-     * and the timeout: with one look in eighteen lost, a wait of 400 ms left a minion unseen for most of the time.
+     * Maximum wait of a poll. Only polls report ends, so a lost answer delays all ends by the wait and the timeout.
+     * With one poll in eighteen lost, a wait of 400 ms left the minion unobserved for most of the time.
      */
     static final Duration POLL_WAIT = Duration.ofMillis(120);
 
-    /** Pause after a look that told nothing new at once: ends wait to be stored, which takes the log about 10 ms. */
+    /**
+     * Pause after a poll that returned at once without new ends, as ends wait to be stored; the log takes about 10 ms
+     * for it.
+     */
     static final Duration EMPTY_POLL_PAUSE = Duration.ofMillis(20);
 
     /**
-     * Pause after a look that told of ends. Each look costs about as much as a start, and without a pause there is one
-     * for each end. It is small beside the 60 ms that callers allow beyond the work.
+     * Pause after a poll with new ends. A poll costs about as much as a start, and without a pause there is one for
+     * each end. The pause is short compared with the 60 ms that callers' objectives allow beyond the work.
      */
     static final Duration PAUSE_AFTER_ENDS = Duration.ofMillis(15);
 
-    /** Pause after a look without an answer, so that a minion that is down isn't called in a tight loop. */
+    /** Pause after an unanswered poll, so that an unavailable minion isn't called in a tight loop. */
     static final Duration POLL_RETRY_PAUSE = Duration.ofMillis(100);
 
-    /** Age of the last answer from which looks no longer renew, so that the lease of a minion in doubt runs out. */
+    /**
+     * Age of the last answer after which polls don't renew the lease, so that it expires if the minion's state is
+     * unknown.
+     */
     static final long RENEWAL_CUTOFF_NANOS = Duration.ofMillis(800).toNanos();
 
     /**
-     * Age of the last answer from which the minion counts as not answering, and starts are refused. A minion that
-     * leaves one call in eighteen unanswered loses two looks in a row every 300 looks; one that is cut off is found out
-     * within the time in which its first starts are doubted and given up.
+     * Age of the last answer after which the minion counts as unresponsive and refuses starts. With one call in
+     * eighteen unanswered, two polls in a row are lost once in 300 polls; a minion that is cut off is detected before
+     * its first starts have been found unconfirmed and abandoned.
      */
     static final long UNRESPONSIVE_NANOS = Duration.ofMillis(600).toNanos();
 
-    /** How long after its start an agent waits for the minion: two announcements are due and four leases end in it. */
+    /**
+     * Time after the agent's start from which an unannounced minion and its runs are considered gone. Two announcements
+     * are due in it, and four leases end.
+     */
     static final long ANNOUNCEMENT_TIMEOUT_NANOS = Duration.ofSeconds(4).toNanos();
 
-    /** Refusal of a start that doesn't fit; the worker may be tried again as soon as it reports room. */
+    /** Reason for refusing a start that doesn't fit. The worker may be tried again when it reports free resources. */
     public static final String NO_ROOM = "no room";
 
-    /** Refusal of a suspect beside another one; the worker may be tried again as soon as it holds none. */
+    /** Reason for refusing a second suspected task. The worker may be tried again when it holds none. */
     public static final String SUSPECT_HELD = "suspect held";
 
     private static final FluentLogger LOGGER = FluentLogger.forEnclosingClass();
@@ -77,11 +86,11 @@
     private final long startedAtNanos;
     private boolean reconciled;
     private boolean restored;
-    /** The minion has answered for itself and has not announced this incarnation yet. */
+    /** The current incarnation answered a poll but has not announced itself yet. */
     private boolean awaitingAnnouncement;
 
     private boolean departing;
-    /** Nobody listened at the minion's address when it was last looked at. */
+    /** The minion's address refused the connection of the last poll. */
     private boolean connectionRefused;
 
     private boolean responsive = true;
@@ -93,11 +102,7 @@
     private long acknowledgedThrough;
     private long lastAnswerNanos;
 
-    /**
-     * Creates a supervisor that knows of no minion yet.
-     *
-     * @param partitions partitions among which kept jobs are dealt out
-     */
+    /** Creates a supervisor without a minion; durable jobs are divided among a number of partitions. */
     public RunSupervisor(Timers timers, MinionPort port, SupervisorListener listener, int partitions) {
         this.timers = timers;
         this.port = port;
@@ -117,7 +122,7 @@
         return minion;
     }
 
-    /** Tells whether starts are taken. */
+    /** Tells whether starts are accepted. */
     public boolean isAccepting() {
         return !leaving
                 && responsive
@@ -130,26 +135,25 @@
     }
 
     /**
-     * Tells whether the runs and ends here are all that the minion has. Not so at first after a restart: the agent
-     * before may have left runs behind, and an owner that takes them for gone would start their tasks again beside
-     * them.
+     * Tells whether the known runs and ends are all that the minion has. After a restart of the agent, runs of its
+     * predecessor may be left; an owner that takes them for absent would start their tasks a second time.
      */
     public boolean isInventoryComplete() {
         return reconciler.isComplete()
                 || minion.isEmpty() && timers.nanos() - startedAtNanos > ANNOUNCEMENT_TIMEOUT_NANOS;
     }
 
-    /** Returns the capacity less the room of everything that runs, stops or may still start. */
+    /** Returns the capacity minus the resources of all runs that are in progress, being stopped, or may still start. */
     public Room free() {
         return minion.isEmpty() ? Room.NONE : minion.get().capacity().minus(held.room());
     }
 
-    /** Returns the runs whose room is taken, with their owners. */
+    /** Returns the runs that occupy resources, with their owners. */
     public Map<RunKey, RunOwner> runs() {
         return held.byKey();
     }
 
-    /** Returns the listed ends that nobody has stored yet. */
+    /** Returns the listed ends that no owner has stored yet. */
     public List<OwnedEnd> unstoredEnds() {
         List<OwnedEnd> open = unstoredCrashes.unstored();
         if (minion.isPresent()) {
@@ -158,41 +162,40 @@
         return open;
     }
 
-    /** Tells whether nothing runs and no end waits to be stored. */
+    /** Tells whether there are neither runs nor ends that wait to be stored. */
     public boolean isIdle() {
         return held.isEmpty() && ends.isEmpty();
     }
 
-    /** Returns how many of the runs are of tasks that were on a minion that crashed. */
+    /** Returns the number of runs whose tasks were running on a minion when that minion crashed. */
     public int suspected() {
         return held.suspected();
     }
 
-    /** Returns what fences calls of agents that were replaced, as this one sends it now. */
+    /** Returns the fencing token that this agent's calls carry now. */
     public long token() {
         return token.value();
     }
 
-    /** Tells whether nothing was ever started here. */
+    /** Tells whether no start was ever sent. */
     public boolean isUnused() {
         return !used;
     }
 
-    /** Takes no more starts, as the process is about to end. */
+    /** Refuses starts from now on, as the process is about to stop. */
     public void leave() {
         leaving = true;
         listener.roomChanged();
     }
 
     /**
-     * Takes up the minion that the agent before this one had here, without waiting for its next announcement: that
-     * comes up to 1.5 s later, and after a loss of all power no worker would be known until then. Nothing is started
-     * before it has answered a look that names its boot, so another boot is found out. One that does not answer is
-     * forgotten.
+     * Restores the minion of the agent's predecessor without waiting for its next announcement. That takes up to 1.5 s,
+     * and after a complete power loss no worker would be known until then. Starts are refused until it has answered a
+     * poll; the poll contains its id, so a replaced minion is detected. If it doesn't answer in time, it is discarded.
      */
     public void restore(MinionState state) {
         if (minion.isPresent() || !history.isEmpty()) {
-            // It has announced itself or taken its leave meanwhile, which is newer.
+            // The minion has announced itself or departed in the meantime, which is more recent.
             return;
         }
         EventLine.of("minion-recalled")
@@ -225,8 +228,8 @@
     }
 
     /**
-     * Notes what the minion announced. What an earlier incarnation announced is ignored, as is what this one announced
-     * before something that is known already: both were held up.
+     * Processes an announcement of the minion. One from an earlier incarnation, or one that is older than the current
+     * state, was delayed and is ignored.
      */
     public void announced(MinionState state) {
         if (history.isStale(state, minion.orElse(null))) {
@@ -253,7 +256,7 @@
         if (!same) {
             before.ifPresent(old -> discardIncarnation(old, reported.minionId(), outcomeAt(old), "reborn"));
             if (before.isEmpty() && history.hasEarlierIncarnation(reported.minionId())) {
-                // What was sent to the one that took its leave is refused once this one has been looked at.
+                // A start that was sent to the departed incarnation is refused once this one has been polled.
                 token.increment();
             }
             restartLease(reported.clockMillis());
@@ -279,16 +282,16 @@
     private static MinionState update(MinionState before, MinionState reported) {
         boolean bornIsMissing = reported.incarnation().startedAtMillis() == 0;
         MinionState state = bornIsMissing ? reported.withIncarnation(before.incarnation()) : reported;
-        // A minion that has said it leaves never stays after all; a late announcement must not undo it.
+        // A minion that is about to stop never stays after all; a delayed announcement must not undo it.
         return before.leaving() ? state.asLeaving() : state;
     }
 
-    /** Forgets the clock and the lease of an earlier incarnation. */
+    /** Discards the clock and the lease of an earlier incarnation. */
     private void restartLease(long clockMillis) {
         lastAnswerNanos = timers.nanos();
         lease.reset(clockMillis, lastAnswerNanos);
         if (!held.isEmpty()) {
-            // A start that was sent to the incarnation before may have begun a lease at this one.
+            // A start that was sent to the previous incarnation may have begun a lease at this one.
             lease.extend(lastAnswerNanos);
         }
     }
@@ -304,7 +307,7 @@
         listener.minionChanged();
     }
 
-    /** Notes that the minion has taken its leave; whatever ran on it is gone. */
+    /** Processes the departure of the minion, which ends its runs. */
     public void departed(String minionId) {
         if (minion.isEmpty() || !minion.get().minionId().equals(minionId) || departing) {
             return;
@@ -345,17 +348,14 @@
     }
 
     /**
-     * Discards what is known of an incarnation.
-     *
-     * @param nextId id of the one that is there instead; empty when there is none
-     * @param outcome how its runs have ended
+     * Discards the state of an incarnation, which is replaced by the minion with the new id; empty if there is none.
      */
     private void discardIncarnation(MinionState old, String newMinionId, RunOutcome outcome, String reason) {
         restored = false;
         awaitingAnnouncement = false;
         departing = false;
         history.markReplaced(old.incarnation());
-        // An answer of the old boot may take long or never come; the new one is looked at without waiting for it.
+        // The answer of the old incarnation may be late or never come; the new one is polled without waiting for it.
         pollInFlight = false;
         responsive = true;
         pollScheduled = false;
@@ -371,15 +371,15 @@
         reconciled = false;
     }
 
-    /** Returns how runs end at a minion that is found gone: it has crashed, unless it had said that it leaves. */
+    /** Returns the outcome of runs on a lost minion: it crashed, unless it had announced that it was leaving. */
     private RunOutcome outcomeAt(MinionState gone) {
         return gone.leaving() || departing ? RunOutcome.LOST : RunOutcome.CRASHED;
     }
 
     /**
-     * Leaves it to the first lists of an incarnation under the same id which runs are gone: calls carry the id only, so
-     * it may have carried out starts that were meant for the one before. The next token keeps it from carrying out more
-     * of them once it has been looked at, so that those lists are the last word.
+     * Lets the first lists of a new incarnation under the same id decide which runs are lost. Calls contain only the
+     * id, so it may have executed starts that were sent to the previous one. Once polled with the new token, it refuses
+     * further ones.
      */
     private void carryOver(MinionState old, RunOutcome outcome) {
         token.increment();
@@ -394,7 +394,7 @@
         }
     }
 
-    /** Starts a run of a task that was on no minion that crashed. */
+    /** Starts a run of a task that is not suspected of crashing minions. */
     Optional<String> start(RunKey run, RunOwner owner, Room room, String payload, String checkpoint) {
         return start(run, owner, room, false, payload, checkpoint);
     }
@@ -402,8 +402,8 @@
     /**
      * Starts a run.
      *
-     * @param suspected whether the task was on a minion that crashed
-     * @return why it isn't started and never will be by this call; empty when it was sent to the minion
+     * @param suspected whether the task was running on a minion when that minion crashed
+     * @return the reason why this call didn't start the run and never will; empty if the start was sent to the minion
      */
     public Optional<String> start(
             RunKey run, RunOwner owner, Room room, boolean suspected, String payload, String checkpoint) {
@@ -435,8 +435,8 @@
     }
 
     /**
-     * Takes no starts until the minion has answered a look. Its room looks free while it is down, so owners would send
-     * it every task that waits, again and again, and none of them would start elsewhere.
+     * Refuses starts until the minion answers a poll. All resources of an unavailable minion look free, so that owners
+     * would send it every waiting task again and again and start none of them elsewhere.
      */
     private void markUnresponsive() {
         if (responsive) {
@@ -446,7 +446,7 @@
         }
     }
 
-    /** Stops a run; nothing happens when it isn't held. */
+    /** Stops a run. Has no effect if the run isn't held. */
     public void stop(RunKey key) {
         HeldRun run = held.of(key.task());
         if (run == null || run.key().run() != key.run() || run.isStopRequested() || minion.isEmpty()) {
@@ -456,7 +456,7 @@
         commands.stop(minion.get().incarnation(), run);
     }
 
-    /** Notes that ends of an incarnation are stored, so that the minion may forget them. */
+    /** Records that an owner has stored ends of an incarnation, so that the minion may discard them. */
     public void markStored(String incarnation, List<Long> sequences) {
         if (unstoredCrashes.markStored(incarnation, sequences) || !name().equals(incarnation)) {
             return;
@@ -502,8 +502,9 @@
     }
 
     /**
-     * Tells whether the minion may have come back under the same id since it answered last. An acknowledgement would
-     * make the next incarnation forget its own ends, and a lease by the clock before would be as long as it grants.
+     * Tells whether the minion may have been restarted under the same id since its last answer. An acknowledgement
+     * would make the new incarnation discard its own ends, and a lease end by the old clock would be the longest that
+     * it grants.
      */
     private boolean mayHaveRestarted() {
         return !responsive && minion.orElseThrow().incarnation().startedAtMillis() != 0;
@@ -526,9 +527,9 @@
     }
 
     /**
-     * Calls the runs of a minion that doesn't answer lost, once every lease that it may have taken has ended. Until
-     * then a run may go on there, and a second one elsewhere would run beside it. A minion at whose address nobody
-     * listens has not gone silent: its process has ended, and usually it is back only after the lease.
+     * Reports the runs of an unresponsive minion as lost once every lease that it may have accepted has expired; until
+     * then, a second run elsewhere could overlap with the first. If the minion refuses connections, its process has
+     * ended, and it is usually restarted only after the lease.
      */
     private void reportLostAfterLease(long now) {
         boolean silent = now - lastAnswerNanos > RENEWAL_CUTOFF_NANOS;
@@ -554,7 +555,7 @@
                 lease.observe(listed.clockMillis(), lastAnswerNanos);
                 restored = false;
                 if (!reconciler.isComplete()) {
-                    // The agent before this one may have extended the lease a moment ago.
+                    // The agent's predecessor may have extended the lease just now.
                     lease.extend(lastAnswerNanos);
                 }
                 acknowledgedThrough = Math.max(acknowledgedThrough, acknowledgedByPoll);
@@ -603,14 +604,14 @@
     }
 
     /**
-     * Takes the word of an incarnation that answers in place of the known one. It has not announced itself, so its
-     * capacity isn't known and it takes no starts yet. One of an earlier start is believed only when the known one has
-     * not been heard for long: its clock was set back, or the known one was never there.
+     * Accepts another incarnation that answered in place of the current one. Its capacity isn't known until it
+     * announces itself, so it accepts no starts. An earlier one is accepted only if the current one has not answered
+     * for long: the minion's clock was set back, or the current one never existed.
      */
     private void handleOtherIncarnation(Incarnation known, PollResult.Lists lists) {
         boolean earlier = lists.startedAtMillis() < known.startedAtMillis();
         if (earlier && timers.nanos() - lastAnswerNanos <= ANNOUNCEMENT_TIMEOUT_NANOS) {
-            logUnanswered(known, "an earlier incarnation answers");
+            logUnanswered(known, "an earlier incarnation answered");
             markUnresponsive();
             pollAfter(POLL_RETRY_PAUSE);
             return;
@@ -642,7 +643,7 @@
         }
     }
 
-    /** Takes the lists over; tells whether they held anything new. */
+    /** Applies the minion's lists. Returns whether they contained new ends. */
     private boolean applyLists(PollResult.Lists listed, long sentAtNanos) {
         Room before = free();
         boolean acceptingBefore = isAccepting();
@@ -658,7 +659,7 @@
         return !newEnds.isEmpty();
     }
 
-    /** Stops everything that an owner has here. */
+    /** Stops all runs of an owner. */
     public void stopAll(RunOwner owner) {
         for (HeldRun run : held.all()) {
             if (run.owner().equals(owner)) {
@@ -667,12 +668,12 @@
         }
     }
 
-    /** Returns whose runs are here. */
+    /** Returns the owners of all runs. */
     public Set<RunOwner> owners() {
         return held.owners();
     }
 
-    /** What calls about single runs ask of and tell to this. */
+    /** Gives the commands access to this supervisor. */
     private final class CommandCallbacks implements RunCommands.Callbacks {
         @Override
         public boolean isHeld(Incarnation incarnation, HeldRun run) {
--- a/library/src/main/java/org/chivetally/queue/agent/SupervisorListener.java
+++ b/library/src/main/java/org/chivetally/queue/agent/SupervisorListener.java
@@ -3,24 +3,24 @@
 import java.util.List;
 import java.util.Set;
 
-/** What a {@link RunSupervisor} asks of and tells to the process around it. */
+/** What a {@link RunSupervisor} needs from its process and reports to it. */
 public interface SupervisorListener {
-    /** Tells whether these owners have been heard lately, so that their runs may go on. */
+    /** Tells whether these owners have been in contact recently, so that the lease of their runs may be extended. */
     boolean mayRenew(Set<RunOwner> owners);
 
-    /** Runs have ended; their owners are to be told. */
+    /** Runs have ended. The listener reports the ends to their owners. */
     void ended(List<OwnedEnd> ends);
 
-    /** Another minion, or none, is here now, or it has said that it leaves. */
+    /** The minion was replaced, has departed or is about to leave. */
     void minionChanged();
 
     /**
-     * The capacity has changed while the minion runs.
+     * The capacity of the running minion has changed.
      *
-     * @param shrunk whether any part of it is smaller now
+     * @param shrunk whether any resource was reduced
      */
     void capacityChanged(boolean shrunk);
 
-    /** The free room, or whether starts are taken, has changed. */
+    /** The free resources have changed, or whether starts are accepted. */
     void roomChanged();
 }
--- a/library/src/main/java/org/chivetally/queue/agent/TimingMinionPort.java
+++ b/library/src/main/java/org/chivetally/queue/agent/TimingMinionPort.java
@@ -11,20 +11,23 @@
 import org.chivetally.time.Timers;
 
 /**
- * Times the runs of a minion by the calls that pass to it, from the answer to a start until the end is listed, and
- * learns from runs that end done how long they last compared with their estimates. Changes no call.
+ * Measures the runs of a minion by its calls, from the answer to a start until a poll lists the end. From successful
+ * runs it learns the ratio of their duration to their estimate. Calls are passed on unchanged.
  *
- * <p>Left out are runs whose duration says nothing of the worker: those that resume another, that were stopped, that an
- * agent before this one started, and all whose start or end can't be dated.
+ * <p>Excluded are runs whose duration doesn't depend on the worker's speed alone: those that resume from a checkpoint,
+ * were stopped or were started by the agent's predecessor, and all without a known time of start or end.
  */
 final class TimingMinionPort implements MinionPort {
     /**
-     * Time after which the answer to a start no longer dates it. Answers take a millisecond; where one was lost, the
-     * repeated call is answered tens of milliseconds later, which would make the shortest runs look a third faster.
+     * Longest answer to a start that still dates the start. Answers take a millisecond. If one is lost, the retry is
+     * answered tens of milliseconds later, which would make the shortest runs look a third faster.
      */
     static final Duration MAXIMUM_ANSWER_TIME = Duration.ofMillis(20);
 
-    /** Runs that are timed at once. A worker holds fewer; those that vanished without an end are dropped at this. */
+    /**
+     * Maximum number of runs that are measured at once. A worker holds fewer; runs that vanished without an end are
+     * dropped when this number is reached.
+     */
     private static final int MAXIMUM_RUNS = 1_000;
 
     private final MinionPort port;
@@ -39,15 +42,15 @@
         this.timers = timers;
     }
 
-    /** Returns how long the minion's runs last compared with their estimates, as far as learned. */
+    /** Returns the learned ratio of the durations of the minion's runs to their estimates. */
     LearnedStretch stretch() {
         return stretch.at(timers.nanos());
     }
 
     /**
-     * Names the estimate of a run that may be started.
+     * Sets the estimate of a run that is about to be started.
      *
-     * @param estimatedMillis in milliseconds; 0 for none
+     * @param estimatedMillis estimated duration, in milliseconds; 0 for none
      */
     void expect(RunKey run, int estimatedMillis) {
         if (estimatedMillis <= 0) {
@@ -59,7 +62,7 @@
         runs.put(run, new TimedRun(estimatedMillis));
     }
 
-    /** Forgets a run that was not started. */
+    /** Discards a run that was not started. */
     void discard(RunKey run) {
         runs.remove(run);
     }
@@ -69,7 +72,7 @@
         resetForNewMinion(minionId);
         RunKey run = request.run();
         if (!request.checkpoint().isEmpty()) {
-            // It does only the rest of the work, of which there is no estimate.
+            // It does only the rest of the work, for which there is no estimate.
             runs.remove(run);
         }
         long sentAtNanos = timers.nanos();
@@ -116,12 +119,12 @@
             }
             endTimesKnown = true;
         } else {
-            // What the next look lists may have ended long before.
+            // Ends in the next lists may have occurred long before.
             endTimesKnown = false;
         }
     }
 
-    /** Forgets everything when another minion is called: it may be of another kind. */
+    /** Discards what was learned if the calls go to another minion, as its speed may differ. */
     private void resetForNewMinion(String minionId) {
         if (!minionId.equals(timedMinionId)) {
             if (!timedMinionId.isEmpty()) {
@@ -133,7 +136,7 @@
         }
     }
 
-    /** A run with what is known of its time. */
+    /** A run with its estimate and its measured start. */
     private static final class TimedRun {
         private final int estimatedMillis;
         private long startedAtNanos;
--- a/library/src/main/java/org/chivetally/queue/agent/UnacknowledgedEnds.java
+++ b/library/src/main/java/org/chivetally/queue/agent/UnacknowledgedEnds.java
@@ -6,12 +6,12 @@
 import java.util.Set;
 import java.util.TreeMap;
 
-/** Ends that the minion has listed and that aren't acknowledged to it, in the order of their sequences. */
+/** The ends that the minion has listed and that are not acknowledged to it, ordered by sequence. */
 final class UnacknowledgedEnds {
     private final TreeMap<Long, TrackedEnd> ends = new TreeMap<>();
     private long storedThrough;
 
-    /** Notes an end of an owner's run; tells whether it is new. */
+    /** Adds the end of an owner's run. Returns whether it is new. */
     boolean add(MinionPort.ListedEnd end, RunOwner owner) {
         if (end.sequence() <= storedThrough || ends.containsKey(end.sequence())) {
             return false;
@@ -20,7 +20,7 @@
         return true;
     }
 
-    /** Notes that an end is stored, or that nobody needs it. */
+    /** Records that an end is stored, or that it doesn't have to be. */
     void markStored(long sequence) {
         TrackedEnd tracked = ends.get(sequence);
         if (tracked != null) {
@@ -31,14 +31,14 @@
         }
     }
 
-    /** Notes that the minion's lease has ended since all of these, so that they no longer count at the minion. */
+    /** Records that the minion's lease has expired since all of these ends, which makes them invalid at the minion. */
     void markLeaseExpired() {
         for (TrackedEnd tracked : ends.values()) {
             tracked.leaseExpired = true;
         }
     }
 
-    /** Returns the owners that haven't stored an end yet since which the lease has not ended. */
+    /** Returns the owners of unstored ends since which the lease has not expired. */
     Set<RunOwner> ownersOfUnstoredEndsUnderLease() {
         Set<RunOwner> owners = new HashSet<>();
         for (TrackedEnd tracked : ends.values()) {
@@ -49,12 +49,16 @@
         return owners;
     }
 
-    /** Returns the sequence up to which all ends are kept. */
+    /** Returns the sequence up to which all ends are stored. */
     long storedThrough() {
         return storedThrough;
     }
 
-    /** Returns the ends that aren't kept. */
+    /**
+     * Returns the ends that are not stored.
+     *
+     * @param incarnation name of the incarnation that listed them
+     */
     List<OwnedEnd> unstored(String incarnation) {
         List<OwnedEnd> unstored = new ArrayList<>();
         for (TrackedEnd tracked : ends.values()) {
--- a/library/src/main/java/org/chivetally/queue/agent/UnknownRuns.java
+++ b/library/src/main/java/org/chivetally/queue/agent/UnknownRuns.java
@@ -9,15 +9,15 @@
 import org.chivetally.queue.RunKey;
 
 /**
- * Runs that the minion lists and nobody here knows: of an agent before this one, or of a start that was sent to an
- * earlier incarnation under the same id and that this one has carried out. Their room isn't known, so nothing is
- * started beside them.
+ * Runs that the minion lists and the agent doesn't know. They were started by the agent's predecessor, or by a start
+ * that was sent to an earlier incarnation with the same id and executed by this one. Their resources are unknown, so
+ * nothing is started beside them.
  */
 final class UnknownRuns {
-    /** Pause before a stop is sent again while the run is still listed. */
+    /** Interval at which a stop is sent again while its run is still listed. */
     static final Duration STOP_RETRY_INTERVAL = Duration.ofMillis(100);
 
-    /** When the last stop went out, by run; 0 for none. */
+    /** Time of the last stop by run, on the monotonic clock in nanoseconds; 0 if none was sent. */
     private final Map<RunKey, Long> stopSentNanos = new HashMap<>();
 
     boolean isEmpty() {
@@ -28,7 +28,7 @@
         stopSentNanos.clear();
     }
 
-    /** Takes over the runs that are listed now and not known. */
+    /** Replaces the unknown runs with those that are listed now. */
     void update(Collection<RunKey> unknown) {
         if (unknown.isEmpty() && stopSentNanos.isEmpty()) {
             return;
@@ -39,7 +39,7 @@
         }
     }
 
-    /** Returns the runs to which a stop is due, and notes that it goes out. */
+    /** Returns the runs for which a stop is due, and records that it is sent. */
     List<RunKey> dueForStop(long nowNanos) {
         if (stopSentNanos.isEmpty()) {
             return List.of();
--- a/library/src/main/java/org/chivetally/queue/agent/UnstoredCrashes.java
+++ b/library/src/main/java/org/chivetally/queue/agent/UnstoredCrashes.java
@@ -5,11 +5,13 @@
 import java.util.TreeMap;
 
 /**
- * Crashed runs of kept jobs whose count nobody has stored yet. The minion lists nothing of an incarnation that is gone,
- * so without this the crash would be forgotten with the entry that was told of it.
+ * Crashes during runs of durable jobs that no owner has counted in the log yet. The minion doesn't list the ends of an
+ * earlier incarnation, so a crash would be lost together with the entry to which it was reported.
  */
 final class UnstoredCrashes {
-    /** Crashes that are remembered; a minion holds some dozens of runs, and the store takes them within seconds. */
+    /**
+     * Maximum number of crashes. A minion holds some dozens of runs, and the log stores their crashes within seconds.
+     */
     static final int MAXIMUM_CRASHES = 1_000;
 
     private final TreeMap<Long, OwnedEnd> crashes = new TreeMap<>();
@@ -17,15 +19,16 @@
     private long sequence;
 
     /**
-     * Creates an empty ledger.
+     * Creates an empty list.
      *
-     * @param name differs from that of any minion and of every other start of an agent
+     * @param name sent in place of the minion's name; differs from that of any minion and of any other start of an
+     *     agent
      */
     UnstoredCrashes(String name) {
         this.name = name;
     }
 
-    /** Notes an end; returns it with the number by which its owner says that it is stored. */
+    /** Adds an end. Returns it with the sequence by which its owner acknowledges it. */
     OwnedEnd add(OwnedEnd end) {
         sequence++;
         EndedRun run = end.end();
@@ -38,7 +41,7 @@
         return numberedEnd;
     }
 
-    /** Forgets ends that are stored, if they are from here; tells whether they are. */
+    /** Removes ends that are stored. Returns false if the name is that of a minion, not of this list. */
     boolean markStored(String incarnation, List<Long> sequences) {
         if (!name.equals(incarnation)) {
             return false;
@@ -47,7 +50,7 @@
         return true;
     }
 
-    /** Returns the ends that aren't stored. */
+    /** Returns the ends that are not stored. */
     List<OwnedEnd> unstored() {
         return new ArrayList<>(crashes.values());
     }
--- a/library/src/main/java/org/chivetally/queue/agent/WaitingStarts.java
+++ b/library/src/main/java/org/chivetally/queue/agent/WaitingStarts.java
@@ -12,31 +12,31 @@
 import org.chivetally.wire.v1.RunStart;
 
 /**
- * Starts that found no room at the worker and wait a moment for it.
+ * Starts that didn't fit into the worker's free resources and wait for a short time.
  *
- * <p>The load it answers: nearly all room is taken, each end is told to all entries, and all of them send a start for
- * the same room. Turned down at once, two in five starts went round again, and the room that the next end frees lay
- * idle until an entry had heard of it.
+ * <p>When nearly all resources are occupied, each end is reported to all entries, and all of them send a start for the
+ * same resources. When starts were refused at once, two in five had to be placed again, and the resources that the next
+ * end released were idle until an entry had learned of them.
  */
 final class WaitingStarts {
     /**
-     * How long a start waits: a worker with a dozen tasks of a third of a second frees room every 30 ms. Longer, and
-     * the start would be better off at another worker.
+     * Maximum time that a start waits. A worker with a dozen tasks of a third of a second releases resources every 30
+     * ms; after that, the start has a better chance at another worker.
      */
     static final Duration MAXIMUM_WAIT = Duration.ofMillis(30);
 
     /**
-     * Starts that may wait: the room of about one end in {@link #MAXIMUM_WAIT} comes free, and ends of a job come
-     * together.
+     * Maximum number of waiting starts. About one end releases resources within {@link #MAXIMUM_WAIT}, and ends of one
+     * job occur together.
      */
     static final int MAXIMUM_WAITING = 2;
 
     private final List<WaitingStart> waiting = new ArrayList<>();
 
-    /** A start, the link that it came on, and what it names. */
+    /** A waiting start, the link on which it was received, and its run. */
     record WaitingStart(PeerLink link, RunStart start, RunKey run) {}
 
-    /** Lets a start wait if there is a place for it. */
+    /** Adds a start. Returns empty if there are as many as may wait. */
     Optional<WaitingStart> add(PeerLink link, RunStart start, RunKey run) {
         if (waiting.size() >= MAXIMUM_WAITING) {
             return Optional.empty();
@@ -46,7 +46,7 @@
         return Optional.of(added);
     }
 
-    /** Takes out the start that has waited longest, if it fits into the free room. */
+    /** Removes and returns the start that has waited longest if it fits into the free resources. */
     Optional<WaitingStart> pollFitting(Room free) {
         if (waiting.isEmpty() || !roomOf(waiting.getFirst()).fitsInto(free)) {
             return Optional.empty();
@@ -59,14 +59,14 @@
         return waiting.isEmpty();
     }
 
-    /** Takes out all starts of a kind. */
+    /** Removes and returns all starts that meet a condition. */
     List<WaitingStart> removeIf(Predicate<WaitingStart> condition) {
         List<WaitingStart> removed = waiting.stream().filter(condition).toList();
         waiting.removeAll(removed);
         return removed;
     }
 
-    /** Returns the room that all of them need. */
+    /** Returns the resources that all waiting starts need. */
     Room room() {
         Room room = Room.NONE;
         for (WaitingStart start : waiting) {
--- a/library/src/main/java/org/chivetally/queue/agent/package-info.java
+++ b/library/src/main/java/org/chivetally/queue/agent/package-info.java
@@ -1,6 +1,6 @@
 /**
- * The agent beside one minion: keeps the minion's room exactly, starts and stops runs, renews their lease while their
- * owners are heard, and passes their ends on. Input and output are behind
- * {@link org.chivetally.queue.agent.MinionPort}.
+ * The agent beside one minion. It accounts for the minion's resources, starts and stops runs, renews the minion's lease
+ * while the runs' owners are in contact with the agent, and reports the ends of runs to their owners. Calls to the
+ * minion go through {@link org.chivetally.queue.agent.MinionPort}.
  */
 package org.chivetally.queue.agent;
