--- a/library/src/main/java/org/chivetally/queue/agent/RunCommands.java
+++ b/library/src/main/java/org/chivetally/queue/agent/RunCommands.java
@@ -8,18 +8,21 @@
 import org.chivetally.queue.agent.MinionPort.StartResult;
 import org.chivetally.time.Timers;
 
-/** Starts and stops of single runs at the minion, until it is certain what became of each. */
+/** Starts and stops runs at the minion. Retries stops, and stops starts whose result remains unknown. */
 final class RunCommands {
     /**
-     * Time without an answer after which a start is doubted. Answers take a millisecond, and the tasks of callers who
-     * wait last 85 ms and more: any later, the job would miss its objective by the doubt alone.
+     * Time after which an unanswered start counts as unconfirmed. Answers take a millisecond, and the tasks of waiting
+     * callers take 85 ms or more; with a longer timeout, the job would miss its objective by this wait alone.
      */
     static final Duration START_TIMEOUT = Duration.ofMillis(100);
 
-    /** How long a doubtful start may show up in a look before it is stopped; the next look comes within it. */
+    /**
+     * Time before an unconfirmed start is stopped, unless a poll lists the run before. The next poll is answered within
+     * it.
+     */
     static final Duration UNCONFIRMED_STOP_DELAY = Duration.ofMillis(60);
 
-    /** Pause before a stop without an answer is sent again, so that a minion that is down isn't called in a loop. */
+    /** Pause before an unanswered stop is sent again, so that an unavailable minion isn't called in a tight loop. */
     static final Duration STOP_RETRY_INTERVAL = Duration.ofMillis(100);
 
     private static final FluentLogger LOGGER = FluentLogger.forEnclosingClass();
@@ -38,119 +41,120 @@
         this.callbacks = supervision;
     }
 
-    /** What the calls ask of and tell to the supervisor of the minion. */
+    /** What the commands need from the supervisor of the minion. */
     interface Callbacks {
-        /** Tells whether a run is still held at the incarnation to which a call about it was sent. */
-        boolean isHeld(Incarnation at, HeldRun run);
+        /** Tells whether a run is still held at the incarnation to which the call about it was sent. */
+        boolean isHeld(Incarnation incarnation, HeldRun run);
 
-        /** The run isn't there and never will be. */
-        void reportNeverStarted(Incarnation at, HeldRun run);
+        /** Reports that the run wasn't started and never will be. */
+        void reportNeverStarted(Incarnation incarnation, HeldRun run);
 
-        /** Nobody listens at the minion's address. */
+        /** Reports that the minion's address refused the connection. */
         void unreachable();
 
-        /** The minion is to be looked at soon. */
+        /** Polls the minion soon. */
         void poll();
     }
 
     /** Sends a start. */
-    void start(Incarnation at, HeldRun run, StartRequest order) {
-        port.start(at.id(), order, answer -> startAnswered(at, run, answer));
-        timers.after(START_TIMEOUT, () -> markUnconfirmed(at, run, "no answer yet"));
+    void start(Incarnation incarnation, HeldRun run, StartRequest request) {
+        port.start(incarnation.id(), request, result -> startAnswered(incarnation, run, result));
+        timers.after(START_TIMEOUT, () -> markUnconfirmed(incarnation, run, "no answer yet"));
     }
 
-    private void startAnswered(Incarnation at, HeldRun run, StartResult answer) {
-        if (!callbacks.isHeld(at, run)) {
+    private void startAnswered(Incarnation incarnation, HeldRun run, StartResult result) {
+        if (!callbacks.isHeld(incarnation, run)) {
             return;
         }
-        switch (answer) {
+        switch (result) {
             case StartResult.Started started -> {
                 lease.observe(started.clockMillis(), timers.nanos());
                 run.enterStage(HeldRun.Stage.RUNNING, timers.nanos());
                 if (run.isStopRequested()) {
-                    stop(at, run);
+                    stop(incarnation, run);
                 }
                 callbacks.poll();
             }
             case StartResult.Rejected rejected -> {
-                logRejected(at, run, rejected.reason());
+                logRejected(incarnation, run, rejected.reason());
                 if (rejected.fenced()) {
                     token.raise();
                 }
-                callbacks.reportNeverStarted(at, run);
+                callbacks.reportNeverStarted(incarnation, run);
             }
             case StartResult.Unreachable unreachable -> {
-                logRejected(at, run, unreachable.reason());
+                logRejected(incarnation, run, unreachable.reason());
                 callbacks.unreachable();
-                callbacks.reportNeverStarted(at, run);
+                callbacks.reportNeverStarted(incarnation, run);
                 callbacks.poll();
             }
-            case StartResult.Unknown unknown -> markUnconfirmed(at, run, unknown.reason());
+            case StartResult.Unknown unknown -> markUnconfirmed(incarnation, run, unknown.reason());
         }
     }
 
-    private static void logRejected(Incarnation at, HeldRun run, String reason) {
+    private static void logRejected(Incarnation incarnation, HeldRun run, String reason) {
         EventLine.of("run-rejected")
                 .with("run", run.key())
-                .with("minion", at.name())
+                .with("minion", incarnation.name())
                 .with("reason", reason)
                 .log(LOGGER.atInfo());
     }
 
-    private void markUnconfirmed(Incarnation at, HeldRun run, String reason) {
-        if (!callbacks.isHeld(at, run) || run.stage() != HeldRun.Stage.STARTING) {
+    private void markUnconfirmed(Incarnation incarnation, HeldRun run, String reason) {
+        if (!callbacks.isHeld(incarnation, run) || run.stage() != HeldRun.Stage.STARTING) {
             return;
         }
         EventLine.of("run-doubtful")
                 .with("run", run.key())
-                .with("minion", at.name())
+                .with("minion", incarnation.name())
                 .with("reason", reason)
                 .log(LOGGER.atWarning());
         run.enterStage(HeldRun.Stage.UNCONFIRMED, timers.nanos());
-        timers.after(UNCONFIRMED_STOP_DELAY, () -> stopUnconfirmed(at, run));
+        timers.after(UNCONFIRMED_STOP_DELAY, () -> stopUnconfirmed(incarnation, run));
         callbacks.poll();
     }
 
     /**
-     * Rules a doubtful start out. A stop that was answered keeps the minion from ever taking this run, so the room is
-     * free from the next look that does not list it; without that, a start carried out late would overfill the worker.
+     * Stops a run whose start is unconfirmed. Once the minion has accepted the stop it never starts the run, so the
+     * resources are free when a later poll doesn't list it. Without the stop, a start that is executed late would
+     * overcommit the worker.
      */
-    private void stopUnconfirmed(Incarnation at, HeldRun run) {
-        boolean isOpen = callbacks.isHeld(at, run) && run.stage() == HeldRun.Stage.UNCONFIRMED;
-        if (isOpen && !run.isStopConfirmed()) {
-            stop(at, run);
+    private void stopUnconfirmed(Incarnation incarnation, HeldRun run) {
+        boolean isUnconfirmed = callbacks.isHeld(incarnation, run) && run.stage() == HeldRun.Stage.UNCONFIRMED;
+        if (isUnconfirmed && !run.isStopConfirmed()) {
+            stop(incarnation, run);
         }
     }
 
-    /** Sends a stop, and again until it is answered. */
-    void stop(Incarnation at, HeldRun run) {
-        port.stop(at.id(), run.key(), token.value(), taken -> stopAnswered(at, run, taken));
+    /** Sends a stop and retries it until it is answered. */
+    void stop(Incarnation incarnation, HeldRun run) {
+        port.stop(incarnation.id(), run.key(), token.value(), accepted -> stopAnswered(incarnation, run, accepted));
     }
 
-    private void stopAnswered(Incarnation at, HeldRun run, boolean taken) {
-        if (!callbacks.isHeld(at, run)) {
+    private void stopAnswered(Incarnation incarnation, HeldRun run, boolean accepted) {
+        if (!callbacks.isHeld(incarnation, run)) {
             return;
         }
-        if (taken) {
+        if (accepted) {
             run.confirmStop(timers.nanos());
             callbacks.poll();
             return;
         }
         timers.after(STOP_RETRY_INTERVAL, () -> {
-            if (callbacks.isHeld(at, run) && !run.isStopConfirmed()) {
-                stop(at, run);
+            if (callbacks.isHeld(incarnation, run) && !run.isStopConfirmed()) {
+                stop(incarnation, run);
             }
         });
     }
 
-    /** Sends stops to runs that nobody here knows. */
-    void stopUnknownRuns(Incarnation at, UnknownRuns unknownRuns) {
+    /** Stops runs that the agent doesn't know. */
+    void stopUnknownRuns(Incarnation incarnation, UnknownRuns unknownRuns) {
         for (RunKey run : unknownRuns.dueForStop(timers.nanos())) {
             EventLine.of("run-unknown")
                     .with("run", run)
-                    .with("minion", at.name())
+                    .with("minion", incarnation.name())
                     .log(LOGGER.atWarning());
-            port.stop(at.id(), run, token.value(), taken -> callbacks.poll());
+            port.stop(incarnation.id(), run, token.value(), accepted -> callbacks.poll());
         }
     }
 }
