--- a/library/src/main/java/org/chivetally/queue/agent/RunEndReporter.java
+++ b/library/src/main/java/org/chivetally/queue/agent/RunEndReporter.java
@@ -6,7 +6,7 @@
 import org.chivetally.logging.EventLine;
 import org.chivetally.queue.RunOutcome;
 
-/** Ends of runs that the minion doesn't list: frees their room and reports them to their owners. */
+/** Ends runs that the minion doesn't list as ended: releases their resources and reports them to their owners. */
 final class RunEndReporter {
     private static final FluentLogger LOGGER = FluentLogger.forEnclosingClass();
 
@@ -20,9 +20,9 @@
         this.unstoredCrashes = ledger;
     }
 
-    /** Ends a run that isn't at a minion and never will be. */
-    void reportNeverStarted(Incarnation at, HeldRun run) {
-        report(run, run.unlistedEnd(at.name(), RunOutcome.NEVER_STARTED));
+    /** Ends a run that was not started at an incarnation and never will be. */
+    void reportNeverStarted(Incarnation incarnation, HeldRun run) {
+        report(run, run.unlistedEnd(incarnation.name(), RunOutcome.NEVER_STARTED));
     }
 
     /** Ends one run. */
@@ -32,26 +32,39 @@
         listener.roomChanged();
     }
 
-    /** Ends all runs that are held. */
-    void reportAllLost(String minion, RunOutcome outcome, String reason) {
-        reportLost(minion, held.endAll(minion, outcome), reason);
+    /**
+     * Ends all runs that are held.
+     *
+     * @param incarnation name of the incarnation that ran them
+     * @param outcome how they ended
+     * @param reason for logs
+     */
+    void reportAllLost(String incarnation, RunOutcome outcome, String reason) {
+        reportLost(incarnation, held.endAll(incarnation, outcome), reason);
     }
 
-    /** Reports runs that are no longer held. */
-    void reportLost(String minion, List<OwnedEnd> lost, String reason) {
+    /**
+     * Reports ends of runs that were released already.
+     *
+     * @param incarnation name of the minion's incarnation, for logs
+     * @param lost the ends
+     * @param reason for logs
+     */
+    void reportLost(String incarnation, List<OwnedEnd> lost, String reason) {
         if (lost.isEmpty()) {
             return;
         }
         EventLine.of("runs-lost")
-                .with("minion", minion)
+                .with("minion", incarnation)
                 .with("runs", lost.size())
                 .with("reason", reason)
                 .with("outcome", lost.getFirst().end().outcome())
                 .log(LOGGER.atWarning());
         List<OwnedEnd> reported = new ArrayList<>();
         for (OwnedEnd end : lost) {
-            boolean isCounted = end.end().outcome() == RunOutcome.CRASHED && end.owner() instanceof RunOwner.Partition;
-            reported.add(isCounted ? unstoredCrashes.add(end) : end);
+            boolean awaitsStorage =
+                    end.end().outcome() == RunOutcome.CRASHED && end.owner() instanceof RunOwner.Partition;
+            reported.add(awaitsStorage ? unstoredCrashes.add(end) : end);
         }
         listener.ended(reported);
     }
