--- a/library/src/test/java/org/chivetally/queue/placement/EntryCapacityShareTest.java
+++ b/library/src/test/java/org/chivetally/queue/placement/EntryCapacityShareTest.java
@@ -14,6 +14,7 @@
 class EntryCapacityShareTest {
     private static final long CAPACITY_MILLICORES = 90_000;
 
+    /** With an equal part it would refuse jobs although the parts of the idle entries are unused. */
     @Test
     void entryWithAllTheDemandGetsAllSpareCapacity() {
         ServiceDemand own = new ServiceDemand(60_000, 500);
@@ -23,6 +24,7 @@
         assertThat(share.backlogMillicores(), is(CAPACITY_MILLICORES));
     }
 
+    /** If each counted on more than its part, the entries together would accept more than the workers can run. */
     @Test
     void entriesWithEqualDemandGetEqualShares() {
         ServiceDemand demand = new ServiceDemand(20_000, 500);
@@ -44,6 +46,7 @@
         assertThat(share.spareMillicores(), is(5_000L));
     }
 
+    /** The backlog cannot drain in this case, which the admission has to see. */
     @Test
     void noSpareCapacityWhenArrivalsExceedCapacity() {
         ServiceDemand own = new ServiceDemand(40_000, 500);
--- a/library/src/test/java/org/chivetally/queue/placement/PlacementDecisionsTest.java
+++ b/library/src/test/java/org/chivetally/queue/placement/PlacementDecisionsTest.java
@@ -52,6 +52,7 @@
         return new Job(Jobs.of(job, 1), 0).tasks().getFirst();
     }
 
+    /** Tasks placed on fuller workers would wait there while others are idle. */
     @Test
     void placesOnTheWorkerWithTheMostRoom() {
         List<Worker> workers = List.of(worker("a", 20_000), worker("b", 30_000), worker("c", 5_000));
@@ -70,6 +71,7 @@
         return new StepTraits(false, false, false, label, rack, maximumPerWorker, false, false, "", 0);
     }
 
+    /** Without its label a worker must not get the task, however much room it has. */
     @Test
     void placesOnlyOnWorkersWithTheRequiredLabel() {
         List<Worker> workers = List.of(worker("a", 60_000));
@@ -243,6 +245,7 @@
         assertThat(order, is(List.of("urgent", "usual", "old")));
     }
 
+    /** A backlog that drains in time is no reason to refuse a job. */
     @Test
     void admitsAJobThatWillStartInTime() {
         Job job = new Job(Jobs.of("j", 2, 0, 200), 0, SECOND_NANOS);
--- a/library/src/test/java/org/chivetally/queue/share/FairSharesTest.java
+++ b/library/src/test/java/org/chivetally/queue/share/FairSharesTest.java
@@ -49,6 +49,7 @@
         assertThat(sharesAtFirst.isContended(), is(true));
     }
 
+    /** Limited to an equal share, a queue would wait while processors are idle. */
     @Test
     void queueCanUseCapacityThatOthersLeaveUnused() {
         FairShares shares = shares(90_000, loads(30_000, 20_000), 0);
--- a/library/src/test/java/org/chivetally/queue/share/MaxMinFairnessTest.java
+++ b/library/src/test/java/org/chivetally/queue/share/MaxMinFairnessTest.java
@@ -35,11 +35,13 @@
         assertThat(allocateEqually(2_000, 327, 793, 1_026), is(new long[] {327, 793, 880}));
     }
 
+    /** A larger demand must not give a larger share. */
     @Test
     void queuesThatDemandMoreThanTheirShareGetEqualShares() {
         assertThat(allocateEqually(900, 500, 800, 301), is(new long[] {300, 300, 300}));
     }
 
+    /** The unused part of the third queue's share is divided by the weights of the others. */
     @Test
     void unsatisfiedQueuesShareByWeight() {
         assertThat(
@@ -58,6 +60,7 @@
                 is(new long[] {0, 0, 1, 1, 4}));
     }
 
+    /** The capacity is zero or negative while no worker is known, and there may be no queues. */
     @Test
     void sharesAreZeroWithoutCapacity() {
         assertThat(allocateEqually(0, 5, 0), is(new long[] {0, 0}));
--- a/library/src/test/java/org/chivetally/queue/share/QueueAdmissionTest.java
+++ b/library/src/test/java/org/chivetally/queue/share/QueueAdmissionTest.java
@@ -27,6 +27,7 @@
         return new Job(Jobs.of(id, 2, 0, 200), 0, SECOND_NANOS);
     }
 
+    /** A backlog that drains in time is no reason to refuse a job. */
     @Test
     void admitsAJobThatWillStartInTime() {
         assertThat(QueueAdmission.refuse(job("j"), 0, 500 * 64, CAPACITY_MILLICORES, false), is(Optional.empty()));
@@ -41,6 +42,7 @@
         assertThat(retry.toSeconds(), lessThanOrEqualTo(4L));
     }
 
+    /** An entry that has just started must not refuse all jobs until the first reports arrive. */
     @Test
     void admitsAllJobsWhileNoWorkerIsKnown() {
         assertThat(QueueAdmission.refuse(job("j"), 0, 3_000 * 64, 0, false), is(Optional.empty()));
--- a/library/src/test/java/org/chivetally/queue/share/RecentlyRefusedJobsTest.java
+++ b/library/src/test/java/org/chivetally/queue/share/RecentlyRefusedJobsTest.java
@@ -5,9 +5,11 @@
 
 import org.junit.jupiter.api.Test;
 
+/** Guards that retries of refused jobs are recognized, and that the memory for this is bounded. */
 class RecentlyRefusedJobsTest {
     private final RecentlyRefusedJobs refused = new RecentlyRefusedJobs();
 
+    /** A job that is retried long after its refusal counts as new. */
     @Test
     void containsAJobUntilItExpires() {
         refused.add("a", 5);
--- a/library/src/test/java/org/chivetally/queue/speed/EstimateCalibratorTest.java
+++ b/library/src/test/java/org/chivetally/queue/speed/EstimateCalibratorTest.java
@@ -23,6 +23,7 @@
         }
     }
 
+    /** Without runs there is nothing to correct the estimates by. */
     @Test
     void returnsEstimatesUnchangedBeforeAnyRun() {
         assertThat(calibrator.expectedMillis("queue", 100), is(100.0));
--- a/library/src/test/java/org/chivetally/queue/speed/KindStretchesTest.java
+++ b/library/src/test/java/org/chivetally/queue/speed/KindStretchesTest.java
@@ -26,6 +26,7 @@
         kinds.finish();
     }
 
+    /** Without reports all workers count as equally fast. */
     @Test
     void stretchIsOneWhileNothingIsKnown() {
         learn(0, LearnedStretch.UNKNOWN, LearnedStretch.UNKNOWN);
--- a/library/src/test/java/org/chivetally/queue/speed/RunStretchTest.java
+++ b/library/src/test/java/org/chivetally/queue/speed/RunStretchTest.java
@@ -34,6 +34,7 @@
         return stretch.at(nowNanos).permille() / 1000.0;
     }
 
+    /** Inaccurate estimates and a few long runs must not hide the speed of the worker. */
     @Test
     void learnsTheStretchDespiteInaccurateEstimates() {
         simulateRuns(4_000, 1 / 0.7);
@@ -41,6 +42,7 @@
         assertThat(stretch.at(nowNanos).runs(), is(greaterThan(40)));
     }
 
+    /** A worker that becomes slow delays jobs until it is detected, and must recover as fast afterwards. */
     @Test
     void detectsASlowWorkerWithinASecond() {
         simulateRuns(4_000, 1);
--- a/library/src/test/java/org/chivetally/queue/speed/SpeedClassesTest.java
+++ b/library/src/test/java/org/chivetally/queue/speed/SpeedClassesTest.java
@@ -12,6 +12,7 @@
  * ones.
  */
 class SpeedClassesTest {
+    /** Small differences between workers must not split a class. */
     @Test
     void groupsWorkersOfSimilarSpeed() {
         SpeedClasses classes = SpeedClasses.of(new double[] {1.45, 0.6, 1.4, 0.58, 0.62, 1.5});
@@ -21,6 +22,7 @@
         assertThat(classes.spread(), is(closeTo(1.45 / 0.6, 0.001)));
     }
 
+    /** A service has no workers while an entry starts. */
     @Test
     void spreadIsOneWithoutWorkers() {
         assertThat(SpeedClasses.of(new double[0]).spread(), is(1.0));
