--- a/library/src/test/java/org/chivetally/queue/JobTest.java
+++ b/library/src/test/java/org/chivetally/queue/JobTest.java
@@ -40,7 +40,7 @@
 
     /** Runs that end for reasons outside the task must not use up its attempts. */
     @Test
-    void countsStoppedLapsedAndLostRunsNotAsFailures() {
+    void doesNotCountStoppedLapsedOrLostRunsAsFailures() {
         Job job = new Job(Jobs.of(ID, 1), 0);
         Task task = job.tasks().getFirst();
         for (RunOutcome outcome :
--- a/library/src/test/java/org/chivetally/queue/link/MemoryNetwork.java
+++ b/library/src/test/java/org/chivetally/queue/link/MemoryNetwork.java
@@ -70,9 +70,9 @@
     public void kill(String host) {
         listeners.remove(host);
         stopped.add(host);
-        for (Endpoint end : List.copyOf(endpoints)) {
-            if (end.from.equals(host)) {
-                end.reset();
+        for (Endpoint endpoint : List.copyOf(endpoints)) {
+            if (endpoint.from.equals(host)) {
+                endpoint.reset();
             }
         }
     }
--- a/library/src/test/java/org/chivetally/queue/log/StreamTailTest.java
+++ b/library/src/test/java/org/chivetally/queue/log/StreamTailTest.java
@@ -20,7 +20,7 @@
     private final ScriptedKeyedLog log = new ScriptedKeyedLog(timers, 1);
     private final List<String> delivered = new ArrayList<>();
     private final StreamTail tail = new StreamTail(
-            log.access("reader"), timers, STREAM, Duration.ofSeconds(1), entry -> delivered.add(describe(entry)));
+            log.access("reader"), timers, STREAM, Duration.ofSeconds(1), record -> delivered.add(describe(record)));
 
     private static String describe(KeyedRecord record) {
         return (record.isTombstone() ? "-" : "+") + record.key();
@@ -31,7 +31,9 @@
         timers.advance(Duration.ofMillis(100));
     }
 
-    /** Two readers compare their offsets to determine which has read further, so an offset includes the last record. */
+    /**
+     * The offset has to include the delivered record, because readers compare offsets to find out who has read further.
+     */
     @Test
     void advancesTheOffsetPastEachDeliveredRecord() {
         append(new KeyedRecord("a", VALUE));
--- a/library/src/test/java/org/chivetally/queue/warmup/WarmUpTest.java
+++ b/library/src/test/java/org/chivetally/queue/warmup/WarmUpTest.java
@@ -43,7 +43,7 @@
 
     /** A warm-up without an end would use processor time in an idle process forever. */
     @Test
-    void stopsAfterTheConfiguredRounds() {
+    void stopsAfterTheLastRound() {
         startWarmUp();
 
         timers.advance(Duration.ofMinutes(1));
