--- a/library/src/main/java/org/chivetally/queue/entry/RunCoordinator.java
+++ b/library/src/main/java/org/chivetally/queue/entry/RunCoordinator.java
@@ -26,6 +26,7 @@
 import org.chivetally.queue.agent.EndedRun;
 import org.chivetally.queue.agent.RunSupervisor;
 import org.chivetally.queue.crash.CrashTracker;
+import org.chivetally.queue.entry.PlacementPasses.RunStarter;
 import org.chivetally.queue.link.PeerLink;
 import org.chivetally.queue.placement.AdmissionPolicy;
 import org.chivetally.queue.placement.EntryCapacityShare;
@@ -50,35 +51,30 @@
 /** Places the entry's tasks on workers and tracks their runs until these have ended. */
 final class RunCoordinator implements InMemoryJobs.Scheduler {
     /**
-     * Silence of an agent after which its runs of durable jobs count as lost. The agent stops them when its latest
-     * heartbeat that their owner has echoed is 3.7 s old, and renews the lease no longer than 4.05 s. The lease of 1 s
-     * then expires by a clock that may be 2% slow, and timers on a slowed machine fire late. With a shorter timeout, a
-     * task could be started while its old run is still running.
+     * Silence of an agent after which its runs of durable jobs count as lost. If it were shorter, a task could start
+     * while its old run is running. The agent stops runs when its newest heartbeat echoed by their owner is 3.7 s old,
+     * and renews the lease no longer than 4.05 s. The lease of 1 s then expires by a clock that may be 2% slow, and
+     * timers on a slowed machine fire late.
      */
     static final Duration RUN_LOSS_TIMEOUT = Duration.ofMillis(5_700);
 
     /**
-     * Silence of an agent after which its runs of in-memory jobs count as lost. The agent stops them when its latest
-     * heartbeat that this entry has echoed is 0.8 s old, and renews the lease no longer than 1.15 s. The lease of 1 s
-     * then expires by a clock that may be 2% slow.
+     * The {@link #RUN_LOSS_TIMEOUT} for in-memory jobs. The agent stops runs when its newest heartbeat echoed by this
+     * entry is 0.8 s old, and renews the lease no longer than 1.15 s. The lease of 1 s expires by a clock that may be
+     * 2% slow.
      */
     static final Duration IN_MEMORY_RUN_LOSS_TIMEOUT = Duration.ofMillis(2_350);
 
     /**
-     * Time after the start of an entry in which no job is refused because of the backlog. Agents that start at the same
-     * time need up to 1.5 s to connect and to detect their minions; until then the few workers would look overloaded.
+     * Time after an entry's start in which no job is refused for the backlog. Agents that start with it need up to 1.5
+     * s to connect and detect their minions; until then the few workers would look overloaded.
      */
     static final Duration BACKLOG_GRACE = Duration.ofSeconds(2);
 
-    /**
-     * Time without starts for a worker that refused one for another reason than lack of room: one heartbeat interval.
-     */
+    /** Time without starts for a worker that refused one, but not for lack of room: one heartbeat interval. */
     static final Duration REFUSAL_PAUSE = Duration.ofMillis(250);
 
-    /**
-     * Retry delay sent to callers whose service has only workers in evacuated failure domains: an evacuation takes
-     * operators minutes, but may end soon.
-     */
+    /** Retry delay while a service has only evacuated workers: operators take minutes, but may be done soon. */
     static final Duration EVACUATION_RETRY = Duration.ofSeconds(5);
 
     private static final FluentLogger LOGGER = FluentLogger.forEnclosingClass();
@@ -137,14 +133,7 @@
                 ? Optional.of(new QueueShares(timers, waiting, workers.values()))
                 : Optional.empty();
         this.passes = new PlacementPasses(
-                timers,
-                waiting,
-                workers.values(),
-                placement,
-                crashes,
-                shares,
-                queueShares,
-                new PlacementPasses.RunStarter() {
+                timers, waiting, workers.values(), placement, crashes, shares, queueShares, new RunStarter() {
                     @Override
                     public boolean mayStart() {
                         return mayStart.getAsBoolean();
@@ -227,10 +216,7 @@
         }
     }
 
-    /**
-     * Refuses jobs that would wait too long behind other jobs, except those of a queue whose share covers its whole
-     * demand.
-     */
+    /** Refuses jobs that would wait too long behind others, unless their queue's share covers its demand. */
     private void refuseOvertaken(String service, List<Job> overtaken) {
         if (overtaken.isEmpty()) {
             return;
@@ -264,9 +250,7 @@
         return true;
     }
 
-    /**
-     * Returns the ratio of the task durations on the slowest and the fastest workers; 1 while speeds aren't learned.
-     */
+    /** Returns the ratio of task durations on the slowest and fastest workers; 1 while speeds aren't learned. */
     double speedSpread() {
         return placement.speedSpread();
     }
@@ -371,8 +355,8 @@
     }
 
     /**
-     * Compares this entry's runs at an agent with everything that the agent holds: takes over runs that were started by
-     * a former owner, stops unneeded ones, and records those that the agent doesn't hold as lost.
+     * Compares this entry's runs at an agent with those that the agent holds: adopts runs that a former owner started,
+     * stops unneeded ones, and records missing ones as lost.
      */
     void reconcile(PeerLink link, RunInventory inventory) {
         report(link, inventory.getReport());
@@ -406,9 +390,8 @@
     }
 
     /**
-     * Ends the ownership of partitions for which an agent reports an owner with a higher epoch. That owner may have
-     * received ends from the agent that are no longer listed. If such runs counted as lost, their tasks would be
-     * started again, at an agent that the new owner has not reached yet.
+     * Ends the ownership of partitions for which an agent reports a later owner. That one may have taken ends that the
+     * agent no longer lists. Counted as lost here, their tasks would start again at an agent that it hasn't reached.
      */
     private void loseSupersededPartitions(List<OwnedPartition> fenced) {
         for (OwnedPartition fence : fenced) {
@@ -419,30 +402,27 @@
         }
     }
 
-    private Optional<PartitionOwner> partitionOwnerOf(TaskKey task) {
+    private Optional<PartitionOwner> ownerOf(TaskKey task) {
         PartitionOwner owner = partitions.get(Partitions.of(task.jobId(), partitionCount));
         return owner != null && owner.isReady() ? Optional.of(owner) : Optional.empty();
     }
 
     /** Returns the owner of a task's job; empty if the job is durable and this entry no longer owns its partition. */
     private Optional<JobOwner> jobOwnerOf(Task task) {
-        return task.job().isDurable()
-                ? partitionOwnerOf(task.key()).map(JobOwner.class::cast)
-                : Optional.of(inMemoryJobs);
+        return task.job().isDurable() ? ownerOf(task.key()).map(JobOwner.class::cast) : Optional.of(inMemoryJobs);
     }
 
     private Optional<Task> task(TaskKey key) {
         Optional<Task> known = inMemoryJobs.task(key);
-        return known.isPresent() ? known : partitionOwnerOf(key).flatMap(owner -> owner.task(key));
+        return known.isPresent() ? known : ownerOf(key).flatMap(owner -> owner.task(key));
     }
 
     private void reconcileRun(Worker worker, TaskKey key, HeldRun run) {
-        if (!run.getUnkept() && partitionOwnerOf(key).isEmpty()) {
+        if (!run.getUnkept() && ownerOf(key).isEmpty()) {
             return;
         }
-        Optional<JobOwner> owner = run.getUnkept()
-                ? Optional.of(inMemoryJobs)
-                : partitionOwnerOf(key).map(JobOwner.class::cast);
+        Optional<JobOwner> owner =
+                run.getUnkept() ? Optional.of(inMemoryJobs) : ownerOf(key).map(JobOwner.class::cast);
         Optional<Task> known = owner.flatMap(candidate -> candidate.task(key));
         boolean needed = known.isPresent() && !known.get().job().phase().isFinal();
         if (needed && known.get().status() == Task.Status.UNCERTAIN) {
@@ -489,7 +469,7 @@
         Optional<Task> known = task(key);
         if (known.isEmpty()) {
             // The job has ended. If another entry owns the partition, the end is left for that owner to store.
-            partitionOwnerOf(key).ifPresent(owner -> acknowledge.run());
+            ownerOf(key).ifPresent(owner -> acknowledge.run());
             return;
         }
         Task task = known.get();
@@ -506,9 +486,7 @@
         }
     }
 
-    /**
-     * Returns whether a run that this entry no longer tracks has completed its task, so that no other run is needed.
-     */
+    /** Returns whether a run that is no longer tracked has done its task, so that no other run is needed. */
     private static boolean completesTask(Task task, EndedRun end) {
         return task.status() != Task.Status.DONE && end.outcome() == RunOutcome.DONE;
     }
@@ -570,7 +548,7 @@
         if (refused.getFencedBy() > 0) {
             // If this entry started the task at another agent, which the new owner has not reached, it could run twice.
             TaskKey.parse(refused.getTask())
-                    .flatMap(this::partitionOwnerOf)
+                    .flatMap(this::ownerOf)
                     .filter(owner -> owner.epoch() < refused.getFencedBy())
                     .ifPresent(owner -> owner.superseded(refused.getFencedBy()));
         }
@@ -587,10 +565,7 @@
         finishRun(worker, start.get(), RunOutcome.NEVER_STARTED, () -> {});
     }
 
-    /**
-     * Ends the runs of agents that have been silent for too long, releases tasks whose agents failed to report in time,
-     * and refuses jobs that can no longer meet their deadlines.
-     */
+    /** Ends lost runs, releases tasks whose agents failed to report in time, and refuses jobs that are too late. */
     void sweep() {
         long now = timers.nanos();
         for (Worker worker : List.copyOf(workers.values())) {
@@ -613,9 +588,8 @@
     }
 
     /**
-     * Stops overdue runs of in-memory jobs on slow workers, so that they start again elsewhere: stalled tasks would
-     * hold their callers until the deadline. Nothing is stopped while many workers look slow, as the cause is then
-     * something else.
+     * Stops overdue runs of in-memory jobs on slow workers, to start them elsewhere: stalled tasks would hold their
+     * callers until the deadline. Stops nothing while many workers look slow, as something else is the cause.
      */
     private void moveFromSlowWorkers(long now) {
         List<Worker> slow = new ArrayList<>();
