--- a/library/src/main/java/org/chivetally/queue/agent/TimingMinionPort.java
+++ b/library/src/main/java/org/chivetally/queue/agent/TimingMinionPort.java
@@ -11,20 +11,23 @@
 import org.chivetally.time.Timers;
 
 /**
- * Times the runs of a minion by the calls that pass to it, from the answer to a start until the end is listed, and
- * learns from runs that end done how long they last compared with their estimates. Changes no call.
+ * Measures the runs of a minion by its calls, from the answer to a start until a poll lists the end. From successful
+ * runs it learns the ratio of their duration to their estimate. Calls are passed on unchanged.
  *
- * <p>Left out are runs whose duration says nothing of the worker: those that resume another, that were stopped, that an
- * agent before this one started, and all whose start or end can't be dated.
+ * <p>Excluded are runs whose duration doesn't depend on the worker's speed alone: those that resume from a checkpoint,
+ * were stopped or were started by the agent's predecessor, and all without a known time of start or end.
  */
 final class TimingMinionPort implements MinionPort {
     /**
-     * Time after which the answer to a start no longer dates it. Answers take a millisecond; where one was lost, the
-     * repeated call is answered tens of milliseconds later, which would make the shortest runs look a third faster.
+     * Longest answer to a start that still dates the start. Answers take a millisecond. If one is lost, the retry is
+     * answered tens of milliseconds later, which would make the shortest runs look a third faster.
      */
     static final Duration MAXIMUM_ANSWER_TIME = Duration.ofMillis(20);
 
-    /** Runs that are timed at once. A worker holds fewer; those that vanished without an end are dropped at this. */
+    /**
+     * Maximum number of runs that are measured at once. A worker holds fewer; runs that vanished without an end are
+     * dropped when this number is reached.
+     */
     private static final int MAXIMUM_RUNS = 1_000;
 
     private final MinionPort port;
@@ -39,15 +42,15 @@
         this.timers = timers;
     }
 
-    /** Returns how long the minion's runs last compared with their estimates, as far as learned. */
+    /** Returns the learned ratio of the durations of the minion's runs to their estimates. */
     LearnedStretch stretch() {
         return stretch.at(timers.nanos());
     }
 
     /**
-     * Names the estimate of a run that may be started.
+     * Sets the estimate of a run that is about to be started.
      *
-     * @param estimatedMillis in milliseconds; 0 for none
+     * @param estimatedMillis estimated duration, in milliseconds; 0 for none
      */
     void expect(RunKey run, int estimatedMillis) {
         if (estimatedMillis <= 0) {
@@ -59,54 +62,54 @@
         runs.put(run, new TimedRun(estimatedMillis));
     }
 
-    /** Forgets a run that was not started. */
+    /** Discards a run that was not started. */
     void discard(RunKey run) {
         runs.remove(run);
     }
 
     @Override
-    public void start(String boot, StartRequest order, Consumer<StartResult> answer) {
-        resetForNewMinion(boot);
-        RunKey run = order.run();
-        if (!order.checkpoint().isEmpty()) {
-            // It does only the rest of the work, of which there is no estimate.
+    public void start(String minionId, StartRequest request, Consumer<StartResult> callback) {
+        resetForNewMinion(minionId);
+        RunKey run = request.run();
+        if (!request.checkpoint().isEmpty()) {
+            // It does only the rest of the work, for which there is no estimate.
             runs.remove(run);
         }
         long sentAtNanos = timers.nanos();
-        port.start(boot, order, answered -> {
+        port.start(minionId, request, result -> {
             long now = timers.nanos();
-            boolean dated =
-                    answered instanceof StartResult.Started && now - sentAtNanos <= MAXIMUM_ANSWER_TIME.toNanos();
+            boolean startKnown =
+                    result instanceof StartResult.Started && now - sentAtNanos <= MAXIMUM_ANSWER_TIME.toNanos();
             TimedRun timed = runs.get(run);
-            if (timed != null && dated) {
+            if (timed != null && startKnown) {
                 timed.startedAtNanos = now;
                 timed.startTimeKnown = true;
             } else {
                 runs.remove(run);
             }
-            answer.accept(answered);
+            callback.accept(result);
         });
     }
 
     @Override
-    public void stop(String boot, RunKey run, long token, Consumer<Boolean> answer) {
+    public void stop(String minionId, RunKey run, long token, Consumer<Boolean> callback) {
         runs.remove(run);
-        port.stop(boot, run, token, answer);
+        port.stop(minionId, run, token, callback);
     }
 
     @Override
-    public void poll(String boot, PollRequest order, Consumer<PollResult> answer) {
-        resetForNewMinion(boot);
-        port.poll(boot, order, answered -> {
-            if (boot.equals(timedMinionId)) {
-                recordEnds(answered);
+    public void poll(String minionId, PollRequest request, Consumer<PollResult> callback) {
+        resetForNewMinion(minionId);
+        port.poll(minionId, request, result -> {
+            if (minionId.equals(timedMinionId)) {
+                recordEnds(result);
             }
-            answer.accept(answered);
+            callback.accept(result);
         });
     }
 
-    private void recordEnds(PollResult answer) {
-        if (answer instanceof PollResult.Lists lists) {
+    private void recordEnds(PollResult result) {
+        if (result instanceof PollResult.Lists lists) {
             for (ListedEnd end : lists.ends()) {
                 TimedRun run = runs.remove(end.run());
                 if (run != null && run.startTimeKnown && endTimesKnown && end.outcome() == RunOutcome.DONE) {
@@ -116,24 +119,24 @@
             }
             endTimesKnown = true;
         } else {
-            // What the next look lists may have ended long before.
+            // Ends in the next lists may have occurred long before.
             endTimesKnown = false;
         }
     }
 
-    /** Forgets everything when another minion is called: it may be of another kind. */
-    private void resetForNewMinion(String boot) {
-        if (!boot.equals(timedMinionId)) {
+    /** Discards what was learned if the calls go to another minion, as its speed may differ. */
+    private void resetForNewMinion(String minionId) {
+        if (!minionId.equals(timedMinionId)) {
             if (!timedMinionId.isEmpty()) {
                 runs.clear();
                 stretch.clear();
             }
-            timedMinionId = boot;
+            timedMinionId = minionId;
             endTimesKnown = true;
         }
     }
 
-    /** A run with what is known of its time. */
+    /** A run with its estimate and its measured start. */
     private static final class TimedRun {
         private final int estimatedMillis;
         private long startedAtNanos;
