--- a/library/src/main/java/org/chivetally/queue/crash/CrashPolicy.java
+++ b/library/src/main/java/org/chivetally/queue/crash/CrashPolicy.java
@@ -53,10 +53,10 @@
      * affects ten jobs, while a late job is still worth a fifth.
      *
      * @param nowNanos the time, by the steady clock
-     * @param lastStartNanos latest start with which the job can end by its caller's deadline, by the steady clock
+     * @param latestStartNanos latest start with which the job can end by its caller's deadline, by the steady clock
      */
-    public boolean isUrgent(long nowNanos, long lastStartNanos) {
-        long remainingNanos = lastStartNanos - nowNanos;
+    public boolean isUrgent(long nowNanos, long latestStartNanos) {
+        long remainingNanos = latestStartNanos - nowNanos;
         return remainingNanos >= 0 && remainingNanos <= ISOLATION_MARGIN.toNanos();
     }
 
--- a/library/src/main/java/org/chivetally/queue/crash/CrashTracker.java
+++ b/library/src/main/java/org/chivetally/queue/crash/CrashTracker.java
@@ -71,9 +71,9 @@
     }
 
     /**
-     * Records a start of a suspect.
+     * Records a start, or that a suspect joins the worker of a task that is in progress.
      *
-     * @param isAlone whether no other suspect is on the worker
+     * @param isAlone whether the task is a suspect on a worker without any other suspect
      */
     public void recordStart(Task task, boolean isAlone) {
         if (isAlone) {
--- a/library/src/test/java/org/chivetally/queue/placement/OverloadSimulationTest.java
+++ b/library/src/test/java/org/chivetally/queue/placement/OverloadSimulationTest.java
@@ -71,19 +71,19 @@
      */
     @Test
     void persistentBacklogDoesNotMakeEveryJobLate() {
-        int perSecond = 99 * WORKERS * TASKS_PER_WORKER / 10 / 2;
+        int jobsPerSecond = 99 * WORKERS * TASKS_PER_WORKER / 10 / 2;
         List<Job> jobs = new ArrayList<>();
-        for (int number = 0; number < perSecond; number++) {
+        for (int number = 0; number < jobsPerSecond; number++) {
             jobs.add(arrive(number));
         }
-        int counted = 0;
-        for (int number = 0; number < 10 * perSecond; number++) {
-            advanceTo(Duration.ofSeconds(1).toNanos() * number / perSecond);
-            inTime = number == 2 * perSecond ? 0 : inTime;
-            counted += number >= 2 * perSecond ? 1 : 0;
-            jobs.add(arrive(perSecond + number));
+        int countedJobs = 0;
+        for (int number = 0; number < 10 * jobsPerSecond; number++) {
+            advanceTo(Duration.ofSeconds(1).toNanos() * number / jobsPerSecond);
+            inTime = number == 2 * jobsPerSecond ? 0 : inTime;
+            countedJobs += number >= 2 * jobsPerSecond ? 1 : 0;
+            jobs.add(arrive(jobsPerSecond + number));
         }
-        assertThat((double) inTime / counted, greaterThan(0.9));
+        assertThat((double) inTime / countedJobs, greaterThan(0.9));
     }
 
     /**
@@ -92,9 +92,9 @@
      */
     @Test
     void workerThatFailsEveryRunDoesNotFailJobs() {
-        int perSecond = 95 * WORKERS * TASKS_PER_WORKER / 10 / 2;
-        for (int number = 0; number < 6 * perSecond; number++) {
-            advanceTo(Duration.ofSeconds(1).toNanos() * number / perSecond);
+        int jobsPerSecond = 95 * WORKERS * TASKS_PER_WORKER / 10 / 2;
+        for (int number = 0; number < 6 * jobsPerSecond; number++) {
+            advanceTo(Duration.ofSeconds(1).toNanos() * number / jobsPerSecond);
             arrive(number, "worker-0");
         }
         assertThat(failedJobs, is(0));
@@ -108,24 +108,24 @@
      */
     @Test
     void unservableJobsInABurstAreRefusedWithinTheObjective() {
-        int perSecond = 150 * WORKERS * TASKS_PER_WORKER / 10 / 2;
+        int jobsPerSecond = 150 * WORKERS * TASKS_PER_WORKER / 10 / 2;
         ArrivalRate arrivals = new ArrivalRate();
         Set<Job> notRefused = new HashSet<>();
-        for (int number = 0; number < 3 * perSecond; number++) {
-            advanceTo(Duration.ofSeconds(1).toNanos() * number / perSecond);
+        for (int number = 0; number < 3 * jobsPerSecond; number++) {
+            advanceTo(Duration.ofSeconds(1).toNanos() * number / jobsPerSecond);
             Job arrived = arrive(number);
             notRefused.add(arrived);
             arrivals.recordArrival(arrived.specification(), nowNanos);
             long spareMillicores = WORKERS * CAPACITY.processorMillis() - arrivals.arrivingMillicores(nowNanos);
             for (Job job : waiting.unservableJobs("reports", spareMillicores, nowNanos)) {
                 long waitedNanos = nowNanos - job.acceptedAtNanos();
-                assertThat(waitedNanos, lessThan(number < perSecond ? LATE_LIMIT_NANOS : OBJECTIVE_NANOS));
+                assertThat(waitedNanos, lessThan(number < jobsPerSecond ? LATE_LIMIT_NANOS : OBJECTIVE_NANOS));
                 job.tasks().forEach(waiting::remove);
                 notRefused.remove(job);
             }
         }
         notRefused.removeIf(job -> job.phase() != JobPhase.QUEUED || !job.isTooLate(nowNanos));
-        assertThat((double) inTime / (3 * perSecond), greaterThan(0.55));
+        assertThat((double) inTime / (3 * jobsPerSecond), greaterThan(0.55));
         assertThat(notRefused, is(empty()));
     }
 
--- a/library/src/test/java/org/chivetally/queue/placement/PlacementDecisionsTest.java
+++ b/library/src/test/java/org/chivetally/queue/placement/PlacementDecisionsTest.java
@@ -149,15 +149,15 @@
      */
     @Test
     void prefersAWorkerOfItsOwnFailureDomain() {
-        PlacementPolicy near = new PlacementPolicy("north", new SplittableRandom(1));
+        PlacementPolicy policy = new PlacementPolicy("north", new SplittableRandom(1));
         Worker far = worker("far", "south", 33_000);
         assertThat(
-                near.newPass(List.of(far, worker("near", 30_000)), 1)
+                policy.newPass(List.of(far, worker("near", 30_000)), 1)
                         .choose(task("j"))
                         .map(Worker::process),
                 is(Optional.of("near")));
         assertThat(
-                near.newPass(List.of(far, worker("near", 20_000)), 1)
+                policy.newPass(List.of(far, worker("near", 20_000)), 1)
                         .choose(task("j"))
                         .map(Worker::process),
                 is(Optional.of("far")));
@@ -169,15 +169,16 @@
      */
     @Test
     void avoidsAWorkerThatFailsEveryRun() {
-        Worker bad = worker("bad", 60_000);
-        Worker good = worker("good", 7_000);
+        Worker failing = worker("bad", 60_000);
+        Worker healthy = worker("good", 7_000);
         for (String job : List.of("j1", "j2", "j3")) {
-            assertThat(POLICY.newPass(List.of(bad, good), 1).choose(task("k")), is(Optional.of(bad)));
-            bad.health().recordFailedRun(job, 1);
+            assertThat(POLICY.newPass(List.of(failing, healthy), 1).choose(task("k")), is(Optional.of(failing)));
+            failing.health().recordFailedRun(job, 1);
         }
-        assertThat(POLICY.newPass(List.of(bad, good), 1).choose(task("k")), is(Optional.of(good)));
+        assertThat(POLICY.newPass(List.of(failing, healthy), 1).choose(task("k")), is(Optional.of(healthy)));
         long afterAvoidance = WorkerHealth.AVOIDANCE_TIME.toNanos() + 2;
-        assertThat(POLICY.newPass(List.of(bad, good), afterAvoidance).choose(task("k")), is(Optional.of(bad)));
+        assertThat(
+                POLICY.newPass(List.of(failing, healthy), afterAvoidance).choose(task("k")), is(Optional.of(failing)));
     }
 
     /**
@@ -188,7 +189,7 @@
     @Test
     void avoidsAWorkerWhoseRunsLastTooLong() {
         Worker slow = worker("slow", 60_000);
-        Worker good = worker("good", 7_000);
+        Worker healthy = worker("good", 7_000);
         for (String job : List.of("j1", "j2", "j3")) {
             slow.send(task(job), 1, 0);
         }
@@ -197,9 +198,9 @@
         now = Duration.ofMillis(400).toNanos();
         assertThat(slow.markNewlyOverdue(now).size(), is(3));
         assertThat(slow.markNewlyOverdue(now).size(), is(0));
-        assertThat(POLICY.newPass(List.of(slow, good), now).choose(task("k")), is(Optional.of(good)));
+        assertThat(POLICY.newPass(List.of(slow, healthy), now).choose(task("k")), is(Optional.of(healthy)));
         long afterAvoidance = now + 2 * WorkerHealth.TIME_CONSTANT.toNanos();
-        assertThat(POLICY.newPass(List.of(slow, good), afterAvoidance).choose(task("k")), is(Optional.of(slow)));
+        assertThat(POLICY.newPass(List.of(slow, healthy), afterAvoidance).choose(task("k")), is(Optional.of(slow)));
     }
 
     /** As estimates are inaccurate, single runs last three times as long, which says nothing about the worker. */
