--- a/library/src/main/java/org/chivetally/queue/agent/RunSupervisor.java
+++ b/library/src/main/java/org/chivetally/queue/agent/RunSupervisor.java
@@ -254,7 +254,7 @@
         Optional<MinionState> before = minion;
         boolean same = before.isPresent() && before.get().incarnation().matches(reported.incarnation());
         if (!same) {
-            before.ifPresent(old -> discardIncarnation(old, reported.minionId(), outcomeAt(old), "reborn"));
+            before.ifPresent(old -> discardIncarnation(old, reported.minionId(), outcomeOfLostRuns(old), "reborn"));
             if (before.isEmpty() && history.hasEarlierIncarnation(reported.minionId())) {
                 // A start that was sent to the departed incarnation is refused once this one has been polled.
                 token.increment();
@@ -372,8 +372,8 @@
     }
 
     /** Returns the outcome of runs on a lost minion: it crashed, unless it had announced that it was leaving. */
-    private RunOutcome outcomeAt(MinionState gone) {
-        return gone.leaving() || departing ? RunOutcome.LOST : RunOutcome.CRASHED;
+    private RunOutcome outcomeOfLostRuns(MinionState lost) {
+        return lost.leaving() || departing ? RunOutcome.LOST : RunOutcome.CRASHED;
     }
 
     /**
@@ -535,7 +535,7 @@
         boolean silent = now - lastAnswerNanos > RENEWAL_CUTOFF_NANOS;
         if (silent && !held.isEmpty() && lease.hasExpired(now)) {
             endReporter.reportAllLost(
-                    name(), connectionRefused ? outcomeAt(minion.orElseThrow()) : RunOutcome.LOST, "silent");
+                    name(), connectionRefused ? outcomeOfLostRuns(minion.orElseThrow()) : RunOutcome.LOST, "silent");
             reconciled = false;
             listener.roomChanged();
         }
@@ -576,7 +576,7 @@
                     token.raise();
                     pollAfter(Duration.ZERO);
                 } else {
-                    discardMinion(outcomeAt(minion.orElseThrow()), "another id");
+                    discardMinion(outcomeOfLostRuns(minion.orElseThrow()), "another id");
                 }
             }
             case PollResult.Unreachable unreachable -> {
--- a/library/src/test/java/org/chivetally/queue/agent/AgentNodeTest.java
+++ b/library/src/test/java/org/chivetally/queue/agent/AgentNodeTest.java
@@ -44,27 +44,27 @@
     private final FakeMinion minion = new FakeMinion(timers);
     private final AgentNode agent = new AgentNode(AGENT, timers, network.dialer("agent"), minion, 16);
 
-    /** An entry that beats and notes what it is told. */
+    /** An entry that sends heartbeats and records the frames that it receives. */
     private final class ScriptedEntry implements LinkListener {
         private final List<Frame> frames = new ArrayList<>();
         private final Peer self;
         private final long epoch;
         private final LinkTable links;
         private PeerLink link;
-        private Timers.Timer beats;
+        private Timers.Timer heartbeats;
         private int agents;
         private Evacuations evacuations = Evacuations.UNKNOWN;
-        private long number;
+        private long lastStartNumber;
 
         private ScriptedEntry(String name, long epoch) {
             this.self = new Peer(name, 1, false, "north", name, 1);
             this.epoch = epoch;
             this.links = new LinkTable(self, timers, network.dialer(name), this);
             network.listen(name, links.acceptor());
-            this.beats = timers.every(Duration.ofMillis(100), this::beat);
+            this.heartbeats = timers.every(Duration.ofMillis(100), this::heartbeat);
         }
 
-        private void beat() {
+        private void heartbeat() {
             if (link == null) {
                 return;
             }
@@ -84,10 +84,10 @@
         }
 
         private void start(String job, long run, boolean unkept, Duration stampAge) {
-            number++;
+            lastStartNumber++;
             link.send(Frame.newBuilder()
                     .setRunStart(RunStart.newBuilder()
-                            .setNumber(number)
+                            .setNumber(lastStartNumber)
                             .setTask(job + ".0.0.0")
                             .setRun(run)
                             .setPartition(3)
@@ -126,7 +126,7 @@
                     .toList();
         }
 
-        private boolean isAccepted() {
+        private boolean isWorkerAccepting() {
             return frames.stream()
                     .filter(Frame::hasAgentBeat)
                     .reduce((first, second) -> second)
@@ -164,11 +164,11 @@
     }
 
     /**
-     * An entry dies with unkept jobs in progress. Their callers send them again 1.3 s later, to another entry, which
-     * starts the same tasks. By then the runs of the dead entry have been stopped, so no task runs twice at once.
+     * Callers of a failed entry resubmit their in-memory jobs 1.3 s later to another entry, which starts the same
+     * tasks. If the runs of the failed entry were not stopped by then, a task would run twice at once.
      */
     @Test
-    void stopsRunsOfAnEntryThatHasGoneSilentBeforeTheirCallersComeAgain() {
+    void stopsRunsOfASilentEntryBeforeTheirCallersResubmit() {
         ScriptedEntry entry = entry("entry-1", 0);
         announce();
         entry.start("job", 1, true);
@@ -180,11 +180,11 @@
     }
 
     /**
-     * A grown site at full load: ten entries, and a run ends every 5 ms on a worker without room to spare. Each change
-     * told to each entry at once would be 1,000 frames a second from each of sixty agents.
+     * Ten entries at full load, with a run that ends every 5 ms on a worker without free resources. If each change were
+     * reported to each entry at once, sixty agents would send 1,000 frames a second each.
      */
     @Test
-    void reportsToManyEntriesNoMoreOftenThanToFew() {
+    void limitsReportsToManyEntries() {
         List<ScriptedEntry> entries = new ArrayList<>();
         for (int number = 0; number < 10; number++) {
             entries.add(entry("entry-" + number, 0));
@@ -207,11 +207,11 @@
     }
 
     /**
-     * Eighty agents at full load, and one entry. Each of them told each change of its room within 10 ms, 100 times a
-     * second: the entry read 8,000 reports a second and had no time left to place anything.
+     * Eighty agents at full load and one entry. When each of them reported every change of its free resources within 10
+     * ms, 100 times a second, the entry received 8,000 reports a second and had no time left for placement.
      */
     @Test
-    void reportsLessOftenTheMoreAgentsAnEntryHas() {
+    void limitsReportsOfManyAgents() {
         ScriptedEntry entry = entry("entry-1", 0);
         entry.agents = 80;
         announce(new Room(30_000, 1_000, 0));
@@ -227,9 +227,9 @@
         assertThat(entry.frames.stream().filter(Frame::hasAgentBeat).count(), lessThan(16L));
     }
 
-    /** The entry lives and is heard all the time: its runs go on, renewed, far beyond one lease. */
+    /** The entry stays in contact, so its runs are renewed far beyond one lease. */
     @Test
-    void renewsRunsOfAnEntryThatIsHeard() {
+    void renewsRunsOfAnEntryInContact() {
         ScriptedEntry entry = entry("entry-1", 0);
         announce();
         entry.start("job", 1, true);
@@ -240,31 +240,31 @@
     }
 
     /**
-     * The owner of a partition is replaced while it is cut off, and comes back believing that it still owns it. Its
-     * starts are refused, as the agent has seen the epoch of the one that replaced it.
+     * A partition's owner is replaced while it is cut off, and still considers itself the owner when it reconnects. Its
+     * starts are refused, as the agent knows the higher epoch of its successor.
      */
     @Test
-    void refusesStartsOfAnOwnerThatWasReplaced() {
-        ScriptedEntry old = entry("entry-1", 5);
-        ScriptedEntry next = entry("entry-2", 6);
+    void refusesStartsOfAReplacedOwner() {
+        ScriptedEntry replaced = entry("entry-1", 5);
+        ScriptedEntry successor = entry("entry-2", 6);
         announce();
-        old.start("job", 1, false);
+        replaced.start("job", 1, false);
         timers.advance(Duration.ofMillis(50));
-        assertThat(old.refusals(), contains("fenced by epoch 6"));
-        next.start("job", 1, false);
+        assertThat(replaced.refusals(), contains("fenced by epoch 6"));
+        successor.start("job", 1, false);
         timers.advance(Duration.ofMillis(50));
-        assertThat(next.refusals(), is(empty()));
+        assertThat(successor.refusals(), is(empty()));
     }
 
     /**
-     * A start is held up on its way while the owner gives the agent up and starts the task elsewhere. When it arrives,
-     * the stamp in it is old, and it is refused.
+     * A start is delayed while its owner gives up on the agent and starts the task elsewhere. The stamp in the late
+     * start is old, so it is refused.
      */
     @Test
-    void refusesAStartThatWasHeldUp() {
+    void refusesADelayedStart() {
         ScriptedEntry entry = entry("entry-1", 0);
         announce();
-        entry.beats.cancel();
+        entry.heartbeats.cancel();
         PeerLink link = entry.link;
         long stamp = link.peerStampNanos();
         timers.advance(Duration.ofMillis(700));
@@ -276,11 +276,11 @@
     }
 
     /**
-     * An agent without work sends heartbeats so rarely that the newest stamp is older than a start may be. The start
-     * tells how old it was when it was sent, and is taken.
+     * An idle agent sends heartbeats so rarely that its latest stamp is older than a start may be delayed. A start that
+     * carries the stamp's age at its sending is accepted.
      */
     @Test
-    void takesAStartOnAnOldStampThatWasNotHeldUp() {
+    void acceptsAnUndelayedStartWithAnOldStamp() {
         ScriptedEntry entry = entry("entry-1", 0);
         announce();
         timers.advance(Duration.ofSeconds(19));
@@ -293,9 +293,9 @@
         assertThat(minion.running.keySet(), contains(run("job", 1)));
     }
 
-    /** The same start, held up after it was sent: its stamp and its age together are too old. */
+    /** The same start is delayed after it was sent, so that its stamp and the stamp's age together are too old. */
     @Test
-    void refusesAStartThatTellsTheAgeOfItsStampAndWasHeldUp() {
+    void refusesADelayedStartWithAStampAge() {
         ScriptedEntry entry = entry("entry-1", 0);
         announce();
         long stamp = entry.link.peerStampNanos();
@@ -307,7 +307,7 @@
         assertThat(entry.refusals().getFirst(), containsString("stale"));
     }
 
-    /** The agent's clock stood still since the stamp, so a start that claims a later time may be of any age. */
+    /** The agent's clock was suspended after the stamp, so a start with a time in the future may have any delay. */
     @Test
     void refusesAStartFromTheFuture() {
         ScriptedEntry entry = entry("entry-1", 0);
@@ -317,9 +317,9 @@
         assertThat(entry.refusals(), hasSize(1));
     }
 
-    /** A start names a stamp from before a suspension, with an age that reaches beyond it. */
+    /** A start carries a stamp from before a suspension, with an age that reaches beyond it. */
     @Test
-    void refusesStartsFromBeforeASuspensionWhateverTheirAge() {
+    void refusesStartsFromBeforeASuspensionWithAnyStampAge() {
         ScriptedEntry entry = entry("entry-1", 0);
         announce();
         timers.advance(Duration.ofMillis(100));
@@ -329,7 +329,10 @@
         assertThat(entry.refusals(), hasSize(1));
     }
 
-    /** The machine is suspended for some seconds, which its steady clock doesn't count. What it was told is old. */
+    /**
+     * The machine is suspended for some seconds, which its monotonic clock doesn't count. Everything received before is
+     * old.
+     */
     @Test
     void refusesStartsFromBeforeASuspension() {
         ScriptedEntry entry = entry("entry-1", 0);
@@ -345,11 +348,11 @@
     }
 
     /**
-     * A new owner raises the epoch at an agent that was just restarted and doesn't know yet what its minion runs. It
-     * gets no inventory until the agent knows; an empty one would make it start tasks that still run.
+     * A new owner raises the epoch at an agent that was just restarted and doesn't know yet what its minion runs. An
+     * empty inventory would make the owner start tasks that are still running.
      */
     @Test
-    void tellsOwnersNothingUntilItKnowsWhatItsMinionRuns() {
+    void sendsNoInventoryBeforeItKnowsTheMinionsRuns() {
         ScriptedEntry entry = entry("entry-1", 7);
         timers.advance(Duration.ofSeconds(1));
         assertThat(entry.inventories(), is(empty()));
@@ -359,7 +362,7 @@
     }
 
     @Test
-    void tellsAnEntryOnlyOfItsOwnUnkeptRuns() {
+    void listsInMemoryRunsOnlyToTheirEntry() {
         ScriptedEntry one = entry("entry-1", 0);
         ScriptedEntry other = entry("entry-2", 0);
         announce();
@@ -367,19 +370,19 @@
         timers.advance(Duration.ofMillis(50));
         network.kill("entry-2");
         timers.advance(Duration.ofMillis(100));
-        ScriptedEntry again = entry("entry-2", 4);
+        ScriptedEntry restarted = entry("entry-2", 4);
         timers.advance(Duration.ofSeconds(2));
-        assertThat(again.inventories(), is(not(empty())));
-        assertThat(again.inventories().getLast().getRunsList(), is(empty()));
+        assertThat(restarted.inventories(), is(not(empty())));
+        assertThat(restarted.inventories().getLast().getRunsList(), is(empty()));
         assertThat(other.frames, is(not(empty())));
     }
 
     /**
-     * Two entries have heard of the same free room, and both send a start for it. The one that comes second waits for
-     * the next end instead of going round again, and begins in the moment in which room comes free.
+     * Two entries have learned of the same free resources, and both send a start for them. The second start waits for
+     * the next end instead of being placed again, and begins as soon as resources come free.
      */
     @Test
-    void letsAStartWaitAMomentForRoom() {
+    void queuesAStartUntilResourcesAreFree() {
         ScriptedEntry entry = entry("entry-1", 0);
         announce();
         entry.start("one", 1, true);
@@ -392,9 +395,9 @@
         assertThat(minion.running.keySet(), containsInAnyOrder(run("two", 1), run("three", 1)));
     }
 
-    /** No room comes free: the starts go back to their entry while another worker may still be in time for them. */
+    /** No resources come free. The starts are refused while another worker may still be in time for them. */
     @Test
-    void turnsAWaitingStartDownWhenNoRoomComesFree() {
+    void refusesAWaitingStartIfNoResourcesComeFree() {
         ScriptedEntry entry = entry("entry-1", 0);
         announce();
         for (String job : List.of("one", "two", "three", "four", "five")) {
@@ -409,9 +412,12 @@
         assertThat(minion.starts, hasSize(2));
     }
 
-    /** Room that starts wait for is promised: entries that heard of it as free would send more starts in vain. */
+    /**
+     * Resources for which a start waits are taken: entries that learned of them as free would send further starts in
+     * vain.
+     */
     @Test
-    void reportsNoRoomAsFreeThatAStartWaitsFor() {
+    void reportsResourcesOfWaitingStartsAsOccupied() {
         ScriptedEntry entry = entry("entry-1", 0);
         announce(new Room(15_000, 1_000, 0));
         entry.start("one", 1, true);
@@ -423,10 +429,11 @@
     }
 
     /**
-     * The caller has gone while the start of its task waits. It must not begin after all: nobody asks for it any more.
+     * The caller disconnects while the start of its task waits. The task must not begin, as no caller waits for its
+     * result.
      */
     @Test
-    void neverBeginsAWaitingStartThatWasStopped() {
+    void dropsAWaitingStartThatWasStopped() {
         ScriptedEntry entry = entry("entry-1", 0);
         announce();
         entry.start("one", 1, true);
@@ -446,10 +453,10 @@
 
     /**
      * An entry's link breaks while its start waits. The entry finds the task in no inventory and starts it elsewhere,
-     * so the start must not begin here when room comes free.
+     * so the start must not begin here when resources come free.
      */
     @Test
-    void neverBeginsAWaitingStartWhoseLinkIsGone() {
+    void dropsAWaitingStartWhoseLinkIsDown() {
         ScriptedEntry entry = entry("entry-1", 0);
         announce();
         entry.start("one", 1, true);
@@ -463,14 +470,14 @@
     }
 
     /**
-     * All power was lost, and an entry sends its first starts before its first heartbeat. Each shows that the entry has
-     * heard the agent: the second one is not turned down for a lease that is held back.
+     * After a complete power loss, an entry sends starts before its first heartbeat. Each start shows that the entry
+     * has received a stamp of the agent, so the second one must not be refused because the lease can't be extended.
      */
     @Test
-    void takesTheStartsOfAnEntryThatHasNotBeatenYet() {
+    void acceptsStartsBeforeTheFirstHeartbeatOfTheirEntry() {
         announce();
         ScriptedEntry entry = entry("entry-1", 0);
-        entry.beats.cancel();
+        entry.heartbeats.cancel();
         timers.advance(Duration.ofMillis(50));
         entry.start("one", 1, true);
         timers.advance(Duration.ofMillis(5));
@@ -481,11 +488,11 @@
     }
 
     /**
-     * Operators evacuate the failure domain while two tasks run and one waits for room. Every entry is told that the
-     * worker takes nothing; the waiting start goes back at once, and what runs ends by itself.
+     * Operators evacuate the failure domain while two tasks run and one waits. The agent reports to every entry that
+     * its worker accepts nothing and refuses the waiting start at once; tasks in progress continue.
      */
     @Test
-    void startsNothingInAnEvacuatedFailureDomain() {
+    void refusesStartsInAnEvacuatedFailureDomain() {
         ScriptedEntry entry = entry("entry-1", 0);
         announce();
         entry.start("one", 1, true);
@@ -493,10 +500,10 @@
         timers.advance(Duration.ofMillis(10));
         entry.start("three", 1, true);
         entry.evacuations = new Evacuations(5, Set.of("north"));
-        entry.beat();
+        entry.heartbeat();
         timers.advance(Duration.ofMillis(20));
         assertThat(entry.refusals(), contains(AgentNode.EVACUATED));
-        assertThat(entry.isAccepted(), is(false));
+        assertThat(entry.isWorkerAccepting(), is(false));
         minion.end(run("one", 1), RunOutcome.DONE);
         timers.advance(Duration.ofMillis(100));
         entry.start("four", 1, true);
@@ -506,9 +513,9 @@
         assertThat(minion.stops, is(empty()));
     }
 
-    /** Operators evacuate another failure domain: this one goes on. */
+    /** Operators evacuate another failure domain, which doesn't affect this one. */
     @Test
-    void startsGoOnWhileAnotherFailureDomainIsEvacuated() {
+    void acceptsStartsWhileAnotherFailureDomainIsEvacuated() {
         ScriptedEntry entry = entry("entry-1", 0);
         announce();
         entry.evacuations = new Evacuations(5, Set.of("south"));
@@ -519,11 +526,12 @@
     }
 
     /**
-     * One entry is cut off from the log and knows nothing of the evacuation, and later nothing of its end. The agent
-     * goes by the entry that has read further, so the first one's starts are refused, and later no longer.
+     * An entry that is cut off from the log knows nothing of an evacuation, and later nothing of its end. The agent
+     * applies the version of the entry that has read further: the first entry's starts are refused, and later accepted
+     * again.
      */
     @Test
-    void goesByTheNewestEvacuationsThatAnEntryHasRead() {
+    void appliesTheLatestEvacuationsOfAnyEntry() {
         ScriptedEntry stale = entry("entry-1", 0);
         ScriptedEntry current = entry("entry-2", 0);
         stale.evacuations = new Evacuations(3, Set.of());
@@ -539,12 +547,15 @@
         stale.start("two", 1, true);
         timers.advance(Duration.ofMillis(20));
         assertThat(minion.running.keySet(), contains(run("two", 1)));
-        assertThat(stale.isAccepted(), is(true));
+        assertThat(stale.isWorkerAccepting(), is(true));
     }
 
-    /** An entry that has just started has read nothing: its heartbeats open no evacuated failure domain. */
+    /**
+     * An entry that has just started has read no evacuations. Its heartbeats must not reopen an evacuated failure
+     * domain.
+     */
     @Test
-    void staysEvacuatedWhenAnEntryThatHasReadNothingIsMet() {
+    void staysEvacuatedWhenAnEntryWithoutEvacuationsConnects() {
         ScriptedEntry current = entry("entry-1", 0);
         current.evacuations = new Evacuations(5, Set.of("north"));
         announce();
@@ -562,11 +573,11 @@
     }
 
     /**
-     * The worker shrinks while a start waits for room. Entries are told at once, so that they send no more of what
-     * doesn't fit, and the start goes back before its patience is over.
+     * The worker's capacity shrinks while a start waits. Entries learn of it at once, so that they send no more starts
+     * that don't fit, and the waiting start is refused before its maximum wait is over.
      */
     @Test
-    void aCapacityThatShrinksReturnsWaitingStartsAndIsToldAtOnce() {
+    void refusesWaitingStartsAndReportsAtOnceWhenTheCapacityShrinks() {
         ScriptedEntry entry = entry("entry-1", 0);
         announce();
         entry.start("a", 1, true);
@@ -591,9 +602,9 @@
         assertThat(minion.running.keySet(), contains(run("a", 1), run("b", 1)));
     }
 
-    /** The worker grows while a start waits for room: it begins at once, and entries hear of the rest. */
+    /** The worker's capacity grows while a start waits. It begins at once, and the remaining resources are reported. */
     @Test
-    void aCapacityThatGrowsBeginsWaitingStarts() {
+    void startsWaitingRunsWhenTheCapacityGrows() {
         ScriptedEntry entry = entry("entry-1", 0);
         announce();
         entry.start("a", 1, true);
@@ -612,9 +623,11 @@
                 is(true));
     }
 
-    /** A capacity goes up and down with each heartbeat: nothing is stopped or told as ended because of it. */
+    /**
+     * The capacity rises and falls with each announcement. No run may be stopped or reported as ended because of it.
+     */
     @Test
-    void aCapacityThatFlapsEndsNothing() {
+    void keepsRunsWhileTheCapacityFluctuates() {
         ScriptedEntry entry = entry("entry-1", 0);
         announce();
         entry.start("a", 1, true);
--- a/library/src/test/java/org/chivetally/queue/agent/CrashedRunsTest.java
+++ b/library/src/test/java/org/chivetally/queue/agent/CrashedRunsTest.java
@@ -16,10 +16,13 @@
 import org.chivetally.queue.TaskKey;
 import org.junit.jupiter.api.Test;
 
-/** Which ends of runs are told as crashes: a task that is wrongly called one may be given up, or started too often. */
+/**
+ * Tests which ends of runs are reported as crashes. A task whose end is wrongly reported as a crash may be abandoned;
+ * without the report of a real crash, a task is started too often.
+ */
 class CrashedRunsTest {
     private static final Room CAPACITY = new Room(12_000, 1_000, 0);
-    private static final Room SMALL = new Room(1_000, 64, 0);
+    private static final Room TASK_RESOURCES = new Room(1_000, 64, 0);
     private static final RunOwner OWNER = new RunOwner.Partition(3);
     private static final RunOwner ENTRY = new RunOwner.Entry("entry-1", 1);
     private static final long STARTED = 1_800_000_000_000L;
@@ -34,16 +37,16 @@
         return new RunKey(new TaskKey(job, 0, 0, 0), 1);
     }
 
-    private void announce(String id, long born, boolean leaving) {
+    private void announce(String id, long startedAtMillis, boolean leaving) {
         supervisor.announced(new MinionState(
-                Incarnation.of(id, born), "reports", CAPACITY, List.of("a"), leaving, minion.clock(), 1));
+                Incarnation.of(id, startedAtMillis), "reports", CAPACITY, List.of("a"), leaving, minion.clock(), 1));
         timers.advance(Duration.ofMillis(20));
     }
 
-    private void begin() {
+    private void startMinionAndRun() {
         minion.restart(STARTED);
         announce("minion", STARTED, false);
-        supervisor.start(run("a"), OWNER, SMALL, "payload", "");
+        supervisor.start(run("a"), OWNER, TASK_RESOURCES, "payload", "");
         timers.advance(Duration.ofMillis(150));
     }
 
@@ -52,36 +55,36 @@
     }
 
     @Test
-    void aRunWhoseMinionComesBackUnderTheSameIdHasCrashedIt() {
-        begin();
+    void reportsACrashWhenTheMinionRestartsUnderTheSameId() {
+        startMinionAndRun();
         minion.restart(STARTED + 1);
         announce("minion", STARTED + 1, false);
         assertThat(outcomes(), contains(RunOutcome.CRASHED));
     }
 
     @Test
-    void aRunWhoseMinionComesBackUnderAnotherIdHasCrashedIt() {
-        begin();
+    void reportsACrashWhenTheMinionRestartsUnderAnotherId() {
+        startMinionAndRun();
         minion.restart(STARTED + 1);
         announce("other", STARTED + 1, false);
         assertThat(outcomes(), contains(RunOutcome.CRASHED));
     }
 
     @Test
-    void aRunWhoseMinionAnswersAsAnotherIdHasCrashedIt() {
-        begin();
+    void reportsACrashWhenTheMinionAnswersWithAnotherId() {
+        startMinionAndRun();
         minion.absentIds.add("minion");
         timers.advance(Duration.ofMillis(300));
         assertThat(outcomes(), contains(RunOutcome.CRASHED));
     }
 
     /**
-     * The minion is back only after seconds, as usual, and its lease has ended before. Nobody listens at its address
-     * all that time: it hasn't gone silent, its process has ended.
+     * The minion is back only after seconds, as usual, when its lease has expired. Its address refuses connections all
+     * the time, so it is not unresponsive: its process has ended.
      */
     @Test
-    void aRunWhoseMinionDoesNotListenAnyMoreHasCrashedIt() {
-        begin();
+    void reportsACrashWhenTheMinionRefusesConnections() {
+        startMinionAndRun();
         minion.down = true;
         timers.advance(Duration.ofSeconds(2));
         assertThat(outcomes(), contains(RunOutcome.CRASHED));
@@ -90,10 +93,13 @@
         assertThat(outcomes(), hasSize(1));
     }
 
-    /** A minion that doesn't answer may be cut off or stand still; when another one turns up later, lost stays lost. */
+    /**
+     * A minion that doesn't answer may be cut off or suspended. When another incarnation appears later, the run stays
+     * lost.
+     */
     @Test
-    void aRunOfASilentMinionIsLostAndStaysLost() {
-        begin();
+    void reportsALossWhenTheMinionIsUnresponsive() {
+        startMinionAndRun();
         minion.unresponsive = true;
         timers.advance(Duration.ofSeconds(3));
         assertThat(outcomes(), contains(RunOutcome.LOST));
@@ -105,8 +111,8 @@
     }
 
     @Test
-    void aRunOfAMinionThatSaidItLeavesIsLost() {
-        begin();
+    void reportsALossWhenTheMinionAnnouncedThatItLeaves() {
+        startMinionAndRun();
         announce("minion", STARTED, true);
         minion.restart(STARTED + 1);
         announce("minion", STARTED + 1, false);
@@ -114,18 +120,18 @@
     }
 
     @Test
-    void aRunOfAMinionThatTookItsLeaveIsLost() {
-        begin();
+    void reportsALossWhenTheMinionHasDeparted() {
+        startMinionAndRun();
         minion.down = true;
         supervisor.departed("minion");
         timers.advance(Duration.ofMillis(50));
         assertThat(outcomes(), contains(RunOutcome.LOST));
     }
 
-    /** The entry that hears of the crash may die before the count is stored: the crash is told until it is. */
+    /** The entry that receives the crash may fail before the count is stored, so the crash is reported until it is. */
     @Test
-    void aCrashOfAKeptJobIsToldUntilItIsStored() {
-        begin();
+    void reportsACrashOfADurableJobUntilItIsStored() {
+        startMinionAndRun();
         minion.restart(STARTED + 1);
         announce("minion", STARTED + 1, false);
         EndedRun end = supervisor.unstoredEnds().getFirst().end();
@@ -136,12 +142,12 @@
         assertThat(supervisor.unstoredEnds(), is(empty()));
     }
 
-    /** Nothing of such a job is stored, so there is nothing to wait for. */
+    /** No crash of such a job is stored, so there is no acknowledgement to wait for. */
     @Test
-    void aCrashOfAnUnkeptJobIsToldOnce() {
+    void reportsACrashOfAnInMemoryJobOnce() {
         minion.restart(STARTED);
         announce("minion", STARTED, false);
-        supervisor.start(run("a"), ENTRY, SMALL, "payload", "");
+        supervisor.start(run("a"), ENTRY, TASK_RESOURCES, "payload", "");
         timers.advance(Duration.ofMillis(150));
         minion.restart(STARTED + 1);
         announce("minion", STARTED + 1, false);
@@ -149,18 +155,23 @@
         assertThat(supervisor.unstoredEnds(), is(empty()));
     }
 
-    /** Two entries send a suspect each at the same moment. Together, the next crash would not tell which it was. */
+    /**
+     * Two entries send a suspected task each at the same time. If both ran, the next crash would not show which one
+     * caused it.
+     */
     @Test
-    void holdsOneSuspectAtATime() {
+    void holdsOneSuspectedTaskAtATime() {
         minion.restart(STARTED);
         announce("minion", STARTED, false);
-        assertThat(supervisor.start(run("a"), ENTRY, SMALL, true, "payload", ""), is(Optional.empty()));
-        assertThat(supervisor.start(run("b"), OWNER, SMALL, true, "payload", ""), is(Optional.of("suspect held")));
-        assertThat(supervisor.start(run("c"), OWNER, SMALL, false, "payload", ""), is(Optional.empty()));
+        assertThat(supervisor.start(run("a"), ENTRY, TASK_RESOURCES, true, "payload", ""), is(Optional.empty()));
+        assertThat(
+                supervisor.start(run("b"), OWNER, TASK_RESOURCES, true, "payload", ""),
+                is(Optional.of("suspect held")));
+        assertThat(supervisor.start(run("c"), OWNER, TASK_RESOURCES, false, "payload", ""), is(Optional.empty()));
         assertThat(supervisor.suspected(), is(1));
         minion.end(run("a"), RunOutcome.DONE);
         timers.advance(Duration.ofMillis(150));
         assertThat(supervisor.suspected(), is(0));
-        assertThat(supervisor.start(run("b"), OWNER, SMALL, true, "payload", ""), is(Optional.empty()));
+        assertThat(supervisor.start(run("b"), OWNER, TASK_RESOURCES, true, "payload", ""), is(Optional.empty()));
     }
 }
--- a/library/src/test/java/org/chivetally/queue/agent/FakeMinion.java
+++ b/library/src/test/java/org/chivetally/queue/agent/FakeMinion.java
@@ -12,19 +12,19 @@
 import org.chivetally.queue.RunKey;
 import org.chivetally.queue.RunOutcome;
 
-/** A minion in memory that keeps leases and lists, and whose answers a test can hold back. */
+/** A minion in memory with leases and lists. Tests can delay or drop its answers. */
 public final class FakeMinion implements MinionPort {
     public final Map<RunKey, StartRequest> running = new LinkedHashMap<>();
     public final TreeMap<Long, ListedEnd> ends = new TreeMap<>();
     public final List<StartRequest> starts = new ArrayList<>();
     public final List<RunKey> stops = new ArrayList<>();
 
-    /** Runs that were started here, once for each start. */
+    /** The run of each start that was executed. */
     public final List<RunKey> executedStarts = new ArrayList<>();
 
     public final List<PollRequest> polls = new ArrayList<>();
 
-    /** Runs whose ends were acknowledged before any lease ended after them, so that they count for good. */
+    /** Ends that were acknowledged before any lease expired after them, so that they are final. */
     public final List<ListedEnd> acknowledgedUnderLease = new ArrayList<>();
 
     private final Map<Long, Long> endedAtMillis = new HashMap<>();
@@ -33,24 +33,24 @@
     private final List<RunKey> stoppedRuns = new ArrayList<>();
     private long leaseEndMillis;
     private long sequence;
-    /** Nobody listens at the minion's address. */
+    /** Whether the minion's address refuses connections. */
     public boolean down;
 
     public boolean unresponsive;
     public boolean startsUnanswered;
 
-    /** How many of the next looks get no answer. */
+    /** Number of following polls that are not answered. */
     public int pollsUnanswered;
 
     public boolean startsDelayed;
 
-    /** Stops don't reach the minion, so that runs end by their lease alone. */
+    /** Whether stops don't reach the minion, so that runs end only by their lease. */
     public boolean stopsLost;
 
-    /** Boots that are named in calls and were never there. */
+    /** Ids of minions that never existed; calls to them are refused. */
     public final List<String> absentIds = new ArrayList<>();
 
-    /** Start of the incarnation that lists itself, in milliseconds since 1970; 0 for a minion that tells none. */
+    /** Start time that the incarnation reports, in milliseconds since 1970; 0 if it reports none. */
     private long startedAtMillis;
 
     private int restarts;
@@ -65,10 +65,10 @@
         return timers.nanos() / 1_000_000 - clockOffsetMillis;
     }
 
-    /** Starts again under the same id: nothing runs, and everything counts from the beginning. */
-    public void restart(long born) {
+    /** Restarts under the same id, without runs and with all counters reset. */
+    public void restart(long newStartedAtMillis) {
         restarts++;
-        startedAtMillis = born;
+        startedAtMillis = newStartedAtMillis;
         clockOffsetMillis = timers.nanos() / 1_000_000;
         token = 0;
         sequence = 0;
@@ -85,10 +85,10 @@
         return startedAtMillis;
     }
 
-    /** Tells whether a caller's token is too low; notes it if it isn't. */
-    private boolean isFenced(long callers) {
-        boolean fenced = callers < token;
-        token = Math.max(token, callers);
+    /** Tells whether a caller's token is too low; records it otherwise. */
+    private boolean isFenced(long callerToken) {
+        boolean fenced = callerToken < token;
+        token = Math.max(token, callerToken);
         return fenced;
     }
 
@@ -97,39 +97,39 @@
     }
 
     @Override
-    public void start(String boot, StartRequest order, Consumer<StartResult> answer) {
-        starts.add(order);
+    public void start(String minionId, StartRequest request, Consumer<StartResult> callback) {
+        starts.add(request);
         if (down) {
-            timers.after(Duration.ofMillis(1), () -> answer.accept(new StartResult.Unreachable("can't connect")));
+            timers.after(Duration.ofMillis(1), () -> callback.accept(new StartResult.Unreachable("can't connect")));
             return;
         }
         if (startsDelayed || unresponsive) {
-            timers.after(Duration.ofMillis(350), () -> answer.accept(new StartResult.Unknown("no answer in time")));
+            timers.after(Duration.ofMillis(350), () -> callback.accept(new StartResult.Unknown("no answer in time")));
             return;
         }
-        execute(order);
+        execute(request);
         if (startsUnanswered) {
-            timers.after(Duration.ofMillis(350), () -> answer.accept(new StartResult.Unknown("no answer in time")));
+            timers.after(Duration.ofMillis(350), () -> callback.accept(new StartResult.Unknown("no answer in time")));
             return;
         }
-        answer.accept(new StartResult.Started(clock()));
+        callback.accept(new StartResult.Started(clock()));
     }
 
-    /** Carries a start out, as a minion does late with one that got no answer. */
-    public void execute(StartRequest order) {
-        if (isFenced(order.token()) || order.leaseEndMillis() < clock() || stoppedRuns.contains(order.run())) {
+    /** Executes a start, also late, as a minion may do with one that it didn't answer. */
+    public void execute(StartRequest request) {
+        if (isFenced(request.token()) || request.leaseEndMillis() < clock() || stoppedRuns.contains(request.run())) {
             return;
         }
-        extendLease(Math.min(order.leaseEndMillis(), clock() + MinionLease.MAXIMUM_MILLIS));
-        running.put(order.run(), order);
-        executedStarts.add(order.run());
+        extendLease(Math.min(request.leaseEndMillis(), clock() + MinionLease.MAXIMUM_MILLIS));
+        running.put(request.run(), request);
+        executedStarts.add(request.run());
     }
 
-    private void extendLease(long untilMillis) {
+    private void extendLease(long endMillis) {
         if (isLeaseExpired()) {
             lastLeaseEndMillis = leaseEndMillis;
         }
-        leaseEndMillis = Math.max(leaseEndMillis, untilMillis);
+        leaseEndMillis = Math.max(leaseEndMillis, endMillis);
     }
 
     public void end(RunKey run, RunOutcome outcome) {
@@ -140,65 +140,65 @@
     }
 
     private void acknowledge(long through) {
-        Map<Long, ListedEnd> forgotten = ends.headMap(through, true);
-        for (ListedEnd end : forgotten.values()) {
-            long ended = endedAtMillis.get(end.sequence());
-            boolean lapsed = lastLeaseEndMillis >= ended || isLeaseExpired() && leaseEndMillis >= ended;
-            if (!lapsed) {
+        Map<Long, ListedEnd> discarded = ends.headMap(through, true);
+        for (ListedEnd end : discarded.values()) {
+            long endMillis = endedAtMillis.get(end.sequence());
+            boolean expired = lastLeaseEndMillis >= endMillis || isLeaseExpired() && leaseEndMillis >= endMillis;
+            if (!expired) {
                 acknowledgedUnderLease.add(end);
             }
         }
-        forgotten.clear();
+        discarded.clear();
     }
 
     @Override
-    public void stop(String boot, RunKey run, long callersToken, Consumer<Boolean> answer) {
+    public void stop(String minionId, RunKey run, long callerToken, Consumer<Boolean> callback) {
         stops.add(run);
         if (unresponsive || stopsLost) {
-            timers.after(Duration.ofMillis(350), () -> answer.accept(false));
+            timers.after(Duration.ofMillis(350), () -> callback.accept(false));
             return;
         }
-        if (isFenced(callersToken)) {
-            answer.accept(false);
+        if (isFenced(callerToken)) {
+            callback.accept(false);
             return;
         }
         stoppedRuns.add(run);
         if (running.containsKey(run)) {
             end(run, RunOutcome.STOPPED);
         }
-        answer.accept(true);
+        callback.accept(true);
     }
 
     @Override
-    public void poll(String boot, PollRequest order, Consumer<PollResult> answer) {
-        polls.add(order);
+    public void poll(String minionId, PollRequest request, Consumer<PollResult> callback) {
+        polls.add(request);
         if (down) {
-            timers.after(Duration.ofMillis(1), () -> answer.accept(new PollResult.Unreachable("can't connect")));
+            timers.after(Duration.ofMillis(1), () -> callback.accept(new PollResult.Unreachable("can't connect")));
             return;
         }
-        if (absentIds.contains(boot)) {
-            timers.after(Duration.ofMillis(1), () -> answer.accept(new PollResult.Refused("another boot", false)));
+        if (absentIds.contains(minionId)) {
+            timers.after(Duration.ofMillis(1), () -> callback.accept(new PollResult.Refused("another id", false)));
             return;
         }
         if (unresponsive || pollsUnanswered > 0) {
             pollsUnanswered--;
             timers.after(
-                    order.maximumWait().plusMillis(150),
-                    () -> answer.accept(new PollResult.Unknown("no answer in time")));
+                    request.maximumWait().plusMillis(150),
+                    () -> callback.accept(new PollResult.Unknown("no answer in time")));
             return;
         }
-        if (isFenced(order.token())) {
-            timers.after(Duration.ofMillis(1), () -> answer.accept(new PollResult.Refused("fenced", true)));
+        if (isFenced(request.token())) {
+            timers.after(Duration.ofMillis(1), () -> callback.accept(new PollResult.Refused("fenced", true)));
             return;
         }
-        acknowledge(order.acknowledgedThrough());
-        order.leaseEndMillis().ifPresent(this::extendLease);
-        int life = restarts;
-        // Answered a little later, as over a socket; ends that come meanwhile are in it.
+        acknowledge(request.acknowledgedThrough());
+        request.leaseEndMillis().ifPresent(this::extendLease);
+        int restartsBefore = restarts;
+        // Answered a little later, as over a socket, with the ends that occur meanwhile.
         timers.after(
-                Duration.ofMillis(order.maximumWait().isZero() ? 1 : 10),
-                () -> answer.accept(
-                        down || life != restarts
+                Duration.ofMillis(request.maximumWait().isZero() ? 1 : 10),
+                () -> callback.accept(
+                        down || restartsBefore != restarts
                                 ? new PollResult.Unknown("connection reset")
                                 : new PollResult.Lists(
                                         startedAtMillis,
--- a/library/src/test/java/org/chivetally/queue/agent/IncarnationTest.java
+++ b/library/src/test/java/org/chivetally/queue/agent/IncarnationTest.java
@@ -19,10 +19,10 @@
 import org.chivetally.queue.TaskKey;
 import org.junit.jupiter.api.Test;
 
-/** A minion that comes back under the same id, with nothing, and all of whose counters begin anew. */
+/** Tests a minion that is restarted under the same id, without runs and with all counters reset. */
 class IncarnationTest {
     private static final Room CAPACITY = new Room(12_000, 1_000, 0);
-    private static final Room HALF = new Room(6_000, 64, 0);
+    private static final Room HALF_CAPACITY = new Room(6_000, 64, 0);
     private static final RunOwner OWNER = new RunOwner.Partition(3);
     private static final long STARTED = 1_800_000_000_000L;
     private static final long RESTARTED = STARTED + 60_000;
@@ -37,29 +37,35 @@
         return new RunKey(new TaskKey(job, 0, 0, 0), number);
     }
 
-    private static MinionState state(long born, long sequence, Room capacity, long clock) {
+    private static MinionState state(long startedAtMillis, long sequence, Room capacity, long clockMillis) {
         return new MinionState(
-                Incarnation.of("minion", born), "reports", capacity, List.of("a"), false, clock, sequence);
+                Incarnation.of("minion", startedAtMillis),
+                "reports",
+                capacity,
+                List.of("a"),
+                false,
+                clockMillis,
+                sequence);
     }
 
-    private void announce(long born, long sequence, Room capacity) {
-        supervisor.announced(state(born, sequence, capacity, minion.clock()));
+    private void announce(long startedAtMillis, long sequence, Room capacity) {
+        supervisor.announced(state(startedAtMillis, sequence, capacity, minion.clock()));
         timers.advance(Duration.ofMillis(5));
     }
 
-    private void announce(long born) {
-        announce(born, 1, CAPACITY);
+    private void announce(long startedAtMillis) {
+        announce(startedAtMillis, 1, CAPACITY);
     }
 
-    /** Starts a minion long enough ago that its clock is far from zero. */
-    private void begin() {
+    /** Starts the minion and advances its clock far from zero. */
+    private void startMinion() {
         minion.restart(STARTED);
         timers.advance(Duration.ofSeconds(600));
         announce(STARTED);
     }
 
     private Optional<String> start(RunKey run) {
-        return supervisor.start(run, OWNER, HALF, "payload", "");
+        return supervisor.start(run, OWNER, HALF_CAPACITY, "payload", "");
     }
 
     private List<RunOutcome> outcomes() {
@@ -67,12 +73,12 @@
     }
 
     /**
-     * The minion crashes with a run, and comes back before any look has gone unanswered. Its heartbeat ends the run of
-     * the incarnation before, and the whole room is free.
+     * The minion crashes with a run and restarts before a poll goes unanswered. Its announcement must end the run of
+     * the previous incarnation and release all resources.
      */
     @Test
-    void aHeartbeatOfAnotherStartEndsEverythingOfTheOneBefore() {
-        begin();
+    void endsRunsOfThePreviousIncarnationOnAnAnnouncement() {
+        startMinion();
         start(run("a", 1));
         timers.advance(Duration.ofMillis(50));
         minion.restart(RESTARTED);
@@ -83,10 +89,13 @@
         assertThat(supervisor.minion().orElseThrow().incarnation(), is(Incarnation.of("minion", RESTARTED)));
     }
 
-    /** Ends are numbered from 1 again. Taken for ends that are stored already, every run would be called lost. */
+    /**
+     * Ends are numbered from 1 again. If they were taken for ends that are stored already, every run would count as
+     * lost.
+     */
     @Test
-    void endsOfTheNextIncarnationCountFromOneAgain() {
-        begin();
+    void acceptsEndsThatAreNumberedFromOneAgain() {
+        startMinion();
         start(run("a", 1));
         minion.end(run("a", 1), RunOutcome.DONE);
         timers.advance(Duration.ofMillis(100));
@@ -101,11 +110,12 @@
     }
 
     /**
-     * An owner has stored the first end of the earlier incarnation; the first one of the next is not stored by that.
+     * An owner has stored the first end of the previous incarnation, which must not acknowledge the first end of the
+     * new one.
      */
     @Test
-    void whatIsStoredOfTheEarlierIncarnationSaysNothingOfTheNext() {
-        begin();
+    void keepsEndsApartFromThoseOfThePreviousIncarnation() {
+        startMinion();
         minion.restart(RESTARTED);
         announce(RESTARTED);
         start(run("b", 1));
@@ -119,10 +129,13 @@
         assertThat(minion.ends.keySet(), is(empty()));
     }
 
-    /** Leases are times of the minion's clock, which begins anew: by the old one a lease would last ten minutes. */
+    /**
+     * Leases are times on the minion's clock, which restarts from zero. By the old clock, a lease would last ten
+     * minutes.
+     */
     @Test
-    void leasesGoByTheClockOfTheNextIncarnation() {
-        begin();
+    void calculatesLeasesByTheClockOfTheNewIncarnation() {
+        startMinion();
         minion.restart(RESTARTED);
         announce(RESTARTED);
         start(run("a", 1));
@@ -135,10 +148,10 @@
         assertThat(minion.isLeaseExpired(), is(true));
     }
 
-    /** A heartbeat is held up by a partition and arrives after those of the next incarnation. */
+    /** An announcement is delayed by a network partition and arrives after those of the next incarnation. */
     @Test
-    void aHeartbeatOfAnEarlierStartIsIgnored() {
-        begin();
+    void ignoresAnAnnouncementOfAnEarlierIncarnation() {
+        startMinion();
         minion.restart(RESTARTED);
         announce(RESTARTED);
         start(run("a", 1));
@@ -150,40 +163,40 @@
         assertThat(supervisor.isAccepting(), is(true));
     }
 
-    /** Two heartbeats overtake each other; the capacity of the newer one is the one in force. */
+    /** Two announcements arrive in the wrong order. The capacity of the later one remains in force. */
     @Test
-    void aHeartbeatWithALowerSequenceIsIgnored() {
-        begin();
-        announce(STARTED, 7, HALF);
+    void ignoresAnAnnouncementWithALowerSequence() {
+        startMinion();
+        announce(STARTED, 7, HALF_CAPACITY);
         announce(STARTED, 6, CAPACITY);
-        assertThat(supervisor.free(), is(HALF));
+        assertThat(supervisor.free(), is(HALF_CAPACITY));
         announce(STARTED, 8, CAPACITY);
         assertThat(supervisor.free(), is(CAPACITY));
     }
 
     /**
-     * The next incarnation answers a look before its first heartbeat. Its empty list isn't that of the one before,
-     * whose runs are gone; its capacity isn't known, so nothing starts until the heartbeat comes.
+     * The new incarnation answers a poll before its first announcement. Its empty list must end the runs of the
+     * previous one; its capacity isn't known, so nothing starts before the announcement.
      */
     @Test
-    void listsOfAnotherStartAreNotThoseOfTheExpectedOne() {
-        begin();
+    void detectsANewIncarnationByItsLists() {
+        startMinion();
         start(run("a", 1));
         timers.advance(Duration.ofMillis(50));
         minion.restart(RESTARTED);
         timers.advance(Duration.ofMillis(200));
         assertThat(reportedEnds, hasSize(1));
         assertThat(supervisor.isAccepting(), is(false));
-        announce(RESTARTED, 1, HALF);
+        announce(RESTARTED, 1, HALF_CAPACITY);
         assertThat(supervisor.isAccepting(), is(true));
-        assertThat(supervisor.free(), is(HALF));
+        assertThat(supervisor.free(), is(HALF_CAPACITY));
     }
 
-    /** The next incarnation lists an end as number 1 that the one before has never had. */
+    /** The new incarnation lists an end as number 1, which the previous one never had. */
     @Test
-    void anEndThatAnotherStartListsIsItsOwn() {
-        long crashesFrom = supervisor.token();
-        begin();
+    void attributesEndsToTheIncarnationThatListsThem() {
+        long agentToken = supervisor.token();
+        startMinion();
         start(run("a", 1));
         timers.advance(Duration.ofMillis(50));
         minion.restart(RESTARTED);
@@ -193,16 +206,16 @@
                 reportedEnds.stream()
                         .map(end -> end.end().run() + " " + end.end().incarnation())
                         .toList(),
-                containsInAnyOrder(run("z", 4) + " minion@" + RESTARTED, run("a", 1) + " crashes@" + crashesFrom));
+                containsInAnyOrder(run("z", 4) + " minion@" + RESTARTED, run("a", 1) + " crashes@" + agentToken));
     }
 
     /**
-     * A start gets no answer, and the next incarnation carries it out: the call names the id only. Told as lost, the
-     * task would be started elsewhere beside it.
+     * A start isn't answered, and the new incarnation executes it, as calls contain only the id. If the run were
+     * reported as lost, the task would be started elsewhere beside it.
      */
     @Test
-    void aStartThatTheNextIncarnationCarriesOutGoesOnThere() {
-        begin();
+    void keepsARunThatTheNewIncarnationHasStarted() {
+        startMinion();
         minion.startsDelayed = true;
         start(run("a", 1));
         timers.advance(Duration.ofMillis(10));
@@ -219,10 +232,13 @@
         assertThat(outcomes(), contains(RunOutcome.DONE));
     }
 
-    /** The same start is still on its way when its owner has been told that it is lost: it must be refused for good. */
+    /**
+     * The same start is still in transit when its run is reported as lost to the owner. The minion must refuse it
+     * forever.
+     */
     @Test
-    void aStartToTheEarlierIncarnationIsNotCarriedOutOnceItsRunIsCalledLost() {
-        begin();
+    void preventsAStartWhoseRunWasReportedAsLost() {
+        startMinion();
         minion.startsDelayed = true;
         start(run("a", 1));
         timers.advance(Duration.ofMillis(10));
@@ -236,12 +252,12 @@
     }
 
     /**
-     * The minion is away for seconds, its runs are called lost, and the next incarnation carries out a start that was
-     * on its way all the time. Nobody knows that run; it is stopped, and nothing starts before.
+     * The minion is down for seconds, its runs are reported as lost, and the new incarnation executes a start that was
+     * in transit all the time. The unknown run must be stopped before anything else starts.
      */
     @Test
-    void aRunOfTheNextIncarnationThatNobodyKnowsIsStoppedBeforeAnythingStarts() {
-        begin();
+    void stopsAnUnknownRunOfTheNewIncarnationBeforeOtherStarts() {
+        startMinion();
         start(run("a", 1));
         timers.advance(Duration.ofMillis(50));
         minion.down = true;
@@ -257,11 +273,12 @@
     }
 
     /**
-     * The minion was down: who answers next may be another incarnation, and would forget ends and take a long lease.
+     * After an outage, another incarnation may answer. An acknowledgement would make it discard its own ends, and a
+     * lease end by the old clock would give it a long lease.
      */
     @Test
-    void theFirstLookAfterTheMinionWasDownAcknowledgesNothing() {
-        begin();
+    void acknowledgesNothingInTheFirstPollAfterAnOutage() {
+        startMinion();
         start(run("a", 1));
         start(run("b", 1));
         minion.end(run("a", 1), RunOutcome.DONE);
@@ -275,10 +292,12 @@
         assertThat(look.leaseEndMillis(), is(OptionalLong.empty()));
     }
 
-    /** The departure of the earlier incarnation arrives late. It names the id, and the next one's runs go on. */
+    /**
+     * A delayed departure of the previous incarnation contains only the id. The new incarnation's runs must continue.
+     */
     @Test
-    void aDepartureThatWasHeldUpEndsNothingOfTheNextIncarnation() {
-        begin();
+    void ignoresADelayedDepartureOfAnEarlierIncarnation() {
+        startMinion();
         minion.restart(RESTARTED);
         announce(RESTARTED);
         start(run("a", 1));
@@ -289,10 +308,10 @@
         assertThat(supervisor.isAccepting(), is(true));
     }
 
-    /** The next incarnation really leaves: nobody listens, so its runs are gone, and a third one is taken as new. */
+    /** The new incarnation departs and refuses connections. Its runs are lost, and a third incarnation is accepted. */
     @Test
-    void aDepartureOfTheNextIncarnationIsBelievedOnceNobodyListens() {
-        begin();
+    void acceptsADepartureOnceTheMinionRefusesConnections() {
+        startMinion();
         minion.restart(RESTARTED);
         announce(RESTARTED);
         start(run("a", 1));
@@ -309,10 +328,10 @@
         assertThat(supervisor.isAccepting(), is(true));
     }
 
-    /** A start to an incarnation that took its leave is held up, and arrives when the next one is there. */
+    /** A start that was sent to a departed incarnation is delayed and arrives at the next one. */
     @Test
-    void aStartToAnIncarnationThatTookItsLeaveIsNotCarriedOutByTheNext() {
-        begin();
+    void preventsAStartThatWasSentToADepartedIncarnation() {
+        startMinion();
         minion.startsDelayed = true;
         start(run("a", 1));
         timers.advance(Duration.ofMillis(10));
@@ -326,9 +345,9 @@
         assertThat(supervisor.isAccepting(), is(true));
     }
 
-    /** The agent remembers an incarnation that has been replaced while it was away itself. */
+    /** The agent restores an incarnation that was replaced while the agent itself was down. */
     @Test
-    void aRememberedIncarnationIsNotTakenForTheOneThatAnswers() {
+    void distinguishesARestoredIncarnationFromTheOneThatAnswers() {
         minion.restart(RESTARTED);
         supervisor.restore(state(STARTED, 0, CAPACITY, 5));
         timers.advance(Duration.ofMillis(200));
@@ -337,10 +356,10 @@
         assertThat(supervisor.isAccepting(), is(true));
     }
 
-    /** Somebody announces a start that isn't there, under the id of the minion that works. */
+    /** Another sender announces an incarnation that doesn't exist, under the id of the working minion. */
     @Test
-    void anAnnouncedStartThatNobodyAnswersForReplacesNothing() {
-        begin();
+    void ignoresAnAnnouncedIncarnationThatDoesNotAnswer() {
+        startMinion();
         start(run("a", 1));
         announce(RESTARTED);
         timers.advance(Duration.ofMillis(200));
@@ -349,11 +368,11 @@
     }
 
     /**
-     * A start later than the real one is believed while the minion doesn't answer. What answers then is believed after
-     * some seconds, or the worker would be lost for good.
+     * An announced incarnation with a later start than the real one is accepted while the minion doesn't answer. After
+     * some seconds of answers, the real one has to be accepted, or the worker would stay unusable.
      */
     @Test
-    void anEarlierStartThatKeepsAnsweringIsBelievedInTheEnd() {
+    void acceptsAnEarlierIncarnationThatKeepsAnswering() {
         minion.restart(STARTED);
         announce(RESTARTED);
         timers.advance(Duration.ofSeconds(5));
@@ -362,9 +381,9 @@
         assertThat(supervisor.minion().orElseThrow().incarnation(), is(Incarnation.of("minion", STARTED)));
     }
 
-    /** Where no start is told, the id alone counts, whatever the lists say. */
+    /** If no start time is announced, only the id is compared, whatever start time the lists contain. */
     @Test
-    void withoutAStartTheIdAloneCounts() {
+    void comparesOnlyIdsWithoutAStartTime() {
         minion.restart(STARTED);
         announce(0);
         start(run("a", 1));
@@ -374,13 +393,13 @@
         assertThat(supervisor.isAccepting(), is(true));
     }
 
-    /** A capacity counts from the heartbeat that tells it; what runs goes on, and nothing starts until it fits. */
+    /** A capacity applies from its announcement. Runs in progress continue, and nothing starts until it fits. */
     @Test
-    void aCapacityThatShrinksStopsNothingAndStartsNothing() {
-        begin();
+    void keepsRunsAndRefusesStartsWhenTheCapacityShrinks() {
+        startMinion();
         start(run("a", 1));
         start(run("b", 1));
-        announce(STARTED, 2, HALF);
+        announce(STARTED, 2, HALF_CAPACITY);
         assertThat(listener.capacityShrunk, contains(true));
         timers.advance(Duration.ofSeconds(1));
         assertThat(minion.stops, is(empty()));
--- a/library/src/test/java/org/chivetally/queue/agent/LossyMinion.java
+++ b/library/src/test/java/org/chivetally/queue/agent/LossyMinion.java
@@ -6,7 +6,7 @@
 import org.chivetally.queue.ManualTimers;
 import org.chivetally.queue.RunKey;
 
-/** Calls of which a share gets no answer and is carried out seconds later, as a minion in trouble does. */
+/** A port that leaves a share of its calls unanswered and executes them seconds later, as a faulty minion does. */
 final class LossyMinion implements MinionPort {
     private static final Duration TIMEOUT = Duration.ofMillis(200);
 
@@ -23,41 +23,41 @@
         this.random = new Random(seed);
     }
 
-    private boolean isLost(Runnable late) {
+    private boolean isLost(Runnable lateCall) {
         calls++;
         boolean lost = random.nextDouble() < lostShare;
         if (lost) {
-            timers.after(Duration.ofMillis(2_000 + random.nextInt(10_000)), late);
+            timers.after(Duration.ofMillis(2_000 + random.nextInt(10_000)), lateCall);
         }
         return lost;
     }
 
     @Override
-    public void start(String boot, StartRequest order, Consumer<StartResult> answer) {
-        if (isLost(() -> minion.start(boot, order, late -> {}))) {
-            timers.after(TIMEOUT, () -> answer.accept(new StartResult.Unknown("no answer in time")));
+    public void start(String minionId, StartRequest request, Consumer<StartResult> callback) {
+        if (isLost(() -> minion.start(minionId, request, lateCall -> {}))) {
+            timers.after(TIMEOUT, () -> callback.accept(new StartResult.Unknown("no answer in time")));
         } else {
-            timers.after(Duration.ofMillis(1), () -> minion.start(boot, order, answer));
+            timers.after(Duration.ofMillis(1), () -> minion.start(minionId, request, callback));
         }
     }
 
     @Override
-    public void stop(String boot, RunKey run, long token, Consumer<Boolean> answer) {
-        if (isLost(() -> minion.stop(boot, run, token, late -> {}))) {
-            timers.after(TIMEOUT, () -> answer.accept(false));
+    public void stop(String minionId, RunKey run, long token, Consumer<Boolean> callback) {
+        if (isLost(() -> minion.stop(minionId, run, token, lateCall -> {}))) {
+            timers.after(TIMEOUT, () -> callback.accept(false));
         } else {
-            timers.after(Duration.ofMillis(1), () -> minion.stop(boot, run, token, answer));
+            timers.after(Duration.ofMillis(1), () -> minion.stop(minionId, run, token, callback));
         }
     }
 
     @Override
-    public void poll(String boot, PollRequest order, Consumer<PollResult> answer) {
-        if (isLost(() -> minion.poll(boot, order, late -> {}))) {
+    public void poll(String minionId, PollRequest request, Consumer<PollResult> callback) {
+        if (isLost(() -> minion.poll(minionId, request, lateCall -> {}))) {
             timers.after(
-                    order.maximumWait().plus(TIMEOUT),
-                    () -> answer.accept(new PollResult.Unknown("no answer in time")));
+                    request.maximumWait().plus(TIMEOUT),
+                    () -> callback.accept(new PollResult.Unknown("no answer in time")));
         } else {
-            minion.poll(boot, order, answer);
+            minion.poll(minionId, request, callback);
         }
     }
 }
--- a/library/src/test/java/org/chivetally/queue/agent/RetryingMinionPortTest.java
+++ b/library/src/test/java/org/chivetally/queue/agent/RetryingMinionPortTest.java
@@ -27,17 +27,17 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 class RetryingMinionPortTest {
-    private static final Duration TASK = Duration.ofMillis(85);
+    private static final Duration TASK_DURATION = Duration.ofMillis(85);
     private static final Duration ALLOWED_DELAY = Duration.ofMillis(60);
-    private static final Room ROOM = new Room(3_100, 64, 0);
+    private static final Room TASK_RESOURCES = new Room(3_100, 64, 0);
     private static final RunOwner OWNER = new RunOwner.Entry("entry", 1);
 
     private final ManualTimers timers = new ManualTimers();
     private final FakeMinion minion = new FakeMinion(timers);
     private final Map<RunKey, Long> endedAtNanos = new HashMap<>();
     private final Map<RunKey, Long> startedAtNanos = new HashMap<>();
-    private final Set<RunKey> ended = new HashSet<>();
-    private final Set<RunKey> startedAgain = new HashSet<>();
+    private final Set<RunKey> endedRuns = new HashSet<>();
+    private final Set<RunKey> restartedRuns = new HashSet<>();
 
     private final ScriptedListener listener = new ScriptedListener() {
         @Override
@@ -52,7 +52,7 @@
         return new RunKey(new TaskKey("job-" + number, 0, 0, 0), 1);
     }
 
-    private RunSupervisor supervise(MinionPort port) {
+    private RunSupervisor supervisor(MinionPort port) {
         RunSupervisor supervisor = new RunSupervisor(timers, port, listener, 16);
         supervisor.announced(
                 new MinionState("boot", "reports", new Room(32_000, 65_536, 0), List.of("a"), false, minion.clock()));
@@ -61,32 +61,33 @@
     }
 
     /**
-     * A minion leaves a share of all calls unanswered for ten seconds and carries them out later. Callers see a task
-     * done within its work and 60 ms, or late. Each share has a floor: service may fall no faster than the fault grows.
+     * For ten seconds, a minion leaves a share of all calls unanswered and executes them later. A task is on time if
+     * its result is there within its duration and 60 ms. The minimum for each share makes sure that service degrades no
+     * faster than the fault grows.
      */
     @ParameterizedTest
     @CsvSource({"0.02,0.97", "0.05,0.95", "0.1,0.9", "0.2,0.85", "0.35,0.7", "0.5,0.5", "0.65,0.3", "0.8,0.04"})
-    void tasksEndInTimeThoughAShareOfTheCallsIsLost(double lostShare, double least) {
+    void completesTasksOnTimeThoughCallsAreLost(double lostShare, double minimumShareOnTime) {
         LossyMinion lossy = new LossyMinion(timers, minion, lostShare, 11);
-        RunSupervisor supervisor = supervise(new RetryingMinionPort(timers, lossy));
+        RunSupervisor supervisor = supervisor(new RetryingMinionPort(timers, lossy));
         Map<RunKey, Long> sentAtNanos = new HashMap<>();
-        int offered = 400;
-        for (int number = 0; number < offered; number++) {
+        int tasks = 400;
+        for (int number = 0; number < tasks; number++) {
             RunKey run = run(number);
-            if (supervisor.start(run, OWNER, ROOM, "payload", "").isEmpty()) {
+            if (supervisor.start(run, OWNER, TASK_RESOURCES, "payload", "").isEmpty()) {
                 sentAtNanos.put(run, timers.nanos());
             }
-            work(25);
+            advance(25);
         }
-        work(15_000);
-        long inTime = sentAtNanos.entrySet().stream()
-                .filter(sent -> isDoneInTime(sent.getKey(), sent.getValue()))
+        advance(15_000);
+        long onTime = sentAtNanos.entrySet().stream()
+                .filter(sent -> isDoneOnTime(sent.getKey(), sent.getValue()))
                 .count();
-        assertThat((double) inTime / offered, greaterThan(least));
-        assertThat("begun again after their end", startedAgain, is(empty()));
+        assertThat((double) onTime / tasks, greaterThan(minimumShareOnTime));
+        assertThat("started again after their end", restartedRuns, is(empty()));
     }
 
-    private void work(int millis) {
+    private void advance(int millis) {
         for (int step = 0; step < millis; step++) {
             timers.advance(Duration.ofMillis(1));
             endDueRuns();
@@ -95,31 +96,31 @@
 
     private void endDueRuns() {
         for (RunKey run : List.copyOf(minion.running.keySet())) {
-            if (ended.contains(run)) {
-                startedAgain.add(run);
+            if (endedRuns.contains(run)) {
+                restartedRuns.add(run);
             }
-            long begun = startedAtNanos.computeIfAbsent(run, same -> timers.nanos());
-            if (timers.nanos() - begun >= TASK.toNanos()) {
-                ended.add(run);
+            long startedNanos = startedAtNanos.computeIfAbsent(run, same -> timers.nanos());
+            if (timers.nanos() - startedNanos >= TASK_DURATION.toNanos()) {
+                endedRuns.add(run);
                 minion.end(run, RunOutcome.DONE);
             }
         }
     }
 
-    private boolean isDoneInTime(RunKey run, long sentAtNanos) {
+    private boolean isDoneOnTime(RunKey run, long sentAtNanos) {
         boolean done = reportedEnds.stream()
                 .anyMatch(end -> end.end().run().equals(run) && end.end().outcome() == RunOutcome.DONE);
         return done
                 && endedAtNanos.get(run) - sentAtNanos
-                        <= TASK.plus(ALLOWED_DELAY).toNanos();
+                        <= TASK_DURATION.plus(ALLOWED_DELAY).toNanos();
     }
 
     /**
-     * The first copy of a start gets no answer and is still on its way, and the second is refused. Taken for the last
-     * word, the refusal would give the room away, and the first copy would overfill the worker when it arrives.
+     * The first attempt of a start is unanswered and still in transit, and the second one is refused. If the refusal
+     * were final, the resources would be released, and the first attempt would overcommit the worker when it arrives.
      */
     @Test
-    void aRefusalBesideAnUnansweredCopyLeavesTheStartInDoubt() {
+    void leavesAStartUnknownIfAnEarlierAttemptIsUnanswered() {
         List<StartResult> answers = new ArrayList<>();
         RetryingMinionPort port = new RetryingMinionPort(timers, new RetryRejectingPort());
         port.start("boot", new StartRequest(run(1), "payload", 0, 1, ""), answers::add);
@@ -127,9 +128,9 @@
         assertThat(answers, contains(instanceOf(StartResult.Unknown.class)));
     }
 
-    /** A start that is refused at once was never repeated, so nothing of it is on its way. */
+    /** A start that is refused at once was never retried, so no other attempt is in transit. */
     @Test
-    void aRefusalOfTheOnlyCopyIsFinal() {
+    void treatsARefusalOfTheOnlyAttemptAsFinal() {
         List<StartResult> answers = new ArrayList<>();
         minion.down = true;
         RetryingMinionPort port = new RetryingMinionPort(timers, minion);
@@ -139,22 +140,22 @@
         assertThat(minion.starts.size(), is(1));
     }
 
-    /** Answers nothing to the first copy of a start and refuses the others. */
+    /** Doesn't answer the first attempt of a start, and refuses the others. */
     private static final class RetryRejectingPort implements MinionPort {
         private int starts;
 
         @Override
-        public void start(String boot, StartRequest order, Consumer<StartResult> answer) {
+        public void start(String minionId, StartRequest request, Consumer<StartResult> callback) {
             starts++;
             if (starts > 1) {
-                answer.accept(new StartResult.Rejected("status 503", false));
+                callback.accept(new StartResult.Rejected("status 503", false));
             }
         }
 
         @Override
-        public void stop(String boot, RunKey run, long token, Consumer<Boolean> answer) {}
+        public void stop(String minionId, RunKey run, long token, Consumer<Boolean> callback) {}
 
         @Override
-        public void poll(String boot, PollRequest order, Consumer<PollResult> answer) {}
+        public void poll(String minionId, PollRequest request, Consumer<PollResult> callback) {}
     }
 }
--- a/library/src/test/java/org/chivetally/queue/agent/RunSupervisorTest.java
+++ b/library/src/test/java/org/chivetally/queue/agent/RunSupervisorTest.java
@@ -19,7 +19,7 @@
 
 class RunSupervisorTest {
     private static final Room CAPACITY = new Room(12_000, 1_000, 0);
-    private static final Room HALF = new Room(6_000, 64, 0);
+    private static final Room HALF_CAPACITY = new Room(6_000, 64, 0);
     private static final RunOwner OWNER = new RunOwner.Partition(3);
 
     private final ManualTimers timers = new ManualTimers();
@@ -32,13 +32,13 @@
         return new RunKey(new TaskKey(job, 0, 0, 0), number);
     }
 
-    private void announce(String boot, boolean leaving) {
-        supervisor.announced(new MinionState(boot, "reports", CAPACITY, List.of("a"), leaving, minion.clock()));
+    private void announce(String minionId, boolean leaving) {
+        supervisor.announced(new MinionState(minionId, "reports", CAPACITY, List.of("a"), leaving, minion.clock()));
         timers.advance(Duration.ofMillis(5));
     }
 
     private Optional<String> start(RunKey run) {
-        return supervisor.start(run, OWNER, HALF, "payload", "");
+        return supervisor.start(run, OWNER, HALF_CAPACITY, "payload", "");
     }
 
     private List<RunOutcome> outcomes() {
@@ -46,11 +46,11 @@
     }
 
     /**
-     * Many short runs end one after the other. Each look costs the agent about as much as a start, and there was one
-     * for each end; an end that waits some milliseconds for the next look costs its caller nothing.
+     * Many short runs end one after another. A poll costs the agent about as much as a start, and there was one for
+     * each end; an end that waits some milliseconds for the next poll doesn't delay its caller noticeably.
      */
     @Test
-    void learnsSeveralEndsWithOneLook() {
+    void receivesSeveralEndsWithOnePoll() {
         announce("boot", false);
         minion.polls.clear();
         for (int number = 0; number < 80; number++) {
@@ -65,7 +65,7 @@
     }
 
     @Test
-    void startsUpToTheCapacityAndNoFurther() {
+    void refusesStartsBeyondTheCapacity() {
         announce("boot", false);
         assertThat(start(run("a", 1)), is(Optional.empty()));
         assertThat(start(run("b", 1)), is(Optional.empty()));
@@ -74,7 +74,7 @@
     }
 
     @Test
-    void givesTheRoomBackWhenTheEndIsListed() {
+    void releasesResourcesWhenTheEndIsListed() {
         announce("boot", false);
         start(run("a", 1));
         start(run("b", 1));
@@ -86,16 +86,16 @@
     }
 
     /**
-     * A start gets no answer, and the minion carries it out seconds later. Were its room given away at once, the worker
-     * would hold more than its capacity. The room stays taken until a stop has ruled the start out.
+     * A start is not answered, and the minion executes it seconds later. If its resources were released at once, the
+     * worker would be overcommitted. They stay occupied until a stop has ruled the start out.
      */
     @Test
-    void holdsTheRoomOfADoubtfulStartUntilItIsRuledOut() {
+    void keepsResourcesOfAnUnconfirmedStartUntilItIsRuledOut() {
         announce("boot", false);
         minion.startsDelayed = true;
         start(run("a", 1));
         while (minion.stops.isEmpty()) {
-            assertThat(supervisor.free(), is(CAPACITY.minus(HALF)));
+            assertThat(supervisor.free(), is(CAPACITY.minus(HALF_CAPACITY)));
             timers.advance(Duration.ofMillis(1));
         }
         timers.advance(Duration.ofMillis(500));
@@ -107,11 +107,11 @@
     }
 
     /**
-     * A start gets no answer and is not carried out. The caller's objective is a few hundred milliseconds away, so the
-     * task has to be given back in time for a start elsewhere.
+     * A start is neither answered nor executed. The caller's objective is a few hundred milliseconds away, so the end
+     * has to be reported in time for a start elsewhere.
      */
     @Test
-    void givesADoubtfulStartBackWithinAThirdOfASecond() {
+    void reportsAnUnexecutedStartWithinAThirdOfASecond() {
         announce("boot", false);
         minion.startsDelayed = true;
         start(run("a", 1));
@@ -120,11 +120,11 @@
     }
 
     /**
-     * The minion leaves a look unanswered while a run ends. Its owner learns of the end with the next look, and the
-     * worker takes starts all the while: it is not down, and its room would lie idle.
+     * The minion leaves a poll unanswered while a run ends. The next poll must report the end, and the worker must
+     * accept starts all the time: it is not down, and its resources would be idle.
      */
     @Test
-    void oneLookWithoutAnAnswerNeitherHidesAnEndNorClosesTheWorker() {
+    void toleratesAnUnansweredPoll() {
         announce("boot", false);
         start(run("a", 1));
         timers.advance(Duration.ofMillis(50));
@@ -139,11 +139,11 @@
     }
 
     /**
-     * The minion starts a run and its answer is lost. The run shows up in the next look, so it goes on: stopping it
-     * would throw its work away.
+     * The minion executes a start, and its answer is lost. The next poll lists the run, which must continue: a stop
+     * would discard its work.
      */
     @Test
-    void keepsARunWhoseStartWasCarriedOutWithoutAnAnswer() {
+    void keepsARunWhoseStartWasExecutedWithoutAnAnswer() {
         announce("boot", false);
         minion.startsUnanswered = true;
         start(run("a", 1));
@@ -154,11 +154,11 @@
     }
 
     /**
-     * The minion goes silent while a run is in progress. Only when its lease has certainly ended is the run called
-     * lost; any sooner, the owner would start the task elsewhere beside it.
+     * The minion becomes unresponsive during a run. The run may be reported as lost only when its lease has certainly
+     * expired; otherwise its owner would start the task elsewhere beside it.
      */
     @Test
-    void callsRunsOfASilentMinionLostOnlyAfterTheirLease() {
+    void reportsRunsOfAnUnresponsiveMinionAsLostAfterTheirLease() {
         announce("boot", false);
         start(run("a", 1));
         timers.advance(Duration.ofMillis(500));
@@ -171,9 +171,9 @@
         assertThat(supervisor.isAccepting(), is(false));
     }
 
-    /** The owner isn't heard any more. The lease is left to end, so whoever replaces the owner can rely on it. */
+    /** The owner is no longer in contact. The lease expires, and the owner's successor relies on it. */
     @Test
-    void doesNotRenewWithoutTheOwnersLeave() {
+    void letsTheLeaseExpireWithoutContactToTheOwner() {
         announce("boot", false);
         start(run("a", 1));
         timers.advance(Duration.ofMillis(900));
@@ -184,11 +184,12 @@
     }
 
     /**
-     * An agent is killed and starts again while its minion runs on. The new one does not know the room of what runs, so
-     * it starts nothing and says nothing about it until that has ended: its owner would take silence for absence.
+     * An agent is killed and restarted while its minion keeps running. The new agent doesn't know the resources of the
+     * runs, so it starts nothing until they have ended. Until then it doesn't report its inventory as complete, as an
+     * owner would take missing runs for absent.
      */
     @Test
-    void startsNothingBesideRunsOfAnAgentBefore() {
+    void startsNothingBesideRunsOfThePredecessor() {
         minion.running.put(run("old", 7), new MinionPort.StartRequest(run("old", 7), "", 0, 1, ""));
         announce("boot", false);
         assertThat(supervisor.isAccepting(), is(false));
@@ -202,7 +203,7 @@
     }
 
     @Test
-    void letsTheMinionForgetEndsInOrderOnceTheyAreStored() {
+    void acknowledgesStoredEndsInOrder() {
         announce("boot", false);
         start(run("a", 1));
         start(run("b", 1));
@@ -219,9 +220,9 @@
     }
 
     @Test
-    void letsTheMinionForgetEndsOfUnkeptJobsAtOnce() {
+    void acknowledgesEndsOfInMemoryJobsAtOnce() {
         announce("boot", false);
-        supervisor.start(run("a", 1), new RunOwner.Entry("entry", 1), HALF, "payload", "");
+        supervisor.start(run("a", 1), new RunOwner.Entry("entry", 1), HALF_CAPACITY, "payload", "");
         minion.end(run("a", 1), RunOutcome.DONE);
         timers.advance(Duration.ofMillis(100));
         assertThat(outcomes(), contains(RunOutcome.DONE));
@@ -229,11 +230,11 @@
     }
 
     /**
-     * A minion crashes and a new boot announces itself at the same address; then an announcement of the old boot comes
-     * that was held up. It must not replace the new one, whose room is the one in force.
+     * A minion crashes, and another one announces itself at the same address. A delayed announcement of the old one
+     * must not replace the new one, whose capacity is in force.
      */
     @Test
-    void ignoresAnnouncementsOfABootThatWasReplaced() {
+    void ignoresAnnouncementsOfAReplacedIncarnation() {
         announce("old", false);
         start(run("a", 1));
         minion.running.clear();
@@ -245,7 +246,7 @@
     }
 
     @Test
-    void takesNoStartsOnceTheMinionLeaves() {
+    void refusesStartsOnceTheMinionLeaves() {
         announce("boot", false);
         announce("boot", true);
         assertThat(start(run("a", 1)), is(Optional.of("not accepting")));
@@ -265,11 +266,11 @@
     }
 
     /**
-     * The minion crashes. Its worker has all its room free and would draw every waiting task to itself, each refused
-     * within a millisecond and sent again. After the first one nothing is taken until the minion answers again.
+     * The minion is down. All resources of its worker look free, so it would attract every waiting task, only to refuse
+     * it within a millisecond. After the first refusal, nothing is accepted until the minion answers again.
      */
     @Test
-    void takesNoStartsWhileTheMinionIsDown() {
+    void refusesStartsWhileTheMinionIsDown() {
         announce("boot", false);
         minion.down = true;
         start(run("a", 1));
@@ -286,11 +287,12 @@
     }
 
     /**
-     * All power was lost, and the minion's next announcement is a second away. Its agent remembers it, finds it alive
-     * with one look, and takes starts at once; its clock is read from the answer, not from what was remembered.
+     * After a complete power loss, the minion's next announcement is a second away. The agent restores the minion,
+     * confirms it with one poll and accepts starts at once; the clock is taken from the answer, not from the restored
+     * state.
      */
     @Test
-    void takesStartsAsSoonAsARememberedMinionHasAnswered() {
+    void acceptsStartsOnceARestoredMinionHasAnswered() {
         timers.advance(Duration.ofSeconds(20));
         supervisor.restore(restoredState(5));
         assertThat(supervisor.isAccepting(), is(false));
@@ -302,11 +304,11 @@
     }
 
     /**
-     * The remembered minion is gone for good. Were it looked for without end, every look would be a wasted message; it
-     * is forgotten, and an announcement of the same boot after all is still taken.
+     * The restored minion no longer exists. Endless polls would waste messages, so it is discarded. A later
+     * announcement of the same incarnation is still accepted.
      */
     @Test
-    void forgetsARememberedMinionThatDoesNotAnswer() {
+    void discardsARestoredMinionThatDoesNotAnswer() {
         minion.down = true;
         supervisor.restore(restoredState(5));
         timers.advance(Duration.ofSeconds(5));
@@ -320,9 +322,9 @@
         assertThat(supervisor.isAccepting(), is(true));
     }
 
-    /** What the minion has said itself is newer than what was remembered, also when it has gone. */
+    /** What the minion has announced itself, including its departure, is more recent than the restored state. */
     @Test
-    void remembersNothingOverAnAnnouncement() {
+    void restoresNothingAfterAnAnnouncement() {
         announce("newer", false);
         supervisor.restore(restoredState(5));
         assertThat(supervisor.minion().map(MinionState::minionId), is(Optional.of("newer")));
@@ -332,11 +334,11 @@
     }
 
     /**
-     * Somebody announces a minion that isn't there, beside one that works. Taken at its word, the caller's run would be
-     * called lost and begun elsewhere beside the old one; the minion that answers stays instead.
+     * Another sender announces a minion that doesn't exist, beside one that works. If it were accepted, the run would
+     * be reported as lost and started elsewhere beside the old one; the minion that answers stays instead.
      */
     @Test
-    void anAnnouncedBootThatNobodyAnswersForReplacesNothing() {
+    void ignoresAnAnnouncedMinionThatDoesNotAnswer() {
         announce("boot", false);
         start(run("a", 1));
         minion.absentIds.add("nobody");
--- a/library/src/test/java/org/chivetally/queue/agent/ScriptedListener.java
+++ b/library/src/test/java/org/chivetally/queue/agent/ScriptedListener.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.Set;
 
-/** Lets leases be renewed or not, and notes the ends that it is told. */
+/** Allows or denies extensions of the lease as a test demands, and records the reported ends. */
 class ScriptedListener implements SupervisorListener {
     final List<OwnedEnd> reportedEnds = new ArrayList<>();
     final List<Boolean> capacityShrunk = new ArrayList<>();
--- a/library/src/test/java/org/chivetally/queue/agent/TimingMinionPortTest.java
+++ b/library/src/test/java/org/chivetally/queue/agent/TimingMinionPortTest.java
@@ -20,7 +20,7 @@
 
 class TimingMinionPortTest {
     private static final Room CAPACITY = new Room(12_000, 1_000, 0);
-    private static final Room HALF = new Room(6_000, 64, 0);
+    private static final Room HALF_CAPACITY = new Room(6_000, 64, 0);
     private static final RunOwner OWNER = new RunOwner.Partition(3);
 
     private final ManualTimers timers = new ManualTimers();
@@ -33,14 +33,14 @@
         return new RunKey(new TaskKey(job, 0, 0, 0), number);
     }
 
-    private void announce(String boot, boolean leaving) {
-        supervisor.announced(new MinionState(boot, "reports", CAPACITY, List.of("a"), leaving, minion.clock()));
+    private void announce(String minionId, boolean leaving) {
+        supervisor.announced(new MinionState(minionId, "reports", CAPACITY, List.of("a"), leaving, minion.clock()));
         timers.advance(Duration.ofMillis(5));
     }
 
     private void start(RunKey run, String checkpoint) {
         port.expect(run, 100);
-        assertThat(supervisor.start(run, OWNER, HALF, "payload", checkpoint), is(Optional.empty()));
+        assertThat(supervisor.start(run, OWNER, HALF_CAPACITY, "payload", checkpoint), is(Optional.empty()));
     }
 
     private void endAfter(RunKey run, int millis, RunOutcome outcome) {
@@ -50,11 +50,11 @@
     }
 
     /**
-     * Runs of 200 ms that were estimated at 100 ms. The worker is known to take twice as long, and a little more, as
-     * ends are listed some milliseconds late.
+     * Runs of 200 ms are estimated at 100 ms. The learned ratio is 2 and a little more, as ends are listed some
+     * milliseconds late.
      */
     @Test
-    void learnsHowLongRunsLastFromThoseThatEndDone() {
+    void learnsDurationsFromSuccessfulRuns() {
         announce("boot", false);
         for (int number = 0; number < 5; number++) {
             RunKey run = run("job-" + number, 1);
@@ -66,11 +66,11 @@
     }
 
     /**
-     * A failed run ends early, a resumed one does less work, and when no start or look is answered nobody knows when
-     * the run began or ended. Counted, they would make a worker look fast or slow that is not.
+     * A failed run ends early, a resumed one does less work, and without an answer to a start or poll the time of the
+     * start or end is unknown. Such runs would make a worker appear faster or slower than it is.
      */
     @Test
-    void learnsNothingFromRunsWhoseDurationSaysNothing() {
+    void ignoresRunsWithUnrepresentativeDurations() {
         announce("boot", false);
         start(run("failed", 1), "");
         endAfter(run("failed", 1), 20, RunOutcome.FAILED);
@@ -91,9 +91,9 @@
         assertThat(port.stretch(), is(LearnedStretch.UNKNOWN));
     }
 
-    /** Another minion behind the same agent may be of another kind. */
+    /** Another minion of the same agent may have another speed. */
     @Test
-    void forgetsTheSpeedOfAMinionThatWasReplaced() {
+    void discardsTheSpeedOfAReplacedMinion() {
         announce("boot", false);
         start(run("a", 1), "");
         endAfter(run("a", 1), 200, RunOutcome.DONE);
