--- a/library/src/main/java/org/chivetally/queue/entry/EntryNode.java
+++ b/library/src/main/java/org/chivetally/queue/entry/EntryNode.java
@@ -357,9 +357,9 @@
     }
 
     /**
-     * Echoes an agent's heartbeat, unless a start or a full heartbeat has just done so. Echoes used to cause half of an
-     * idle agent's wake-ups and half of an entry's frames to agents; only an agent with runs of this entry needs them
-     * often.
+     * Echoes an agent's heartbeat, unless a start or a full heartbeat has just done so. If every heartbeat were echoed,
+     * echoes would cause half of an idle agent's wake-ups and half of an entry's frames to agents; only an agent with
+     * runs of this entry needs them often.
      */
     private void answerHeartbeat(PeerLink link) {
         long now = timers.nanos();
--- a/library/src/main/java/org/chivetally/queue/entry/InMemoryJobs.java
+++ b/library/src/main/java/org/chivetally/queue/entry/InMemoryJobs.java
@@ -161,7 +161,7 @@
     /**
      * Refuses a job without a started task that would wait too long behind other jobs. Has no effect on a durable job.
      */
-    void refuseOvertaken(Job job) {
+    void refuseDeprioritized(Job job) {
         OpenJob candidate = openJobs.get(job.specification().id());
         if (candidate != null && candidate.job == job) {
             refuse(candidate, RefusalReason.DEPRIORITIZED);
--- a/library/src/main/java/org/chivetally/queue/entry/RunCoordinator.java
+++ b/library/src/main/java/org/chivetally/queue/entry/RunCoordinator.java
@@ -211,22 +211,22 @@
         for (String service : waiting.services()) {
             EntryCapacityShare share = shares.of(service);
             if (share.capacityMillicores() > 0) {
-                refuseOvertaken(service, waiting.unservableJobs(service, share.spareMillicores(), now));
+                refuseDeprioritized(service, waiting.unservableJobs(service, share.spareMillicores(), now));
             }
         }
     }
 
     /** Refuses jobs that would wait too long behind others, unless their queue's share covers its demand. */
-    private void refuseOvertaken(String service, List<Job> overtaken) {
-        if (overtaken.isEmpty()) {
+    private void refuseDeprioritized(String service, List<Job> deprioritized) {
+        if (deprioritized.isEmpty()) {
             return;
         }
         Optional<FairShares> shares = queueShares.map(all -> all.fairShares(service));
-        for (Job job : overtaken) {
+        for (Job job : deprioritized) {
             boolean isCoveredByShare = shares.isPresent()
                     && shares.get().isSatisfied(job.specification().terms().queue());
             if (!isCoveredByShare) {
-                inMemoryJobs.refuseOvertaken(job);
+                inMemoryJobs.refuseDeprioritized(job);
             }
         }
     }
