--- a/library/src/test/java/org/chivetally/queue/speed/SpeedClassesTest.java
+++ b/library/src/test/java/org/chivetally/queue/speed/SpeedClassesTest.java
@@ -7,7 +7,12 @@
 
 import org.junit.jupiter.api.Test;
 
+/**
+ * Guards the grouping of workers by speed: equal workers must share a class, and slow ones must not share it with fast
+ * ones.
+ */
 class SpeedClassesTest {
+    /** Small differences between workers must not split a class. */
     @Test
     void groupsWorkersOfSimilarSpeed() {
         SpeedClasses classes = SpeedClasses.of(new double[] {1.45, 0.6, 1.4, 0.58, 0.62, 1.5});
@@ -17,12 +22,16 @@
         assertThat(classes.spread(), is(closeTo(1.45 / 0.6, 0.001)));
     }
 
+    /** A service has no workers while an entry starts. */
     @Test
     void spreadIsOneWithoutWorkers() {
         assertThat(SpeedClasses.of(new double[0]).spread(), is(1.0));
     }
 
-    /** Workers of any speed between one and four: chained into one class, the slowest would pass for the fastest. */
+    /**
+     * Stretches range from one to four in small steps. In one common class, the slowest workers would count as the
+     * fastest.
+     */
     @Test
     void doesNotChainManySlightlyDifferentWorkersIntoOneClass() {
         double[] stretches = new double[50];
