--- a/command/src/main/java/org/chivetally/command/ExperimentCommand.java
+++ b/command/src/main/java/org/chivetally/command/ExperimentCommand.java
@@ -67,7 +67,7 @@
         if (plan == null) {
             throw new ParameterException(command.commandLine(), "--plan is missing");
         }
-        LoadPlanReader.Reading<LoadPlan> reading =
+        LoadPlanReader.ReadResult<LoadPlan> reading =
                 LoadPlanReader.read(plan.toString(), DocumentFile.text(plan), Optional.empty());
         reading.mistakes().requireNone();
         return reading.content().orElseThrow();
--- a/command/src/main/java/org/chivetally/command/LoadCommand.java
+++ b/command/src/main/java/org/chivetally/command/LoadCommand.java
@@ -16,7 +16,7 @@
 import org.chivetally.load.LoadRun;
 import org.chivetally.load.ReportJson;
 import org.chivetally.load.ReportTable;
-import org.chivetally.load.RunFolders;
+import org.chivetally.load.RunFiles;
 import org.chivetally.load.Targets;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Model.CommandSpec;
@@ -82,7 +82,7 @@
     @Override
     public Integer call() throws InterruptedException {
         Optional<Targets> others = Optional.ofNullable(targets).map(LoadCommand::readTargets);
-        LoadPlanReader.Reading<LoadPlan> reading =
+        LoadPlanReader.ReadResult<LoadPlan> reading =
                 LoadPlanReader.read(plan.toString(), DocumentFile.text(plan), others);
         reading.mistakes().requireNone();
         LoadPlan written = reading.content().orElseThrow();
@@ -102,17 +102,18 @@
             console.line(ReportTable.of(report));
             writeJson(ReportJson.of(report));
             addMarkdown(report);
-            return report.good() ? ExitCodes.OK : ExitCodes.FAILED;
+            return report.passed() ? ExitCodes.OK : ExitCodes.FAILED;
         }
     }
 
-    private RunFolders folders() {
-        return new RunFolders(
+    private RunFiles folders() {
+        return new RunFiles(
                 Optional.ofNullable(faultsFolder), Optional.ofNullable(processes), Optional.ofNullable(requests));
     }
 
     private static Targets readTargets(Path file) {
-        LoadPlanReader.Reading<Targets> reading = LoadPlanReader.readTargets(file.toString(), DocumentFile.text(file));
+        LoadPlanReader.ReadResult<Targets> reading =
+                LoadPlanReader.readTargets(file.toString(), DocumentFile.text(file));
         reading.mistakes().requireNone();
         return reading.content().orElseThrow();
     }
--- a/load/src/main/java/org/chivetally/load/Verdict.java
+++ b/load/src/main/java/org/chivetally/load/CheckResult.java
@@ -18,7 +18,7 @@
  * @param unrecordedAnswers tokens that stand in a complete answer without a recorded start; a minion's record was lost,
  *     or the answer was made up
  */
-public record Verdict(
+public record CheckResult(
         List<String> duplicateStarts,
         List<String> partialAnswers,
         List<String> falseRefusals,
@@ -28,7 +28,7 @@
         List<String> contradictedRefusals,
         List<String> unrecordedAnswers) {
     /** Copies the lists. */
-    public Verdict {
+    public CheckResult {
         duplicateStarts = List.copyOf(duplicateStarts);
         partialAnswers = List.copyOf(partialAnswers);
         falseRefusals = List.copyOf(falseRefusals);
@@ -40,7 +40,7 @@
     }
 
     /** Tells whether any promise was broken. */
-    public boolean clean() {
+    public boolean passed() {
         return duplicateStarts.isEmpty()
                 && partialAnswers.isEmpty()
                 && falseRefusals.isEmpty()
--- a/load/src/main/java/org/chivetally/load/CounterWatch.java
+++ b/load/src/main/java/org/chivetally/load/CounterScraper.java
@@ -12,45 +12,46 @@
 import org.chivetally.load.Targets.Target;
 
 /** Adds up what the entries' counters grow by, over restarts too; what a killed entry counted last is lost. */
-final class CounterWatch {
-    private static final Duration LIMIT = Duration.ofSeconds(2);
-    private static final int SUCCESS = 200;
+final class CounterScraper {
+    private static final Duration REQUEST_TIMEOUT = Duration.ofSeconds(2);
+    private static final int HTTP_OK = 200;
 
     private final HttpClient client;
     private final List<Target> entries;
-    private final Map<String, Counters> last = new HashMap<>();
-    private Counters growth = Counters.NONE;
+    private final Map<String, Counters> latest = new HashMap<>();
+    private Counters increase = Counters.NONE;
 
-    CounterWatch(HttpClient client, List<Target> entries) {
+    CounterScraper(HttpClient client, List<Target> entries) {
         this.client = client;
         this.entries = entries;
     }
 
     /** Reads all entries once; the first reading of a process that is there from the beginning is its base. */
-    synchronized void read(boolean base) {
+    synchronized void scrape(boolean baseline) {
         for (Target entry : entries) {
             Optional<Counters> counters = fetch(entry);
             if (counters.isEmpty()) {
                 continue;
             }
-            Counters before = last.put(entry.name(), counters.get());
-            if (!base) {
-                growth = growth.plus(counters.get().since(before == null ? Counters.NONE : before));
+            Counters previous = latest.put(entry.name(), counters.get());
+            if (!baseline) {
+                increase = increase.plus(counters.get().increaseSince(previous == null ? Counters.NONE : previous));
             }
         }
     }
 
     /** Returns what all counters grew by since the base. */
-    synchronized Counters growth() {
-        return growth;
+    synchronized Counters increase() {
+        return increase;
     }
 
     private Optional<Counters> fetch(Target entry) {
-        HttpRequest request =
-                HttpRequest.newBuilder(entry.at("/metrics")).timeout(LIMIT).build();
+        HttpRequest request = HttpRequest.newBuilder(entry.at("/metrics"))
+                .timeout(REQUEST_TIMEOUT)
+                .build();
         try {
             HttpResponse<String> response = client.send(request, HttpResponse.BodyHandlers.ofString());
-            return response.statusCode() == SUCCESS ? Optional.of(Counters.parse(response.body())) : Optional.empty();
+            return response.statusCode() == HTTP_OK ? Optional.of(Counters.parse(response.body())) : Optional.empty();
         } catch (IOException unreachable) {
             return Optional.empty();
         } catch (InterruptedException interrupted) {
--- a/load/src/main/java/org/chivetally/load/Counters.java
+++ b/load/src/main/java/org/chivetally/load/Counters.java
@@ -24,8 +24,8 @@
 
     /** Copies the maps without kinds that never came up. */
     public Counters {
-        frames = occurring(frames);
-        wasted = occurring(wasted);
+        frames = nonZero(frames);
+        wasted = nonZero(wasted);
     }
 
     /** Reads the counters from a page in Prometheus' text format. */
@@ -54,9 +54,9 @@
     }
 
     /** Returns what grew since earlier counters of the same process; a lower counter is that of a restarted process. */
-    public Counters since(Counters earlier) {
+    public Counters increaseSince(Counters earlier) {
         return new Counters(
-                growth(frames, earlier.frames), growth(bytes, earlier.bytes), growth(wasted, earlier.wasted));
+                increase(frames, earlier.frames), increase(bytes, earlier.bytes), increase(wasted, earlier.wasted));
     }
 
     /** Returns the number of frames of all kinds. */
@@ -69,10 +69,10 @@
         return wasted.values().stream().mapToLong(Long::longValue).sum();
     }
 
-    private static Map<String, Long> occurring(Map<String, Long> counts) {
-        Map<String, Long> occurring = new TreeMap<>(counts);
-        occurring.values().removeIf(count -> count == 0);
-        return occurring;
+    private static Map<String, Long> nonZero(Map<String, Long> counts) {
+        Map<String, Long> nonZero = new TreeMap<>(counts);
+        nonZero.values().removeIf(count -> count == 0);
+        return nonZero;
     }
 
     private static String kind(String labels) {
@@ -86,13 +86,13 @@
         return sum;
     }
 
-    private static Map<String, Long> growth(Map<String, Long> now, Map<String, Long> earlier) {
-        Map<String, Long> growth = new TreeMap<>();
-        now.forEach((kind, value) -> growth.put(kind, growth(value, earlier.getOrDefault(kind, 0L))));
-        return growth;
+    private static Map<String, Long> increase(Map<String, Long> now, Map<String, Long> earlier) {
+        Map<String, Long> increase = new TreeMap<>();
+        now.forEach((kind, value) -> increase.put(kind, increase(value, earlier.getOrDefault(kind, 0L))));
+        return increase;
     }
 
-    private static long growth(long now, long earlier) {
+    private static long increase(long now, long earlier) {
         return now >= earlier ? now - earlier : now;
     }
 }
--- a/load/src/main/java/org/chivetally/load/Fault.java
+++ b/load/src/main/java/org/chivetally/load/Fault.java
@@ -10,7 +10,7 @@
     Duration at();
 
     /** Returns how long it lasts; zero leaves it until the run's end. */
-    Duration lasting();
+    Duration duration();
 
     /** Returns the name of the process or stand-in. */
     String target();
@@ -23,7 +23,7 @@
      *
      * @param settings JSON object of the stand-in's fault settings
      */
-    record StandInFault(Duration at, Duration lasting, String target, String settings) implements Fault {
+    record StandInFault(Duration at, Duration duration, String target, String settings) implements Fault {
         /** Refuses missing parts. */
         public StandInFault {
             Objects.requireNonNull(target, "target");
@@ -40,7 +40,7 @@
      * A minion told to leave. It stays in that state until its process is stopped, so the end is that of the time in
      * which nothing new may start there.
      */
-    record MinionDrain(Duration at, Duration lasting, String target) implements Fault {
+    record MinionDrain(Duration at, Duration duration, String target) implements Fault {
         /** Refuses missing parts. */
         public MinionDrain {
             Objects.requireNonNull(target, "target");
@@ -53,7 +53,7 @@
     }
 
     /** Something done to a process. The load tool starts no process, so a script beside it carries these out. */
-    record ProcessFault(Duration at, Duration lasting, String target, Action action) implements Fault {
+    record ProcessFault(Duration at, Duration duration, String target, Action action) implements Fault {
         /** Refuses missing parts. */
         public ProcessFault {
             Objects.requireNonNull(target, "target");
--- a/load/src/main/java/org/chivetally/load/FaultInjector.java
+++ b/load/src/main/java/org/chivetally/load/FaultInjector.java
@@ -19,15 +19,15 @@
 
 /** Puts faults at stand-ins when they are due, and clears them afterwards. */
 final class FaultInjector {
-    private static final Duration LIMIT = Duration.ofSeconds(2);
+    private static final Duration REQUEST_TIMEOUT = Duration.ofSeconds(2);
     private static final String NO_FAULTS = "{}";
-    private static final int FIRST_ERROR = 300;
+    private static final int FIRST_NON_SUCCESS = 300;
 
     private final HttpClient client;
     private final Targets targets;
     private final PrintStream progress;
     private final Map<String, Integer> injected = new ConcurrentSkipListMap<>();
-    private final List<LeavingMinion> leaving = new CopyOnWriteArrayList<>();
+    private final List<DrainingMinion> drainingMinions = new CopyOnWriteArrayList<>();
 
     FaultInjector(HttpClient client, Targets targets, PrintStream progress) {
         this.client = client;
@@ -39,27 +39,29 @@
     void schedule(FaultSchedule schedule, RunClock clock, ScheduledExecutorService timer) {
         for (StandInFault fault : schedule.standInFaults()) {
             long delay = fault.at().toNanos() - clock.nanos();
-            timer.schedule(() -> begin(fault), delay, TimeUnit.NANOSECONDS);
-            if (fault.lasting().isPositive()) {
+            timer.schedule(() -> beginFault(fault), delay, TimeUnit.NANOSECONDS);
+            if (fault.duration().isPositive()) {
                 timer.schedule(
-                        () -> put(fault, NO_FAULTS), delay + fault.lasting().toNanos(), TimeUnit.NANOSECONDS);
+                        () -> putSettings(fault, NO_FAULTS),
+                        delay + fault.duration().toNanos(),
+                        TimeUnit.NANOSECONDS);
             }
         }
         for (MinionDrain drain : schedule.minionDrains()) {
-            timer.schedule(() -> drain(drain, clock), drain.at().toNanos() - clock.nanos(), TimeUnit.NANOSECONDS);
+            timer.schedule(() -> drainMinion(drain, clock), drain.at().toNanos() - clock.nanos(), TimeUnit.NANOSECONDS);
         }
     }
 
     /** Returns the minions that took the request to leave, with the spans of time. */
-    List<LeavingMinion> leaving() {
-        return List.copyOf(leaving);
+    List<DrainingMinion> drainingMinions() {
+        return List.copyOf(drainingMinions);
     }
 
     /** Clears the faults that have no end of their own. */
-    void clear(FaultSchedule schedule) {
+    void clearUnlimited(FaultSchedule schedule) {
         for (StandInFault fault : schedule.standInFaults()) {
-            if (!fault.lasting().isPositive()) {
-                put(fault, NO_FAULTS);
+            if (!fault.duration().isPositive()) {
+                putSettings(fault, NO_FAULTS);
             }
         }
     }
@@ -69,48 +71,48 @@
         return Map.copyOf(injected);
     }
 
-    private void begin(StandInFault fault) {
-        put(fault, fault.settings());
+    private void beginFault(StandInFault fault) {
+        putSettings(fault, fault.settings());
     }
 
-    private void drain(MinionDrain drain, RunClock clock) {
+    private void drainMinion(MinionDrain drain, RunClock clock) {
         Optional<Target> target = targets.standIn(drain.target());
         if (target.isEmpty()) {
             report(drain, "drain", "unknown-target");
             return;
         }
         HttpRequest request = HttpRequest.newBuilder(target.get().at("/drain"))
-                .timeout(LIMIT)
+                .timeout(REQUEST_TIMEOUT)
                 .POST(HttpRequest.BodyPublishers.noBody())
                 .build();
         client.sendAsync(request, HttpResponse.BodyHandlers.ofString()).whenComplete((response, failure) -> {
-            boolean taken = failure == null && response.statusCode() < FIRST_ERROR;
-            if (taken) {
+            boolean accepted = failure == null && response.statusCode() < FIRST_NON_SUCCESS;
+            if (accepted) {
                 injected.merge(drain.name(), 1, Integer::sum);
-                long until = drain.at().plus(drain.lasting()).toNanos();
-                leaving.add(new LeavingMinion(drain.target(), clock.nanos(), until));
+                long until = drain.at().plus(drain.duration()).toNanos();
+                drainingMinions.add(new DrainingMinion(drain.target(), clock.nanos(), until));
             }
-            report(drain, "drain", taken ? "taken" : "refused");
+            report(drain, "drain", accepted ? "taken" : "refused");
         });
     }
 
-    private void put(StandInFault fault, String settings) {
+    private void putSettings(StandInFault fault, String settings) {
         Optional<Target> target = targets.standIn(fault.target());
         if (target.isEmpty()) {
             report(fault, settings, "unknown-target");
             return;
         }
         HttpRequest request = HttpRequest.newBuilder(target.get().at("/faults"))
-                .timeout(LIMIT)
+                .timeout(REQUEST_TIMEOUT)
                 .header("Content-Type", "application/json")
                 .PUT(HttpRequest.BodyPublishers.ofString(settings))
                 .build();
         client.sendAsync(request, HttpResponse.BodyHandlers.ofString()).whenComplete((response, failure) -> {
-            boolean taken = failure == null && response.statusCode() < FIRST_ERROR;
-            if (taken && !settings.equals(NO_FAULTS)) {
+            boolean accepted = failure == null && response.statusCode() < FIRST_NON_SUCCESS;
+            if (accepted && !settings.equals(NO_FAULTS)) {
                 injected.merge(fault.name(), 1, Integer::sum);
             }
-            report(fault, settings, taken ? "taken" : "refused");
+            report(fault, settings, accepted ? "taken" : "refused");
         });
     }
 
--- a/load/src/main/java/org/chivetally/load/FaultSchedule.java
+++ b/load/src/main/java/org/chivetally/load/FaultSchedule.java
@@ -55,23 +55,23 @@
         List<Step> steps = new ArrayList<>();
         for (ProcessFault fault : processFaults()) {
             steps.add(new Step(fault.at().toMillis(), Section.written(fault.action()), fault.target()));
-            if (fault.lasting().isPositive()) {
-                long endMillis = fault.at().plus(fault.lasting()).toMillis();
-                steps.add(new Step(endMillis, ending(fault.action()), fault.target()));
+            if (fault.duration().isPositive()) {
+                long endMillis = fault.at().plus(fault.duration()).toMillis();
+                steps.add(new Step(endMillis, endAction(fault.action()), fault.target()));
             }
         }
         steps.sort(Comparator.comparingLong(Step::millis));
         return steps.stream()
-                .map(step -> step.millis() + " " + step.what() + " " + step.target())
+                .map(step -> step.millis() + " " + step.action() + " " + step.target())
                 .toList();
     }
 
-    private static String ending(Fault.Action action) {
+    private static String endAction(Fault.Action action) {
         return switch (action) {
             case PAUSE -> "resume";
             case KILL, TERMINATE -> "start";
         };
     }
 
-    private record Step(long millis, String what, String target) {}
+    private record Step(long millis, String action, String target) {}
 }
--- a/load/src/main/java/org/chivetally/load/Figure.java
+++ b/load/src/main/java/org/chivetally/load/Figure.java
@@ -81,7 +81,7 @@
     }
 
     /** Returns the sign between a value and its limit. */
-    public String sign() {
+    public String operator() {
         return better == Better.LOWER ? "<=" : ">=";
     }
 
--- a/load/src/main/java/org/chivetally/load/GracefulStop.java
+++ b/load/src/main/java/org/chivetally/load/GracefulStop.java
@@ -16,7 +16,7 @@
     }
 
     /** Tells whether a request to an entry ended within this stop. */
-    public boolean covers(CallerRecord request) {
+    public boolean contains(RequestRecord request) {
         return request.entry().equals(entry) && request.endedNanos() >= fromNanos && request.endedNanos() <= untilNanos;
     }
 }
--- a/load/src/main/java/org/chivetally/load/JobInterface.java
+++ b/load/src/main/java/org/chivetally/load/JobApiCodec.java
@@ -10,14 +10,14 @@
 import tools.jackson.databind.node.ObjectNode;
 
 /** Bodies of the entries' job interface, written and read. */
-public final class JobInterface {
+public final class JobApiCodec {
     private static final JsonMapper MAPPER = JsonMapper.shared();
-    private static final int SUCCESS = 200;
+    private static final int HTTP_OK = 200;
 
-    private JobInterface() {}
+    private JobApiCodec() {}
 
     /** Writes the body of a submission; each task's payload carries its token, also as the answer wanted. */
-    public static String submission(ScheduledJob job, Tokens tokens, long deadlineMillis) {
+    public static String submissionBody(ScheduledJob job, Tokens tokens, long deadlineMillis) {
         ObjectNode body = MAPPER.createObjectNode();
         body.put("service", job.service().name());
         body.put("team", job.team());
@@ -34,26 +34,26 @@
     }
 
     /** Reads the reply to a submission or to a request for an answer. */
-    public static Reply reply(int status, String body) {
+    public static Reply parseReply(int status, String body) {
         JsonNode root;
         try {
             root = MAPPER.readTree(body);
         } catch (JacksonException malformed) {
             return new Reply.Malformed(status, body);
         }
-        if (status == SUCCESS && "complete".equals(root.path("state").asString(""))) {
-            return new Reply.Complete(root.path("job").asString(""), answers(root.path("answers")));
+        if (status == HTTP_OK && "complete".equals(root.path("state").asString(""))) {
+            return new Reply.Complete(root.path("job").asString(""), parseAnswers(root.path("answers")));
         }
         for (Certainty certainty : Certainty.values()) {
             if (certainty.text().equals(root.path("certainty").asString(""))) {
-                return problem(status, certainty, root);
+                return parseProblem(status, certainty, root);
             }
         }
         return new Reply.Malformed(status, body);
     }
 
     /** Returns the name of the job in any reply that carries one, or an empty text. */
-    public static String jobName(String body) {
+    public static String parseJobId(String body) {
         try {
             return MAPPER.readTree(body).path("job").asString("");
         } catch (JacksonException malformed) {
@@ -61,23 +61,23 @@
         }
     }
 
-    private static Reply.Problem problem(int status, Certainty certainty, JsonNode root) {
+    private static Reply.Problem parseProblem(int status, Certainty certainty, JsonNode root) {
         String code = root.path("code").asString("");
         String detail = root.path("detail").asString("");
         return new Reply.Problem(
                 status, code, certainty, detail, root.path("retryAfterMillis").asLong(0));
     }
 
-    private static List<String> answers(JsonNode list) {
+    private static List<String> parseAnswers(JsonNode nodes) {
         List<String> answers = new ArrayList<>();
-        for (JsonNode answer : list) {
-            answers.add(answerText(answer));
+        for (JsonNode answer : nodes) {
+            answers.add(answerToken(answer));
         }
         return answers;
     }
 
     /** An answer is the token itself, or an object of the minion that carries it. */
-    private static String answerText(JsonNode answer) {
+    private static String answerToken(JsonNode answer) {
         if (answer.isString()) {
             return answer.asString();
         }
--- a/load/src/main/java/org/chivetally/load/Caller.java
+++ b/load/src/main/java/org/chivetally/load/JobClient.java
@@ -15,15 +15,15 @@
 import org.chivetally.load.Targets.Target;
 
 /** Sends requests to entries as a caller does; every outcome is a {@link Reply}. */
-final class Caller {
-    private static final Duration CANCEL_LIMIT = Duration.ofSeconds(2);
-    private static final Duration ANSWER_MARGIN = Duration.ofMillis(700);
-    private static final int MILLIS_DIGITS = 3;
-    private static final int ACCEPTED = 202;
+final class JobClient {
+    private static final Duration CANCEL_TIMEOUT = Duration.ofSeconds(2);
+    private static final Duration TIMEOUT_MARGIN = Duration.ofMillis(700);
+    private static final int MILLIS_DECIMALS = 3;
+    private static final int HTTP_ACCEPTED = 202;
 
     private final HttpClient client;
 
-    Caller(HttpClient client) {
+    JobClient(HttpClient client) {
         this.client = client;
     }
 
@@ -34,20 +34,20 @@
     }
 
     /** Submits a job without waiting; the request may take so long. Never completes exceptionally. */
-    CompletableFuture<Reply> announce(Target entry, String key, String body, Duration limit) {
-        return send(submission(entry.at("/v1/jobs"), key, body, limit));
+    CompletableFuture<Reply> submitWithoutWait(Target entry, String key, String body, Duration timeout) {
+        return send(submission(entry.at("/v1/jobs"), key, body, timeout));
     }
 
     /** Waits for the outcome of a job by its name; a time that is over asks without a wait. */
-    CompletableFuture<Reply> answer(Target entry, String job, Duration wait) {
+    CompletableFuture<Reply> awaitAnswer(Target entry, String job, Duration wait) {
         URI address = entry.at("/v1/jobs/" + job + "/answer?wait=" + waitSeconds(wait));
-        return send(HttpRequest.newBuilder(address).timeout(limit(wait)).GET().build());
+        return send(HttpRequest.newBuilder(address).timeout(timeout(wait)).GET().build());
     }
 
     /** Cancels a job; whether it took effect shows in the job's answer. */
     void cancel(Target entry, String job) {
         HttpRequest request = HttpRequest.newBuilder(entry.at("/v1/jobs/" + job))
-                .timeout(CANCEL_LIMIT)
+                .timeout(CANCEL_TIMEOUT)
                 .DELETE()
                 .build();
         client.sendAsync(request, HttpResponse.BodyHandlers.discarding());
@@ -55,7 +55,7 @@
 
     private static HttpRequest submission(URI address, String key, String body, Duration wait) {
         return HttpRequest.newBuilder(address)
-                .timeout(limit(wait))
+                .timeout(timeout(wait))
                 .header("Content-Type", "application/json")
                 .header("Idempotency-Key", key)
                 .POST(HttpRequest.BodyPublishers.ofString(body))
@@ -63,20 +63,20 @@
     }
 
     private CompletableFuture<Reply> send(HttpRequest request) {
-        return client.sendAsync(request, HttpResponse.BodyHandlers.ofString()).handle(Caller::reply);
+        return client.sendAsync(request, HttpResponse.BodyHandlers.ofString()).handle(JobClient::toReply);
     }
 
-    private static Reply reply(HttpResponse<String> response, Throwable failure) {
+    private static Reply toReply(HttpResponse<String> response, Throwable failure) {
         if (failure != null) {
-            return unanswered(failure);
+            return failedReply(failure);
         }
-        if (response.statusCode() == ACCEPTED) {
-            return new Reply.Pending(JobInterface.jobName(response.body()));
+        if (response.statusCode() == HTTP_ACCEPTED) {
+            return new Reply.Pending(JobApiCodec.parseJobId(response.body()));
         }
-        return JobInterface.reply(response.statusCode(), response.body());
+        return JobApiCodec.parseReply(response.statusCode(), response.body());
     }
 
-    private static Reply unanswered(Throwable failure) {
+    private static Reply failedReply(Throwable failure) {
         Throwable cause = failure instanceof CompletionException wrapped ? wrapped.getCause() : failure;
         return switch (cause) {
             case ConnectException refused -> new Reply.Unreachable(String.valueOf(refused.getMessage()));
@@ -88,10 +88,10 @@
     }
 
     private static String waitSeconds(Duration wait) {
-        return BigDecimal.valueOf(Math.max(0, wait.toMillis()), MILLIS_DIGITS).toPlainString();
+        return BigDecimal.valueOf(Math.max(0, wait.toMillis()), MILLIS_DECIMALS).toPlainString();
     }
 
-    private static Duration limit(Duration wait) {
-        return wait.isNegative() ? ANSWER_MARGIN : wait.plus(ANSWER_MARGIN);
+    private static Duration timeout(Duration wait) {
+        return wait.isNegative() ? TIMEOUT_MARGIN : wait.plus(TIMEOUT_MARGIN);
     }
 }
--- a/load/src/main/java/org/chivetally/load/Balancer.java
+++ b/load/src/main/java/org/chivetally/load/LoadBalancer.java
@@ -19,16 +19,16 @@
  * <p>An entry that stops on request is first unready; a balancer that went on sending there would make its callers see
  * closed connections that no real caller would.
  */
-final class Balancer {
-    private static final Duration LIMIT = Duration.ofMillis(500);
-    private static final int SUCCESS = 200;
+final class LoadBalancer {
+    private static final Duration REQUEST_TIMEOUT = Duration.ofMillis(500);
+    private static final int HTTP_OK = 200;
 
     private final HttpClient client;
     private final List<Target> entries;
     private final Set<String> unready = ConcurrentHashMap.newKeySet();
-    private final AtomicInteger turn = new AtomicInteger();
+    private final AtomicInteger nextIndex = new AtomicInteger();
 
-    Balancer(HttpClient client, List<Target> entries) {
+    LoadBalancer(HttpClient client, List<Target> entries) {
         this.client = client;
         this.entries = entries;
     }
@@ -38,11 +38,11 @@
      * the next one other than those given, or simply the next.
      */
     Target choose(Set<String> avoided) {
-        int first = turn.getAndIncrement();
-        List<Target> inTurn = new ArrayList<>(entries);
-        Collections.rotate(inTurn, -Math.floorMod(first, entries.size()));
-        Target best = inTurn.getFirst();
-        for (Target entry : inTurn) {
+        int first = nextIndex.getAndIncrement();
+        List<Target> rotated = new ArrayList<>(entries);
+        Collections.rotate(rotated, -Math.floorMod(first, entries.size()));
+        Target best = rotated.getFirst();
+        for (Target entry : rotated) {
             if (rank(entry, avoided) > rank(best, avoided)) {
                 best = entry;
             }
@@ -60,31 +60,33 @@
     }
 
     /** Asks every entry whether it is ready; answers are taken in as they come. */
-    void check() {
+    void checkAll() {
         for (Target entry : entries) {
-            HttpRequest request =
-                    HttpRequest.newBuilder(entry.at("/readyz")).timeout(LIMIT).build();
+            HttpRequest request = HttpRequest.newBuilder(entry.at("/readyz"))
+                    .timeout(REQUEST_TIMEOUT)
+                    .build();
             client.sendAsync(request, HttpResponse.BodyHandlers.discarding())
-                    .whenComplete((response, failure) -> note(entry, failure == null && success(response)));
+                    .whenComplete((response, failure) -> setReady(entry, failure == null && isSuccess(response)));
         }
     }
 
     /** Asks one entry and waits for its answer. */
     boolean isReady(Target entry) throws InterruptedException {
-        HttpRequest request =
-                HttpRequest.newBuilder(entry.at("/readyz")).timeout(LIMIT).build();
+        HttpRequest request = HttpRequest.newBuilder(entry.at("/readyz"))
+                .timeout(REQUEST_TIMEOUT)
+                .build();
         try {
-            return success(client.send(request, HttpResponse.BodyHandlers.discarding()));
+            return isSuccess(client.send(request, HttpResponse.BodyHandlers.discarding()));
         } catch (IOException unreachable) {
             return false;
         }
     }
 
-    private static boolean success(HttpResponse<Void> response) {
-        return response.statusCode() == SUCCESS;
+    private static boolean isSuccess(HttpResponse<Void> response) {
+        return response.statusCode() == HTTP_OK;
     }
 
-    private void note(Target entry, boolean ready) {
+    private void setReady(Target entry, boolean ready) {
         if (ready) {
             unready.remove(entry.name());
         } else {
--- a/load/src/main/java/org/chivetally/load/LoadPlan.java
+++ b/load/src/main/java/org/chivetally/load/LoadPlan.java
@@ -39,17 +39,17 @@
     }
 
     /** Returns the same plan with another schedule. */
-    public LoadPlan withSeed(long other) {
-        return new LoadPlan(name, other, duration, warmUp, targets, workload, faults, goals);
+    public LoadPlan withSeed(long newSeed) {
+        return new LoadPlan(name, newSeed, duration, warmUp, targets, workload, faults, goals);
     }
 
     /** Tells whether an instant, in nanoseconds from the beginning of the run, counts for figures. */
-    public boolean measures(long nanos) {
+    public boolean isMeasured(long nanos) {
         return nanos >= warmUp.toNanos() && nanos < duration.toNanos();
     }
 
     /** Returns the time that counts for figures. */
-    public Duration measured() {
+    public Duration measuredDuration() {
         return duration.minus(warmUp);
     }
 }
--- a/load/src/main/java/org/chivetally/load/LoadPlanReader.java
+++ b/load/src/main/java/org/chivetally/load/LoadPlanReader.java
@@ -17,22 +17,22 @@
 
 /** Reads a load plan from YAML, strictly: every mistake is reported with its place. */
 public final class LoadPlanReader {
-    private static final Duration LONGEST = Duration.ofHours(24);
-    private static final Duration SHORTEST = Duration.ofMillis(1);
-    private static final double HIGHEST_WEIGHT = 1e6;
-    private static final double HIGHEST_RATE = 1e6;
-    private static final int MOST_SLOTS = 1_000_000;
-    private static final int MOST_RETRIES = 1_000;
-    private static final int MOST_COPIES = 10;
+    private static final Duration MAXIMUM_DURATION = Duration.ofHours(24);
+    private static final Duration MINIMUM_DURATION = Duration.ofMillis(1);
+    private static final double MAXIMUM_WEIGHT = 1e6;
+    private static final double MAXIMUM_JOBS_PER_SECOND = 1e6;
+    private static final int MAXIMUM_SLOTS = 1_000_000;
+    private static final int MAXIMUM_RETRIES = 1_000;
+    private static final int MAXIMUM_COPIES = 10;
 
     private final Document document;
     private final Section root;
-    private final Optional<Targets> otherTargets;
+    private final Optional<Targets> targetsOverride;
 
-    private LoadPlanReader(Document document, Optional<Targets> otherTargets) {
+    private LoadPlanReader(Document document, Optional<Targets> targetsOverride) {
         this.document = document;
         this.root = document.root();
-        this.otherTargets = otherTargets;
+        this.targetsOverride = targetsOverride;
     }
 
     /**
@@ -42,49 +42,49 @@
      * @param text content of the file
      * @param otherTargets processes to talk to in place of the plan's own, which may then be left out
      */
-    public static Reading<LoadPlan> read(String place, String text, Optional<Targets> otherTargets) {
-        return new LoadPlanReader(Document.parse(place, text), otherTargets).plan();
+    public static ReadResult<LoadPlan> read(String fileName, String text, Optional<Targets> targetsOverride) {
+        return new LoadPlanReader(Document.parse(fileName, text), targetsOverride).plan();
     }
 
     /** Reads a file that holds nothing but targets, as the layout of a deployment writes it. */
-    public static Reading<Targets> readTargets(String place, String text) {
-        LoadPlanReader reader = new LoadPlanReader(Document.parse(place, text), Optional.empty());
+    public static ReadResult<Targets> readTargets(String fileName, String text) {
+        LoadPlanReader reader = new LoadPlanReader(Document.parse(fileName, text), Optional.empty());
         TargetParts parts = targetParts(reader.root.section("targets"), true);
-        return reader.finish(parts::build);
+        return reader.toResult(parts::build);
     }
 
-    private Reading<LoadPlan> plan() {
+    private ReadResult<LoadPlan> plan() {
         PlanParts parts = new PlanParts(
                 root.requiredText("name"),
                 root.whole("seed", Long.MIN_VALUE, Long.MAX_VALUE, 1),
-                root.requiredDuration("duration", SHORTEST, LONGEST),
-                root.duration("warmUp", Duration.ZERO, LONGEST, Duration.ZERO));
+                root.requiredDuration("duration", MINIMUM_DURATION, MAXIMUM_DURATION),
+                root.duration("warmUp", Duration.ZERO, MAXIMUM_DURATION, Duration.ZERO));
         if (parts.warmUp().compareTo(parts.duration()) >= 0) {
             root.mistake("warmUp", "must be shorter than the duration");
         }
-        WorkloadParts load = workloadParts(root.section("workload"));
-        TargetParts targets = targetParts(root.section("targets"), otherTargets.isEmpty());
+        WorkloadParts workload = workloadParts(root.section("workload"));
+        TargetParts targets = targetParts(root.section("targets"), targetsOverride.isEmpty());
         List<Fault> faults = list(root, "faults", LoadPlanReader::fault);
         Map<Figure, Double> goals = goals(root.section("goals"));
-        return finish(() -> new LoadPlan(
+        return toResult(() -> new LoadPlan(
                 parts.name(),
                 parts.seed(),
                 parts.duration(),
                 parts.warmUp(),
-                otherTargets.orElseGet(targets::build),
-                load.build(),
+                targetsOverride.orElseGet(targets::build),
+                workload.build(),
                 new FaultSchedule(faults),
                 goals));
     }
 
-    private <T> Reading<T> finish(Supplier<T> whole) {
+    private <T> ReadResult<T> toResult(Supplier<T> content) {
         Mistakes mistakes = document.finish();
-        return new Reading<>(mistakes.isEmpty() ? Optional.of(whole.get()) : Optional.empty(), mistakes);
+        return new ReadResult<>(mistakes.isEmpty() ? Optional.of(content.get()) : Optional.empty(), mistakes);
     }
 
-    private static TargetParts targetParts(Section section, boolean needed) {
+    private static TargetParts targetParts(Section section, boolean required) {
         List<Target> entries = targets(section, "entries");
-        if (needed && entries.isEmpty()) {
+        if (required && entries.isEmpty()) {
             section.mistake("entries", "at least one entry is needed");
         }
         return new TargetParts(
@@ -106,36 +106,36 @@
 
     private static WorkloadParts workloadParts(Section section) {
         return new WorkloadParts(
-                (int) section.requiredWhole("slots", 1, MOST_SLOTS),
+                (int) section.requiredWhole("slots", 1, MAXIMUM_SLOTS),
                 offered(section),
                 list(section, "phases", LoadPlanReader::phase),
-                required(section, "services", LoadPlanReader::service),
-                required(section, "teams", item -> new Workload.TeamShare(item.requiredText("name"), weight(item))),
-                required(section, "jobSizes", LoadPlanReader::jobSize),
-                required(section, "taskTimes", LoadPlanReader::taskTimes),
+                nonEmptyList(section, "services", LoadPlanReader::service),
+                nonEmptyList(section, "teams", item -> new Workload.TeamShare(item.requiredText("name"), weight(item))),
+                nonEmptyList(section, "jobSizes", LoadPlanReader::jobSize),
+                nonEmptyList(section, "taskTimes", LoadPlanReader::taskTimes),
                 resubmissions(section.section("resubmissions")),
                 cancellations(section.section("cancellations")),
                 retries(section.section("retries")),
-                section.requiredDuration("deadline", SHORTEST, LONGEST));
+                section.requiredDuration("deadline", MINIMUM_DURATION, MAXIMUM_DURATION));
     }
 
     private static Workload.OfferedLoad offered(Section workload) {
         Section section = workload.section("offered");
-        boolean share = section.has("slotShare");
-        if (share == section.has("jobsPerSecond")) {
+        boolean hasSlotShare = section.has("slotShare");
+        if (hasSlotShare == section.has("jobsPerSecond")) {
             workload.mistake("offered", "needs either slotShare or jobsPerSecond");
         }
-        if (share) {
+        if (hasSlotShare) {
             return new Workload.OfferedLoad.SlotShare(section.decimal("slotShare", 0.001, 100, 1));
         }
-        return new Workload.OfferedLoad.JobRate(section.decimal("jobsPerSecond", 0.001, HIGHEST_RATE, 1));
+        return new Workload.OfferedLoad.JobRate(section.decimal("jobsPerSecond", 0.001, MAXIMUM_JOBS_PER_SECOND, 1));
     }
 
     private static Workload.Phase phase(Section item) {
         return new Workload.Phase(
                 item.requiredText("name"),
-                item.requiredDuration("start", Duration.ZERO, LONGEST),
-                item.requiredDuration("length", SHORTEST, LONGEST),
+                item.requiredDuration("start", Duration.ZERO, MAXIMUM_DURATION),
+                item.requiredDuration("length", MINIMUM_DURATION, MAXIMUM_DURATION),
                 item.decimal("factor", 0, 1000, 1));
     }
 
@@ -143,7 +143,7 @@
         return new Workload.ServiceShare(
                 item.requiredText("name"),
                 item.requiredFlag("idempotent"),
-                item.duration("attemptLease", Duration.ZERO, LONGEST, Duration.ZERO),
+                item.duration("attemptLease", Duration.ZERO, MAXIMUM_DURATION, Duration.ZERO),
                 weight(item));
     }
 
@@ -151,60 +151,60 @@
         return new Workload.JobSize((int) item.requiredWhole("tasks", 1, JobSpecification.MAXIMUM_TASKS), weight(item));
     }
 
-    private static Workload.TaskTimeBand taskTimes(Section item) {
-        Duration shortest = item.requiredDuration("shortest", SHORTEST, LONGEST);
-        Duration longest = item.requiredDuration("longest", SHORTEST, LONGEST);
+    private static Workload.TaskTimeRange taskTimes(Section item) {
+        Duration shortest = item.requiredDuration("shortest", MINIMUM_DURATION, MAXIMUM_DURATION);
+        Duration longest = item.requiredDuration("longest", MINIMUM_DURATION, MAXIMUM_DURATION);
         if (longest.compareTo(shortest) < 0) {
             item.mistake("longest", "must not be shorter than the shortest");
         }
-        return new Workload.TaskTimeBand(shortest, longest, weight(item));
+        return new Workload.TaskTimeRange(shortest, longest, weight(item));
     }
 
     private static double weight(Section item) {
-        return item.decimal("weight", 1e-6, HIGHEST_WEIGHT, 1);
+        return item.decimal("weight", 1e-6, MAXIMUM_WEIGHT, 1);
     }
 
     private static Workload.Resubmissions resubmissions(Section section) {
         return new Workload.Resubmissions(
                 section.decimal("share", 0, 1, 0),
-                (int) section.whole("copies", 1, MOST_COPIES, 1),
-                list(section, "delays", item -> item.requiredDuration("after", Duration.ZERO, LONGEST)));
+                (int) section.whole("copies", 1, MAXIMUM_COPIES, 1),
+                list(section, "delays", item -> item.requiredDuration("after", Duration.ZERO, MAXIMUM_DURATION)));
     }
 
     private static Workload.Cancellations cancellations(Section section) {
         return new Workload.Cancellations(
                 section.decimal("share", 0, 1, 0),
-                section.duration("delay", Duration.ZERO, LONGEST, Duration.ZERO),
-                list(section, "waves", item -> item.requiredDuration("at", Duration.ZERO, LONGEST)));
+                section.duration("delay", Duration.ZERO, MAXIMUM_DURATION, Duration.ZERO),
+                list(section, "waves", item -> item.requiredDuration("at", Duration.ZERO, MAXIMUM_DURATION)));
     }
 
     private static Workload.Retries retries(Section section) {
         return new Workload.Retries(
-                (int) section.whole("most", 0, MOST_RETRIES, 0),
-                section.duration("delay", Duration.ZERO, LONGEST, Duration.ofMillis(200)),
-                section.duration("patience", Duration.ZERO, LONGEST, Duration.ZERO));
+                (int) section.whole("most", 0, MAXIMUM_RETRIES, 0),
+                section.duration("delay", Duration.ZERO, MAXIMUM_DURATION, Duration.ofMillis(200)),
+                section.duration("patience", Duration.ZERO, MAXIMUM_DURATION, Duration.ZERO));
     }
 
     private static Fault fault(Section item) {
-        Duration at = item.requiredDuration("at", Duration.ZERO, LONGEST);
-        Duration lasting = item.duration("lasting", Duration.ZERO, LONGEST, Duration.ZERO);
+        Duration at = item.requiredDuration("at", Duration.ZERO, MAXIMUM_DURATION);
+        Duration duration = item.duration("lasting", Duration.ZERO, MAXIMUM_DURATION, Duration.ZERO);
         String target = item.requiredText("target");
-        boolean standIn = item.has("settings");
-        boolean drains = item.flag("drain", false);
-        if ((standIn ? 1 : 0) + (drains ? 1 : 0) + (item.has("action") ? 1 : 0) != 1) {
+        boolean hasSettings = item.has("settings");
+        boolean isDrain = item.flag("drain", false);
+        if ((hasSettings ? 1 : 0) + (isDrain ? 1 : 0) + (item.has("action") ? 1 : 0) != 1) {
             item.mistake(
                     "action",
                     "a fault needs either settings (of a stand-in), drain: true, or an action (on a process)");
         }
-        if (drains) {
-            return new Fault.MinionDrain(at, lasting, target);
+        if (isDrain) {
+            return new Fault.MinionDrain(at, duration, target);
         }
-        if (standIn) {
+        if (hasSettings) {
             return new Fault.StandInFault(
-                    at, lasting, target, item.section("settings").toJson());
+                    at, duration, target, item.section("settings").toJson());
         }
         Fault.Action action = item.choice("action", Fault.Action.class, Fault.Action.PAUSE);
-        return new Fault.ProcessFault(at, lasting, target, action);
+        return new Fault.ProcessFault(at, duration, target, action);
     }
 
     private static Map<Figure, Double> goals(Section section) {
@@ -217,7 +217,7 @@
         return goals;
     }
 
-    private static <T> List<T> required(Section section, String key, Function<Section, T> reader) {
+    private static <T> List<T> nonEmptyList(Section section, String key, Function<Section, T> reader) {
         List<T> items = list(section, key, reader);
         if (items.isEmpty()) {
             section.mistake(key, "at least one is needed");
@@ -239,7 +239,7 @@
      * @param content what it says, if there are no mistakes
      * @param mistakes everything that is wrong with the document
      */
-    public record Reading<T>(Optional<T> content, Mistakes mistakes) {}
+    public record ReadResult<T>(Optional<T> content, Mistakes mistakes) {}
 
     private record TargetParts(List<Target> entries, List<Target> minions, List<Target> logs, List<Target> relays) {
         Targets build() {
@@ -257,7 +257,7 @@
             List<Workload.ServiceShare> services,
             List<Workload.TeamShare> teams,
             List<Workload.JobSize> jobSizes,
-            List<Workload.TaskTimeBand> taskTimes,
+            List<Workload.TaskTimeRange> taskTimes,
             Workload.Resubmissions resubmissions,
             Workload.Cancellations cancellations,
             Workload.Retries retries,
--- a/load/src/main/java/org/chivetally/load/LoadReport.java
+++ b/load/src/main/java/org/chivetally/load/LoadReport.java
@@ -20,7 +20,7 @@
  * @param roles processor time and memory by role, where a folder with process ids was given
  * @param unreadMinions minions whose record couldn't be read at the end
  * @param unanswered keys of submissions that got neither an answer nor a clear failure soon after their deadline
- * @param verdict broken promises
+ * @param checkResult broken promises
  */
 public record LoadReport(
         LoadPlan plan,
@@ -32,12 +32,12 @@
         Map<String, Integer> faults,
         List<String> missedFaults,
         int starts,
-        Map<String, RoleCost> roles,
+        Map<String, RoleUsage> roles,
         List<String> unreadMinions,
         List<String> unanswered,
-        Verdict verdict) {
+        CheckResult checkResult) {
     /** The number at the end of a name, such as that of {@code entry-2}. */
-    private static final Pattern NUMBER = Pattern.compile("-\\d+\\b");
+    private static final Pattern PROCESS_NUMBER = Pattern.compile("-\\d+\\b");
 
     /** Copies the collections. */
     public LoadReport {
@@ -58,7 +58,8 @@
     /** Returns the number of faults injected by kind: what was done, to a process or stand-in of which role. */
     public Map<String, Integer> faultKinds() {
         Map<String, Integer> kinds = new TreeMap<>();
-        faults.forEach((fault, count) -> kinds.merge(NUMBER.matcher(fault).replaceAll(""), count, Integer::sum));
+        faults.forEach(
+                (fault, count) -> kinds.merge(PROCESS_NUMBER.matcher(fault).replaceAll(""), count, Integer::sum));
         return kinds;
     }
 
@@ -70,8 +71,8 @@
     }
 
     /** Tells whether all goals are met, no promise is broken, all faults came, and all minions' records were read. */
-    public boolean good() {
-        return verdict.clean()
+    public boolean passed() {
+        return checkResult.passed()
                 && unreadMinions.isEmpty()
                 && missedFaults.isEmpty()
                 && plan.goals().keySet().stream().noneMatch(this::misses);
--- a/load/src/main/java/org/chivetally/load/LoadRun.java
+++ b/load/src/main/java/org/chivetally/load/LoadRun.java
@@ -32,26 +32,26 @@
     public static final String DONE_FILE = "done";
 
     private static final Duration PROGRESS_INTERVAL = Duration.ofSeconds(1);
-    private static final Duration READINESS_INTERVAL = Duration.ofMillis(200);
+    private static final Duration READINESS_CHECK_INTERVAL = Duration.ofMillis(200);
     private static final Duration BEGIN_DELAY = Duration.ofMillis(500);
-    private static final Duration LONGEST_UNREADY = Duration.ofSeconds(60);
-    private static final Duration ANSWER_MARGIN = Duration.ofSeconds(6);
+    private static final Duration READINESS_TIMEOUT = Duration.ofSeconds(60);
+    private static final Duration COMPLETION_MARGIN = Duration.ofSeconds(6);
 
-    private static final int WARMING_REQUESTS = 300;
-    private static final int SUCCESS = 200;
+    private static final int WARM_UP_REQUESTS = 300;
+    private static final int HTTP_OK = 200;
 
     private final LoadPlan plan;
     private final PrintStream progress;
-    private final RunFolders folders;
+    private final RunFiles files;
     private final Tokens tokens;
     private final HttpClient client;
-    private final Caller caller;
-    private final Balancer balancer;
-    private final CounterWatch counters;
-    private final StartWatch starts;
-    private final FaultInjector injector;
+    private final JobClient jobClient;
+    private final LoadBalancer loadBalancer;
+    private final CounterScraper counters;
+    private final StartRecordReader startRecords;
+    private final FaultInjector faultInjector;
     private final ScheduledExecutorService timer = Executors.newScheduledThreadPool(1);
-    private final ScheduledExecutorService watcher = Executors.newScheduledThreadPool(1);
+    private final ScheduledExecutorService progressTimer = Executors.newScheduledThreadPool(1);
 
     /**
      * Prepares a run.
@@ -60,20 +60,20 @@
      * @param progress takes a line every second, and one for each fault
      * @param folders folders shared with scripts
      */
-    public LoadRun(LoadPlan plan, PrintStream progress, RunFolders folders) {
+    public LoadRun(LoadPlan plan, PrintStream progress, RunFiles files) {
         this.plan = plan;
         this.progress = progress;
-        this.folders = folders;
+        this.files = files;
         this.tokens = new Tokens("r" + Long.toString(System.currentTimeMillis(), Character.MAX_RADIX));
         this.client = HttpClient.newBuilder()
                 .version(HttpClient.Version.HTTP_1_1)
                 .connectTimeout(Duration.ofSeconds(2))
                 .build();
-        this.caller = new Caller(client);
-        this.balancer = new Balancer(client, plan.targets().entries());
-        this.counters = new CounterWatch(client, plan.targets().entries());
-        this.starts = new StartWatch(client, plan.targets().minions());
-        this.injector = new FaultInjector(client, plan.targets(), progress);
+        this.jobClient = new JobClient(client);
+        this.loadBalancer = new LoadBalancer(client, plan.targets().entries());
+        this.counters = new CounterScraper(client, plan.targets().entries());
+        this.startRecords = new StartRecordReader(client, plan.targets().minions());
+        this.faultInjector = new FaultInjector(client, plan.targets(), progress);
     }
 
     /**
@@ -85,39 +85,39 @@
         Schedule schedule = Schedule.of(plan);
         awaitReadiness();
         warmUp(schedule);
-        counters.read(true);
-        Optional<ProcessCosts> costs = folders.processes().map(ProcessCosts::begin);
+        counters.scrape(true);
+        Optional<ProcessUsage> usage = files.processesFolder().map(ProcessUsage::begin);
         RunClock clock = new RunClock(NanoClock.system(), BEGIN_DELAY.toNanos());
-        writeBegin(clock);
-        Submitter submitter = new Submitter(plan, tokens, caller, balancer, timer, clock);
-        CompletableFuture<Void> end = submitter.schedule(schedule.jobs());
-        injector.schedule(plan.faults(), clock, timer);
-        every(READINESS_INTERVAL, timer, balancer::check);
-        every(PROGRESS_INTERVAL, watcher, () -> watch(submitter, clock));
-        await(end, clock);
-        injector.clear(plan.faults());
-        Map<String, RoleCost> roles = costs.map(ProcessCosts::end).orElse(Map.of());
-        watcher.shutdown();
-        watcher.awaitTermination(1, TimeUnit.MINUTES);
-        counters.read(false);
-        return report(schedule, submitter.records(), clock, roles);
+        writeBeginFile(clock);
+        LoadGenerator loadGenerator = new LoadGenerator(plan, tokens, jobClient, loadBalancer, timer, clock);
+        CompletableFuture<Void> completion = loadGenerator.schedule(schedule.jobs());
+        faultInjector.schedule(plan.faults(), clock, timer);
+        scheduleRepeatedly(READINESS_CHECK_INTERVAL, timer, loadBalancer::checkAll);
+        scheduleRepeatedly(PROGRESS_INTERVAL, progressTimer, () -> reportProgress(loadGenerator, clock));
+        awaitCompletion(completion, clock);
+        faultInjector.clearUnlimited(plan.faults());
+        Map<String, RoleUsage> usageByRole = usage.map(ProcessUsage::end).orElse(Map.of());
+        progressTimer.shutdown();
+        progressTimer.awaitTermination(1, TimeUnit.MINUTES);
+        counters.scrape(false);
+        return report(schedule, loadGenerator.records(), clock, usageByRole);
     }
 
     @Override
     public void close() {
         timer.shutdownNow();
-        watcher.shutdownNow();
+        progressTimer.shutdownNow();
         client.shutdownNow();
     }
 
     private void awaitReadiness() throws InterruptedException {
-        long giveUp = System.nanoTime() + LONGEST_UNREADY.toNanos();
+        long timeoutNanos = System.nanoTime() + READINESS_TIMEOUT.toNanos();
         for (Target entry : plan.targets().entries()) {
-            while (!balancer.isReady(entry)) {
-                if (System.nanoTime() > giveUp) {
+            while (!loadBalancer.isReady(entry)) {
+                if (System.nanoTime() > timeoutNanos) {
                     throw new ChivetallyException(ErrorCode.NOT_READY, "not ready: " + entry.at("/readyz"));
                 }
-                TimeUnit.NANOSECONDS.sleep(READINESS_INTERVAL.toNanos());
+                TimeUnit.NANOSECONDS.sleep(READINESS_CHECK_INTERVAL.toNanos());
             }
         }
     }
@@ -128,19 +128,19 @@
      */
     private void warmUp(Schedule schedule) throws InterruptedException {
         for (ScheduledJob job : schedule.jobs()
-                .subList(0, Math.min(WARMING_REQUESTS, schedule.jobs().size()))) {
-            String body = JobInterface.submission(
+                .subList(0, Math.min(WARM_UP_REQUESTS, schedule.jobs().size()))) {
+            String body = JobApiCodec.submissionBody(
                     job, tokens, plan.workload().deadline().toMillis());
-            JobInterface.reply(SUCCESS, body);
-            balancer.isReady(balancer.choose(Set.of()));
+            JobApiCodec.parseReply(HTTP_OK, body);
+            loadBalancer.isReady(loadBalancer.choose(Set.of()));
         }
     }
 
-    private void writeBegin(RunClock clock) {
-        if (folders.faults().isEmpty()) {
+    private void writeBeginFile(RunClock clock) {
+        if (files.faultsFolder().isEmpty()) {
             return;
         }
-        Path folder = folders.faults().get();
+        Path folder = files.faultsFolder().get();
         try {
             Files.createDirectories(folder);
             Files.deleteIfExists(folder.resolve(DONE_FILE));
@@ -150,62 +150,62 @@
         }
     }
 
-    private static void every(Duration interval, ScheduledExecutorService executor, Runnable action) {
+    private static void scheduleRepeatedly(Duration interval, ScheduledExecutorService executor, Runnable action) {
         executor.scheduleAtFixedRate(action, interval.toNanos(), interval.toNanos(), TimeUnit.NANOSECONDS);
     }
 
-    private void await(CompletableFuture<Void> end, RunClock clock) throws InterruptedException {
-        Duration limit = plan.duration().plus(plan.workload().deadline()).plus(ANSWER_MARGIN);
+    private void awaitCompletion(CompletableFuture<Void> completion, RunClock clock) throws InterruptedException {
+        Duration timeout = plan.duration().plus(plan.workload().deadline()).plus(COMPLETION_MARGIN);
         try {
-            end.get(limit.toNanos() - clock.nanos(), TimeUnit.NANOSECONDS);
-        } catch (ExecutionException | TimeoutException late) {
-            progress.println(EventLine.of("load-cut-off").with("reason", late.toString()));
+            completion.get(timeout.toNanos() - clock.nanos(), TimeUnit.NANOSECONDS);
+        } catch (ExecutionException | TimeoutException incomplete) {
+            progress.println(EventLine.of("load-cut-off").with("reason", incomplete.toString()));
         }
     }
 
-    private void watch(Submitter submitter, RunClock clock) {
-        counters.read(false);
-        starts.readNew();
+    private void reportProgress(LoadGenerator loadGenerator, RunClock clock) {
+        counters.scrape(false);
+        startRecords.readNew();
         progress.println(EventLine.of("load-progress")
                 .with("seconds", TimeUnit.NANOSECONDS.toSeconds(clock.nanos()))
-                .with("answered", submitter.answered())
-                .with("complete", submitter.completed())
-                .with("open", submitter.open())
-                .with("frames", counters.growth().frameCount())
-                .with("wasted", counters.growth().wastedCount()));
+                .with("answered", loadGenerator.answeredCount())
+                .with("complete", loadGenerator.completedCount())
+                .with("open", loadGenerator.openCount())
+                .with("frames", counters.increase().frameCount())
+                .with("wasted", counters.increase().wastedCount()));
     }
 
     private LoadReport report(
-            Schedule schedule, List<CallerRecord> callers, RunClock clock, Map<String, RoleCost> roles) {
-        List<String> unread = starts.readAll();
-        Judge judge = new Judge(tokens, callers, starts.records(), clock.beginNanos());
-        writeRequests(callers);
-        ProcessFaultLog processFaults = processFaults();
-        Verdict verdict = judge.judge(processFaults.stops(clock), injector.leaving());
-        Summary summary = new Summary(plan, callers);
-        Map<String, Integer> faults = new HashMap<>(injector.injected());
-        faults.putAll(processFaults.counts());
+            Schedule schedule, List<RequestRecord> requests, RunClock clock, Map<String, RoleUsage> usageByRole) {
+        List<String> unreadMinions = startRecords.readAll();
+        OutcomeChecker checker = new OutcomeChecker(tokens, requests, startRecords.records(), clock.beginNanos());
+        writeRequests(requests);
+        ProcessFaultLog processFaultLog = readProcessFaultLog();
+        CheckResult checkResult = checker.check(processFaultLog.gracefulStops(clock), faultInjector.drainingMinions());
+        FigureCalculator calculator = new FigureCalculator(plan, requests);
+        Map<String, Integer> faults = new HashMap<>(faultInjector.injected());
+        faults.putAll(processFaultLog.counts());
         return new LoadReport(
                 plan,
                 tokens.run(),
-                summary.jobs(),
-                summary.outcomeCounts(),
-                summary.figures(schedule, judge, verdict, counters.growth()),
-                counters.growth(),
+                calculator.jobCount(),
+                calculator.outcomeCounts(),
+                calculator.figures(schedule, checker, checkResult, counters.increase()),
+                counters.increase(),
                 faults,
                 missedFaults(faults),
-                judge.startCount(),
-                roles,
-                unread,
-                summary.unanswered().stream().map(tokens::key).toList(),
-                verdict);
+                checker.startCount(),
+                usageByRole,
+                unreadMinions,
+                calculator.unansweredJobs().stream().map(tokens::key).toList(),
+                checkResult);
     }
 
     private List<String> missedFaults(Map<String, Integer> injected) {
-        Map<String, Integer> left = new HashMap<>(injected);
+        Map<String, Integer> unmatched = new HashMap<>(injected);
         List<String> missed = new ArrayList<>();
         for (Fault fault : plan.faults().faults()) {
-            int count = left.merge(fault.name(), -1, Integer::sum);
+            int count = unmatched.merge(fault.name(), -1, Integer::sum);
             if (count < 0) {
                 missed.add(fault.name());
             }
@@ -213,19 +213,19 @@
         return missed;
     }
 
-    private void writeRequests(List<CallerRecord> callers) {
-        if (folders.requests().isEmpty()) {
+    private void writeRequests(List<RequestRecord> requests) {
+        if (files.requestsFile().isEmpty()) {
             return;
         }
         try {
-            Files.writeString(folders.requests().get(), RequestLines.of(callers, tokens));
+            Files.writeString(files.requestsFile().get(), RequestLines.of(requests, tokens));
         } catch (IOException unwritable) {
             throw new ChivetallyException(ErrorCode.INVALID_INPUT, "file of requests: " + unwritable, unwritable);
         }
     }
 
-    private ProcessFaultLog processFaults() {
-        Optional<Path> file = folders.faults().map(folder -> folder.resolve(DONE_FILE));
+    private ProcessFaultLog readProcessFaultLog() {
+        Optional<Path> file = files.faultsFolder().map(folder -> folder.resolve(DONE_FILE));
         if (file.isEmpty() || !Files.exists(file.get())) {
             return ProcessFaultLog.parse(new ArrayList<>());
         }
--- a/load/src/main/java/org/chivetally/load/Judge.java
+++ b/load/src/main/java/org/chivetally/load/OutcomeChecker.java
@@ -15,13 +15,13 @@
  * <p>Clocks of several processes are compared only for second starts of idempotent tasks and for contradicted refusals;
  * processes of one machine share the monotonic clock, so this holds there.
  */
-public final class Judge {
+public final class OutcomeChecker {
     private static final String FAILED = "failed";
     private static final String DONE = "done";
 
     private final Tokens tokens;
     private final long beginNanos;
-    private final Map<Integer, List<CallerRecord>> requests = new TreeMap<>();
+    private final Map<Integer, List<RequestRecord>> requests = new TreeMap<>();
     private final Map<String, List<StartRecord>> starts = new HashMap<>();
 
     /**
@@ -29,14 +29,15 @@
      *
      * @param beginNanos reading of the machine's monotonic clock from which the callers' times count
      */
-    public Judge(Tokens tokens, List<CallerRecord> callers, List<StartRecord> records, long beginNanos) {
+    public OutcomeChecker(
+            Tokens tokens, List<RequestRecord> requestRecords, List<StartRecord> startRecords, long beginNanos) {
         this.tokens = tokens;
         this.beginNanos = beginNanos;
-        for (CallerRecord caller : callers) {
-            requests.computeIfAbsent(caller.job().index(), index -> new ArrayList<>())
-                    .add(caller);
+        for (RequestRecord request : requestRecords) {
+            requests.computeIfAbsent(request.job().index(), index -> new ArrayList<>())
+                    .add(request);
         }
-        for (StartRecord record : records) {
+        for (StartRecord record : startRecords) {
             if (tokens.parse(record.token()).isPresent()) {
                 starts.computeIfAbsent(record.token(), token -> new ArrayList<>())
                         .add(record);
@@ -45,19 +46,19 @@
     }
 
     /** Finds every broken promise, given the times at which entries were stopping and minions leaving. */
-    public Verdict judge(List<GracefulStop> stops, List<LeavingMinion> leaving) {
+    public CheckResult check(List<GracefulStop> stops, List<DrainingMinion> draining) {
         List<String> falseRefusals = falseRefusals();
         List<String> contradicted = contradictedRefusals();
         contradicted.removeAll(falseRefusals);
-        return new Verdict(
+        return new CheckResult(
                 duplicateStarts(),
                 partialAnswers(),
                 falseRefusals,
                 cutRequests(stops),
-                startsAfterLeaving(leaving),
+                startsAfterLeaving(draining),
                 conflictingOutcomes(),
                 contradicted,
-                unrecorded());
+                unrecordedAnswers());
     }
 
     /** Returns the number of starts recorded for this run. */
@@ -66,21 +67,21 @@
     }
 
     /** Returns the number of tasks of this run with a recorded start. */
-    public int startedTasks() {
+    public int startedTaskCount() {
         return starts.size();
     }
 
     private List<String> duplicateStarts() {
         List<String> duplicates = new ArrayList<>();
         for (Map.Entry<String, List<StartRecord>> entry : new TreeMap<>(starts).entrySet()) {
-            if (entry.getValue().size() > 1 && startedAgain(entry.getKey(), entry.getValue())) {
+            if (entry.getValue().size() > 1 && isForbiddenRestart(entry.getKey(), entry.getValue())) {
                 duplicates.add(entry.getKey());
             }
         }
         return duplicates;
     }
 
-    private boolean startedAgain(String token, List<StartRecord> records) {
+    private boolean isForbiddenRestart(String token, List<StartRecord> records) {
         Optional<Workload.ServiceShare> service = service(token);
         if (service.isEmpty() || !service.get().idempotent()) {
             return true;
@@ -89,7 +90,7 @@
         ordered.sort(Comparator.comparingLong(StartRecord::startedNanos));
         for (int later = 1; later < ordered.size(); later++) {
             for (int earlier = 0; earlier < later; earlier++) {
-                if (!mayFollow(ordered.get(earlier), ordered.get(later), service.get())) {
+                if (!isAllowedRestart(ordered.get(earlier), ordered.get(later), service.get())) {
                     return true;
                 }
             }
@@ -98,9 +99,9 @@
     }
 
     /** An idempotent task may start again once its earlier attempt has failed, or its lease is over at its agent. */
-    private static boolean mayFollow(StartRecord earlier, StartRecord later, Workload.ServiceShare service) {
-        boolean overBefore = earlier.endedNanos() > 0 && earlier.endedNanos() <= later.startedNanos();
-        if (overBefore && !earlier.outcome().equals(DONE)) {
+    private static boolean isAllowedRestart(StartRecord earlier, StartRecord later, Workload.ServiceShare service) {
+        boolean endedBefore = earlier.endedNanos() > 0 && earlier.endedNanos() <= later.startedNanos();
+        if (endedBefore && !earlier.outcome().equals(DONE)) {
             return true;
         }
         long lease = service.attemptLease().toNanos();
@@ -109,17 +110,17 @@
 
     private Optional<Workload.ServiceShare> service(String token) {
         return tokens.parse(token)
-                .map(name -> requests.get(name.job()))
+                .map(task -> requests.get(task.job()))
                 .map(records -> records.getFirst().job().service());
     }
 
     private List<String> partialAnswers() {
         List<String> partial = new ArrayList<>();
-        for (List<CallerRecord> records : requests.values()) {
-            for (CallerRecord record : records) {
-                if (record.reply() instanceof Reply.Complete complete
-                        && !complete.answers().equals(expectedAnswers(record.job()))) {
-                    partial.add(tokens.key(record.job().index()));
+        for (List<RequestRecord> submissionRequests : requests.values()) {
+            for (RequestRecord request : submissionRequests) {
+                if (request.reply() instanceof Reply.Complete complete
+                        && !complete.answers().equals(expectedAnswers(request.job()))) {
+                    partial.add(tokens.key(request.job().index()));
                     break;
                 }
             }
@@ -142,19 +143,20 @@
      */
     private List<String> falseRefusals() {
         Map<Integer, Long> firstStarts = firstStarts();
-        List<String> refused = new ArrayList<>();
-        for (Map.Entry<Integer, List<CallerRecord>> entry : requests.entrySet()) {
+        List<String> falselyRefused = new ArrayList<>();
+        for (Map.Entry<Integer, List<RequestRecord>> entry : requests.entrySet()) {
             Long first = firstStarts.get(entry.getKey());
             if (first != null && isFalselyRefused(entry.getValue(), first)) {
-                refused.add(tokens.key(entry.getKey()));
+                falselyRefused.add(tokens.key(entry.getKey()));
             }
         }
-        return refused;
+        return falselyRefused;
     }
 
-    private static boolean isFalselyRefused(List<CallerRecord> records, long firstStart) {
-        return records.stream().allMatch(Judge::toldNotRun)
-                || records.stream().anyMatch(record -> isNotRun(record.reply()) && record.sentNanos() > firstStart);
+    private static boolean isFalselyRefused(List<RequestRecord> submissionRequests, long firstStart) {
+        return submissionRequests.stream().allMatch(OutcomeChecker::isNotRunOrUnreachable)
+                || submissionRequests.stream()
+                        .anyMatch(request -> isNotRun(request.reply()) && request.sentNanos() > firstStart);
     }
 
     /** Returns when the first task of each job started, from the beginning of the run. */
@@ -172,44 +174,44 @@
     private List<String> contradictedRefusals() {
         Map<Integer, Long> firstStarts = firstStarts();
         List<String> contradicted = new ArrayList<>();
-        for (Map.Entry<Integer, List<CallerRecord>> entry : requests.entrySet()) {
+        for (Map.Entry<Integer, List<RequestRecord>> entry : requests.entrySet()) {
             Long first = firstStarts.get(entry.getKey());
-            if (first != null && entry.getValue().stream().anyMatch(record -> refusedAfter(record, first))) {
+            if (first != null && entry.getValue().stream().anyMatch(record -> isRefusedAfterStart(record, first))) {
                 contradicted.add(tokens.key(entry.getKey()));
             }
         }
         return contradicted;
     }
 
-    private static boolean refusedAfter(CallerRecord record, long startNanos) {
-        return isNotRun(record.reply()) && record.endedNanos() > startNanos;
+    private static boolean isRefusedAfterStart(RequestRecord request, long startNanos) {
+        return isNotRun(request.reply()) && request.endedNanos() > startNanos;
     }
 
     private static boolean isNotRun(Reply reply) {
         return reply instanceof Reply.Problem problem && problem.certainty() == Certainty.NOT_RUN;
     }
 
-    private static boolean toldNotRun(CallerRecord record) {
-        return isNotRun(record.reply()) || record.reply() instanceof Reply.Unreachable;
+    private static boolean isNotRunOrUnreachable(RequestRecord request) {
+        return isNotRun(request.reply()) || request.reply() instanceof Reply.Unreachable;
     }
 
-    private List<String> startsAfterLeaving(List<LeavingMinion> leaving) {
-        List<String> late = new ArrayList<>();
+    private List<String> startsAfterLeaving(List<DrainingMinion> draining) {
+        List<String> tokensAfterLeaving = new ArrayList<>();
         for (Map.Entry<String, List<StartRecord>> entry : new TreeMap<>(starts).entrySet()) {
             for (StartRecord start : entry.getValue()) {
-                long nanos = start.startedNanos() - beginNanos;
-                if (leaving.stream().anyMatch(minion -> minion.forbids(start.minion(), nanos))) {
-                    late.add(entry.getKey());
+                long startNanos = start.startedNanos() - beginNanos;
+                if (draining.stream().anyMatch(minion -> minion.forbidsStart(start.minion(), startNanos))) {
+                    tokensAfterLeaving.add(entry.getKey());
                 }
             }
         }
-        return late;
+        return tokensAfterLeaving;
     }
 
     /** Both are final, and all callers of one key get the same outcome. */
     private List<String> conflictingOutcomes() {
         List<String> conflicting = new ArrayList<>();
-        for (Map.Entry<Integer, List<CallerRecord>> entry : requests.entrySet()) {
+        for (Map.Entry<Integer, List<RequestRecord>> entry : requests.entrySet()) {
             boolean complete = entry.getValue().stream().anyMatch(record -> record.reply() instanceof Reply.Complete);
             boolean failed = entry.getValue().stream()
                     .anyMatch(record ->
@@ -223,21 +225,22 @@
 
     private List<String> cutRequests(List<GracefulStop> stops) {
         List<String> cut = new ArrayList<>();
-        for (List<CallerRecord> records : requests.values()) {
-            for (CallerRecord record : records) {
-                if (record.reply() instanceof Reply.Closed && stops.stream().anyMatch(stop -> stop.covers(record))) {
-                    cut.add(tokens.key(record.job().index()));
+        for (List<RequestRecord> submissionRequests : requests.values()) {
+            for (RequestRecord request : submissionRequests) {
+                if (request.reply() instanceof Reply.Closed
+                        && stops.stream().anyMatch(stop -> stop.contains(request))) {
+                    cut.add(tokens.key(request.job().index()));
                 }
             }
         }
         return cut;
     }
 
-    private List<String> unrecorded() {
+    private List<String> unrecordedAnswers() {
         List<String> unrecorded = new ArrayList<>();
-        for (List<CallerRecord> records : requests.values()) {
-            for (CallerRecord record : records) {
-                if (record.reply() instanceof Reply.Complete complete) {
+        for (List<RequestRecord> submissionRequests : requests.values()) {
+            for (RequestRecord request : submissionRequests) {
+                if (request.reply() instanceof Reply.Complete complete) {
                     complete.answers().stream()
                             .filter(answer -> !starts.containsKey(answer))
                             .forEach(unrecorded::add);
--- a/load/src/main/java/org/chivetally/load/ProcessFaultLog.java
+++ b/load/src/main/java/org/chivetally/load/ProcessFaultLog.java
@@ -14,8 +14,8 @@
 public record ProcessFaultLog(List<Event> events) {
     private static final String TERMINATE = "terminate";
     private static final String ENDED = "ended";
-    private static final Set<String> FAULTS = Set.of("pause", "kill", TERMINATE);
-    private static final int PARTS = 3;
+    private static final Set<String> FAULT_ACTIONS = Set.of("pause", "kill", TERMINATE);
+    private static final int FIELDS_PER_LINE = 3;
 
     /** Copies the list. */
     public ProcessFaultLog {
@@ -26,9 +26,9 @@
     public static ProcessFaultLog parse(List<String> lines) {
         List<Event> events = new ArrayList<>();
         for (String line : lines) {
-            String[] parts = line.trim().split(" ");
-            if (parts.length == PARTS && parts[0].matches("\\d{1,18}")) {
-                events.add(new Event(Long.parseLong(parts[0]), parts[1], parts[2]));
+            String[] fields = line.trim().split(" ");
+            if (fields.length == FIELDS_PER_LINE && fields[0].matches("\\d{1,18}")) {
+                events.add(new Event(Long.parseLong(fields[0]), fields[1], fields[2]));
             }
         }
         return new ProcessFaultLog(events);
@@ -38,29 +38,29 @@
     public Map<String, Integer> counts() {
         Map<String, Integer> counts = new TreeMap<>();
         for (Event event : events) {
-            if (FAULTS.contains(event.what())) {
-                counts.merge(event.what() + " " + event.target(), 1, Integer::sum);
+            if (FAULT_ACTIONS.contains(event.action())) {
+                counts.merge(event.action() + " " + event.target(), 1, Integer::sum);
             }
         }
         return counts;
     }
 
     /** Returns the graceful stops; one whose end is not noted lasts to the end of the run. */
-    List<GracefulStop> stops(RunClock clock) {
+    List<GracefulStop> gracefulStops(RunClock clock) {
         List<GracefulStop> stops = new ArrayList<>();
         for (int index = 0; index < events.size(); index++) {
             Event event = events.get(index);
-            if (event.what().equals(TERMINATE)) {
-                stops.add(new GracefulStop(event.target(), clock.nanosAt(event.epochMillis()), end(index, clock)));
+            if (event.action().equals(TERMINATE)) {
+                stops.add(new GracefulStop(event.target(), clock.nanosAt(event.epochMillis()), endNanos(index, clock)));
             }
         }
         return stops;
     }
 
-    private long end(int terminated, RunClock clock) {
-        String target = events.get(terminated).target();
-        for (Event later : events.subList(terminated + 1, events.size())) {
-            if (later.target().equals(target) && later.what().equals(ENDED)) {
+    private long endNanos(int terminateIndex, RunClock clock) {
+        String target = events.get(terminateIndex).target();
+        for (Event later : events.subList(terminateIndex + 1, events.size())) {
+            if (later.target().equals(target) && later.action().equals(ENDED)) {
                 return clock.nanosAt(later.epochMillis());
             }
         }
@@ -68,5 +68,5 @@
     }
 
     /** One step: when, in milliseconds since 1970, what, and to which process. */
-    public record Event(long epochMillis, String what, String target) {}
+    public record Event(long epochMillis, String action, String target) {}
 }
--- a/load/src/main/java/org/chivetally/load/ReportJson.java
+++ b/load/src/main/java/org/chivetally/load/ReportJson.java
@@ -17,9 +17,9 @@
         root.put("plan", report.plan().name());
         root.put("seed", report.plan().seed());
         root.put("run", report.run());
-        root.put("good", report.good());
+        root.put("good", report.passed());
         root.put("jobs", report.jobs());
-        numbers(root.putObject("outcomes"), report.outcomes());
+        putNumbers(root.putObject("outcomes"), report.outcomes());
         ObjectNode figures = root.putObject("figures");
         report.figures().forEach((figure, value) -> figures.put(figure.text(), value));
         ObjectNode goals = root.putObject("goals");
@@ -28,42 +28,42 @@
             goal.put("limit", limit);
             goal.put("met", !report.misses(figure));
         });
-        numbers(root.putObject("frames"), report.counters().frames());
+        putNumbers(root.putObject("frames"), report.counters().frames());
         root.put("frameBytes", report.counters().bytes());
-        numbers(root.putObject("wasted"), report.counters().wasted());
-        numbers(root.putObject("faults"), report.faults());
-        texts(root, "faultsMissed", report.missedFaults());
+        putNumbers(root.putObject("wasted"), report.counters().wasted());
+        putNumbers(root.putObject("faults"), report.faults());
+        putTexts(root, "faultsMissed", report.missedFaults());
         root.put("starts", report.starts());
         ObjectNode roles = root.putObject("roles");
-        report.roles().forEach((role, cost) -> {
+        report.roles().forEach((role, usage) -> {
             ObjectNode node = roles.putObject(role);
-            node.put("processes", cost.processes());
-            node.put("processorSeconds", cost.processor().toMillis() / 1e3);
-            node.put("processorMicrosPerStart", cost.microsEach(report.starts()));
-            node.put("mebibytesEach", cost.mebibytesEach());
+            node.put("processes", usage.processes());
+            node.put("processorSeconds", usage.processorTime().toMillis() / 1e3);
+            node.put("processorMicrosPerStart", usage.microsPerStart(report.starts()));
+            node.put("mebibytesEach", usage.mebibytesPerProcess());
         });
-        verdict(root.putObject("violations"), report.verdict());
-        texts(root, "unanswered", report.unanswered());
-        texts(root, "minionsWithoutRecord", report.unreadMinions());
+        putCheckResult(root.putObject("violations"), report.checkResult());
+        putTexts(root, "unanswered", report.unanswered());
+        putTexts(root, "minionsWithoutRecord", report.unreadMinions());
         return MAPPER.writerWithDefaultPrettyPrinter().writeValueAsString(root);
     }
 
-    private static void verdict(ObjectNode node, Verdict verdict) {
-        texts(node, "duplicateStarts", verdict.duplicateStarts());
-        texts(node, "partialAnswers", verdict.partialAnswers());
-        texts(node, "falseRefusals", verdict.falseRefusals());
-        texts(node, "cutRequests", verdict.cutRequests());
-        texts(node, "startsAfterLeaving", verdict.startsAfterLeaving());
-        texts(node, "conflictingOutcomes", verdict.conflictingOutcomes());
-        texts(node, "contradictedRefusals", verdict.contradictedRefusals());
-        texts(node, "answersWithoutStart", verdict.unrecordedAnswers());
+    private static void putCheckResult(ObjectNode node, CheckResult checkResult) {
+        putTexts(node, "duplicateStarts", checkResult.duplicateStarts());
+        putTexts(node, "partialAnswers", checkResult.partialAnswers());
+        putTexts(node, "falseRefusals", checkResult.falseRefusals());
+        putTexts(node, "cutRequests", checkResult.cutRequests());
+        putTexts(node, "startsAfterLeaving", checkResult.startsAfterLeaving());
+        putTexts(node, "conflictingOutcomes", checkResult.conflictingOutcomes());
+        putTexts(node, "contradictedRefusals", checkResult.contradictedRefusals());
+        putTexts(node, "answersWithoutStart", checkResult.unrecordedAnswers());
     }
 
-    private static void numbers(ObjectNode node, Map<String, ? extends Number> values) {
+    private static void putNumbers(ObjectNode node, Map<String, ? extends Number> values) {
         values.forEach((name, value) -> node.put(name, value.longValue()));
     }
 
-    private static void texts(ObjectNode node, String name, List<String> values) {
+    private static void putTexts(ObjectNode node, String name, List<String> values) {
         values.forEach(node.putArray(name)::add);
     }
 }
--- a/load/src/main/java/org/chivetally/load/ReportTable.java
+++ b/load/src/main/java/org/chivetally/load/ReportTable.java
@@ -6,7 +6,7 @@
 /** Writes reports for people: a table of one run, and Markdown rows for pages that list runs. */
 public final class ReportTable {
     private static final String ROW = "%-40s %14s  %s%n";
-    private static final int NAMED_VIOLATIONS = 5;
+    private static final int MAXIMUM_LISTED_VIOLATIONS = 5;
     private static final List<Figure> MARKDOWN_FIGURES = List.of(
             Figure.RESPONSE_P50,
             Figure.RESPONSE_P99,
@@ -34,21 +34,21 @@
         }
         report.counters().frames().forEach((kind, count) -> row(text, "  frames " + kind, count, ""));
         report.counters().wasted().forEach((kind, count) -> row(text, "  wasted " + kind, count, ""));
-        report.roles().forEach((role, cost) -> roleRow(text, report, role, cost));
+        report.roles().forEach((role, usage) -> roleRow(text, report, role, usage));
         row(text, "faults injected", report.faultCount(), "");
         report.faultKinds().forEach((kind, count) -> row(text, "  " + kind, count, ""));
         row(text, "faults not injected", report.missedFaults().size(), String.join(", ", report.missedFaults()));
-        Verdict verdict = report.verdict();
-        violations(text, "duplicate start", verdict.duplicateStarts());
-        violations(text, "partial answer", verdict.partialAnswers());
-        violations(text, "false refusal", verdict.falseRefusals());
-        violations(text, "cut request", verdict.cutRequests());
-        violations(text, "start after leaving", verdict.startsAfterLeaving());
-        violations(text, "conflicting outcome", verdict.conflictingOutcomes());
+        CheckResult checkResult = report.checkResult();
+        violations(text, "duplicate start", checkResult.duplicateStarts());
+        violations(text, "partial answer", checkResult.partialAnswers());
+        violations(text, "false refusal", checkResult.falseRefusals());
+        violations(text, "cut request", checkResult.cutRequests());
+        violations(text, "start after leaving", checkResult.startsAfterLeaving());
+        violations(text, "conflicting outcome", checkResult.conflictingOutcomes());
         violations(text, "unanswered", report.unanswered());
-        row(text, "contradicted refusals", verdict.contradictedRefusals().size(), "");
-        violations(text, "contradicted", verdict.contradictedRefusals());
-        row(text, "answers without a start", verdict.unrecordedAnswers().size(), "");
+        row(text, "contradicted refusals", checkResult.contradictedRefusals().size(), "");
+        violations(text, "contradicted", checkResult.contradictedRefusals());
+        row(text, "answers without a start", checkResult.unrecordedAnswers().size(), "");
         row(text, "minions without a record", report.unreadMinions().size(), String.join(" ", report.unreadMinions()));
         return text.toString();
     }
@@ -56,12 +56,12 @@
     /** Returns the two heading lines of a Markdown table of runs. */
     public static String markdownHeading() {
         StringBuilder names = new StringBuilder("| plan | seed | jobs | faults |");
-        StringBuilder rule = new StringBuilder("| --- | --- | --- | --- |");
+        StringBuilder separator = new StringBuilder("| --- | --- | --- | --- |");
         for (Figure figure : MARKDOWN_FIGURES) {
             names.append(' ').append(figure.text()).append(" |");
-            rule.append(" --- |");
+            separator.append(" --- |");
         }
-        return names + "\n" + rule + "\n";
+        return names + "\n" + separator + "\n";
     }
 
     /** Returns one run as a line of that table. */
@@ -85,29 +85,29 @@
         if (value == null && limit == null) {
             return;
         }
-        String shown = value == null ? "not measured" : number(figure, value);
-        row(text, figure.text(), shown, limit == null ? "" : goal(report, figure, limit));
+        String printed = value == null ? "not measured" : number(figure, value);
+        row(text, figure.text(), printed, limit == null ? "" : goal(report, figure, limit));
     }
 
-    private static void roleRow(StringBuilder text, LoadReport report, String role, RoleCost cost) {
-        String micros = String.format(Locale.ROOT, "%.1f us/start", cost.microsEach(report.starts()));
+    private static void roleRow(StringBuilder text, LoadReport report, String role, RoleUsage usage) {
+        String micros = String.format(Locale.ROOT, "%.1f us/start", usage.microsPerStart(report.starts()));
         String remark = String.format(
                 Locale.ROOT,
                 "%d processes, each %.1f%% of a core and %.0f MiB resident",
-                cost.processes(),
-                100 * cost.coreShare(report.plan().duration()),
-                cost.mebibytesEach());
+                usage.processes(),
+                100 * usage.coreShare(report.plan().duration()),
+                usage.mebibytesPerProcess());
         row(text, "  processor " + role, micros, remark);
     }
 
     private static String goal(LoadReport report, Figure figure, double limit) {
         String result = report.misses(figure) ? "missed" : "met";
-        return "goal " + figure.sign() + " " + number(figure, limit) + " " + result;
+        return "goal " + figure.operator() + " " + number(figure, limit) + " " + result;
     }
 
-    private static void violations(StringBuilder text, String name, List<String> names) {
-        for (String violation : names.subList(0, Math.min(NAMED_VIOLATIONS, names.size()))) {
-            row(text, "  " + name, violation, "");
+    private static void violations(StringBuilder text, String label, List<String> violations) {
+        for (String violation : violations.subList(0, Math.min(MAXIMUM_LISTED_VIOLATIONS, violations.size()))) {
+            row(text, "  " + label, violation, "");
         }
     }
 
@@ -115,7 +115,7 @@
         return String.format(Locale.ROOT, "%." + figure.decimals() + "f", value);
     }
 
-    private static void row(StringBuilder text, String name, Object value, String remark) {
-        text.append(String.format(Locale.ROOT, ROW, name, value, remark).replaceAll(" +(?=\\R)", ""));
+    private static void row(StringBuilder text, String label, Object value, String remark) {
+        text.append(String.format(Locale.ROOT, ROW, label, value, remark).replaceAll(" +(?=\\R)", ""));
     }
 }
--- a/load/src/main/java/org/chivetally/load/RequestLines.java
+++ b/load/src/main/java/org/chivetally/load/RequestLines.java
@@ -12,15 +12,15 @@
     private RequestLines() {}
 
     /** Returns the lines, in the order given; times are in milliseconds from the beginning of the run. */
-    public static String of(List<CallerRecord> requests, Tokens tokens) {
+    public static String of(List<RequestRecord> requests, Tokens tokens) {
         StringBuilder lines = new StringBuilder();
-        for (CallerRecord request : requests) {
+        for (RequestRecord request : requests) {
             lines.append(MAPPER.writeValueAsString(line(request, tokens))).append('\n');
         }
         return lines.toString();
     }
 
-    private static ObjectNode line(CallerRecord request, Tokens tokens) {
+    private static ObjectNode line(RequestRecord request, Tokens tokens) {
         ObjectNode line = MAPPER.createObjectNode();
         line.put("key", tokens.key(request.job().index()));
         line.put("repeat", request.repeat());
@@ -42,7 +42,7 @@
             case Reply.Unreachable unreachable -> "unreachable " + unreachable.reason();
             case Reply.Closed closed -> "closed " + closed.reason();
             case Reply.Pending pending -> "pending " + pending.job();
-            case Reply.TimedOut late -> "no answer";
+            case Reply.TimedOut timedOut -> "no answer";
         };
     }
 }
--- a/load/src/main/java/org/chivetally/load/CallerRecord.java
+++ b/load/src/main/java/org/chivetally/load/RequestRecord.java
@@ -14,7 +14,7 @@
  * @param endedNanos when its reply was whole
  * @param reply how it ended
  */
-public record CallerRecord(
+public record RequestRecord(
         ScheduledJob job,
         int repeat,
         int attempt,
@@ -24,7 +24,7 @@
         long endedNanos,
         Reply reply) {
     /** Refuses missing parts. */
-    public CallerRecord {
+    public RequestRecord {
         Objects.requireNonNull(job, "job");
         Objects.requireNonNull(entry, "entry");
         Objects.requireNonNull(reply, "reply");
--- a/load/src/main/java/org/chivetally/load/ResponseRatio.java
+++ b/load/src/main/java/org/chivetally/load/ResponseRatio.java
@@ -4,26 +4,26 @@
 
 /** Distribution of response times divided by ideal times. */
 public final class ResponseRatio {
-    private static final long UNITS_PER_ONE = 10_000;
-    private static final long HIGHEST = 100_000 * UNITS_PER_ONE;
+    private static final long UNITS_PER_RATIO_OF_ONE = 10_000;
+    private static final long MAXIMUM_UNITS = 100_000 * UNITS_PER_RATIO_OF_ONE;
     private static final int SIGNIFICANT_DIGITS = 4;
 
-    private final Histogram histogram = new Histogram(1, HIGHEST, SIGNIFICANT_DIGITS);
+    private final Histogram histogram = new Histogram(1, MAXIMUM_UNITS, SIGNIFICANT_DIGITS);
 
     /** Adds one job: its response time and its ideal time, in the same unit. */
     public void add(long responseNanos, long idealNanos) {
         double ratio = (double) responseNanos / Math.max(1, idealNanos);
-        histogram.recordValue(Math.clamp(Math.round(ratio * UNITS_PER_ONE), 1, HIGHEST));
+        histogram.recordValue(Math.clamp(Math.round(ratio * UNITS_PER_RATIO_OF_ONE), 1, MAXIMUM_UNITS));
     }
 
     /** Returns the ratio that this percentage of the jobs don't exceed; zero without jobs. */
     public double percentile(double percentage) {
-        return count() == 0 ? 0 : histogram.getValueAtPercentile(percentage) / (double) UNITS_PER_ONE;
+        return count() == 0 ? 0 : histogram.getValueAtPercentile(percentage) / (double) UNITS_PER_RATIO_OF_ONE;
     }
 
     /** Returns the highest ratio; zero without jobs. */
     public double highest() {
-        return histogram.getMaxValue() / (double) UNITS_PER_ONE;
+        return histogram.getMaxValue() / (double) UNITS_PER_RATIO_OF_ONE;
     }
 
     /** Returns the number of jobs. */
--- a/load/src/main/java/org/chivetally/load/Schedule.java
+++ b/load/src/main/java/org/chivetally/load/Schedule.java
@@ -16,7 +16,7 @@
  * @param jobs submissions by rising instant
  */
 public record Schedule(List<ScheduledJob> jobs) {
-    private static final String GENERATOR = "L64X128MixRandom";
+    private static final String RANDOM_ALGORITHM = "L64X128MixRandom";
 
     /** Copies the list. */
     public Schedule {
@@ -26,7 +26,7 @@
     /** Derives the schedule of a plan; equal plans give equal schedules. */
     public static Schedule of(LoadPlan plan) {
         RandomGenerator arrivals = generator(plan.seed());
-        RandomGenerator contents = generator(~plan.seed());
+        RandomGenerator attributes = generator(~plan.seed());
         Workload workload = plan.workload();
         double highestRate = workload.jobsPerSecond() * highestFactor(workload);
         List<ScheduledJob> jobs = new ArrayList<>();
@@ -40,13 +40,13 @@
             // Thinning: candidates come at the highest rate of the run, and each is kept with the share due now.
             double rate = workload.jobsPerSecond() * factorAt(workload, nanos);
             if (arrivals.nextDouble() * highestRate < rate) {
-                jobs.add(job(jobs.size(), nanos, workload, contents));
+                jobs.add(job(jobs.size(), nanos, workload, attributes));
             }
         }
     }
 
     private static RandomGenerator generator(long seed) {
-        return RandomGeneratorFactory.of(GENERATOR).create(seed);
+        return RandomGeneratorFactory.of(RANDOM_ALGORITHM).create(seed);
     }
 
     private static double highestFactor(Workload workload) {
@@ -59,14 +59,14 @@
 
     private static double factorAt(Workload workload, long nanos) {
         for (Workload.Phase phase : workload.phases()) {
-            if (phase.covers(nanos)) {
+            if (phase.contains(nanos)) {
                 return phase.factor();
             }
         }
         return 1;
     }
 
-    private static ScheduledJob job(int index, long nanos, Workload workload, RandomGenerator random) {
+    private static ScheduledJob job(int index, long dueNanos, Workload workload, RandomGenerator random) {
         Workload.ServiceShare service = choose(workload.services(), random);
         String team = choose(workload.teams(), random).name();
         int tasks = choose(workload.jobSizes(), random).tasks();
@@ -74,44 +74,49 @@
         for (int task = 0; task < tasks; task++) {
             taskMillis.add(choose(workload.taskTimes(), random).millisAt(random.nextDouble()));
         }
-        List<Long> resubmits = resubmissions(nanos, workload.resubmissions(), random);
-        OptionalLong cancel = cancellation(nanos, workload.cancellations(), random);
-        return new ScheduledJob(index, nanos, service, team, taskMillis, resubmits, cancel);
+        List<Long> resubmitNanos = resubmissions(dueNanos, workload.resubmissions(), random);
+        OptionalLong cancelNanos = cancellation(dueNanos, workload.cancellations(), random);
+        return new ScheduledJob(index, dueNanos, service, team, taskMillis, resubmitNanos, cancelNanos);
     }
 
-    private static List<Long> resubmissions(long nanos, Workload.Resubmissions plan, RandomGenerator random) {
-        if (random.nextDouble() >= plan.share() || plan.delays().isEmpty()) {
+    private static List<Long> resubmissions(
+            long dueNanos, Workload.Resubmissions resubmissions, RandomGenerator random) {
+        if (random.nextDouble() >= resubmissions.share()
+                || resubmissions.delays().isEmpty()) {
             return List.of();
         }
-        List<Long> instants = new ArrayList<>(plan.copies());
-        for (int copy = 0; copy < plan.copies(); copy++) {
-            Duration delay = plan.delays().get(random.nextInt(plan.delays().size()));
-            instants.add(nanos + delay.toNanos());
+        List<Long> resubmitNanos = new ArrayList<>(resubmissions.copies());
+        for (int copy = 0; copy < resubmissions.copies(); copy++) {
+            Duration delay = resubmissions
+                    .delays()
+                    .get(random.nextInt(resubmissions.delays().size()));
+            resubmitNanos.add(dueNanos + delay.toNanos());
         }
-        return instants;
+        return resubmitNanos;
     }
 
-    private static OptionalLong cancellation(long nanos, Workload.Cancellations plan, RandomGenerator random) {
-        if (random.nextDouble() >= plan.share()) {
+    private static OptionalLong cancellation(
+            long dueNanos, Workload.Cancellations cancellations, RandomGenerator random) {
+        if (random.nextDouble() >= cancellations.share()) {
             return OptionalLong.empty();
         }
-        for (Duration wave : plan.waves()) {
-            if (wave.toNanos() > nanos) {
+        for (Duration wave : cancellations.waves()) {
+            if (wave.toNanos() > dueNanos) {
                 return OptionalLong.of(wave.toNanos());
             }
         }
-        return OptionalLong.of(nanos + plan.delay().toNanos());
+        return OptionalLong.of(dueNanos + cancellations.delay().toNanos());
     }
 
     private static <T extends Workload.Weighted> T choose(List<T> choices, RandomGenerator random) {
-        double sum = 0;
+        double totalWeight = 0;
         for (T choice : choices) {
-            sum += choice.weight();
+            totalWeight += choice.weight();
         }
-        double point = random.nextDouble() * sum;
+        double remaining = random.nextDouble() * totalWeight;
         for (T choice : choices) {
-            point -= choice.weight();
-            if (point < 0) {
+            remaining -= choice.weight();
+            if (remaining < 0) {
                 return choice;
             }
         }
--- a/load/src/main/java/org/chivetally/load/ScheduledJob.java
+++ b/load/src/main/java/org/chivetally/load/ScheduledJob.java
@@ -7,7 +7,7 @@
  * One submission of the schedule.
  *
  * @param index position in the schedule
- * @param instantNanos when it is due, from the beginning of the run
+ * @param dueNanos when it is due, from the beginning of the run
  * @param service service and what it allows
  * @param team submitting team
  * @param taskMillis time of each task
@@ -16,7 +16,7 @@
  */
 public record ScheduledJob(
         int index,
-        long instantNanos,
+        long dueNanos,
         Workload.ServiceShare service,
         String team,
         List<Integer> taskMillis,
--- a/load/src/main/java/org/chivetally/load/SingleQueue.java
+++ b/load/src/main/java/org/chivetally/load/SingleQueueSimulation.java
@@ -8,36 +8,36 @@
  * <p>Part of every response time is waiting that the schedule itself causes. This figure tells that part: what a run
  * shows beyond it is the dispatcher's own.
  */
-public final class SingleQueue {
+public final class SingleQueueSimulation {
     private static final long NANOS_PER_MILLI = 1_000_000L;
 
-    private SingleQueue() {}
+    private SingleQueueSimulation() {}
 
     /** Plays a plan's schedule through the queue and returns the ratios of the jobs that count. */
-    public static ResponseRatio play(LoadPlan plan, Schedule schedule) {
+    public static ResponseRatio simulate(LoadPlan plan, Schedule schedule) {
         int slots = plan.workload().slots();
-        PriorityQueue<Long> freeAt = new PriorityQueue<>();
+        PriorityQueue<Long> slotFreeNanos = new PriorityQueue<>();
         for (int slot = 0; slot < slots; slot++) {
-            freeAt.add(0L);
+            slotFreeNanos.add(0L);
         }
         ResponseRatio ratio = new ResponseRatio();
         for (ScheduledJob job : schedule.jobs()) {
-            long end = play(job, freeAt);
-            if (plan.measures(job.instantNanos())) {
-                ratio.add(end - job.instantNanos(), job.idealNanos(slots));
+            long end = simulate(job, slotFreeNanos);
+            if (plan.isMeasured(job.dueNanos())) {
+                ratio.add(end - job.dueNanos(), job.idealNanos(slots));
             }
         }
         return ratio;
     }
 
-    private static long play(ScheduledJob job, PriorityQueue<Long> freeAt) {
-        long last = 0;
+    private static long simulate(ScheduledJob job, PriorityQueue<Long> slotFreeNanos) {
+        long lastEnd = 0;
         for (int millis : job.taskMillis()) {
-            long start = Math.max(job.instantNanos(), freeAt.poll());
+            long start = Math.max(job.dueNanos(), slotFreeNanos.poll());
             long end = start + millis * NANOS_PER_MILLI;
-            freeAt.add(end);
-            last = Math.max(last, end);
+            slotFreeNanos.add(end);
+            lastEnd = Math.max(lastEnd, end);
         }
-        return last;
+        return lastEnd;
     }
 }
--- a/load/src/main/java/org/chivetally/load/StartWatch.java
+++ b/load/src/main/java/org/chivetally/load/StartRecordReader.java
@@ -22,19 +22,19 @@
  * <p>A minion that is killed loses its record. What was read before counts on; what it recorded since is lost, and
  * shows as answers without a start.
  */
-final class StartWatch {
+final class StartRecordReader {
     private static final JsonMapper MAPPER = JsonMapper.shared();
-    private static final Duration LIMIT = Duration.ofSeconds(20);
+    private static final Duration REQUEST_TIMEOUT = Duration.ofSeconds(20);
     private static final String RUNNING = "running";
-    private static final int SUCCESS = 200;
+    private static final int HTTP_OK = 200;
 
     private final HttpClient client;
     private final List<Target> minions;
     private final Map<String, StartRecord> records = new LinkedHashMap<>();
     /** By minion: the number of its first records that are ended and read. */
-    private final Map<String, Integer> settled = new HashMap<>();
+    private final Map<String, Integer> endedPrefix = new HashMap<>();
 
-    StartWatch(HttpClient client, List<Target> minions) {
+    StartRecordReader(HttpClient client, List<Target> minions) {
         this.client = client;
         this.minions = minions;
     }
@@ -42,14 +42,14 @@
     /** Reads what is new. */
     synchronized void readNew() {
         for (Target minion : minions) {
-            Optional<List<JsonNode>> lines = fetch(minion, settled.getOrDefault(minion.name(), 0));
+            Optional<List<JsonNode>> lines = fetch(minion, endedPrefix.getOrDefault(minion.name(), 0));
             if (lines.isEmpty()) {
                 // It may come back with a new record.
-                settled.remove(minion.name());
+                endedPrefix.remove(minion.name());
                 continue;
             }
-            keep(minion, lines.get());
-            settled.merge(minion.name(), leadingEnded(lines.get()), Integer::sum);
+            store(minion, lines.get());
+            endedPrefix.merge(minion.name(), leadingEndedCount(lines.get()), Integer::sum);
         }
     }
 
@@ -58,7 +58,7 @@
         List<String> unread = new ArrayList<>();
         for (Target minion : minions) {
             Optional<List<JsonNode>> lines = fetch(minion, 0);
-            lines.ifPresentOrElse(found -> keep(minion, found), () -> unread.add(minion.name()));
+            lines.ifPresentOrElse(read -> store(minion, read), () -> unread.add(minion.name()));
         }
         return unread;
     }
@@ -69,7 +69,7 @@
     }
 
     /** Parses JSON lines, one start each. */
-    static List<JsonNode> lines(String text) {
+    static List<JsonNode> parseLines(String text) {
         List<JsonNode> nodes = new ArrayList<>();
         for (String line : text.split("\n")) {
             if (!line.isBlank()) {
@@ -80,7 +80,7 @@
     }
 
     /** Reads one start; empty for one without a token, which belongs to another caller. */
-    static Optional<StartRecord> start(String minion, JsonNode node) {
+    static Optional<StartRecord> parseStart(String minion, JsonNode node) {
         if (!node.hasNonNull("token")) {
             return Optional.empty();
         }
@@ -93,13 +93,13 @@
                 node.path("outcome").asString("")));
     }
 
-    private Optional<List<JsonNode>> fetch(Target minion, int from) {
-        HttpRequest request = HttpRequest.newBuilder(minion.at("/starts?from=" + from))
-                .timeout(LIMIT)
+    private Optional<List<JsonNode>> fetch(Target minion, int fromIndex) {
+        HttpRequest request = HttpRequest.newBuilder(minion.at("/starts?from=" + fromIndex))
+                .timeout(REQUEST_TIMEOUT)
                 .build();
         try {
             HttpResponse<String> response = client.send(request, HttpResponse.BodyHandlers.ofString());
-            return response.statusCode() == SUCCESS ? Optional.of(lines(response.body())) : Optional.empty();
+            return response.statusCode() == HTTP_OK ? Optional.of(parseLines(response.body())) : Optional.empty();
         } catch (IOException | JacksonException unreadable) {
             return Optional.empty();
         } catch (InterruptedException interrupted) {
@@ -108,13 +108,13 @@
         }
     }
 
-    private void keep(Target minion, List<JsonNode> lines) {
+    private void store(Target minion, List<JsonNode> lines) {
         for (JsonNode line : lines) {
-            start(minion.name(), line).ifPresent(start -> records.put(identity(start), start));
+            parseStart(minion.name(), line).ifPresent(start -> records.put(recordKey(start), start));
         }
     }
 
-    private static int leadingEnded(List<JsonNode> lines) {
+    private static int leadingEndedCount(List<JsonNode> lines) {
         int ended = 0;
         for (JsonNode line : lines) {
             if (line.path("outcome").asString("").equals(RUNNING)) {
@@ -125,7 +125,7 @@
         return ended;
     }
 
-    private static String identity(StartRecord start) {
+    private static String recordKey(StartRecord start) {
         return start.minion() + ' ' + start.token() + ' ' + start.attempt() + ' ' + start.startedNanos();
     }
 }
--- a/load/src/main/java/org/chivetally/load/Tokens.java
+++ b/load/src/main/java/org/chivetally/load/Tokens.java
@@ -27,18 +27,18 @@
     }
 
     /** Reads a token of this run; empty for one of another run or form. */
-    public Optional<TaskName> parse(String token) {
+    public Optional<TaskIndex> parse(String token) {
         String[] parts = token.split("/", -1);
         if (parts.length != 3 || !parts[0].equals(run)) {
             return Optional.empty();
         }
         try {
-            return Optional.of(new TaskName(Integer.parseInt(parts[1]), Integer.parseInt(parts[2])));
+            return Optional.of(new TaskIndex(Integer.parseInt(parts[1]), Integer.parseInt(parts[2])));
         } catch (NumberFormatException malformed) {
             return Optional.empty();
         }
     }
 
     /** A task of the schedule: index of its submission and its own index there. */
-    public record TaskName(int job, int task) {}
+    public record TaskIndex(int job, int task) {}
 }
--- a/load/src/main/java/org/chivetally/load/Workload.java
+++ b/load/src/main/java/org/chivetally/load/Workload.java
@@ -26,7 +26,7 @@
         List<ServiceShare> services,
         List<TeamShare> teams,
         List<JobSize> jobSizes,
-        List<TaskTimeBand> taskTimes,
+        List<TaskTimeRange> taskTimes,
         Resubmissions resubmissions,
         Cancellations cancellations,
         Retries retries,
@@ -63,9 +63,9 @@
     public double meanTaskSeconds() {
         double weights = 0;
         double sum = 0;
-        for (TaskTimeBand band : taskTimes) {
-            weights += band.weight();
-            sum += band.weight() * band.meanSeconds();
+        for (TaskTimeRange range : taskTimes) {
+            weights += range.weight();
+            sum += range.weight() * range.meanSeconds();
         }
         return sum / weights;
     }
@@ -104,7 +104,7 @@
      */
     public record Phase(String name, Duration start, Duration length, double factor) {
         /** Tells whether an instant, in nanoseconds from the beginning of the run, falls into the phase. */
-        public boolean covers(long nanos) {
+        public boolean contains(long nanos) {
             return nanos >= start.toNanos() && nanos < start.plus(length).toNanos();
         }
     }
@@ -127,7 +127,7 @@
     public record JobSize(int tasks, double weight) implements Weighted {}
 
     /** Task times spread evenly on a logarithmic scale between two bounds, and their share of the tasks. */
-    public record TaskTimeBand(Duration shortest, Duration longest, double weight) implements Weighted {
+    public record TaskTimeRange(Duration shortest, Duration longest, double weight) implements Weighted {
         /** Returns the mean in seconds. */
         public double meanSeconds() {
             double low = shortest.toNanos() / 1e9;
@@ -139,10 +139,10 @@
         }
 
         /** Returns the task time at a point between 0 and 1 of the band, in milliseconds, at least 1. */
-        public int millisAt(double point) {
+        public int millisAt(double fraction) {
             double low = Math.max(1, shortest.toMillis());
             double high = Math.max(low, longest.toMillis());
-            return (int) Math.round(low * Math.pow(high / low, point));
+            return (int) Math.round(low * Math.pow(high / low, fraction));
         }
     }
 
@@ -184,25 +184,25 @@
      * Further requests of a caller, under the same key, after a request that ended without an outcome: unreachable,
      * closed, or answered with a problem that names a time to come back.
      *
-     * @param most most further requests of one submission
+     * @param maximum most further requests of one submission
      * @param delay time from the end of one request to the next; a longer one that the entry asks for goes first
-     * @param patience longest time that one request is held; the caller then asks again under the key, and at another
-     *     entry when this one is silent. Zero holds a request until the deadline
+     * @param requestTimeout longest time that one request is held; the caller then asks again under the key, and at
+     *     another entry when this one is silent. Zero holds a request until the deadline
      */
-    public record Retries(int most, Duration delay, Duration patience) {
+    public record Retries(int maximum, Duration delay, Duration requestTimeout) {
         /** No further requests. */
         public static final Retries NONE = new Retries(0, Duration.ZERO, Duration.ZERO);
 
         /** Refuses negative numbers. */
         public Retries {
-            if (most < 0 || delay.isNegative() || patience.isNegative()) {
+            if (maximum < 0 || delay.isNegative() || requestTimeout.isNegative()) {
                 throw new IllegalArgumentException("retries can't be negative");
             }
         }
     }
 
     /** Something chosen with a probability proportional to its weight. */
-    public sealed interface Weighted permits ServiceShare, TeamShare, JobSize, TaskTimeBand {
+    public sealed interface Weighted permits ServiceShare, TeamShare, JobSize, TaskTimeRange {
         /** Returns the weight, more than zero. */
         double weight();
     }
--- a/load/src/main/java/org/chivetally/load/experiment/ClaimCost.java
+++ b/load/src/main/java/org/chivetally/load/experiment/ClaimCost.java
@@ -24,37 +24,37 @@
 /** Cost of the claims table: memory of a claim, and time until a fresh process has read the stream. */
 final class ClaimCost {
     private static final String DIGEST = "0123456789abcdef".repeat(4);
-    private static final int TOGETHER = 2_000;
+    private static final int BATCH_SIZE = 2_000;
     private static final int TEAMS = 180;
-    private static final int ATTEMPTS = 20;
-    private static final double UNLIMITED = 1e6;
+    private static final int MAXIMUM_ATTEMPTS = 20;
+    private static final double UNLIMITED_APPENDS_PER_SECOND = 1e6;
     private static final Duration WINDOW = Duration.ofHours(1);
-    private static final int SAMPLE = 1_000;
+    private static final int SAMPLED_RECORDS = 1_000;
 
     private final ActorSystem<?> system;
     private final ClaimSettings settings;
-    private int processes;
+    private int startedProcesses;
 
     ClaimCost(ActorSystem<?> system) {
         this.system = system;
-        ClaimSettings usual = ClaimSettings.defaults(WINDOW, WINDOW.multipliedBy(4));
+        ClaimSettings defaults = ClaimSettings.defaults(WINDOW, WINDOW.multipliedBy(4));
         GroupCommitSettings commit = new GroupCommitSettings(
-                UNLIMITED,
-                usual.commit().burst(),
-                TOGETHER * 2,
-                usual.commit().maximumBatch(),
-                usual.commit().settleTime(),
-                usual.commit().retryInterval());
+                UNLIMITED_APPENDS_PER_SECOND,
+                defaults.commit().burst(),
+                BATCH_SIZE * 2,
+                defaults.commit().maximumBatch(),
+                defaults.commit().settleTime(),
+                defaults.commit().retryInterval());
         this.settings = new ClaimSettings(
-                usual.window(),
-                usual.logRetention(),
-                usual.lease(),
-                usual.renewalInterval(),
-                usual.longestTicketAge(),
+                defaults.window(),
+                defaults.logRetention(),
+                defaults.lease(),
+                defaults.renewalInterval(),
+                defaults.longestTicketAge(),
                 Duration.ofSeconds(60),
                 commit,
                 TailSettings.defaults(),
-                usual.snapshots());
+                defaults.snapshots());
     }
 
     /** Writes a number of claims and reads them back in a fresh process. */
@@ -63,7 +63,7 @@
         LogClaims writer = start(log);
         awaitCaughtUp(writer);
         long writeBegin = System.nanoTime();
-        write(writer, claims);
+        writeClaims(writer, claims);
         double writeSeconds = (System.nanoTime() - writeBegin) / 1e9;
         double recordBytes = recordBytes(log);
         writer.depart().toCompletableFuture().get(10, TimeUnit.SECONDS);
@@ -81,8 +81,9 @@
     }
 
     private LogClaims start(PlatformLog log) {
-        processes++;
-        Coordinator self = new Coordinator("entry-" + processes, "incarnation-" + processes, "127.0.0.1", 1);
+        startedProcesses++;
+        Coordinator self =
+                new Coordinator("entry-" + startedProcesses, "incarnation-" + startedProcesses, "127.0.0.1", 1);
         return LogClaims.start(system, log, settings, self, NanoClock.system(), new SimpleMeterRegistry());
     }
 
@@ -92,24 +93,24 @@
         }
     }
 
-    private static void write(LogClaims writer, int claims) throws Exception {
-        for (int first = 0; first < claims; first += TOGETHER) {
-            List<Integer> open = new ArrayList<>();
-            for (int claim = first; claim < Math.min(claims, first + TOGETHER); claim++) {
-                open.add(claim);
+    private static void writeClaims(LogClaims writer, int claims) throws Exception {
+        for (int first = 0; first < claims; first += BATCH_SIZE) {
+            List<Integer> undecided = new ArrayList<>();
+            for (int claim = first; claim < Math.min(claims, first + BATCH_SIZE); claim++) {
+                undecided.add(claim);
             }
             // A collection of the whole heap may outlast a lease; its claims are refused as not run, and made again.
-            for (int attempt = 0; attempt < ATTEMPTS && !open.isEmpty(); attempt++) {
-                open = writeTogether(writer, open);
+            for (int attempt = 0; attempt < MAXIMUM_ATTEMPTS && !undecided.isEmpty(); attempt++) {
+                undecided = claimBatch(writer, undecided);
             }
-            if (!open.isEmpty()) {
-                throw new IllegalStateException(open.size() + " claims were not won");
+            if (!undecided.isEmpty()) {
+                throw new IllegalStateException(undecided.size() + " claims were not won");
             }
         }
     }
 
     /** Makes claims at once and returns those that were refused. */
-    private static List<Integer> writeTogether(LogClaims writer, List<Integer> claims) throws Exception {
+    private static List<Integer> claimBatch(LogClaims writer, List<Integer> claims) throws Exception {
         List<CompletableFuture<ClaimDecision>> decisions = new ArrayList<>();
         for (int claim : claims) {
             SubmissionKey key = new SubmissionKey("team-" + claim % TEAMS, "submission-key-" + claim);
@@ -127,7 +128,7 @@
     }
 
     private static double recordBytes(PlatformLog log) throws Exception {
-        ReadOutcome outcome = log.read(LogClaims.STREAM, 0, SAMPLE, Duration.ZERO)
+        ReadOutcome outcome = log.read(LogClaims.STREAM, 0, SAMPLED_RECORDS, Duration.ZERO)
                 .toCompletableFuture()
                 .get(10, TimeUnit.SECONDS);
         if (!(outcome instanceof ReadOutcome.Records records)) {
--- a/load/src/main/java/org/chivetally/load/experiment/ModelShape.java
+++ b/load/src/main/java/org/chivetally/load/experiment/ClusterShape.java
@@ -7,36 +7,36 @@
  *
  * @param coordinators number of coordinators
  * @param agents number of agents
- * @param slots slots of each agent's minion
+ * @param slotsPerAgent slots of each agent's minion
  * @param failureDomains number of failure domains that both are spread over in turn
- * @param delayWithin one way within a failure domain
- * @param delayBetween one way between failure domains
- * @param claim time from a submission until its claim is read back
+ * @param delayWithinDomain one way within a failure domain
+ * @param delayBetweenDomains one way between failure domains
+ * @param claimTime time from a submission until its claim is read back
  */
-public record ModelShape(
+public record ClusterShape(
         int coordinators,
         int agents,
-        int slots,
+        int slotsPerAgent,
         int failureDomains,
-        Duration delayWithin,
-        Duration delayBetween,
-        Duration claim) {
+        Duration delayWithinDomain,
+        Duration delayBetweenDomains,
+        Duration claimTime) {
     /** Refuses a model without processes. */
-    public ModelShape {
-        if (coordinators < 1 || agents < 1 || slots < 1 || failureDomains < 1) {
+    public ClusterShape {
+        if (coordinators < 1 || agents < 1 || slotsPerAgent < 1 || failureDomains < 1) {
             throw new IllegalArgumentException("a model has at least one coordinator, agent, slot and failure domain");
         }
     }
 
     /** Returns the deployment in Jylland with another number of coordinators. */
-    public static ModelShape jylland(int coordinators) {
-        return new ModelShape(
+    public static ClusterShape jylland(int coordinators) {
+        return new ClusterShape(
                 coordinators, 11, 8, 3, Duration.ofNanos(100_000), Duration.ofNanos(500_000), Duration.ofMillis(5));
     }
 
     /** Returns the slots of all agents. */
-    public int allSlots() {
-        return agents * slots;
+    public int totalSlots() {
+        return agents * slotsPerAgent;
     }
 
     /** Returns the failure domain of the process of a number. */
@@ -46,7 +46,7 @@
 
     /** Returns the delay of a frame between a coordinator and an agent in nanoseconds. */
     long delayNanos(int coordinator, int agent) {
-        boolean within = coordinator % failureDomains == agent % failureDomains;
-        return (within ? delayWithin : delayBetween).toNanos();
+        boolean sameDomain = coordinator % failureDomains == agent % failureDomains;
+        return (sameDomain ? delayWithinDomain : delayBetweenDomains).toNanos();
     }
 }
--- a/load/src/main/java/org/chivetally/load/experiment/ModelWorld.java
+++ b/load/src/main/java/org/chivetally/load/experiment/ClusterSimulation.java
@@ -35,52 +35,53 @@
  * The product's own decisions, coordinators' and agents', in model time, with frames delayed between them and task
  * times known beforehand. No sockets, threads or links; the periodic heartbeats of links are therefore not counted.
  */
-final class ModelWorld {
+final class ClusterSimulation {
     private static final String SERVICE = "service";
     private static final String INCARNATION = "1";
-    private static final Duration TICK = Duration.ofMillis(20);
-    private static final Duration STATE_READING = Duration.ofSeconds(1);
+    private static final Duration TICK_INTERVAL = Duration.ofMillis(20);
+    private static final Duration MINION_STATE_INTERVAL = Duration.ofSeconds(1);
     private static final long NANOS_PER_MILLI = 1_000_000L;
     private static final String PAYLOAD = "{\"workMillis\":300}";
 
-    private final ModelShape shape;
+    private final ClusterShape shape;
     private final Duration deadline;
-    private final EventQueue queue = new EventQueue();
+    private final EventQueue events = new EventQueue();
     private final List<Dispatcher> coordinators = new ArrayList<>();
     private final List<AgentState> agents = new ArrayList<>();
-    private final Map<JobId, ScheduledJob> open = new HashMap<>();
-    private final Map<JobId, Long> submittedAt = new HashMap<>();
+    private final Map<JobId, ScheduledJob> openJobs = new HashMap<>();
+    private final Map<JobId, Long> submittedNanos = new HashMap<>();
     private final Counts counts = new Counts();
     private final FinishListener listener;
 
-    ModelWorld(ModelShape shape, DispatchSettings settings, Duration deadline, long seed, FinishListener listener) {
+    ClusterSimulation(
+            ClusterShape shape, DispatchSettings settings, Duration deadline, long seed, FinishListener listener) {
         this.shape = shape;
         this.deadline = deadline;
         this.listener = listener;
         for (int coordinator = 0; coordinator < shape.coordinators(); coordinator++) {
-            DispatchSettings own = in(shape.failureDomain(coordinator), settings);
-            coordinators.add(new Dispatcher(own, seed * shape.coordinators() + coordinator));
+            DispatchSettings coordinatorSettings = withFailureDomain(shape.failureDomain(coordinator), settings);
+            coordinators.add(new Dispatcher(coordinatorSettings, seed * shape.coordinators() + coordinator));
         }
         for (int agent = 0; agent < shape.agents(); agent++) {
-            agents.add(agent(agent));
+            agents.add(newAgent(agent));
         }
         connect();
     }
 
     /** Submits jobs at their instants, in turn to the coordinators, and plays until all are done. */
-    Counts play(List<ScheduledJob> jobs) {
+    Counts simulate(List<ScheduledJob> jobs) {
         for (ScheduledJob job : jobs) {
             int coordinator = job.index() % coordinators.size();
-            queue.after(STATE_READING.toNanos() + job.instantNanos(), () -> submit(coordinator, job));
+            events.schedule(MINION_STATE_INTERVAL.toNanos() + job.dueNanos(), () -> submit(coordinator, job));
         }
-        int last = jobs.size();
-        while (counts.finished < last && queue.step()) {
+        int total = jobs.size();
+        while (counts.finished < total && events.runNext()) {
             // Each step may add others.
         }
         return counts;
     }
 
-    private static DispatchSettings in(String failureDomain, DispatchSettings settings) {
+    private static DispatchSettings withFailureDomain(String failureDomain, DispatchSettings settings) {
         return new DispatchSettings(
                 failureDomain,
                 false,
@@ -92,19 +93,19 @@
                 settings.quarantine());
     }
 
-    private AgentState agent(int agent) {
-        MinionCapacity capacity = new MinionCapacity(shape.slots(), 8 * shape.slots(), 0, 0, 0);
-        AgentLimits usual = AgentLimits.forSlots(shape.slots());
-        AgentLimits silent = new AgentLimits(
-                usual.queueBound(),
-                usual.longestTicketAge(),
-                usual.resultRetention(),
-                usual.resultBytes(),
-                usual.answerBytes(),
-                usual.failuresUntilUnhealthy(),
-                usual.statePoll(),
-                usual.drainLinger(),
-                usual.peerSilence(),
+    private AgentState newAgent(int agent) {
+        MinionCapacity capacity = new MinionCapacity(shape.slotsPerAgent(), 8 * shape.slotsPerAgent(), 0, 0, 0);
+        AgentLimits defaults = AgentLimits.forSlots(shape.slotsPerAgent());
+        AgentLimits withoutDecisionLines = new AgentLimits(
+                defaults.queueBound(),
+                defaults.longestTicketAge(),
+                defaults.resultRetention(),
+                defaults.resultBytes(),
+                defaults.answerBytes(),
+                defaults.failuresUntilUnhealthy(),
+                defaults.statePoll(),
+                defaults.drainLinger(),
+                defaults.peerSilence(),
                 false);
         AgentSettings settings = new AgentSettings(
                 agentId(agent).processId(),
@@ -118,7 +119,7 @@
                 capacity,
                 URI.create("http://localhost:1"),
                 new MinionStateSource.Native(),
-                silent);
+                withoutDecisionLines);
         Hello hello = Hello.newBuilder()
                 .setProcessId(settings.processId())
                 .setIncarnation(INCARNATION)
@@ -127,12 +128,12 @@
                 .setService(SERVICE)
                 .setCapacity(capacity.toWire())
                 .build();
-        return new AgentState(settings, hello, agent, queue.now());
+        return new AgentState(settings, hello, agent, events.nowNanos());
     }
 
     private void connect() {
         for (int agent = 0; agent < agents.size(); agent++) {
-            readMinion(agent);
+            reportMinionState(agent);
             for (int coordinator = 0; coordinator < coordinators.size(); coordinator++) {
                 PeerId peer = new PeerId(coordinator);
                 apply(agent, new AgentEvent.PeerConnected(peer));
@@ -147,11 +148,13 @@
         }
     }
 
-    private void readMinion(int agent) {
+    private void reportMinionState(int agent) {
         int running = agents.get(agent).runningTasks();
-        int free = Math.max(0, shape.slots() - running);
-        apply(agent, new AgentEvent.MinionReported(new MinionState.Reported(true, false, free, running), queue.now()));
-        queue.after(STATE_READING.toNanos(), () -> readMinion(agent));
+        int free = Math.max(0, shape.slotsPerAgent() - running);
+        apply(
+                agent,
+                new AgentEvent.MinionReported(new MinionState.Reported(true, false, free, running), events.nowNanos()));
+        events.schedule(MINION_STATE_INTERVAL.toNanos(), () -> reportMinionState(agent));
     }
 
     private void tickAgent(int agent) {
@@ -159,14 +162,14 @@
         if (state.runningTasks() + state.waitingTasks() > 0) {
             apply(agent, new AgentEvent.Ticked());
         }
-        queue.after(TICK.toNanos(), () -> tickAgent(agent));
+        events.schedule(TICK_INTERVAL.toNanos(), () -> tickAgent(agent));
     }
 
     private void tickCoordinator(int coordinator) {
         if (coordinators.get(coordinator).waits()) {
             handle(coordinator, new DispatchEvent.Ticked());
         }
-        queue.after(TICK.toNanos(), () -> tickCoordinator(coordinator));
+        events.schedule(TICK_INTERVAL.toNanos(), () -> tickCoordinator(coordinator));
     }
 
     private void submit(int coordinator, ScheduledJob job) {
@@ -175,18 +178,18 @@
         List<TaskSpecification> tasks =
                 job.taskMillis().stream().map(millis -> task).toList();
         JobSpecification specification = new JobSpecification(SERVICE, job.team(), deadline, tasks);
-        open.put(id, job);
-        submittedAt.put(id, queue.now());
+        openJobs.put(id, job);
+        submittedNanos.put(id, events.nowNanos());
         counts.tasks += tasks.size();
         handle(coordinator, new DispatchEvent.JobSubmitted(id, specification, ServicePolicy.undeclared(SERVICE)));
-        queue.after(shape.claim().toNanos(), () -> handle(coordinator, new DispatchEvent.JobClaimed(id, 1)));
+        events.schedule(shape.claimTime().toNanos(), () -> handle(coordinator, new DispatchEvent.JobClaimed(id, 1)));
     }
 
     private void handle(int coordinator, DispatchEvent event) {
-        for (DispatchEffect effect : coordinators.get(coordinator).handle(event, queue.now())) {
+        for (DispatchEffect effect : coordinators.get(coordinator).handle(event, events.nowNanos())) {
             switch (effect) {
-                case DispatchEffect.SendFrame send -> send(coordinator, send);
-                case DispatchEffect.JobFinished finished -> finished(finished);
+                case DispatchEffect.SendFrame send -> sendToAgent(coordinator, send);
+                case DispatchEffect.JobFinished finished -> jobFinished(finished);
                 case DispatchEffect.CountWaste waste -> counts.wasted++;
                 case DispatchEffect.WriteLine line -> {
                     // Decision lines are off.
@@ -195,13 +198,13 @@
         }
     }
 
-    private void send(int coordinator, DispatchEffect.SendFrame send) {
+    private void sendToAgent(int coordinator, DispatchEffect.SendFrame send) {
         int agent = Integer.parseInt(send.agent().processId().substring("agent-".length()));
         counts.frames++;
-        queue.after(shape.delayNanos(coordinator, agent), () -> deliver(coordinator, agent, send.frame()));
+        events.schedule(shape.delayNanos(coordinator, agent), () -> deliverToAgent(coordinator, agent, send.frame()));
     }
 
-    private void deliver(int coordinator, int agent, Frame frame) {
+    private void deliverToAgent(int coordinator, int agent, Frame frame) {
         PeerId peer = new PeerId(coordinator);
         long request = frame.getRequestId();
         switch (frame.getBodyCase()) {
@@ -217,10 +220,10 @@
     }
 
     private void apply(int agent, AgentEvent event) {
-        for (AgentEffect effect : agents.get(agent).apply(event, queue.now())) {
+        for (AgentEffect effect : agents.get(agent).apply(event, events.nowNanos())) {
             switch (effect) {
-                case AgentEffect.SendTo send -> answer(agent, send);
-                case AgentEffect.RunOnMinion run -> run(agent, run);
+                case AgentEffect.SendTo send -> sendToCoordinator(agent, send);
+                case AgentEffect.RunOnMinion run -> runTask(agent, run);
                 case AgentEffect.WriteLine line -> {
                     // Decision lines are off.
                 }
@@ -231,33 +234,33 @@
         }
     }
 
-    private void run(int agent, AgentEffect.RunOnMinion run) {
-        ScheduledJob job = open.get(new JobId(run.jobId()));
+    private void runTask(int agent, AgentEffect.RunOnMinion run) {
+        ScheduledJob job = openJobs.get(new JobId(run.jobId()));
         if (job == null) {
             throw new IllegalStateException("a start of a job that is over: " + run.jobId());
         }
         counts.starts++;
         long nanos = job.taskMillis().get(run.taskIndex()) * NANOS_PER_MILLI;
         MinionAnswer answer = new MinionAnswer.Success("{}");
-        queue.after(nanos, () -> apply(agent, new AgentEvent.MinionAnswered(run.attemptId(), answer)));
+        events.schedule(nanos, () -> apply(agent, new AgentEvent.MinionAnswered(run.attemptId(), answer)));
     }
 
-    private void answer(int agent, AgentEffect.SendTo send) {
+    private void sendToCoordinator(int agent, AgentEffect.SendTo send) {
         int coordinator = (int) send.peer().number();
         Frame frame = send.frame();
         DispatchEvent event = frame.hasHello()
                 ? new DispatchEvent.AgentConnected(agentId(agent), frame.getHello())
                 : new DispatchEvent.FrameReceived(agentId(agent), frame);
         counts.frames += frame.hasHello() ? 0 : 1;
-        queue.after(shape.delayNanos(coordinator, agent), () -> handle(coordinator, event));
+        events.schedule(shape.delayNanos(coordinator, agent), () -> handle(coordinator, event));
     }
 
-    private void finished(DispatchEffect.JobFinished finished) {
-        ScheduledJob job = open.remove(finished.job());
-        long submitted = submittedAt.remove(finished.job());
+    private void jobFinished(DispatchEffect.JobFinished finished) {
+        ScheduledJob job = openJobs.remove(finished.job());
+        long submitted = submittedNanos.remove(finished.job());
         counts.finished++;
         counts.failed += finished.outcome() instanceof JobOutcome.Complete ? 0 : 1;
-        listener.finished(job, queue.now() - submitted, finished.outcome());
+        listener.jobFinished(job, events.nowNanos() - submitted, finished.outcome());
     }
 
     private static AgentId agentId(int agent) {
@@ -268,7 +271,7 @@
     @FunctionalInterface
     interface FinishListener {
         /** The job ended this many nanoseconds after its submission. */
-        void finished(ScheduledJob job, long responseNanos, JobOutcome outcome);
+        void jobFinished(ScheduledJob job, long responseNanos, JobOutcome outcome);
     }
 
     /** What happened in a model run. */
--- a/load/src/main/java/org/chivetally/load/experiment/ConfigurationCost.java
+++ b/load/src/main/java/org/chivetally/load/experiment/ConfigurationCost.java
@@ -30,94 +30,94 @@
 
 /** Cost of folding one record of configuration, or of members, into a table of a given size. */
 final class ConfigurationCost {
-    private static final int FOLDS = 200;
+    private static final int CHANGES = 200;
     /** Tables filled alike, so that one table's size stands out from the noise of the heap. */
-    private static final int COPIES = 50;
+    private static final int TABLE_COPIES = 50;
 
     private static final String SPEC = "{\"maximumRunning\":500,\"maximumQueued\":5000,\"weight\":%d}";
 
     private ConfigurationCost() {}
 
     /** Measures folds of single writes into a table with so many resources. */
-    static Cost resources(ActorSystem<?> system, int resources, int repeats) throws Exception {
+    static Cost measureResources(ActorSystem<?> system, int resources, int repeats) throws Exception {
         InMemoryPlatformLog log = new InMemoryPlatformLog(system, NanoClock.system(), InMemoryLogSettings.immediate());
         ResourceService service =
                 ResourceService.start(system, log, ResourceSettings.defaults("entry-1"), NanoClock.system());
-        write(service, 0, resources);
-        for (int change = 0; change < FOLDS; change++) {
-            write(service, change, change + 1);
+        writeTeams(service, 0, resources);
+        for (int change = 0; change < CHANGES; change++) {
+            writeTeams(service, change, change + 1);
         }
         service.stop();
         List<LogRecord> records = records(log);
-        List<LogRecord> first = records.subList(0, records.size() - FOLDS);
-        List<LogRecord> changes = records.subList(records.size() - FOLDS, records.size());
+        List<LogRecord> initialRecords = records.subList(0, records.size() - CHANGES);
+        List<LogRecord> changes = records.subList(records.size() - CHANGES, records.size());
         List<ResourceTable> tables = new ArrayList<>();
         long heapBefore = Heap.usedBytes();
-        for (int copy = 0; copy < COPIES; copy++) {
-            tables.add(ResourceTable.empty().fold(first));
+        for (int copy = 0; copy < TABLE_COPIES; copy++) {
+            tables.add(ResourceTable.empty().fold(initialRecords));
         }
-        double heapBytes = (double) (Heap.usedBytes() - heapBefore) / resources / COPIES;
+        double heapBytes = (double) (Heap.usedBytes() - heapBefore) / resources / TABLE_COPIES;
         ResourceTable table = tables.getFirst();
         List<Double> micros = new ArrayList<>();
         for (int repeat = 0; repeat <= repeats; repeat++) {
-            double each = fold(table, changes);
+            double microsPerFold = fold(table, changes);
             if (repeat > 0) {
-                micros.add(each);
+                micros.add(microsPerFold);
             }
         }
         return new Cost(resources, Spread.of(micros), heapBytes);
     }
 
     /** Measures folds of announcements into a table with so many members. */
-    static Cost members(int members, int repeats) {
+    static Cost measureMembers(int members, int repeats) {
         List<byte[]> announcements = new ArrayList<>();
         for (int member = 0; member < members; member++) {
             announcements.add(MemberRecords.write(new MemberRecord.Announce(member(member))));
         }
         List<MembershipView> tables = new ArrayList<>();
         long heapBefore = Heap.usedBytes();
-        for (int copy = 0; copy < COPIES; copy++) {
+        for (int copy = 0; copy < TABLE_COPIES; copy++) {
             MembershipView filled =
                     new MembershipView(member(members), MembershipSettings.standard(Duration.ofMinutes(10)), 0);
             fold(filled, announcements);
             tables.add(filled);
         }
-        double heapBytes = (double) (Heap.usedBytes() - heapBefore) / members / COPIES;
+        double heapBytes = (double) (Heap.usedBytes() - heapBefore) / members / TABLE_COPIES;
         MembershipView table = tables.getFirst();
         List<Double> micros = new ArrayList<>();
         for (int repeat = 0; repeat <= repeats; repeat++) {
-            double each = fold(table, announcements);
+            double microsPerFold = fold(table, announcements);
             if (repeat > 0) {
-                micros.add(each);
+                micros.add(microsPerFold);
             }
         }
         return new Cost(members, Spread.of(micros), heapBytes);
     }
 
     private static double fold(ResourceTable table, List<LogRecord> changes) {
-        ProcessorTime processor = new ProcessorTime();
+        ThreadCpuTimer timer = new ThreadCpuTimer();
         ResourceTable current = table;
-        processor.start();
+        timer.start();
         for (LogRecord change : changes) {
             current = current.fold(List.of(change));
         }
-        processor.stop();
-        return processor.microsEach(changes.size());
+        timer.stop();
+        return timer.microsPerOperationAndReset(changes.size());
     }
 
     private static double fold(MembershipView table, List<byte[]> announcements) {
-        ProcessorTime processor = new ProcessorTime();
-        processor.start();
+        ThreadCpuTimer timer = new ThreadCpuTimer();
+        timer.start();
         for (byte[] announcement : announcements) {
             MemberRecord record = MemberRecords.read(announcement).orElseThrow();
             table.handle(new MembershipEvent.Recorded(record), 1);
         }
-        processor.stop();
-        return processor.microsEach(announcements.size());
+        timer.stop();
+        return timer.microsPerOperationAndReset(announcements.size());
     }
 
     /** Writes the teams of a range of numbers in as few writes as allowed. */
-    private static void write(ResourceService service, int from, int until) throws Exception {
+    private static void writeTeams(ResourceService service, int from, int until) throws Exception {
         for (int first = from; first < until; first += WriteRecord.MAXIMUM_CHANGES) {
             List<Change> changes = new ArrayList<>();
             for (int team = first; team < Math.min(until, first + WriteRecord.MAXIMUM_CHANGES); team++) {
--- a/load/src/main/java/org/chivetally/load/experiment/ControlCostExperiment.java
+++ b/load/src/main/java/org/chivetally/load/experiment/ControlCostExperiment.java
@@ -24,7 +24,8 @@
  */
 public final class ControlCostExperiment {
     /** Frames that carry tasks and their outcomes; all others are control. */
-    private static final Set<String> WORK = Set.of("start", "result", "refusal", "attach", "job_answer", "cancel");
+    private static final Set<String> TASK_FRAMES =
+            Set.of("start", "result", "refusal", "attach", "job_answer", "cancel");
 
     private final Settings settings;
     private final PrintStream progress;
@@ -67,16 +68,16 @@
                 "control bytes/s an agent",
                 "bytes a heartbeat");
         MarkdownTable kinds = new MarkdownTable("entries", "agents", "state", "kind", "frames/s in all", "bytes each");
-        for (Size size : settings.sizes()) {
+        for (ClusterSize size : settings.sizes()) {
             List<Sample> idle = new ArrayList<>();
             List<Sample> loaded = new ArrayList<>();
-            try (ControlPlant plant = new ControlPlant(system, size.entries(), size.agents())) {
-                Thread.sleep(settings.settling());
+            try (LoopbackCluster cluster = new LoopbackCluster(system, size.entries(), size.agents())) {
+                Thread.sleep(settings.settlingTime());
                 for (int repeat = 0; repeat < settings.repeats(); repeat++) {
-                    idle.add(sample(plant, size, () -> Thread.sleep(settings.time())));
+                    idle.add(sample(cluster, size, () -> Thread.sleep(settings.measurementTime())));
                 }
                 for (int repeat = 0; repeat < settings.repeats() && size.loaded(); repeat++) {
-                    loaded.add(sample(plant, size, () -> plant.load(settings.time())));
+                    loaded.add(sample(cluster, size, () -> cluster.submitLoad(settings.measurementTime())));
                 }
             }
             row(table, kinds, size, "idle", idle);
@@ -85,28 +86,31 @@
         page.append(table).append('\n').append(kinds);
     }
 
-    private Sample sample(ControlPlant plant, Size size, Step step) throws InterruptedException {
+    private Sample sample(LoopbackCluster cluster, ClusterSize size, Activity activity) throws InterruptedException {
         long begin = System.nanoTime();
-        Map<String, ControlPlant.Count> before = plant.counts();
-        step.run();
-        Map<String, ControlPlant.Count> grown = new TreeMap<>();
+        Map<String, LoopbackCluster.FrameCount> before = cluster.counts();
+        activity.run();
+        Map<String, LoopbackCluster.FrameCount> rates = new TreeMap<>();
         double seconds = (System.nanoTime() - begin) / 1e9;
-        plant.counts()
-                .forEach((key, count) -> grown.put(
+        cluster.counts()
+                .forEach((key, count) -> rates.put(
                         key,
-                        count.minus(before.getOrDefault(key, new ControlPlant.Count(0, 0)))
-                                .each(seconds)));
-        Sample sample = new Sample(grown);
+                        count.minus(before.getOrDefault(key, new LoopbackCluster.FrameCount(0, 0)))
+                                .dividedBy(seconds)));
+        Sample sample = new Sample(rates);
         progress.println(EventLine.of("control-measured")
                 .with("entries", size.entries())
                 .with("agents", size.agents())
                 .with(
                         "entryBytes",
-                        number(sample.control("entries").each(size.entries()).bytes())));
+                        number(sample.control("entries")
+                                .dividedBy(size.entries())
+                                .bytes())));
         return sample;
     }
 
-    private static void row(MarkdownTable table, MarkdownTable kinds, Size size, String state, List<Sample> samples) {
+    private static void row(
+            MarkdownTable table, MarkdownTable kinds, ClusterSize size, String state, List<Sample> samples) {
         if (samples.isEmpty()) {
             return;
         }
@@ -118,7 +122,7 @@
                 spread(samples, sample -> sample.control("entries").bytes() / size.entries()),
                 spread(samples, sample -> sample.control("agents").frames() / size.agents()),
                 spread(samples, sample -> sample.control("agents").bytes() / size.agents()),
-                spread(samples, Sample::bytesOfHeartbeat));
+                spread(samples, Sample::bytesPerHeartbeat));
         samples.getLast()
                 .kinds()
                 .forEach((kind, count) -> kinds.row(
@@ -140,61 +144,63 @@
     }
 
     /** Rates by "side/direction/kind of frame". */
-    private record Sample(Map<String, ControlPlant.Count> rates) {
-        ControlPlant.Count control(String side) {
-            ControlPlant.Count sum = new ControlPlant.Count(0, 0);
-            for (Map.Entry<String, ControlPlant.Count> rate : rates.entrySet()) {
+    private record Sample(Map<String, LoopbackCluster.FrameCount> rates) {
+        LoopbackCluster.FrameCount control(String side) {
+            LoopbackCluster.FrameCount sum = new LoopbackCluster.FrameCount(0, 0);
+            for (Map.Entry<String, LoopbackCluster.FrameCount> rate : rates.entrySet()) {
                 String[] key = rate.getKey().split("/");
-                if (key[0].equals(side) && !WORK.contains(key[2])) {
+                if (key[0].equals(side) && !TASK_FRAMES.contains(key[2])) {
                     sum = sum.plus(rate.getValue());
                 }
             }
             return sum;
         }
 
-        Map<String, ControlPlant.Count> kinds() {
-            Map<String, ControlPlant.Count> kinds = new TreeMap<>();
+        Map<String, LoopbackCluster.FrameCount> kinds() {
+            Map<String, LoopbackCluster.FrameCount> kinds = new TreeMap<>();
             rates.forEach((key, count) -> {
                 String[] parts = key.split("/");
                 if (parts[1].equals("out") && count.frames() > 0) {
-                    kinds.merge(parts[0] + " " + parts[2], count, ControlPlant.Count::plus);
+                    kinds.merge(parts[0] + " " + parts[2], count, LoopbackCluster.FrameCount::plus);
                 }
             });
             return kinds;
         }
 
-        double bytesOfHeartbeat() {
-            ControlPlant.Count asked = rates.getOrDefault("entries/out/heartbeat", new ControlPlant.Count(0, 0));
-            ControlPlant.Count answered = rates.getOrDefault("agents/out/heartbeat", new ControlPlant.Count(0, 0));
-            double frames = asked.frames() + answered.frames();
-            return frames == 0 ? 0 : (asked.bytes() + answered.bytes()) / frames;
+        double bytesPerHeartbeat() {
+            LoopbackCluster.FrameCount requests =
+                    rates.getOrDefault("entries/out/heartbeat", new LoopbackCluster.FrameCount(0, 0));
+            LoopbackCluster.FrameCount replies =
+                    rates.getOrDefault("agents/out/heartbeat", new LoopbackCluster.FrameCount(0, 0));
+            double frames = requests.frames() + replies.frames();
+            return frames == 0 ? 0 : (requests.bytes() + replies.bytes()) / frames;
         }
     }
 
     /** Entries and agents of one point; idle only when it is not to be loaded. */
-    public record Size(int entries, int agents, boolean loaded) {}
+    public record ClusterSize(int entries, int agents, boolean loaded) {}
 
     /**
      * What is measured.
      *
-     * @param settling time from the start of all processes to the first measurement
-     * @param time length of one measurement
+     * @param settlingTime time from the start of all processes to the first measurement
+     * @param measurementTime length of one measurement
      */
-    public record Settings(List<Size> sizes, int repeats, Duration settling, Duration time) {
+    public record Settings(List<ClusterSize> sizes, int repeats, Duration settlingTime, Duration measurementTime) {
         /** Returns the sizes of the page on control cost. */
         public static Settings all() {
-            List<Size> sizes = List.of(
-                    new Size(1, 11, false),
-                    new Size(3, 11, true),
-                    new Size(9, 11, false),
-                    new Size(3, 50, false),
-                    new Size(3, 150, false),
-                    new Size(9, 150, false));
+            List<ClusterSize> sizes = List.of(
+                    new ClusterSize(1, 11, false),
+                    new ClusterSize(3, 11, true),
+                    new ClusterSize(9, 11, false),
+                    new ClusterSize(3, 50, false),
+                    new ClusterSize(3, 150, false),
+                    new ClusterSize(9, 150, false));
             return new Settings(sizes, 3, Duration.ofSeconds(5), Duration.ofSeconds(45));
         }
     }
 
-    private interface Step {
+    private interface Activity {
         void run() throws InterruptedException;
     }
 
--- a/load/src/main/java/org/chivetally/load/experiment/EventQueue.java
+++ b/load/src/main/java/org/chivetally/load/experiment/EventQueue.java
@@ -4,35 +4,35 @@
 
 /** Steps that are due at model times, taken by rising time; steps of the same time in the order they were added. */
 final class EventQueue {
-    private final PriorityQueue<Step> steps = new PriorityQueue<>();
-    private long added;
-    private long now;
+    private final PriorityQueue<Event> events = new PriorityQueue<>();
+    private long addedCount;
+    private long nowNanos;
 
     /** Adds a step that is due some time from now. */
-    void after(long nanos, Runnable action) {
-        steps.add(new Step(now + nanos, added++, action));
+    void schedule(long delayNanos, Runnable action) {
+        events.add(new Event(nowNanos + delayNanos, addedCount++, action));
     }
 
     /** Carries out the next step; false when there is none. */
-    boolean step() {
-        Step next = steps.poll();
+    boolean runNext() {
+        Event next = events.poll();
         if (next == null) {
             return false;
         }
-        now = next.nanos;
+        nowNanos = next.dueNanos;
         next.action.run();
         return true;
     }
 
     /** Returns the model time in nanoseconds. */
-    long now() {
-        return now;
+    long nowNanos() {
+        return nowNanos;
     }
 
-    private record Step(long nanos, long order, Runnable action) implements Comparable<Step> {
+    private record Event(long dueNanos, long order, Runnable action) implements Comparable<Event> {
         @Override
-        public int compareTo(Step other) {
-            int byTime = Long.compare(nanos, other.nanos);
+        public int compareTo(Event other) {
+            int byTime = Long.compare(dueNanos, other.dueNanos);
             return byTime != 0 ? byTime : Long.compare(order, other.order);
         }
     }
--- a/load/src/main/java/org/chivetally/load/experiment/ControlPlant.java
+++ b/load/src/main/java/org/chivetally/load/experiment/LoopbackCluster.java
@@ -42,10 +42,10 @@
 import org.chivetally.transport.FrameTransport;
 
 /** Entries and agents in this process, over loopback, whose frames are counted apart. */
-final class ControlPlant implements AutoCloseable {
+final class LoopbackCluster implements AutoCloseable {
     private static final String HOST = "127.0.0.1";
-    private static final int SLOTS = 8;
-    private static final int DOMAINS = 3;
+    private static final int SLOTS_PER_AGENT = 8;
+    private static final int FAILURE_DOMAINS = 3;
     private static final String FRAMES = "chivetally.transport.frames";
     private static final String BYTES = "chivetally.transport.bytes";
 
@@ -63,10 +63,11 @@
     private final HttpClient client = HttpClient.newHttpClient();
 
     /** Starts all processes and waits until each entry reaches each agent. */
-    ControlPlant(ActorSystem<?> system, int entryCount, int agentCount) {
+    LoopbackCluster(ActorSystem<?> system, int entryCount, int agentCount) {
         this.system = system;
         this.log = new InMemoryPlatformLog(system, clock, InMemoryLogSettings.immediate());
-        MinionStandInSettings settings = new MinionStandInSettings("minion", SLOTS * agentCount, 64 * agentCount);
+        MinionStandInSettings settings =
+                new MinionStandInSettings("minion", SLOTS_PER_AGENT * agentCount, 64 * agentCount);
         this.minion = join(MinionStandIn.start(system, HOST, 0, settings));
         IntStream.range(0, agentCount).forEach(this::startAgent);
         IntStream.range(0, entryCount).forEach(this::startEntry);
@@ -74,24 +75,24 @@
     }
 
     /** Returns what was counted on both sides, by "side/direction/kind of frame". */
-    Map<String, Count> counts() {
-        Map<String, Count> counts = new TreeMap<>();
-        read(counts, "entries", entryMeters);
-        read(counts, "agents", agentMeters);
+    Map<String, FrameCount> counts() {
+        Map<String, FrameCount> counts = new TreeMap<>();
+        addCounts(counts, "entries", entryMeters);
+        addCounts(counts, "agents", agentMeters);
         return counts;
     }
 
     /** Submits jobs of five tasks of 200 ms that keep half of all slots busy, for a time. */
-    void load(Duration time) throws InterruptedException {
-        double jobsPerSecond = agents.size() * SLOTS * 0.5 / 0.2 / 5;
-        long begin = clock.nanos();
-        List<CompletableFuture<HttpResponse<String>>> open = new ArrayList<>();
-        for (long sent = 0; clock.nanos() - begin < time.toNanos(); sent++) {
-            open.add(submit((int) (sent % entries.size())));
-            long due = begin + (long) ((sent + 1) / jobsPerSecond * 1e9);
-            Thread.sleep(Duration.ofNanos(Math.max(0, due - clock.nanos())));
+    void submitLoad(Duration duration) throws InterruptedException {
+        double jobsPerSecond = agents.size() * SLOTS_PER_AGENT * 0.5 / 0.2 / 5;
+        long beginNanos = clock.nanos();
+        List<CompletableFuture<HttpResponse<String>>> answers = new ArrayList<>();
+        for (long sentCount = 0; clock.nanos() - beginNanos < duration.toNanos(); sentCount++) {
+            answers.add(submit((int) (sentCount % entries.size())));
+            long dueNanos = beginNanos + (long) ((sentCount + 1) / jobsPerSecond * 1e9);
+            Thread.sleep(Duration.ofNanos(Math.max(0, dueNanos - clock.nanos())));
         }
-        for (CompletableFuture<HttpResponse<String>> answer : open) {
+        for (CompletableFuture<HttpResponse<String>> answer : answers) {
             if (answer.join().statusCode() != 200) {
                 throw new IllegalStateException("a job failed: " + answer.join().body());
             }
@@ -123,20 +124,20 @@
     }
 
     private void startAgent(int number) {
-        AgentLimits usual = AgentLimits.forSlots(SLOTS);
+        AgentLimits limits = AgentLimits.forSlots(SLOTS_PER_AGENT);
         AgentSettings settings = new AgentSettings(
                 "agent-" + number,
-                "domain-" + number % DOMAINS,
+                "domain-" + number % FAILURE_DOMAINS,
                 HOST,
                 0,
                 HOST,
                 0,
                 "routing",
                 "minion-" + number,
-                new MinionCapacity(SLOTS, 64, 0, 0, 0),
+                new MinionCapacity(SLOTS_PER_AGENT, 64, 0, 0, 0),
                 URI.create("http://" + HOST + ":" + minion.localAddress().getPort()),
                 new MinionStateSource.Native(),
-                usual);
+                limits);
         AgentServer agent = join(AgentServer.start(system, settings, agentTransport, agentMeters, clock));
         agents.add(agent);
         announcers.add(new MemberAnnouncer(system, log, agent.member(), MemberAnnouncer.DEFAULT_INTERVAL));
@@ -146,39 +147,40 @@
         Address loopback = new Address(HOST, 0);
         EntrySettings settings = new EntrySettings(
                 "entry-" + number,
-                "domain-" + number % DOMAINS,
+                "domain-" + number % FAILURE_DOMAINS,
                 loopback,
                 loopback,
                 loopback,
                 List.of(),
                 ClaimSettings.defaults(Duration.ofMinutes(10), Duration.ofHours(1)),
-                DispatchSettings.defaults("domain-" + number % DOMAINS),
+                DispatchSettings.defaults("domain-" + number % FAILURE_DOMAINS),
                 HeartbeatSettings.standard(),
                 new EntryLimits(1 << 20, 10_000, 10_000, 1 << 26, Duration.ZERO, Duration.ofSeconds(30)));
         entries.add(join(EntryServer.start(system, settings, log, entryTransport, entryMeters, clock)));
     }
 
     private void awaitAgents(EntryServer entry) {
-        while (reached(entry) < agents.size()) {
+        while (reachableAgents(entry) < agents.size()) {
             Thread.onSpinWait();
         }
     }
 
-    private static long reached(EntryServer entry) {
+    private static long reachableAgents(EntryServer entry) {
         return entry.processes().stream()
                 .filter(process -> process.hello().getRole().equals(Member.AGENT))
                 .filter(ObservedProcess::reachable)
                 .count();
     }
 
-    private static void read(Map<String, Count> counts, String side, MeterRegistry meters) {
+    private static void addCounts(Map<String, FrameCount> counts, String side, MeterRegistry meters) {
         for (Meter meter : meters.getMeters()) {
             String name = meter.getId().getName();
             if (meter instanceof Counter counter && (name.equals(FRAMES) || name.equals(BYTES))) {
                 String key = side + "/" + meter.getId().getTag("direction") + "/"
                         + meter.getId().getTag("body");
-                Count one = name.equals(FRAMES) ? new Count(counter.count(), 0) : new Count(0, counter.count());
-                counts.merge(key, one, Count::plus);
+                FrameCount increment =
+                        name.equals(FRAMES) ? new FrameCount(counter.count(), 0) : new FrameCount(0, counter.count());
+                counts.merge(key, increment, FrameCount::plus);
             }
         }
     }
@@ -188,17 +190,17 @@
     }
 
     /** Frames and their bytes. */
-    record Count(double frames, double bytes) {
-        Count plus(Count other) {
-            return new Count(frames + other.frames, bytes + other.bytes);
+    record FrameCount(double frames, double bytes) {
+        FrameCount plus(FrameCount other) {
+            return new FrameCount(frames + other.frames, bytes + other.bytes);
         }
 
-        Count minus(Count other) {
-            return new Count(frames - other.frames, bytes - other.bytes);
+        FrameCount minus(FrameCount other) {
+            return new FrameCount(frames - other.frames, bytes - other.bytes);
         }
 
-        Count each(double divisor) {
-            return new Count(frames / divisor, bytes / divisor);
+        FrameCount dividedBy(double divisor) {
+            return new FrameCount(frames / divisor, bytes / divisor);
         }
     }
 }
--- a/load/src/main/java/org/chivetally/load/experiment/PolicyExperiment.java
+++ b/load/src/main/java/org/chivetally/load/experiment/PolicyExperiment.java
@@ -17,7 +17,7 @@
 import org.chivetally.load.LoadPlan;
 import org.chivetally.load.ResponseRatio;
 import org.chivetally.load.Schedule;
-import org.chivetally.load.SingleQueue;
+import org.chivetally.load.SingleQueueSimulation;
 import org.chivetally.load.Workload;
 import org.chivetally.logging.EventLine;
 import org.chivetally.placement.PlacementPolicy;
@@ -26,7 +26,7 @@
 public final class PolicyExperiment {
     private static final String SINGLE_QUEUE = "single-queue";
 
-    private final LoadPlan base;
+    private final LoadPlan basePlan;
     private final Settings settings;
     private final PrintStream progress;
 
@@ -35,8 +35,8 @@
      *
      * @param base plan whose mixture of jobs is offered, at other loads and seeds
      */
-    public PolicyExperiment(LoadPlan base, Settings settings, PrintStream progress) {
-        this.base = base;
+    public PolicyExperiment(LoadPlan basePlan, Settings settings, PrintStream progress) {
+        this.basePlan = basePlan;
         this.settings = settings;
         this.progress = progress;
     }
@@ -46,55 +46,56 @@
         List<Result> results = new ArrayList<>();
         for (int coordinators : settings.coordinators()) {
             for (double load : settings.loads()) {
-                results.addAll(atLoad(coordinators, load));
+                results.addAll(measureAtLoad(coordinators, load));
             }
         }
         write(folder, results);
     }
 
-    private List<Result> atLoad(int coordinators, double load) {
+    private List<Result> measureAtLoad(int coordinators, double load) {
         List<Result> results = new ArrayList<>();
         for (PlacementPolicy policy : settings.policies()) {
             Measurements measurements = new Measurements();
             for (long seed : settings.seeds()) {
-                play(coordinators, load, policy, seed, measurements);
+                simulate(coordinators, load, policy, seed, measurements);
             }
-            results.add(new Result(coordinators, load, title(policy), measurements));
+            results.add(new Result(coordinators, load, policyName(policy), measurements));
             progress.println(EventLine.of("policy-measured")
-                    .with("policy", title(policy))
+                    .with("policy", policyName(policy))
                     .with("coordinators", coordinators)
                     .with("load", load)
                     .with("p99", measurements.spread(Measure.P99).median()));
         }
-        Measurements floor = new Measurements();
+        Measurements singleQueue = new Measurements();
         for (long seed : settings.seeds()) {
             LoadPlan plan = plan(load, seed);
-            floor.add(SingleQueue.play(plan, Schedule.of(plan)));
+            singleQueue.add(SingleQueueSimulation.simulate(plan, Schedule.of(plan)));
         }
-        results.add(new Result(coordinators, load, SINGLE_QUEUE, floor));
+        results.add(new Result(coordinators, load, SINGLE_QUEUE, singleQueue));
         return results;
     }
 
-    private void play(int coordinators, double load, PlacementPolicy policy, long seed, Measurements measurements) {
+    private void simulate(int coordinators, double load, PlacementPolicy policy, long seed, Measurements measurements) {
         LoadPlan plan = plan(load, seed);
-        ModelShape shape = ModelShape.jylland(coordinators);
-        DispatchSettings usual = DispatchSettings.defaults(shape.failureDomain(0));
-        DispatchSettings chosen = new DispatchSettings(
-                usual.failureDomain(),
+        ClusterShape shape = ClusterShape.jylland(coordinators);
+        DispatchSettings defaults = DispatchSettings.defaults(shape.failureDomain(0));
+        DispatchSettings dispatchSettings = new DispatchSettings(
+                defaults.failureDomain(),
                 false,
                 policy,
-                usual.fencing(),
-                usual.queues(),
-                usual.retries(),
-                usual.speculation(),
-                usual.quarantine());
+                defaults.fencing(),
+                defaults.queues(),
+                defaults.retries(),
+                defaults.speculation(),
+                defaults.quarantine());
         ResponseRatio ratio = new ResponseRatio();
-        ModelWorld world = new ModelWorld(shape, chosen, plan.workload().deadline(), seed, (job, nanos, outcome) -> {
-            if (plan.measures(job.instantNanos())) {
-                ratio.add(nanos, job.idealNanos(shape.allSlots()));
-            }
-        });
-        ModelWorld.Counts counts = world.play(Schedule.of(plan).jobs());
+        ClusterSimulation simulation = new ClusterSimulation(
+                shape, dispatchSettings, plan.workload().deadline(), seed, (job, nanos, outcome) -> {
+                    if (plan.isMeasured(job.dueNanos())) {
+                        ratio.add(nanos, job.idealNanos(shape.totalSlots()));
+                    }
+                });
+        ClusterSimulation.Counts counts = simulation.simulate(Schedule.of(plan).jobs());
         measurements.add(ratio);
         measurements.add(Measure.WASTED, counts.wastedPerTask());
         measurements.add(Measure.MESSAGES, counts.messagesPerTask());
@@ -102,9 +103,9 @@
     }
 
     private LoadPlan plan(double load, long seed) {
-        Workload workload = base.workload();
+        Workload workload = basePlan.workload();
         Workload offered = new Workload(
-                ModelShape.jylland(1).allSlots(),
+                ClusterShape.jylland(1).totalSlots(),
                 new Workload.OfferedLoad.SlotShare(load),
                 List.of(),
                 workload.services(),
@@ -116,11 +117,11 @@
                 Workload.Retries.NONE,
                 workload.deadline());
         return new LoadPlan(
-                base.name(),
+                basePlan.name(),
                 seed,
                 settings.duration(),
                 settings.duration().dividedBy(10),
-                base.targets(),
+                basePlan.targets(),
                 offered,
                 FaultSchedule.NONE,
                 Map.of());
@@ -178,20 +179,20 @@
 
     private void plot(
             Path folder, List<Result> results, int coordinators, Measure measure, String label, boolean logarithmic) {
-        List<String> names = results.stream().map(Result::policy).distinct().toList();
+        List<String> policies = results.stream().map(Result::policy).distinct().toList();
         List<Plots.Series> series = new ArrayList<>();
-        for (String name : names) {
+        for (String policy : policies) {
             List<Plots.Point> points = new ArrayList<>();
             for (Result result : results) {
-                boolean wanted =
-                        result.coordinators() == coordinators && result.policy().equals(name);
-                if (wanted && result.measurements().has(measure)) {
+                boolean selected =
+                        result.coordinators() == coordinators && result.policy().equals(policy);
+                if (selected && result.measurements().has(measure)) {
                     points.add(
                             new Plots.Point(result.load(), result.measurements().spread(measure)));
                 }
             }
             if (!points.isEmpty()) {
-                series.add(new Plots.Series(name, points));
+                series.add(new Plots.Series(policy, points));
             }
         }
         String file = "policies-" + measure.name().toLowerCase(Locale.ROOT) + "-" + coordinators + ".png";
@@ -199,7 +200,7 @@
         Plots.write(folder.resolve(file), new Plots.Axes(title, "offered share of slots", label, logarithmic), series);
     }
 
-    private static String title(PlacementPolicy policy) {
+    private static String policyName(PlacementPolicy policy) {
         if (policy instanceof PlacementPolicy.SlotCredits credits && credits.overcommit() > 0) {
             return policy.title() + "+" + credits.overcommit();
         }
--- a/load/src/main/java/org/chivetally/load/experiment/SlopeExperiment.java
+++ b/load/src/main/java/org/chivetally/load/experiment/SlopeExperiment.java
@@ -18,8 +18,8 @@
  * Measures how costs grow with agents, tasks of a job, teams, claims, resources and members; writes a page and plots.
  */
 public final class SlopeExperiment {
-    private static final int USUAL_AGENTS = 100;
-    private static final int USUAL_TASKS = 25;
+    private static final int DEFAULT_AGENTS = 100;
+    private static final int DEFAULT_TASKS_PER_JOB = 25;
     private static final int CLAIM_REPEATS = 3;
 
     private final Settings settings;
@@ -35,27 +35,37 @@
     /** Measures everything and writes {@code slopes.md} and the plots to a folder. */
     public void run(Path folder) {
         warmUp();
-        startSlope(folder, "agents", settings.agents(), size -> new StartCost.Scenario(size, USUAL_TASKS, 1));
-        startSlope(folder, "tasks of a job", settings.tasks(), size -> new StartCost.Scenario(USUAL_AGENTS, size, 1));
-        startSlope(folder, "teams", settings.teams(), size -> new StartCost.Scenario(USUAL_AGENTS, USUAL_TASKS, size));
+        measureStarts(
+                folder, "agents", settings.agents(), size -> new StartCost.Scenario(size, DEFAULT_TASKS_PER_JOB, 1));
+        measureStarts(
+                folder, "tasks of a job", settings.tasks(), size -> new StartCost.Scenario(DEFAULT_AGENTS, size, 1));
+        measureStarts(
+                folder,
+                "teams",
+                settings.teams(),
+                size -> new StartCost.Scenario(DEFAULT_AGENTS, DEFAULT_TASKS_PER_JOB, size));
         ActorSystem<Void> system = ActorSystem.create(
                 Behaviors.empty(),
                 "slopes",
                 ConfigFactory.parseString("pekko.loglevel = ERROR").withFallback(ConfigFactory.load()));
         try {
-            claimSlope(folder, system);
-            foldSlope(folder, "resources", settings.resources(), size -> {
+            measureClaims(folder, system);
+            measureFolds(folder, "resources", settings.resources(), size -> {
                 try {
-                    return ConfigurationCost.resources(system, size, settings.repeats());
+                    return ConfigurationCost.measureResources(system, size, settings.repeats());
                 } catch (Exception failure) {
-                    throw broken(failure);
+                    throw experimentFailure(failure);
                 }
             });
         } finally {
             system.terminate();
             system.getWhenTerminated().toCompletableFuture().join();
         }
-        foldSlope(folder, "members", settings.members(), size -> ConfigurationCost.members(size, settings.repeats()));
+        measureFolds(
+                folder,
+                "members",
+                settings.members(),
+                size -> ConfigurationCost.measureMembers(size, settings.repeats()));
         try {
             Files.createDirectories(folder);
             Files.writeString(folder.resolve("slopes.md"), page);
@@ -67,43 +77,43 @@
     /** Has the code of all scenarios compiled, so that the first ones measured don't look dearer than the others. */
     private void warmUp() {
         for (int tasks : settings.tasks()) {
-            new StartCost(new StartCost.Scenario(USUAL_AGENTS, tasks, 1)).measure(1);
+            new StartCost(new StartCost.Scenario(DEFAULT_AGENTS, tasks, 1)).measure(1);
         }
-        ConfigurationCost.members(settings.members().getLast(), settings.repeats());
+        ConfigurationCost.measureMembers(settings.members().getLast(), settings.repeats());
     }
 
-    private void startSlope(Path folder, String what, List<Integer> sizes, ScenarioOfSize scenarios) {
-        MarkdownTable table = new MarkdownTable(what, "us a start", "lowest to highest", "bytes a start");
+    private void measureStarts(Path folder, String parameter, List<Integer> sizes, ScenarioFactory scenarioFactory) {
+        MarkdownTable table = new MarkdownTable(parameter, "us a start", "lowest to highest", "bytes a start");
         List<LineFit.Point> fitted = new ArrayList<>();
         List<Plots.Point> plotted = new ArrayList<>();
         for (int size : sizes) {
-            StartCost.Cost cost = new StartCost(scenarios.of(size)).measure(settings.repeats());
+            StartCost.Cost cost = new StartCost(scenarioFactory.forSize(size)).measure(settings.repeats());
             fitted.add(new LineFit.Point(size, cost.micros().median()));
             plotted.add(new Plots.Point(size, cost.micros()));
             table.row(
                     Integer.toString(size),
                     number(cost.micros().median(), 2),
                     range(cost.micros(), 2),
-                    number(cost.bytes(), 0));
-            report("start", what, size, cost.micros().median());
+                    number(cost.bytesPerStart(), 0));
+            report("start", parameter, size, cost.micros().median());
         }
-        section("Start at a coordinator by " + what, table, fitted, "us");
-        plot(folder, "start-by-" + what, what, "us a start", plotted);
+        section("Start at a coordinator by " + parameter, table, fitted, "us");
+        plot(folder, "start-by-" + parameter, parameter, "us a start", plotted);
     }
 
-    private void claimSlope(Path folder, ActorSystem<?> system) {
+    private void measureClaims(Path folder, ActorSystem<?> system) {
         MarkdownTable table = new MarkdownTable(
                 "claims", "heap bytes a claim", "recovery s", "claims decided a second", "log bytes a record");
         List<LineFit.Point> recoveries = new ArrayList<>();
         List<Plots.Point> heap = new ArrayList<>();
         List<Plots.Point> recovery = new ArrayList<>();
-        ClaimCost experiment = new ClaimCost(system);
+        ClaimCost claimCost = new ClaimCost(system);
         try {
-            experiment.measure(settings.claims().getFirst());
+            claimCost.measure(settings.claims().getFirst());
             for (int claims : settings.claims()) {
                 List<ClaimCost.Cost> costs = new ArrayList<>();
                 for (int repeat = 0; repeat < Math.min(CLAIM_REPEATS, settings.repeats()); repeat++) {
-                    costs.add(experiment.measure(claims));
+                    costs.add(claimCost.measure(claims));
                 }
                 Spread bytes =
                         Spread.of(costs.stream().map(ClaimCost.Cost::heapBytes).toList());
@@ -123,19 +133,19 @@
                 report("claim", "claims", claims, bytes.median());
             }
         } catch (Exception failure) {
-            throw broken(failure);
+            throw experimentFailure(failure);
         }
         section("Claims in the window", table, recoveries, "s of recovery");
         plot(folder, "claim-heap", "claims in the table", "heap bytes a claim", heap);
         plot(folder, "claim-recovery", "claims in the stream", "recovery of a fresh process, s", recovery);
     }
 
-    private void foldSlope(Path folder, String what, List<Integer> sizes, FoldOfSize folds) {
-        MarkdownTable table = new MarkdownTable(what, "us a fold", "lowest to highest", "heap bytes of one");
+    private void measureFolds(Path folder, String parameter, List<Integer> sizes, FoldMeasurement measurement) {
+        MarkdownTable table = new MarkdownTable(parameter, "us a fold", "lowest to highest", "heap bytes of one");
         List<LineFit.Point> fitted = new ArrayList<>();
         List<Plots.Point> plotted = new ArrayList<>();
         for (int size : sizes) {
-            ConfigurationCost.Cost cost = folds.of(size);
+            ConfigurationCost.Cost cost = measurement.atSize(size);
             fitted.add(new LineFit.Point(size, cost.micros().median()));
             plotted.add(new Plots.Point(size, cost.micros()));
             table.row(
@@ -143,10 +153,10 @@
                     number(cost.micros().median(), 2),
                     range(cost.micros(), 2),
                     number(cost.heapBytes(), 0));
-            report("fold", what, size, cost.micros().median());
+            report("fold", parameter, size, cost.micros().median());
         }
-        section("Fold of one record by " + what, table, fitted, "us");
-        plot(folder, "fold-by-" + what, what, "us a fold", plotted);
+        section("Fold of one record by " + parameter, table, fitted, "us");
+        plot(folder, "fold-by-" + parameter, parameter, "us a fold", plotted);
     }
 
     private void section(String title, MarkdownTable table, List<LineFit.Point> points, String unit) {
@@ -167,10 +177,10 @@
                 file, new Plots.Axes(name, x, y, false), List.of(new Plots.Series("median, lowest, highest", points)));
     }
 
-    private void report(String cost, String what, int size, double value) {
+    private void report(String cost, String parameter, int size, double value) {
         progress.println(EventLine.of("slope-measured")
                 .with("cost", cost)
-                .with("by", what)
+                .with("by", parameter)
                 .with("size", size)
                 .with("value", number(value, 3)));
     }
@@ -183,7 +193,7 @@
         return number(spread.lowest(), decimals) + " to " + number(spread.highest(), decimals);
     }
 
-    private static ChivetallyException broken(Exception failure) {
+    private static ChivetallyException experimentFailure(Exception failure) {
         return new ChivetallyException(ErrorCode.INTERNAL, "the experiment broke: " + failure, failure);
     }
 
@@ -209,11 +219,11 @@
         }
     }
 
-    private interface ScenarioOfSize {
-        StartCost.Scenario of(int size);
+    private interface ScenarioFactory {
+        StartCost.Scenario forSize(int size);
     }
 
-    private interface FoldOfSize {
-        ConfigurationCost.Cost of(int size);
+    private interface FoldMeasurement {
+        ConfigurationCost.Cost atSize(int size);
     }
 }
--- a/load/src/main/java/org/chivetally/load/experiment/StartCost.java
+++ b/load/src/main/java/org/chivetally/load/experiment/StartCost.java
@@ -32,36 +32,36 @@
     private static final String INCARNATION = "1";
     private static final Duration DEADLINE = Duration.ofSeconds(60);
     private static final long STEP_NANOS = 10_000_000;
-    private static final int SLOTS = 8;
+    private static final int SLOTS_PER_AGENT = 8;
     private static final double BUSY_SHARE = 0.6;
-    private static final int WARMING_STARTS = 20_000;
+    private static final int WARM_UP_STARTS = 20_000;
     private static final int MEASURED_STARTS = 20_000;
     private static final String PAYLOAD = "{\"workMillis\":300,\"token\":\"r1/1234/5\",\"answer\":\"r1/1234/5\"}";
-    private static final String BODY = "{\"task\":5,\"answer\":\"r1/1234/5\",\"minion\":\"minion-10\"}";
+    private static final String RESULT_BODY = "{\"task\":5,\"answer\":\"r1/1234/5\",\"minion\":\"minion-10\"}";
 
     private final Scenario scenario;
     private final Dispatcher dispatcher;
-    private final ProcessorTime processor = new ProcessorTime();
-    private final List<Sent> sent = new ArrayList<>();
-    private long now;
-    private long jobs;
-    private long starts;
-    private long frames;
-    private long bytes;
+    private final ThreadCpuTimer timer = new ThreadCpuTimer();
+    private final List<SentFrame> sentFrames = new ArrayList<>();
+    private long nowNanos;
+    private long submittedJobs;
+    private long startCount;
+    private long reportCount;
+    private long frameBytes;
 
     StartCost(Scenario scenario) {
         this.scenario = scenario;
-        DispatchSettings usual = DispatchSettings.defaults("domain-0");
-        DispatchSettings quiet = new DispatchSettings(
-                usual.failureDomain(),
+        DispatchSettings defaults = DispatchSettings.defaults("domain-0");
+        DispatchSettings withoutDecisionLines = new DispatchSettings(
+                defaults.failureDomain(),
                 false,
-                usual.policy(),
-                usual.fencing(),
-                usual.queues(),
-                usual.retries(),
-                usual.speculation(),
-                usual.quarantine());
-        this.dispatcher = new Dispatcher(quiet, 1);
+                defaults.policy(),
+                defaults.fencing(),
+                defaults.queues(),
+                defaults.retries(),
+                defaults.speculation(),
+                defaults.quarantine());
+        this.dispatcher = new Dispatcher(withoutDecisionLines, 1);
         handle(new DispatchEvent.LeaseChanged(true));
         for (int agent = 0; agent < scenario.agents(); agent++) {
             handle(new DispatchEvent.AgentConnected(agentId(agent), hello(agent)));
@@ -70,41 +70,41 @@
 
     /** Measures several times after a warm-up. */
     Cost measure(int repeats) {
-        startMany(WARMING_STARTS);
-        processor.microsEach(1);
+        runStarts(WARM_UP_STARTS);
+        timer.microsPerOperationAndReset(1);
         List<Double> micros = new ArrayList<>();
-        long bytesBefore = bytes;
-        long startsBefore = starts;
+        long bytesBefore = frameBytes;
+        long startsBefore = startCount;
         for (int repeat = 0; repeat < repeats; repeat++) {
-            long before = starts;
-            startMany(MEASURED_STARTS);
-            micros.add(processor.microsEach(starts - before));
+            long startsBeforeRepeat = startCount;
+            runStarts(MEASURED_STARTS);
+            micros.add(timer.microsPerOperationAndReset(startCount - startsBeforeRepeat));
         }
-        return new Cost(Spread.of(micros), (double) (bytes - bytesBefore) / (starts - startsBefore));
+        return new Cost(Spread.of(micros), (double) (frameBytes - bytesBefore) / (startCount - startsBefore));
     }
 
-    private void startMany(int wanted) {
-        long until = starts + wanted;
-        int together = Math.max(1, (int) (scenario.agents() * SLOTS * BUSY_SHARE));
-        int jobsTogether = Math.max(1, together / scenario.tasksPerJob());
-        while (starts < until) {
-            processor.start();
-            for (int job = 0; job < jobsTogether; job++) {
+    private void runStarts(int count) {
+        long targetCount = startCount + count;
+        int concurrentTasks = Math.max(1, (int) (scenario.agents() * SLOTS_PER_AGENT * BUSY_SHARE));
+        int concurrentJobs = Math.max(1, concurrentTasks / scenario.tasksPerJob());
+        while (startCount < targetCount) {
+            timer.start();
+            for (int job = 0; job < concurrentJobs; job++) {
                 submit();
             }
-            processor.stop();
+            timer.stop();
             answerAll();
-            now += STEP_NANOS;
-            processor.start();
+            nowNanos += STEP_NANOS;
+            timer.start();
             handle(new DispatchEvent.Ticked());
-            processor.stop();
+            timer.stop();
         }
     }
 
     private void submit() {
-        JobId id = new JobId("job-" + jobs);
-        String team = "team-" + jobs % scenario.teams();
-        jobs++;
+        JobId id = new JobId("job-" + submittedJobs);
+        String team = "team-" + submittedJobs % scenario.teams();
+        submittedJobs++;
         List<TaskSpecification> tasks = new ArrayList<>(scenario.tasksPerJob());
         for (int task = 0; task < scenario.tasksPerJob(); task++) {
             tasks.add(new TaskSpecification(PAYLOAD, Resources.NONE));
@@ -116,42 +116,42 @@
 
     /** Answers starts until none is open; tasks that waited for a slot are started by the answers to others. */
     private void answerAll() {
-        while (!sent.isEmpty()) {
-            List<Answer> answers = new ArrayList<>();
-            for (Sent frame : sent) {
-                answers.add(new Answer(frame.agent(), answer(frame.bytes())));
+        while (!sentFrames.isEmpty()) {
+            List<AgentFrame> answers = new ArrayList<>();
+            for (SentFrame frame : sentFrames) {
+                answers.add(new AgentFrame(frame.agent(), agentReply(frame.bytes())));
             }
-            sent.clear();
-            processor.start();
-            for (Answer answer : answers) {
-                bytes += onWire(answer.bytes().length);
+            sentFrames.clear();
+            timer.start();
+            for (AgentFrame answer : answers) {
+                frameBytes += framedLength(answer.bytes().length);
                 handle(new DispatchEvent.FrameReceived(answer.agent(), parse(answer.bytes())));
             }
-            processor.stop();
+            timer.stop();
         }
     }
 
     private void handle(DispatchEvent event) {
-        for (DispatchEffect effect : dispatcher.handle(event, now)) {
+        for (DispatchEffect effect : dispatcher.handle(event, nowNanos)) {
             if (effect instanceof DispatchEffect.SendFrame send) {
                 byte[] encoded = send.frame().toByteArray();
-                bytes += onWire(encoded.length);
-                sent.add(new Sent(send.agent(), encoded));
+                frameBytes += framedLength(encoded.length);
+                sentFrames.add(new SentFrame(send.agent(), encoded));
             }
         }
     }
 
-    private byte[] answer(byte[] bytes) {
+    private byte[] agentReply(byte[] bytes) {
         Frame frame = parse(bytes);
         if (!frame.hasStart()) {
-            return heartbeat(frame);
+            return heartbeatReply(frame);
         }
-        starts++;
+        startCount++;
         Start start = frame.getStart();
         Result result = Result.newBuilder()
                 .setAttemptId(start.getAttemptId())
                 .setStatus(TaskStatus.TASK_STATUS_DONE)
-                .setBody(BODY)
+                .setBody(RESULT_BODY)
                 .setRunMicros(300_000)
                 .setReport(report())
                 .build();
@@ -162,18 +162,18 @@
                 .toByteArray();
     }
 
-    private byte[] heartbeat(Frame question) {
-        Frame.Builder answer = question.toBuilder();
+    private byte[] heartbeatReply(Frame request) {
+        Frame.Builder answer = request.toBuilder();
         answer.getHeartbeatBuilder().setAnswer(true).setReport(report());
         return answer.build().toByteArray();
     }
 
     private Report report() {
-        frames++;
+        reportCount++;
         return Report.newBuilder()
-                .setTicket(1L << 60 | frames)
-                .setFreeSlots(SLOTS)
-                .setSequence(frames)
+                .setTicket(1L << 60 | reportCount)
+                .setFreeSlots(SLOTS_PER_AGENT)
+                .setSequence(reportCount)
                 .build();
     }
 
@@ -184,7 +184,7 @@
                 .setFailureDomain("domain-" + agent % 3)
                 .setRole("agent")
                 .setService(SERVICE)
-                .setCapacity(Capacity.newBuilder().setSlots(SLOTS).setConnections(64))
+                .setCapacity(Capacity.newBuilder().setSlots(SLOTS_PER_AGENT).setConnections(64))
                 .setReport(report())
                 .build();
     }
@@ -201,7 +201,7 @@
         }
     }
 
-    private static int onWire(int length) {
+    private static int framedLength(int length) {
         return CodedOutputStream.computeUInt32SizeNoTag(length) + length;
     }
 
@@ -209,9 +209,9 @@
     record Scenario(int agents, int tasksPerJob, int teams) {}
 
     /** Processor time of a start in microseconds, and bytes of its frames both ways. */
-    record Cost(Spread micros, double bytes) {}
+    record Cost(Spread micros, double bytesPerStart) {}
 
-    private record Sent(AgentId agent, byte[] bytes) {}
+    private record SentFrame(AgentId agent, byte[] bytes) {}
 
-    private record Answer(AgentId agent, byte[] bytes) {}
+    private record AgentFrame(AgentId agent, byte[] bytes) {}
 }
--- a/load/src/test/java/org/chivetally/load/CountersTest.java
+++ b/load/src/test/java/org/chivetally/load/CountersTest.java
@@ -11,7 +11,7 @@
 
 class CountersTest {
     @Test
-    void framesBytesAndWasteAreReadByKind() throws IOException {
+    void framesBytesAndWastedMessagesAreParsedByKind() throws IOException {
         Counters counters = parsed();
         assertThat(counters.frames(), is(Map.of("start", 100L, "result", 98L, "refusal", 2L)));
         assertThat(counters.bytes(), is(24_800L));
@@ -19,9 +19,9 @@
     }
 
     @Test
-    void lowerCountIsThatOfARestartedProcess() throws IOException {
+    void lowerCountIsTreatedAsRestart() throws IOException {
         Counters earlier = new Counters(Map.of("start", 60L, "result", 500L), 0, Map.of());
-        Counters growth = parsed().since(earlier);
+        Counters growth = parsed().increaseSince(earlier);
         assertThat(growth.frames(), is(Map.of("start", 40L, "result", 98L, "refusal", 2L)));
     }
 
--- a/load/src/test/java/org/chivetally/load/FakeEntry.java
+++ b/load/src/test/java/org/chivetally/load/FakeEntry.java
@@ -37,7 +37,7 @@
         server.createContext("/readyz", exchange -> answer(exchange, "ok"));
         server.createContext("/metrics", exchange -> answer(exchange, ""));
         server.createContext("/starts", exchange -> answer(exchange, String.join("\n", starts)));
-        server.createContext("/v1/jobs", this::jobs);
+        server.createContext("/v1/jobs", this::handleJobs);
         server.start();
     }
 
@@ -51,7 +51,7 @@
         threads.close();
     }
 
-    private void jobs(HttpExchange exchange) throws IOException {
+    private void handleJobs(HttpExchange exchange) throws IOException {
         String key = exchange.getRequestHeaders().getFirst("Idempotency-Key");
         if (key == null) {
             String name = exchange.getRequestURI().getPath().split("/")[3];
@@ -59,16 +59,16 @@
             return;
         }
         String body = new String(exchange.getRequestBody().readAllBytes(), StandardCharsets.UTF_8);
-        answer(exchange, answers.computeIfAbsent(key, unused -> run(key, body)));
+        answer(exchange, answers.computeIfAbsent(key, unused -> runJob(key, body)));
     }
 
-    private String run(String key, String body) {
+    private String runJob(String key, String body) {
         ObjectNode answer = MAPPER.createObjectNode();
         answer.put("job", key.replace('/', '.')).put("state", "complete");
-        ArrayNode list = answer.putArray("answers");
+        ArrayNode answerNodes = answer.putArray("answers");
         for (JsonNode task : MAPPER.readTree(body).path("tasks")) {
             String token = task.path("payload").path("token").asString();
-            list.add(token);
+            answerNodes.add(token);
             starts.addAll(startLines(token));
         }
         return MAPPER.writeValueAsString(answer);
--- a/load/src/test/java/org/chivetally/load/FaultScheduleTest.java
+++ b/load/src/test/java/org/chivetally/load/FaultScheduleTest.java
@@ -13,7 +13,7 @@
 
 class FaultScheduleTest {
     @Test
-    void processStepsComeInOrderWithTheirEnds() {
+    void processStepsAreSortedAndIncludeEnds() {
         FaultSchedule schedule = new FaultSchedule(List.of(
                 new ProcessFault(Duration.ofSeconds(5), Duration.ofSeconds(3), "entry-2", Action.KILL),
                 new Fault.StandInFault(Duration.ofSeconds(1), Duration.ZERO, "log", "{}"),
@@ -24,11 +24,11 @@
     }
 
     @Test
-    void stopLastsFromTheRequestToTheEndOfTheProcess() {
+    void gracefulStopLastsFromTerminateToProcessEnd() {
         ProcessFaultLog log = ProcessFaultLog.parse(List.of(
                 "1000 terminate entry-1", "1200 kill agent-3", "nonsense", "1500 ended entry-1", "2000 start entry-1"));
         RunClock clock = new RunClock(() -> 0, 0);
-        List<GracefulStop> stops = log.stops(clock);
+        List<GracefulStop> stops = log.gracefulStops(clock);
         long begin = clock.nanosAt(1000);
         assertThat(stops, contains(new GracefulStop("entry-1", begin, begin + 500_000_000L)));
         assertThat(log.counts(), is(Map.of("terminate entry-1", 1, "kill agent-3", 1)));
--- a/load/src/test/java/org/chivetally/load/BalancerTest.java
+++ b/load/src/test/java/org/chivetally/load/LoadBalancerTest.java
@@ -12,10 +12,10 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-class BalancerTest {
+class LoadBalancerTest {
     private final HttpClient client = HttpClient.newHttpClient();
     private final List<Target> entries = List.of(entry("1"), entry("2"), entry("3"));
-    private final Balancer balancer = new Balancer(client, entries);
+    private final LoadBalancer loadBalancer = new LoadBalancer(client, entries);
 
     @AfterEach
     void close() {
@@ -23,19 +23,19 @@
     }
 
     @Test
-    void entriesComeInTurn() {
-        for (int turn = 0; turn < 6; turn++) {
-            assertThat(balancer.choose(Set.of()), is(entries.get(turn % 3)));
+    void entriesAreChosenRoundRobin() {
+        for (int index = 0; index < 6; index++) {
+            assertThat(loadBalancer.choose(Set.of()), is(entries.get(index % 3)));
         }
     }
 
     /** A repeat is to go to another entry than the first request, but no balancer sends to one that is stopping. */
     @Test
-    void readyEntryGoesBeforeAnotherOne() {
-        balancer.markUnready(entries.get(2));
-        for (int turn = 0; turn < 6; turn++) {
-            assertThat(balancer.choose(Set.of("1", "2")), is(not(entries.get(2))));
-            assertThat(balancer.choose(Set.of("1")), is(entries.get(1)));
+    void readinessOutranksAvoidance() {
+        loadBalancer.markUnready(entries.get(2));
+        for (int index = 0; index < 6; index++) {
+            assertThat(loadBalancer.choose(Set.of("1", "2")), is(not(entries.get(2))));
+            assertThat(loadBalancer.choose(Set.of("1")), is(entries.get(1)));
         }
     }
 
--- a/load/src/test/java/org/chivetally/load/LoadPlanReaderTest.java
+++ b/load/src/test/java/org/chivetally/load/LoadPlanReaderTest.java
@@ -32,7 +32,7 @@
                 "load-overload",
                 "load-faults"
             })
-    void exampleIsReadAndNamesOnlyItsOwnTargets(String name) throws IOException {
+    void exampleIsValidAndFaultsReferToItsTargets(String name) throws IOException {
         LoadPlan plan = example(name);
         assertThat(plan.name(), is(name));
         assertThat(plan.targets().entries(), hasSize(3));
@@ -43,7 +43,7 @@
     }
 
     @Test
-    void valuesArriveWhereTheyBelong() throws IOException {
+    void valuesAreReadIntoTheirFields() throws IOException {
         LoadPlan plan = example("load-jylland-50");
         assertThat(plan.duration(), is(Duration.ofSeconds(90)));
         assertThat(plan.workload().deadline(), is(Duration.ofSeconds(60)));
@@ -53,12 +53,12 @@
     }
 
     @Test
-    void everyMistakeIsReportedWithItsPlace() throws IOException {
-        LoadPlanReader.Reading<LoadPlan> reading =
+    void everyMistakeIsReportedWithItsPath() throws IOException {
+        LoadPlanReader.ReadResult<LoadPlan> result =
                 LoadPlanReader.read("plan.yaml", resource("mistakes.yaml"), Optional.empty());
-        assertThat(reading.content().isEmpty(), is(true));
+        assertThat(result.content().isEmpty(), is(true));
         assertThat(
-                reading.mistakes().list().stream().map(Mistake::path).sorted().toList(),
+                result.mistakes().list().stream().map(Mistake::path).sorted().toList(),
                 contains(
                         "faults[0].action",
                         "goals.respons-p50",
@@ -69,7 +69,7 @@
     }
 
     @Test
-    void targetsOfALayoutReplaceThePlansOwn() {
+    void targetsAreReadFromSeparateFile() {
         String text = "targets: {entries: [{name: e, url: \"http://127.0.0.1:9\"}]}";
         Targets targets =
                 LoadPlanReader.readTargets("targets.yaml", text).content().orElseThrow();
@@ -78,9 +78,9 @@
 
     private static LoadPlan example(String name) throws IOException {
         String text = Files.readString(EXAMPLES.resolve(name + ".yaml"));
-        LoadPlanReader.Reading<LoadPlan> reading = LoadPlanReader.read(name, text, Optional.empty());
-        assertThat(reading.mistakes().text(), reading.mistakes().isEmpty());
-        return reading.content().orElseThrow();
+        LoadPlanReader.ReadResult<LoadPlan> result = LoadPlanReader.read(name, text, Optional.empty());
+        assertThat(result.mistakes().text(), result.mistakes().isEmpty());
+        return result.content().orElseThrow();
     }
 
     private static String resource(String name) throws IOException {
--- a/load/src/test/java/org/chivetally/load/LoadPlans.java
+++ b/load/src/test/java/org/chivetally/load/LoadPlans.java
@@ -19,7 +19,7 @@
                 List.of(new Workload.ServiceShare("service", false, Duration.ZERO, 1)),
                 List.of(new Workload.TeamShare("team", 1)),
                 List.of(new Workload.JobSize(1, 3), new Workload.JobSize(5, 1)),
-                List.of(new Workload.TaskTimeBand(Duration.ofMillis(5), Duration.ofMillis(50), 1)),
+                List.of(new Workload.TaskTimeRange(Duration.ofMillis(5), Duration.ofMillis(50), 1)),
                 new Workload.Resubmissions(0.2, 1, List.of(Duration.ZERO, Duration.ofMillis(100))),
                 new Workload.Cancellations(0.1, Duration.ofMillis(20), List.of()),
                 Workload.Retries.NONE,
