--- a/load/src/test/java/org/chivetally/load/LoadRunTest.java
+++ b/load/src/test/java/org/chivetally/load/LoadRunTest.java
@@ -15,31 +15,31 @@
 
 class LoadRunTest {
     private static final Duration DURATION = Duration.ofSeconds(1);
-    private static final PrintStream NOWHERE = new PrintStream(OutputStream.nullOutputStream());
+    private static final PrintStream DISCARDED = new PrintStream(OutputStream.nullOutputStream());
 
     @Test
-    void everyJobIsJudgedAgainstTheRecordOfStarts() throws IOException, InterruptedException {
+    void everyJobIsCheckedAgainstStartRecords() throws IOException, InterruptedException {
         try (FakeEntry entry = new FakeEntry(1)) {
             LoadReport report = run(entry);
             assertThat(report.jobs(), greaterThan(10));
-            assertThat(report.verdict().clean(), is(true));
-            assertThat(report.verdict().unrecordedAnswers().isEmpty(), is(true));
+            assertThat(report.checkResult().passed(), is(true));
+            assertThat(report.checkResult().unrecordedAnswers().isEmpty(), is(true));
             assertThat(ReportJson.of(report), containsString("\"duplicateStarts\" : [ ]"));
         }
     }
 
     @Test
-    void entryThatStartsTasksTwiceIsFoundOut() throws IOException, InterruptedException {
+    void duplicateStartsFailTheRun() throws IOException, InterruptedException {
         try (FakeEntry entry = new FakeEntry(2)) {
             LoadReport report = run(entry);
-            assertThat(report.verdict().duplicateStarts().size(), greaterThan(0));
-            assertThat(report.good(), is(false));
+            assertThat(report.checkResult().duplicateStarts().size(), greaterThan(0));
+            assertThat(report.passed(), is(false));
         }
     }
 
     private static LoadReport run(FakeEntry entry) throws InterruptedException {
         List<URI> address = List.of(entry.address());
-        try (LoadRun run = new LoadRun(LoadPlans.small(3, DURATION, address, address), NOWHERE, RunFolders.NONE)) {
+        try (LoadRun run = new LoadRun(LoadPlans.small(3, DURATION, address, address), DISCARDED, RunFiles.NONE)) {
             return run.run();
         }
     }
--- a/load/src/test/java/org/chivetally/load/ResponseRatioTest.java
+++ b/load/src/test/java/org/chivetally/load/ResponseRatioTest.java
@@ -8,7 +8,7 @@
 
 class ResponseRatioTest {
     @Test
-    void percentilesAreOfTheQuotients() {
+    void percentilesAreOfResponseOverIdealTime() {
         ResponseRatio ratio = new ResponseRatio();
         for (int percent = 1; percent <= 100; percent++) {
             ratio.add(1_000_000_000L + percent * 10_000_000L, 1_000_000_000L);
@@ -20,7 +20,7 @@
     }
 
     @Test
-    void noJobsGiveZero() {
+    void percentileWithoutJobsIsZero() {
         assertThat(new ResponseRatio().percentile(99), is(0.0));
     }
 }
--- a/load/src/test/java/org/chivetally/load/ScheduleTest.java
+++ b/load/src/test/java/org/chivetally/load/ScheduleTest.java
@@ -15,13 +15,13 @@
     private static final Duration DURATION = Duration.ofSeconds(1000);
 
     @Test
-    void sameSeedGivesTheSameScheduleAndAnotherSeedAnother() {
+    void scheduleIsDeterminedBySeed() {
         assertThat(schedule(7), equalTo(schedule(7)));
         assertThat(schedule(7), not(equalTo(schedule(8))));
     }
 
     @Test
-    void offeredShareOfSlotsIsReachedInsideAndOutsideOfPhases() {
+    void offeredLoadMatchesPlanInsideAndOutsidePhases() {
         Schedule schedule = schedule(7);
         assertThat(load(schedule, 0, 500), closeTo(0.5, 0.025));
         assertThat(load(schedule, 500, 750), closeTo(1.5, 0.075));
@@ -29,7 +29,7 @@
     }
 
     @Test
-    void sharesOfRepeatsAndCancellationsAreReached() {
+    void sharesOfRepeatsAndCancellationsMatchPlan() {
         Schedule schedule = schedule(7);
         double jobs = schedule.jobs().size();
         long repeated = schedule.jobs().stream()
@@ -43,7 +43,7 @@
     }
 
     @Test
-    void idealIsTheLongestTaskOrTheWorkSpreadOverTheSlots() {
+    void idealTimeIsLongestTaskOrWorkDividedBySlots() {
         ScheduledJob job = schedule(7).jobs().getFirst();
         ScheduledJob wide = new ScheduledJob(
                 0, 0, job.service(), "team", List.of(100, 100, 100, 100), job.resubmitNanos(), job.cancelNanos());
@@ -58,7 +58,7 @@
     private static double load(Schedule schedule, long fromSecond, long untilSecond) {
         double work = 0;
         for (ScheduledJob job : schedule.jobs()) {
-            double second = job.instantNanos() / 1e9;
+            double second = job.dueNanos() / 1e9;
             if (second >= fromSecond && second < untilSecond) {
                 work += job.workNanos() / 1e9;
             }
--- a/load/src/test/java/org/chivetally/load/experiment/PolicyExperimentTest.java
+++ b/load/src/test/java/org/chivetally/load/experiment/PolicyExperimentTest.java
@@ -23,7 +23,7 @@
     private static final Path PLAN = Path.of("..", "examples", "load-jylland-50.yaml");
 
     @Test
-    void tableAndPlotsAreWrittenAndRepeatWithTheSeeds(@TempDir Path folder) throws IOException {
+    void tableAndPlotsAreWrittenAndReproducible(@TempDir Path folder) throws IOException {
         String first = table(folder.resolve("first"));
         assertThat(table(folder.resolve("second")), is(first));
         assertThat(first, containsString("| 2 | 0.40 | slot-credits |"));
@@ -31,7 +31,7 @@
     }
 
     @Test
-    void lineThroughPointsOnALineHasNoResidual() {
+    void fitOfCollinearPointsHasNoResidual() {
         LineFit fit =
                 LineFit.through(List.of(new LineFit.Point(1, 5), new LineFit.Point(2, 7), new LineFit.Point(4, 11)));
         assertThat(fit.slope(), closeTo(2, 1e-9));
