--- a/library/src/main/java/org/chivetally/queue/agent/AgentNode.java
+++ b/library/src/main/java/org/chivetally/queue/agent/AgentNode.java
@@ -52,8 +52,8 @@
 
     /**
      * Interval of heartbeats while no run, unstored end, waiting start or unsent inventory is left. Entries answer each
-     * heartbeat, so heartbeat, so two in each direction fit into the 1.5 s of silence after which a link is closed, and
-     * one of them may be late.
+     * heartbeat, so two in each direction fit into the 1.5 s of silence after which a link is closed, and one of them
+     * may be late.
      */
     static final Duration IDLE_HEARTBEAT_INTERVAL = Duration.ofMillis(700);
 
--- a/library/src/main/java/org/chivetally/queue/agent/HeldRun.java
+++ b/library/src/main/java/org/chivetally/queue/agent/HeldRun.java
@@ -28,12 +28,12 @@
     private RunOutcome outcomeIfAbsent;
     private long stageSinceNanos;
 
-    HeldRun(RunKey key, RunOwner owner, Room room, long leaseUntilMillis, boolean suspected, long nowNanos) {
+    HeldRun(RunKey key, RunOwner owner, Room room, long leaseEndMillis, boolean suspected, long nowNanos) {
         this.suspected = suspected;
         this.key = key;
         this.owner = owner;
         this.room = room;
-        this.leaseEndMillis = leaseUntilMillis;
+        this.leaseEndMillis = leaseEndMillis;
         this.stageSinceNanos = nowNanos;
     }
 
--- a/library/src/main/java/org/chivetally/queue/agent/MinionReconciler.java
+++ b/library/src/main/java/org/chivetally/queue/agent/MinionReconciler.java
@@ -42,8 +42,8 @@
     }
 
     /**
-     * Tells whether all listed runs have been known to the agent at some poll. Until then, runs that its predecessor
-     * started may be left.
+     * Tells whether the agent knew all listed runs at some poll. Until then, runs that its predecessor started may be
+     * left.
      */
     boolean isComplete() {
         return complete;
--- a/library/src/main/java/org/chivetally/queue/agent/RetryingMinionPort.java
+++ b/library/src/main/java/org/chivetally/queue/agent/RetryingMinionPort.java
@@ -145,17 +145,17 @@
          */
         private Call(
                 String name,
-                IntFunction<Duration> heldBack,
+                IntFunction<Duration> maximumHold,
                 Attempt<A> attempt,
-                Predicate<A> isSettled,
-                UnaryOperator<A> besideUnsettled,
-                Consumer<A> result) {
+                Predicate<A> isConclusive,
+                UnaryOperator<A> withUnansweredAttempts,
+                Consumer<A> callback) {
             this.name = name;
-            this.maximumHold = heldBack;
+            this.maximumHold = maximumHold;
             this.attempt = attempt;
-            this.isConclusive = isSettled;
-            this.withUnansweredAttempts = besideUnsettled;
-            this.callback = result;
+            this.isConclusive = isConclusive;
+            this.withUnansweredAttempts = withUnansweredAttempts;
+            this.callback = callback;
         }
 
         private void attempt() {
--- a/library/src/main/java/org/chivetally/queue/agent/RunCommands.java
+++ b/library/src/main/java/org/chivetally/queue/agent/RunCommands.java
@@ -8,7 +8,10 @@
 import org.chivetally.queue.agent.MinionPort.StartResult;
 import org.chivetally.time.Timers;
 
-/** Starts and stops runs at the minion. Retries stops, and stops starts whose result remains unknown. */
+/**
+ * Starts and stops runs at the minion. A stop is retried until the minion accepts it, and a start whose result remains
+ * unknown is followed by a stop.
+ */
 final class RunCommands {
     /**
      * Time after which an unanswered start counts as unconfirmed. Answers take a millisecond, and the tasks of waiting
@@ -33,12 +36,12 @@
     private final MinionLease lease;
     private final Callbacks callbacks;
 
-    RunCommands(Timers timers, MinionPort port, FencingToken token, MinionLease lease, Callbacks supervision) {
+    RunCommands(Timers timers, MinionPort port, FencingToken token, MinionLease lease, Callbacks callbacks) {
         this.timers = timers;
         this.port = port;
         this.token = token;
         this.lease = lease;
-        this.callbacks = supervision;
+        this.callbacks = callbacks;
     }
 
     /** What the commands need from the supervisor of the minion. */
@@ -126,7 +129,7 @@
         }
     }
 
-    /** Sends a stop and retries it until it is answered. */
+    /** Sends a stop and retries it until the minion accepts it. */
     void stop(Incarnation incarnation, HeldRun run) {
         port.stop(incarnation.id(), run.key(), token.value(), accepted -> stopAnswered(incarnation, run, accepted));
     }
--- a/library/src/main/java/org/chivetally/queue/agent/RunEndReporter.java
+++ b/library/src/main/java/org/chivetally/queue/agent/RunEndReporter.java
@@ -14,10 +14,10 @@
     private final SupervisorListener listener;
     private final UnstoredCrashes unstoredCrashes;
 
-    RunEndReporter(HeldRuns held, SupervisorListener listener, UnstoredCrashes ledger) {
+    RunEndReporter(HeldRuns held, SupervisorListener listener, UnstoredCrashes unstoredCrashes) {
         this.held = held;
         this.listener = listener;
-        this.unstoredCrashes = ledger;
+        this.unstoredCrashes = unstoredCrashes;
     }
 
     /** Ends a run that was not started at an incarnation and never will be. */
--- a/library/src/main/java/org/chivetally/queue/agent/RunOwners.java
+++ b/library/src/main/java/org/chivetally/queue/agent/RunOwners.java
@@ -30,8 +30,8 @@
             Duration.ofMillis(4_000).minus(AgentNode.HEARTBEAT_INTERVAL.plusMillis(50));
 
     /**
-     * Age of an entry's latest echo after which the runs of its in-memory jobs are stopped. Callers resubmit a job 1.3
-     * s after its entry has failed. With one heartbeat until the age is checked and 50 ms for a stop, the old runs have
+     * Age of an entry's latest echo after which the runs of its in-memory jobs are stopped. Callers of a failed entry
+     * resubmit a job after 1.3 s. With one heartbeat until the age is checked and 50 ms for a stop, the old runs have
      * ended by then.
      */
     private static final Duration ENTRY_TIMEOUT = Duration.ofMillis(800);
@@ -109,8 +109,8 @@
         if (stampNanos < oldestValidStampNanos || ageNanos < 0 || ageNanos > LinkTable.SILENCE_TIMEOUT.toNanos()) {
             return false;
         }
-        long heldUpNanos = timers.nanos() - stampNanos - ageNanos;
-        return heldUpNanos >= 0 && heldUpNanos <= MAXIMUM_START_DELAY.toNanos();
+        long delayNanos = timers.nanos() - stampNanos - ageNanos;
+        return delayNanos >= 0 && delayNanos <= MAXIMUM_START_DELAY.toNanos();
     }
 
     /** Tells whether the lease may be extended while runs of these owners are present. */
--- a/library/src/main/java/org/chivetally/queue/agent/RunSupervisor.java
+++ b/library/src/main/java/org/chivetally/queue/agent/RunSupervisor.java
@@ -280,8 +280,8 @@
     }
 
     private static MinionState update(MinionState before, MinionState reported) {
-        boolean bornIsMissing = reported.incarnation().startedAtMillis() == 0;
-        MinionState state = bornIsMissing ? reported.withIncarnation(before.incarnation()) : reported;
+        boolean startIsUnknown = reported.incarnation().startedAtMillis() == 0;
+        MinionState state = startIsUnknown ? reported.withIncarnation(before.incarnation()) : reported;
         // A minion that is about to stop never stays after all; a delayed announcement must not undo it.
         return before.leaving() ? state.asLeaving() : state;
     }
@@ -317,24 +317,24 @@
             return;
         }
         departing = true;
-        Incarnation asked = minion.get().incarnation();
+        Incarnation checked = minion.get().incarnation();
         new DepartureCheck(
                         timers,
                         port,
-                        asked,
+                        checked,
                         token,
-                        () -> departureChecked(asked, true),
-                        () -> departureChecked(asked, false))
+                        () -> departureChecked(checked, true),
+                        () -> departureChecked(checked, false))
                 .poll();
         listener.roomChanged();
     }
 
-    private void departureChecked(Incarnation asked, boolean isGone) {
-        if (!departing || minion.isEmpty() || !minion.get().incarnation().matches(asked)) {
+    private void departureChecked(Incarnation checked, boolean hasDeparted) {
+        if (!departing || minion.isEmpty() || !minion.get().incarnation().matches(checked)) {
             return;
         }
         departing = false;
-        if (isGone) {
+        if (hasDeparted) {
             discardMinion(RunOutcome.LOST, "departed");
         } else {
             listener.roomChanged();
@@ -379,7 +379,7 @@
     /**
      * Lets the first lists of a new incarnation under the same id decide which runs are lost. Calls contain only the
      * id, so it may have executed starts that were sent to the previous one. Once polled with the new token, it refuses
-     * further ones.
+     * further ones, so its lists are final.
      */
     private void carryOver(MinionState old, RunOutcome outcome) {
         token.increment();
