--- a/library/src/main/java/org/chivetally/queue/agent/IncarnationHistory.java
+++ b/library/src/main/java/org/chivetally/queue/agent/IncarnationHistory.java
@@ -26,7 +26,7 @@
     }
 
     /** Tells whether no incarnation has been replaced yet. */
-    boolean isEmpty() {
+    boolean isFirstIncarnation() {
         return newestReplaced.isEmpty();
     }
 
--- a/library/src/main/java/org/chivetally/queue/agent/RunSupervisor.java
+++ b/library/src/main/java/org/chivetally/queue/agent/RunSupervisor.java
@@ -194,7 +194,7 @@
      * poll; the poll contains its id, so a replaced minion is detected. If it doesn't answer in time, it is discarded.
      */
     public void restore(MinionState state) {
-        if (minion.isPresent() || !history.isEmpty()) {
+        if (minion.isPresent() || !history.isFirstIncarnation()) {
             // The minion has announced itself or departed in the meantime, which is more recent.
             return;
         }
--- a/library/src/main/java/org/chivetally/queue/agent/WaitingStarts.java
+++ b/library/src/main/java/org/chivetally/queue/agent/WaitingStarts.java
@@ -20,8 +20,8 @@
  */
 final class WaitingStarts {
     /**
-     * Maximum time that a start waits. With a dozen tasks of a third of a second, a worker releases resources every 30
-     * ms; after that, the start has a better chance at another worker.
+     * Maximum time that a start waits. A worker with a dozen tasks of a third of a second releases resources at
+     * intervals of 30 ms; after that, the start has a better chance at another worker.
      */
     static final Duration MAXIMUM_WAIT = Duration.ofMillis(30);
 
--- a/library/src/test/java/org/chivetally/queue/agent/AgentNodeTest.java
+++ b/library/src/test/java/org/chivetally/queue/agent/AgentNodeTest.java
@@ -207,8 +207,8 @@
     }
 
     /**
-     * Eighty agents at full load and one entry. When each of them reported every change of its free resources within 10
-     * ms, 100 times a second, the entry received 8,000 reports a second and had no time left for placement.
+     * Eighty agents at full load and one entry. When every change of the free resources was reported within 10 ms, 100
+     * times a second, the entry received 8,000 reports a second and had no time left for placement.
      */
     @Test
     void limitsReportsOfManyAgents() {
