--- a/command/src/main/java/org/chivetally/command/ChivetallyCommand.java
+++ b/command/src/main/java/org/chivetally/command/ChivetallyCommand.java
@@ -2,7 +2,7 @@
 
 import java.io.PrintWriter;
 import org.chivetally.errors.ChivetallyException;
-import org.chivetally.logging.LastingLogManager;
+import org.chivetally.logging.NonResettingLogManager;
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Model.CommandSpec;
@@ -58,7 +58,7 @@
 
     /** Runs one command and ends the process with its exit code. */
     public static void main(String[] arguments) {
-        System.setProperty(LastingLogManager.PROPERTY, LastingLogManager.class.getName());
+        System.setProperty(NonResettingLogManager.PROPERTY, NonResettingLogManager.class.getName());
         CommandLine commandLine = commandLine();
         System.exit(commandLine.execute(arguments));
     }
--- a/command/src/main/java/org/chivetally/command/ExperimentCommand.java
+++ b/command/src/main/java/org/chivetally/command/ExperimentCommand.java
@@ -81,7 +81,7 @@
 
         @Override
         public String toString() {
-            return Section.written(this);
+            return Section.kebabCase(this);
         }
     }
 }
--- a/command/src/main/java/org/chivetally/command/deployment/DeploymentFiles.java
+++ b/command/src/main/java/org/chivetally/command/deployment/DeploymentFiles.java
@@ -127,7 +127,7 @@
                         plan.slots(),
                         plan.connections(),
                         plan.worker().processorMillis() / MILLIS,
-                        Units.bytes(plan.worker().memoryBytes()),
+                        Units.formatBytes(plan.worker().memoryBytes()),
                         plan.worker().accelerators());
     }
 
--- a/command/src/main/java/org/chivetally/command/deployment/DeploymentPlan.java
+++ b/command/src/main/java/org/chivetally/command/deployment/DeploymentPlan.java
@@ -64,9 +64,9 @@
                 delays.duration("betweenFailureDomains", Duration.ZERO, LONGEST_DELAY, Duration.ZERO),
                 delays.duration("toClients", Duration.ZERO, LONGEST_DELAY, Duration.ZERO),
                 httpPorts(root.section("entries")),
-                (int) minions.requiredWhole("count", 1, MAXIMUM_MINIONS),
-                (int) minions.requiredWhole("slots", 1, MAXIMUM_SLOTS),
-                (int) minions.requiredWhole("connections", 1, MAXIMUM_SLOTS),
+                (int) minions.requiredInteger("count", 1, MAXIMUM_MINIONS),
+                (int) minions.requiredInteger("slots", 1, MAXIMUM_SLOTS),
+                (int) minions.requiredInteger("connections", 1, MAXIMUM_SLOTS),
                 worker(root.section("worker")));
     }
 
@@ -128,8 +128,8 @@
 
     private static Resources worker(Section worker) {
         return new Resources(
-                worker.requiredWhole("processors", 1, MAXIMUM_PROCESSORS) * MILLIS,
+                worker.requiredInteger("processors", 1, MAXIMUM_PROCESSORS) * MILLIS,
                 worker.requiredBytes("memory", 0, MAXIMUM_MEMORY),
-                (int) worker.whole("accelerators", 0, MAXIMUM_SLOTS, 0));
+                (int) worker.integer("accelerators", 0, MAXIMUM_SLOTS, 0));
     }
 }
--- a/command/src/main/java/org/chivetally/command/deployment/InProcessSettings.java
+++ b/command/src/main/java/org/chivetally/command/deployment/InProcessSettings.java
@@ -4,7 +4,7 @@
 import java.time.Duration;
 import java.util.List;
 import org.chivetally.settings.AgentDaemonSettings;
-import org.chivetally.settings.ClaimTimes;
+import org.chivetally.settings.EntryClaimSettings;
 import org.chivetally.settings.EntryDaemonSettings;
 import org.chivetally.settings.HostPort;
 import org.chivetally.settings.LogAccessSettings;
@@ -30,7 +30,7 @@
     }
 
     EntryDaemonSettings entry(int position, URI log) {
-        ClaimTimes claims = new ClaimTimes(
+        EntryClaimSettings claims = new EntryClaimSettings(
                 Duration.ofMinutes(10),
                 Duration.ofMinutes(30),
                 Duration.ofSeconds(6),
--- a/command/src/main/java/org/chivetally/command/deployment/RelayPlan.java
+++ b/command/src/main/java/org/chivetally/command/deployment/RelayPlan.java
@@ -51,6 +51,6 @@
     }
 
     private static int port(Section section, String key) {
-        return (int) section.requiredWhole(key, 1, HostPort.MAXIMUM_PORT);
+        return (int) section.requiredInteger(key, 1, HostPort.MAXIMUM_PORT);
     }
 }
--- a/library/src/main/java/org/chivetally/daemon/EntryMapping.java
+++ b/library/src/main/java/org/chivetally/daemon/EntryMapping.java
@@ -11,7 +11,7 @@
 import org.chivetally.entry.link.Address;
 import org.chivetally.entry.link.HeartbeatSettings;
 import org.chivetally.resource.ResourceSettings;
-import org.chivetally.settings.ClaimTimes;
+import org.chivetally.settings.EntryClaimSettings;
 import org.chivetally.settings.EntryDaemonSettings;
 import org.chivetally.settings.HostPort;
 import org.chivetally.settings.ProcessSettings;
@@ -61,7 +61,7 @@
     // Agents and entries must agree on these: an entry that counts on an agent's memory for longer than it lasts
     // would take "not known here" for "never started", and start work twice. For the same reason an agent that ended
     // counts for as long as a job that it may have held can be taken over.
-    private static DispatchSettings.Fencing fencing(DispatchSettings.Fencing usual, ClaimTimes claims) {
+    private static DispatchSettings.Fencing fencing(DispatchSettings.Fencing usual, EntryClaimSettings claims) {
         return new DispatchSettings.Fencing(
                 claims.ticketAge(),
                 claims.ticketAge().multipliedBy(2).dividedBy(3),
@@ -72,25 +72,25 @@
                 claims.window().multipliedBy(WINDOWS_GONE));
     }
 
-    private static ClaimSettings claims(ClaimTimes times) {
+    private static ClaimSettings claims(EntryClaimSettings claims) {
         GroupCommitSettings usual = GroupCommitSettings.defaults();
         GroupCommitSettings commit = new GroupCommitSettings(
-                times.appendsPerSecond(),
+                claims.appendsPerSecond(),
                 usual.burst(),
                 usual.maximumQueued(),
                 usual.maximumBatch(),
                 usual.settleTime(),
                 usual.retryInterval());
         return new ClaimSettings(
-                times.window(),
-                times.logRetention(),
-                times.lease(),
-                times.lease().dividedBy(RENEWALS_IN_LEASE),
-                times.ticketAge(),
-                times.claimTimeout(),
+                claims.window(),
+                claims.logRetention(),
+                claims.lease(),
+                claims.lease().dividedBy(RENEWALS_IN_LEASE),
+                claims.ticketAge(),
+                claims.claimTimeout(),
                 commit,
                 TailSettings.defaults(),
-                SnapshotSettings.every(times.logRetention().dividedBy(SNAPSHOTS_IN_RETENTION)));
+                SnapshotSettings.every(claims.logRetention().dividedBy(SNAPSHOTS_IN_RETENTION)));
     }
 
     // The jobs' part of the drain leaves time for what follows it: answers on their way, the lease's end, the leave.
--- a/library/src/main/java/org/chivetally/document/Document.java
+++ b/library/src/main/java/org/chivetally/document/Document.java
@@ -23,7 +23,7 @@
 
     private Document(String name, DocumentNode node) {
         this.name = name;
-        this.empty = node.missing();
+        this.empty = node.isNull();
         reportRepeatedKeys(node, "");
         this.root = rootOf(node);
     }
@@ -41,7 +41,7 @@
      * @param place name of the file or source, which begins the place of each mistake
      */
     public static Document parse(String place, String text) {
-        NodeReader.Reading reading = NodeReader.read(place, text);
+        NodeReader.ParseResult reading = NodeReader.read(place, text);
         if (reading.mistake().isPresent()) {
             return new Document(place, reading.mistake().get());
         }
@@ -61,10 +61,10 @@
      * @return each document with its own mistakes; a malformed one ends the list with its mistake
      */
     public static List<Document> parseAll(String place, String text) {
-        NodeReader.Reading reading = NodeReader.read(place, text);
+        NodeReader.ParseResult reading = NodeReader.read(place, text);
         List<Document> documents = new ArrayList<>();
         for (DocumentNode node : reading.documents()) {
-            if (!node.missing()) {
+            if (!node.isNull()) {
                 documents.add(new Document(place, node));
             }
         }
@@ -78,7 +78,7 @@
     }
 
     /** Reports a mistake when the text holds no value at all. */
-    public void requireValue() {
+    public void requireNotEmpty() {
         if (empty) {
             mistakes.add(new Mistake(name + ":1:1", "", "a section of keys and values is needed, not nothing"));
         }
@@ -98,7 +98,7 @@
         return mistakes;
     }
 
-    Section newSection(DocumentNode.KeyedValues node, String path) {
+    Section newSection(DocumentNode.Mapping node, String path) {
         Section section = new Section(this, node, path);
         sections.add(section);
         return section;
@@ -112,25 +112,25 @@
         return name + ":" + node.line() + ":" + node.column();
     }
 
-    static DocumentNode.KeyedValues emptySection(int line, int column) {
-        return new DocumentNode.KeyedValues(List.of(), line, column);
+    static DocumentNode.Mapping emptySection(int line, int column) {
+        return new DocumentNode.Mapping(List.of(), line, column);
     }
 
     private void reportRepeatedKeys(DocumentNode node, String path) {
         switch (node) {
             case DocumentNode.Scalar ignored -> {}
-            case DocumentNode.ItemList list -> {
+            case DocumentNode.Sequence list -> {
                 for (int position = 0; position < list.items().size(); position++) {
                     reportRepeatedKeys(list.items().get(position), path + "[" + position + "]");
                 }
             }
-            case DocumentNode.KeyedValues section -> reportRepeatedKeysOf(section, path);
+            case DocumentNode.Mapping section -> reportRepeatedKeysOf(section, path);
         }
     }
 
-    private void reportRepeatedKeysOf(DocumentNode.KeyedValues section, String path) {
+    private void reportRepeatedKeysOf(DocumentNode.Mapping section, String path) {
         Map<String, DocumentNode.Scalar> first = new HashMap<>();
-        for (DocumentNode.KeyedValue entry : section.values()) {
+        for (DocumentNode.MappingEntry entry : section.values()) {
             String key = entry.key().text();
             String keyPath = Section.join(path, key);
             DocumentNode.Scalar earlier = first.putIfAbsent(key, entry.key());
@@ -142,10 +142,10 @@
     }
 
     private Section rootOf(DocumentNode node) {
-        if (node instanceof DocumentNode.KeyedValues values) {
+        if (node instanceof DocumentNode.Mapping values) {
             return newSection(values, "");
         }
-        if (!node.missing()) {
+        if (!node.isNull()) {
             addMistake(node, "", "a section of keys and values is needed, not " + node.kind());
         }
         return newSection(emptySection(node.line(), node.column()), "");
--- a/library/src/main/java/org/chivetally/document/DocumentNode.java
+++ b/library/src/main/java/org/chivetally/document/DocumentNode.java
@@ -13,14 +13,14 @@
     /** Returns the article and name of the kind of value, for messages. */
     default String kind() {
         return switch (this) {
-            case Scalar scalar -> scalar.missing() ? "nothing" : "a single value";
-            case ItemList ignored -> "a list";
-            case KeyedValues ignored -> "a section";
+            case Scalar scalar -> scalar.isNull() ? "nothing" : "a single value";
+            case Sequence ignored -> "a list";
+            case Mapping ignored -> "a section";
         };
     }
 
     /** Tells whether this is an empty value or the word null. */
-    default boolean missing() {
+    default boolean isNull() {
         return false;
     }
 
@@ -31,17 +31,17 @@
      */
     record Scalar(String text, boolean plain, int line, int column) implements DocumentNode {
         @Override
-        public boolean missing() {
+        public boolean isNull() {
             return plain && (text.isEmpty() || text.equals("~") || text.equalsIgnoreCase("null"));
         }
     }
 
     /** Values in order. */
-    record ItemList(List<DocumentNode> items, int line, int column) implements DocumentNode {}
+    record Sequence(List<DocumentNode> items, int line, int column) implements DocumentNode {}
 
     /** Keys with their values in order; repeated keys are still in it. */
-    record KeyedValues(List<KeyedValue> values, int line, int column) implements DocumentNode {}
+    record Mapping(List<MappingEntry> values, int line, int column) implements DocumentNode {}
 
     /** One key with its value. */
-    record KeyedValue(Scalar key, DocumentNode value) {}
+    record MappingEntry(Scalar key, DocumentNode value) {}
 }
--- a/library/src/main/java/org/chivetally/document/JsonWriter.java
+++ b/library/src/main/java/org/chivetally/document/JsonWriter.java
@@ -24,12 +24,12 @@
     private static void write(DocumentNode node, JsonGenerator generator) {
         switch (node) {
             case DocumentNode.Scalar scalar -> writeScalar(scalar, generator);
-            case DocumentNode.ItemList list -> writeList(list, generator);
-            case DocumentNode.KeyedValues section -> writeSection(section, generator);
+            case DocumentNode.Sequence list -> writeList(list, generator);
+            case DocumentNode.Mapping section -> writeSection(section, generator);
         }
     }
 
-    private static void writeList(DocumentNode.ItemList list, JsonGenerator generator) {
+    private static void writeList(DocumentNode.Sequence list, JsonGenerator generator) {
         generator.writeStartArray();
         for (DocumentNode item : list.items()) {
             write(item, generator);
@@ -37,9 +37,9 @@
         generator.writeEndArray();
     }
 
-    private static void writeSection(DocumentNode.KeyedValues section, JsonGenerator generator) {
+    private static void writeSection(DocumentNode.Mapping section, JsonGenerator generator) {
         generator.writeStartObject();
-        for (DocumentNode.KeyedValue value : section.values()) {
+        for (DocumentNode.MappingEntry value : section.values()) {
             generator.writeName(value.key().text());
             write(value.value(), generator);
         }
@@ -48,7 +48,7 @@
 
     private static void writeScalar(DocumentNode.Scalar scalar, JsonGenerator generator) {
         String text = scalar.text();
-        if (scalar.missing()) {
+        if (scalar.isNull()) {
             generator.writeNull();
         } else if (scalar.plain() && (text.equals("true") || text.equals("false"))) {
             generator.writeBoolean(text.equals("true"));
--- a/library/src/main/java/org/chivetally/document/NodeReader.java
+++ b/library/src/main/java/org/chivetally/document/NodeReader.java
@@ -34,7 +34,7 @@
 
     private final String place;
     private final String text;
-    private Event last;
+    private Event lastEvent;
 
     private NodeReader(String place, String text) {
         this.place = place;
@@ -42,29 +42,30 @@
     }
 
     /** What a text holds: its documents up to the first mistake, and that mistake. */
-    record Reading(List<DocumentNode> documents, Optional<Mistake> mistake) {}
+    record ParseResult(List<DocumentNode> documents, Optional<Mistake> mistake) {}
 
-    static Reading read(String place, String text) {
+    static ParseResult read(String place, String text) {
         return new NodeReader(place, text).readAll();
     }
 
-    private Reading readAll() {
+    private ParseResult readAll() {
         List<DocumentNode> documents = new ArrayList<>();
         if (text.length() > MAXIMUM_LENGTH) {
-            return new Reading(documents, Optional.of(mistake(1, 1, "longer than " + MAXIMUM_LENGTH + " characters")));
+            return new ParseResult(
+                    documents, Optional.of(mistake(1, 1, "longer than " + MAXIMUM_LENGTH + " characters")));
         }
         try {
             readDocuments(documents);
-            return new Reading(documents, Optional.empty());
-        } catch (RefusedException refused) {
-            return new Reading(documents, Optional.of(refused.mistake));
+            return new ParseResult(documents, Optional.empty());
+        } catch (UnsupportedSyntaxException refused) {
+            return new ParseResult(documents, Optional.of(refused.mistake));
         } catch (YamlEngineException malformed) {
-            return new Reading(documents, Optional.of(mistakeOf(malformed)));
+            return new ParseResult(documents, Optional.of(mistakeOf(malformed)));
         } catch (RuntimeException fault) {
             // A fault of the parser itself on odd input, such as an index out of bounds, would otherwise end the
             // request or the daemon's start with a stack trace. The text is refused like any malformed one; the place
             // is that of the last value understood.
-            return new Reading(documents, Optional.of(mistakeAfterLast("malformed text: " + fault.getMessage())));
+            return new ParseResult(documents, Optional.of(mistakeAtLastEvent("malformed text: " + fault.getMessage())));
         }
     }
 
@@ -76,8 +77,8 @@
                 .build();
         Iterator<Event> events = new Parse(settings).parseString(text).iterator();
         while (events.hasNext()) {
-            last = events.next();
-            if (last.getEventId() == Event.ID.DocumentStart) {
+            lastEvent = events.next();
+            if (lastEvent.getEventId() == Event.ID.DocumentStart) {
                 documents.add(readNode(events, 0));
             }
         }
@@ -90,12 +91,12 @@
     private DocumentNode nodeOf(Event event, Iterator<Event> events, int depth) {
         int line = lineOf(event);
         int column = columnOf(event);
-        refuseUnsupported(event, depth);
+        rejectUnsupported(event, depth);
         return switch (event) {
             case ScalarEvent scalar -> new DocumentNode.Scalar(scalar.getValue(), scalar.isPlain(), line, column);
-            case SequenceStartEvent ignored -> new DocumentNode.ItemList(readItems(events, depth + 1), line, column);
-            case MappingStartEvent ignored -> new DocumentNode.KeyedValues(readValues(events, depth + 1), line, column);
-            default -> throw refusal(event, "a value is needed here");
+            case SequenceStartEvent ignored -> new DocumentNode.Sequence(readItems(events, depth + 1), line, column);
+            case MappingStartEvent ignored -> new DocumentNode.Mapping(readValues(events, depth + 1), line, column);
+            default -> throw unsupportedSyntax(event, "a value is needed here");
         };
     }
 
@@ -109,36 +110,36 @@
         return items;
     }
 
-    private List<DocumentNode.KeyedValue> readValues(Iterator<Event> events, int depth) {
-        List<DocumentNode.KeyedValue> values = new ArrayList<>();
+    private List<DocumentNode.MappingEntry> readValues(Iterator<Event> events, int depth) {
+        List<DocumentNode.MappingEntry> values = new ArrayList<>();
         Event event = next(events);
         while (event.getEventId() != Event.ID.MappingEnd) {
             if (!(nodeOf(event, events, depth) instanceof DocumentNode.Scalar key)) {
-                throw refusal(event, "a key must be a single value");
+                throw unsupportedSyntax(event, "a key must be a single value");
             }
-            values.add(new DocumentNode.KeyedValue(key, readNode(events, depth)));
+            values.add(new DocumentNode.MappingEntry(key, readNode(events, depth)));
             event = next(events);
         }
         return values;
     }
 
     private Event next(Iterator<Event> events) {
-        last = events.next();
-        return last;
+        lastEvent = events.next();
+        return lastEvent;
     }
 
-    private void refuseUnsupported(Event event, int depth) {
+    private void rejectUnsupported(Event event, int depth) {
         if (depth > MAXIMUM_DEPTH) {
-            throw refusal(event, "nested deeper than " + MAXIMUM_DEPTH + " levels");
+            throw unsupportedSyntax(event, "nested deeper than " + MAXIMUM_DEPTH + " levels");
         }
         if (event instanceof AliasEvent) {
-            throw refusal(event, "aliases are not allowed");
+            throw unsupportedSyntax(event, "aliases are not allowed");
         }
         if (event instanceof NodeEvent node && node.getAnchor().isPresent()) {
-            throw refusal(event, "anchors are not allowed");
+            throw unsupportedSyntax(event, "anchors are not allowed");
         }
         if (hasTag(event)) {
-            throw refusal(event, "tags are not allowed");
+            throw unsupportedSyntax(event, "tags are not allowed");
         }
     }
 
@@ -151,8 +152,8 @@
         };
     }
 
-    private RefusedException refusal(Event event, String message) {
-        return new RefusedException(mistake(lineOf(event), columnOf(event), message));
+    private UnsupportedSyntaxException unsupportedSyntax(Event event, String message) {
+        return new UnsupportedSyntaxException(mistake(lineOf(event), columnOf(event), message));
     }
 
     private Mistake mistakeOf(YamlEngineException malformed) {
@@ -160,12 +161,12 @@
             Optional<Mark> mark = marked.getProblemMark().or(marked::getContextMark);
             String message = "malformed text: " + marked.getProblem();
             return mark.map(at -> mistake(at.getLine() + 1, at.getColumn() + 1, message))
-                    .orElseGet(() -> mistakeAfterLast(message));
+                    .orElseGet(() -> mistakeAtLastEvent(message));
         }
         if (malformed instanceof ReaderException unreadable) {
             return mistakeAt(unreadable.getPosition(), "a character that a text can't hold");
         }
-        return mistakeAfterLast("malformed text: " + malformed.getMessage());
+        return mistakeAtLastEvent("malformed text: " + malformed.getMessage());
     }
 
     private Mistake mistakeAt(int position, String message) {
@@ -176,11 +177,11 @@
         return mistake(line, column, message);
     }
 
-    private Mistake mistakeAfterLast(String message) {
-        if (last == null) {
+    private Mistake mistakeAtLastEvent(String message) {
+        if (lastEvent == null) {
             return mistake(1, 1, message);
         }
-        return mistake(lineOf(last), columnOf(last), message);
+        return mistake(lineOf(lastEvent), columnOf(lastEvent), message);
     }
 
     private Mistake mistake(int line, int column, String message) {
@@ -196,12 +197,12 @@
     }
 
     /** Leaves the recursion when the text holds something that is not allowed; never leaves this class. */
-    private static final class RefusedException extends RuntimeException {
+    private static final class UnsupportedSyntaxException extends RuntimeException {
         private static final long serialVersionUID = 1L;
 
         private final transient Mistake mistake;
 
-        private RefusedException(Mistake mistake) {
+        private UnsupportedSyntaxException(Mistake mistake) {
             super(mistake.message());
             this.mistake = mistake;
         }
--- a/library/src/main/java/org/chivetally/document/Section.java
+++ b/library/src/main/java/org/chivetally/document/Section.java
@@ -21,23 +21,23 @@
  * missing value.
  */
 public final class Section {
-    private static final Pattern WHOLE = Pattern.compile("[+-]?\\d{1,18}");
+    private static final Pattern INTEGER = Pattern.compile("[+-]?\\d{1,18}");
     private static final Pattern DECIMAL = Pattern.compile("[+-]?\\d{1,18}(\\.\\d{1,18})?([eE][+-]?\\d{1,2})?");
-    private static final int LONGEST_QUOTE = 60;
+    private static final int MAXIMUM_QUOTED_LENGTH = 60;
 
     private final Document document;
-    private final DocumentNode.KeyedValues node;
+    private final DocumentNode.Mapping node;
     private final String path;
     private final Map<String, DocumentNode> values = new LinkedHashMap<>();
     private final Map<String, DocumentNode.Scalar> keys = new LinkedHashMap<>();
     private final Map<String, Section> children = new LinkedHashMap<>();
-    private final TreeSet<String> known = new TreeSet<>();
+    private final TreeSet<String> requestedKeys = new TreeSet<>();
 
-    Section(Document document, DocumentNode.KeyedValues node, String path) {
+    Section(Document document, DocumentNode.Mapping node, String path) {
         this.document = document;
         this.node = node;
         this.path = path;
-        for (DocumentNode.KeyedValue entry : node.values()) {
+        for (DocumentNode.MappingEntry entry : node.values()) {
             keys.putIfAbsent(entry.key().text(), entry.key());
             values.putIfAbsent(entry.key().text(), entry.value());
         }
@@ -65,13 +65,13 @@
 
     /** Tells whether the document gives the key with a value. */
     public boolean has(String key) {
-        known.add(key);
+        requestedKeys.add(key);
         DocumentNode value = values.get(key);
-        return value != null && !value.missing();
+        return value != null && !value.isNull();
     }
 
     /** Tells whether no mistake has been found in the whole document so far. */
-    public boolean isSound() {
+    public boolean isValid() {
         return document.mistakes().isEmpty();
     }
 
@@ -90,36 +90,36 @@
     }
 
     /** Returns a text, or the default. */
-    public String text(String key, String otherwise) {
-        return scalar(key).orElse(otherwise);
+    public String text(String key, String defaultValue) {
+        return scalar(key).orElse(defaultValue);
     }
 
     /** Returns a whole number within limits, both included, or the default. */
-    public long whole(String key, long minimum, long maximum, long otherwise) {
+    public long integer(String key, long minimum, long maximum, long defaultValue) {
         return scalar(key)
-                .flatMap(text -> wholeWithin(key, text, minimum, maximum))
-                .orElse(otherwise);
+                .flatMap(text -> integerWithin(key, text, minimum, maximum))
+                .orElse(defaultValue);
     }
 
     /** Returns a whole number that must be given within limits, both included; the lower limit otherwise. */
-    public long requiredWhole(String key, long minimum, long maximum) {
+    public long requiredInteger(String key, long minimum, long maximum) {
         return required(key)
-                .flatMap(text -> wholeWithin(key, text, minimum, maximum))
+                .flatMap(text -> integerWithin(key, text, minimum, maximum))
                 .orElse(minimum);
     }
 
     /** Returns a decimal number within limits, both included, or the default. */
-    public double decimal(String key, double minimum, double maximum, double otherwise) {
+    public double decimal(String key, double minimum, double maximum, double defaultValue) {
         return scalar(key)
                 .flatMap(text -> decimalWithin(key, text, minimum, maximum))
-                .orElse(otherwise);
+                .orElse(defaultValue);
     }
 
     /** Returns a duration such as {@code 250ms} within limits, both included, or the default. */
-    public Duration duration(String key, Duration minimum, Duration maximum, Duration otherwise) {
+    public Duration duration(String key, Duration minimum, Duration maximum, Duration defaultValue) {
         return scalar(key)
                 .flatMap(text -> durationWithin(key, text, minimum, maximum))
-                .orElse(otherwise);
+                .orElse(defaultValue);
     }
 
     /** Returns a duration that must be given within limits, both included; the lower limit otherwise. */
@@ -130,10 +130,10 @@
     }
 
     /** Returns a size such as {@code 16MiB} within limits, both included, in bytes, or the default. */
-    public long bytes(String key, long minimum, long maximum, long otherwise) {
+    public long bytes(String key, long minimum, long maximum, long defaultValue) {
         return scalar(key)
                 .flatMap(text -> bytesWithin(key, text, minimum, maximum))
-                .orElse(otherwise);
+                .orElse(defaultValue);
     }
 
     /** Returns a size that must be given within limits, both included, in bytes; the lower limit otherwise. */
@@ -144,8 +144,8 @@
     }
 
     /** Returns true or false as given, or the default. */
-    public boolean flag(String key, boolean otherwise) {
-        return scalar(key).flatMap(text -> flagOf(key, text)).orElse(otherwise);
+    public boolean flag(String key, boolean defaultValue) {
+        return scalar(key).flatMap(text -> flagOf(key, text)).orElse(defaultValue);
     }
 
     /** Returns true or false, which must be given; false otherwise. */
@@ -154,8 +154,8 @@
     }
 
     /** Returns the constant whose name is given in lower case with hyphens, or the default. */
-    public <E extends Enum<E>> E choice(String key, Class<E> type, E otherwise) {
-        return scalar(key).flatMap(text -> constant(key, text, type)).orElse(otherwise);
+    public <E extends Enum<E>> E choice(String key, Class<E> type, E defaultValue) {
+        return scalar(key).flatMap(text -> constant(key, text, type)).orElse(defaultValue);
     }
 
     /** Returns the constant whose name must be given in lower case with hyphens; the first constant otherwise. */
@@ -164,13 +164,13 @@
     }
 
     /** Returns how a constant is written in documents: lower case with hyphens. */
-    public static String written(Enum<?> constant) {
+    public static String kebabCase(Enum<?> constant) {
         return constant.name().toLowerCase(Locale.ROOT).replace('_', '-');
     }
 
     /** Returns the section below a key; an empty one when it is missing. */
     public Section section(String key) {
-        known.add(key);
+        requestedKeys.add(key);
         return children.computeIfAbsent(key, this::openSection);
     }
 
@@ -188,10 +188,10 @@
 
     /** Returns the sections below a key by their names, in the document's order; none when it is missing. */
     public Map<String, Section> namedSections(String key) {
-        Section whole = section(key);
+        Section mapping = section(key);
         Map<String, Section> found = new LinkedHashMap<>();
-        for (String name : whole.keys()) {
-            found.put(name, whole.section(name));
+        for (String name : mapping.keys()) {
+            found.put(name, mapping.section(name));
         }
         return found;
     }
@@ -208,55 +208,55 @@
 
     /** Returns the texts below a key by their names, in the document's order; none when it is missing. */
     public Map<String, String> map(String key) {
-        Section whole = section(key);
+        Section mapping = section(key);
         Map<String, String> found = new LinkedHashMap<>();
-        for (String name : whole.keys()) {
-            whole.scalar(name).ifPresent(text -> found.put(name, text));
+        for (String name : mapping.keys()) {
+            mapping.scalar(name).ifPresent(text -> found.put(name, text));
         }
         return found;
     }
 
     /** Returns the value of a key of whatever shape as JSON text; empty when it is missing. */
     public Optional<String> json(String key) {
-        known.add(key);
+        requestedKeys.add(key);
         return Optional.ofNullable(values.get(key)).map(JsonWriter::write);
     }
 
     /** Returns the whole section as JSON text and notes all its keys as known. */
     public String toJson() {
-        known.addAll(keys.keySet());
+        requestedKeys.addAll(keys.keySet());
         return JsonWriter.write(node);
     }
 
     /** Reports every key that was never asked for; {@link Document#finish()} calls it for all sections. */
     void rejectUnknownKeys() {
         for (Map.Entry<String, DocumentNode.Scalar> entry : keys.entrySet()) {
-            if (!known.contains(entry.getKey())) {
+            if (!requestedKeys.contains(entry.getKey())) {
                 document.addMistake(entry.getValue(), pathOf(entry.getKey()), "unknown key" + allowedKeys());
             }
         }
     }
 
     private String allowedKeys() {
-        if (known.isEmpty()) {
+        if (requestedKeys.isEmpty()) {
             return "; none is allowed here";
         }
-        return "; allowed here: " + String.join(", ", known);
+        return "; allowed here: " + String.join(", ", requestedKeys);
     }
 
     private Section openSection(String key) {
         DocumentNode value = values.get(key);
-        if (value instanceof DocumentNode.KeyedValues section) {
+        if (value instanceof DocumentNode.Mapping section) {
             return document.newSection(section, pathOf(key));
         }
-        if (value != null && !value.missing()) {
+        if (value != null && !value.isNull()) {
             mistake(key, "a section of keys and values is needed, not " + value.kind());
         }
         return emptySection(pathOf(key));
     }
 
     private Section sectionOf(DocumentNode item, String itemPath) {
-        if (item instanceof DocumentNode.KeyedValues section) {
+        if (item instanceof DocumentNode.Mapping section) {
             return document.newSection(section, itemPath);
         }
         document.addMistake(item, itemPath, "a section of keys and values is needed, not " + item.kind());
@@ -268,12 +268,12 @@
     }
 
     private List<DocumentNode> items(String key) {
-        known.add(key);
+        requestedKeys.add(key);
         DocumentNode value = values.get(key);
-        if (value == null || value.missing()) {
+        if (value == null || value.isNull()) {
             return List.of();
         }
-        if (value instanceof DocumentNode.ItemList list) {
+        if (value instanceof DocumentNode.Sequence list) {
             return list.items();
         }
         mistake(key, "a list is needed, not " + value.kind());
@@ -281,7 +281,7 @@
     }
 
     private Optional<String> required(String key) {
-        known.add(key);
+        requestedKeys.add(key);
         if (!values.containsKey(key)) {
             mistake(key, "is missing");
             return Optional.empty();
@@ -290,30 +290,30 @@
     }
 
     private Optional<String> scalar(String key) {
-        known.add(key);
+        requestedKeys.add(key);
         DocumentNode value = values.get(key);
         return value == null ? Optional.empty() : textOf(value, pathOf(key));
     }
 
     private Optional<String> textOf(DocumentNode value, String valuePath) {
-        if (value instanceof DocumentNode.Scalar scalar && !scalar.missing()) {
+        if (value instanceof DocumentNode.Scalar scalar && !scalar.isNull()) {
             return Optional.of(scalar.text());
         }
         document.addMistake(value, valuePath, "a single value is needed, not " + value.kind());
         return Optional.empty();
     }
 
-    private Optional<Long> wholeWithin(String key, String text, long minimum, long maximum) {
-        Optional<Long> number = WHOLE.matcher(text).matches() ? Optional.of(Long.parseLong(text)) : Optional.empty();
-        String wanted = "a whole number from " + minimum + " to " + maximum;
-        return within(key, text, number, minimum, maximum, wanted);
+    private Optional<Long> integerWithin(String key, String text, long minimum, long maximum) {
+        Optional<Long> number = INTEGER.matcher(text).matches() ? Optional.of(Long.parseLong(text)) : Optional.empty();
+        String expected = "a whole number from " + minimum + " to " + maximum;
+        return within(key, text, number, minimum, maximum, expected);
     }
 
     private Optional<Double> decimalWithin(String key, String text, double minimum, double maximum) {
         Optional<Double> number =
                 DECIMAL.matcher(text).matches() ? Optional.of(Double.parseDouble(text)) : Optional.empty();
-        String wanted = "a number from " + plain(minimum) + " to " + plain(maximum);
-        return within(key, text, number, minimum, maximum, wanted);
+        String expected = "a number from " + plain(minimum) + " to " + plain(maximum);
+        return within(key, text, number, minimum, maximum, expected);
     }
 
     private static String plain(double number) {
@@ -321,25 +321,25 @@
     }
 
     private Optional<Duration> durationWithin(String key, String text, Duration minimum, Duration maximum) {
-        String wanted = "a duration from " + Units.duration(minimum) + " to " + Units.duration(maximum)
+        String expected = "a duration from " + Units.formatDuration(minimum) + " to " + Units.formatDuration(maximum)
                 + ", as a whole number with us, ms, s, m or h";
-        return within(key, text, Units.parseDuration(text), minimum, maximum, wanted);
+        return within(key, text, Units.parseDuration(text), minimum, maximum, expected);
     }
 
     private Optional<Long> bytesWithin(String key, String text, long minimum, long maximum) {
-        String wanted = "a size from " + Units.bytes(minimum) + " to " + Units.bytes(maximum)
+        String expected = "a size from " + Units.formatBytes(minimum) + " to " + Units.formatBytes(maximum)
                 + ", as a whole number with B, KiB, MiB, GiB or TiB";
-        return within(key, text, Units.parseBytes(text), minimum, maximum, wanted);
+        return within(key, text, Units.parseBytes(text), minimum, maximum, expected);
     }
 
     private <T extends Comparable<T>> Optional<T> within(
-            String key, String text, Optional<T> value, T minimum, T maximum, String wanted) {
+            String key, String text, Optional<T> value, T minimum, T maximum, String expected) {
         if (value.isPresent()
                 && value.get().compareTo(minimum) >= 0
                 && value.get().compareTo(maximum) <= 0) {
             return value;
         }
-        mistake(key, quoted(text) + " is not " + wanted);
+        mistake(key, quoted(text) + " is not " + expected);
         return Optional.empty();
     }
 
@@ -352,7 +352,7 @@
     }
 
     private <E extends Enum<E>> Optional<E> constant(String key, String text, Class<E> type) {
-        Function<E, String> name = Section::written;
+        Function<E, String> name = Section::kebabCase;
         for (E constant : type.getEnumConstants()) {
             if (name.apply(constant).equals(text)) {
                 return Optional.of(constant);
@@ -364,7 +364,7 @@
     }
 
     private static String quoted(String text) {
-        String shown = text.length() <= LONGEST_QUOTE ? text : text.substring(0, LONGEST_QUOTE) + "...";
+        String shown = text.length() <= MAXIMUM_QUOTED_LENGTH ? text : text.substring(0, MAXIMUM_QUOTED_LENGTH) + "...";
         return '"' + shown + '"';
     }
 
--- a/library/src/main/java/org/chivetally/document/Units.java
+++ b/library/src/main/java/org/chivetally/document/Units.java
@@ -46,7 +46,7 @@
     }
 
     /** Writes a duration in the largest unit that gives a whole number; {@link #parseDuration} reads it back. */
-    public static String duration(Duration duration) {
+    public static String formatDuration(Duration duration) {
         long nanoseconds = duration.toNanos();
         for (String unit : new String[] {"h", "m", "s", "ms"}) {
             if (nanoseconds != 0 && nanoseconds % NANOSECONDS.get(unit) == 0) {
@@ -57,7 +57,7 @@
     }
 
     /** Writes a size in the largest unit that gives a whole number; {@link #parseBytes} reads it back. */
-    public static String bytes(long size) {
+    public static String formatBytes(long size) {
         for (String unit : new String[] {"TiB", "GiB", "MiB", "KiB"}) {
             if (size != 0 && size % BYTE_FACTORS.get(unit) == 0) {
                 return size / BYTE_FACTORS.get(unit) + unit;
--- a/library/src/main/java/org/chivetally/document/Utf8.java
+++ b/library/src/main/java/org/chivetally/document/Utf8.java
@@ -43,7 +43,7 @@
         CharBuffer decoded = CharBuffer.allocate(bytes.length);
         CharsetDecoder strict = StandardCharsets.UTF_8.newDecoder();
         if (strict.decode(ByteBuffer.wrap(bytes), decoded, true).isError()) {
-            return placeAfter(decoded.flip().toString());
+            return malformedAfter(decoded.flip().toString());
         }
         return new Decoded.Text(text);
     }
@@ -64,7 +64,7 @@
         };
     }
 
-    private static Decoded placeAfter(String before) {
+    private static Decoded malformedAfter(String before) {
         int line = (int) before.chars().filter(character -> character == '\n').count() + 1;
         return new Decoded.Malformed(line, before.length() - before.lastIndexOf('\n'));
     }
--- a/library/src/main/java/org/chivetally/http/HttpCall.java
+++ b/library/src/main/java/org/chivetally/http/HttpCall.java
@@ -18,7 +18,7 @@
 @SuppressWarnings("ArrayRecordComponent")
 public record HttpCall(
         String method, String path, Map<String, String> headers, String contentType, byte[] body, Duration timeout) {
-    private static final byte[] NOTHING = new byte[0];
+    private static final byte[] NO_BODY = new byte[0];
 
     /** Copies the headers. */
     public HttpCall {
@@ -30,7 +30,7 @@
 
     /** Returns a GET. */
     public static HttpCall get(String path, Duration timeout) {
-        return new HttpCall("GET", path, Map.of(), "", NOTHING, timeout);
+        return new HttpCall("GET", path, Map.of(), "", NO_BODY, timeout);
     }
 
     /** Returns a POST with a JSON body. */
--- a/library/src/main/java/org/chivetally/http/HttpExchange.java
+++ b/library/src/main/java/org/chivetally/http/HttpExchange.java
@@ -18,7 +18,7 @@
     byte[] body();
 
     /** Names what is to run when the caller's connection ends before the answer. */
-    void onCallerGone(Runnable action);
+    void onDisconnect(Runnable action);
 
     /**
      * Answers.
--- a/library/src/main/java/org/chivetally/http/HttpListener.java
+++ b/library/src/main/java/org/chivetally/http/HttpListener.java
@@ -43,13 +43,13 @@
 /** Accepts HTTP requests on one address and hands them to a handler, one at a time for each connection. */
 public final class HttpListener {
     private static final FluentLogger LOGGER = FluentLogger.forEnclosingClass();
-    private static final int PENDING_ACCEPTS = 1024;
-    private static final int LONGEST_LINE = 4096;
+    private static final int ACCEPT_BACKLOG = 1024;
+    private static final int MAXIMUM_LINE_BYTES = 4096;
 
     /**
      * Requests that may wait behind one in progress on the same connection; callers of HTTP/1.1 hardly ever do that.
      */
-    private static final int MOST_PIPELINED = 4;
+    private static final int MAXIMUM_PIPELINED_REQUESTS = 4;
 
     private final EventLoop loop;
     private final Limits limits;
@@ -78,7 +78,7 @@
         ChannelFuture bound = new ServerBootstrap()
                 .group(loop)
                 .channel(NioServerSocketChannel.class)
-                .option(ChannelOption.SO_BACKLOG, PENDING_ACCEPTS)
+                .option(ChannelOption.SO_BACKLOG, ACCEPT_BACKLOG)
                 .option(ChannelOption.SO_REUSEADDR, true)
                 .childOption(ChannelOption.TCP_NODELAY, true)
                 .childHandler(new Pipeline())
@@ -114,7 +114,7 @@
         protected void initChannel(Channel channel) {
             channel.pipeline()
                     .addLast(new IdleStateHandler(0, 0, limits.idleMillis(), TimeUnit.MILLISECONDS))
-                    .addLast(new HttpServerCodec(LONGEST_LINE, limits.headerBytes(), limits.bodyBytes()))
+                    .addLast(new HttpServerCodec(MAXIMUM_LINE_BYTES, limits.headerBytes(), limits.bodyBytes()))
                     .addLast(new HttpObjectAggregator(limits.bodyBytes(), true))
                     .addLast(new Connection());
         }
@@ -122,9 +122,9 @@
 
     /** One connection of a caller. */
     private final class Connection extends SimpleChannelInboundHandler<FullHttpRequest> {
-        private final Deque<FullHttpRequest> waiting = new ArrayDeque<>();
+        private final Deque<FullHttpRequest> pipelined = new ArrayDeque<>();
         private boolean busy;
-        private Runnable callerGone = () -> {};
+        private Runnable disconnectAction = () -> {};
 
         @Override
         public void channelActive(ChannelHandlerContext context) {
@@ -134,36 +134,36 @@
         @Override
         public void channelInactive(ChannelHandlerContext context) {
             connections.remove(this);
-            waiting.forEach(FullHttpRequest::release);
-            waiting.clear();
+            pipelined.forEach(FullHttpRequest::release);
+            pipelined.clear();
             if (busy) {
                 busy = false;
-                callerGone.run();
+                disconnectAction.run();
             }
         }
 
         @Override
         protected void channelRead0(ChannelHandlerContext context, FullHttpRequest request) {
             if (!busy) {
-                begin(context, request);
-            } else if (waiting.size() < MOST_PIPELINED) {
-                waiting.add(request.retain());
+                handle(context, request);
+            } else if (pipelined.size() < MAXIMUM_PIPELINED_REQUESTS) {
+                pipelined.add(request.retain());
             } else {
                 context.close();
             }
         }
 
-        private void next(ChannelHandlerContext context) {
-            FullHttpRequest request = waiting.poll();
+        private void handleNext(ChannelHandlerContext context) {
+            FullHttpRequest request = pipelined.poll();
             if (request != null) {
-                begin(context, request);
+                handle(context, request);
                 request.release();
             }
         }
 
-        private void begin(ChannelHandlerContext context, FullHttpRequest request) {
+        private void handle(ChannelHandlerContext context, FullHttpRequest request) {
             busy = true;
-            callerGone = () -> {};
+            disconnectAction = () -> {};
             Exchange exchange = new Exchange(context, this, request);
             if (request.decoderResult().isFailure()) {
                 exchange.keepAlive = false;
@@ -225,8 +225,8 @@
         }
 
         @Override
-        public void onCallerGone(Runnable action) {
-            connection.callerGone = action;
+        public void onDisconnect(Runnable action) {
+            connection.disconnectAction = action;
         }
 
         private void text(int status, String text) {
@@ -246,14 +246,14 @@
                 response.headers().set(HttpHeaderNames.CONTENT_TYPE, contentType);
             }
             response.headers().setInt(HttpHeaderNames.CONTENT_LENGTH, content.length);
-            boolean lasts = keepAlive && !draining;
-            if (!lasts) {
+            boolean reusable = keepAlive && !draining;
+            if (!reusable) {
                 response.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
             }
             ChannelFuture written = context.writeAndFlush(response);
             connection.busy = false;
-            if (lasts) {
-                connection.next(context);
+            if (reusable) {
+                connection.handleNext(context);
             } else {
                 written.addListener(ChannelFutureListener.CLOSE);
             }
--- a/library/src/main/java/org/chivetally/http/HttpResult.java
+++ b/library/src/main/java/org/chivetally/http/HttpResult.java
@@ -9,7 +9,7 @@
      * @param body body
      */
     @SuppressWarnings("ArrayRecordComponent")
-    record Answer(int status, byte[] body) implements HttpResult {}
+    record Response(int status, byte[] body) implements HttpResult {}
 
     /**
      * No whole answer.
--- a/library/src/main/java/org/chivetally/http/HttpCaller.java
+++ b/library/src/main/java/org/chivetally/http/PooledHttpClient.java
@@ -30,17 +30,17 @@
  * Calls one other process over a few connections that stay open. A call that gets no answer in time costs its
  * connection, as an answer that comes late could be taken for that of the next call.
  */
-public final class HttpCaller {
-    private static final int LARGEST_ANSWER_BYTES = 8 << 20;
+public final class PooledHttpClient {
+    private static final int MAXIMUM_RESPONSE_BYTES = 8 << 20;
     private static final int CONNECT_TIMEOUT_MILLIS = 500;
 
     private final EventLoop loop;
     private final Timers timers;
     private final HostPort target;
     private final String host;
-    private final int mostConnections;
+    private final int maximumConnections;
     private final Deque<Connection> idle = new ArrayDeque<>();
-    private final Deque<Pending> waiting = new ArrayDeque<>();
+    private final Deque<PendingCall> waiting = new ArrayDeque<>();
     private int connections;
 
     /**
@@ -48,35 +48,35 @@
      *
      * @param mostConnections connections that may be open at once; further calls wait
      */
-    public HttpCaller(EventLoop loop, Timers timers, HostPort target, int mostConnections) {
+    public PooledHttpClient(EventLoop loop, Timers timers, HostPort target, int maximumConnections) {
         this.loop = loop;
         this.timers = timers;
         this.target = target;
         this.host = target.toString();
-        this.mostConnections = mostConnections;
+        this.maximumConnections = maximumConnections;
     }
 
     /** Makes a call; tells its result once, on the event loop. */
     public void call(HttpCall call, Consumer<HttpResult> result) {
-        Pending pending = new Pending(call, result);
-        pending.timer = timers.after(call.timeout(), () -> expire(pending));
+        PendingCall pending = new PendingCall(call, result);
+        pending.timer = timers.after(call.timeout(), () -> timeOut(pending));
         Connection connection = idle.pollLast();
         if (connection != null) {
             connection.send(pending);
             return;
         }
         waiting.add(pending);
-        if (connections < mostConnections) {
+        if (connections < maximumConnections) {
             connect();
         }
     }
 
-    private void expire(Pending pending) {
+    private void timeOut(PendingCall pending) {
         waiting.remove(pending);
         if (pending.connection != null) {
             pending.connection.channel.close();
         }
-        pending.finish(new HttpResult.Failed("no answer in time", pending.connection != null));
+        pending.complete(new HttpResult.Failed("no answer in time", pending.connection != null));
     }
 
     private void connect() {
@@ -97,9 +97,9 @@
 
     private void connectFailed(String reason) {
         connections--;
-        Pending pending = waiting.poll();
+        PendingCall pending = waiting.poll();
         if (pending != null) {
-            pending.finish(new HttpResult.Failed("can't connect: " + reason, false));
+            pending.complete(new HttpResult.Failed("can't connect: " + reason, false));
         }
     }
 
@@ -109,7 +109,7 @@
         protected void initChannel(Channel channel) {
             channel.pipeline()
                     .addLast(new HttpClientCodec())
-                    .addLast(new HttpObjectAggregator(LARGEST_ANSWER_BYTES))
+                    .addLast(new HttpObjectAggregator(MAXIMUM_RESPONSE_BYTES))
                     .addLast(new Connection(channel));
         }
     }
@@ -117,7 +117,7 @@
     /** An open connection with at most one call on it. */
     private final class Connection extends SimpleChannelInboundHandler<FullHttpResponse> {
         private final Channel channel;
-        private Pending current;
+        private PendingCall current;
 
         private Connection(Channel channel) {
             this.channel = channel;
@@ -125,11 +125,11 @@
 
         @Override
         public void channelActive(ChannelHandlerContext context) {
-            next();
+            sendNext();
         }
 
-        private void next() {
-            Pending pending = waiting.poll();
+        private void sendNext() {
+            PendingCall pending = waiting.poll();
             if (pending == null) {
                 idle.add(this);
             } else {
@@ -137,7 +137,7 @@
             }
         }
 
-        private void send(Pending pending) {
+        private void send(PendingCall pending) {
             current = pending;
             pending.connection = this;
             HttpCall call = pending.call;
@@ -159,22 +159,22 @@
 
         @Override
         protected void channelRead0(ChannelHandlerContext context, FullHttpResponse response) {
-            Pending pending = current;
+            PendingCall pending = current;
             current = null;
             if (pending == null) {
                 context.close();
                 return;
             }
             pending.connection = null;
-            boolean lasts = HttpUtil.isKeepAlive(response);
-            HttpResult answer =
-                    new HttpResult.Answer(response.status().code(), ByteBufUtil.getBytes(response.content()));
-            if (lasts) {
-                next();
+            boolean reusable = HttpUtil.isKeepAlive(response);
+            HttpResult result =
+                    new HttpResult.Response(response.status().code(), ByteBufUtil.getBytes(response.content()));
+            if (reusable) {
+                sendNext();
             } else {
                 context.close();
             }
-            pending.finish(answer);
+            pending.complete(result);
         }
 
         @Override
@@ -182,10 +182,10 @@
             connections--;
             idle.remove(this);
             if (current != null) {
-                current.finish(new HttpResult.Failed("connection closed", true));
+                current.complete(new HttpResult.Failed("connection closed", true));
                 current = null;
             }
-            if (!waiting.isEmpty() && connections < mostConnections) {
+            if (!waiting.isEmpty() && connections < maximumConnections) {
                 connect();
             }
         }
@@ -193,7 +193,7 @@
         @Override
         public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
             if (current != null) {
-                current.finish(new HttpResult.Failed(String.valueOf(cause.getMessage()), true));
+                current.complete(new HttpResult.Failed(String.valueOf(cause.getMessage()), true));
                 current = null;
             }
             context.close();
@@ -201,23 +201,23 @@
     }
 
     /** A call without a result so far. */
-    private static final class Pending {
+    private static final class PendingCall {
         private final HttpCall call;
         private final Consumer<HttpResult> result;
         private Timers.Timer timer;
         private Connection connection;
-        private boolean finished;
+        private boolean completed;
 
-        private Pending(HttpCall call, Consumer<HttpResult> result) {
+        private PendingCall(HttpCall call, Consumer<HttpResult> result) {
             this.call = call;
             this.result = result;
         }
 
-        private void finish(HttpResult outcome) {
-            if (finished) {
+        private void complete(HttpResult outcome) {
+            if (completed) {
                 return;
             }
-            finished = true;
+            completed = true;
             timer.cancel();
             result.accept(outcome);
         }
--- a/library/src/main/java/org/chivetally/log/AppendPacer.java
+++ b/library/src/main/java/org/chivetally/log/AppendRateLimiter.java
@@ -4,23 +4,23 @@
 import java.util.concurrent.TimeUnit;
 
 /** Spaces appends evenly so that no more than a ceiling take effect in a second; the surplus queues. */
-final class AppendPacer {
+final class AppendRateLimiter {
     private final long intervalNanos;
-    private long nextFreeNanos;
+    private long nextSlotNanos;
     private boolean used;
 
-    AppendPacer(int appendsPerSecond) {
+    AppendRateLimiter(int appendsPerSecond) {
         this.intervalNanos = appendsPerSecond == 0 ? 0 : TimeUnit.SECONDS.toNanos(1) / appendsPerSecond;
     }
 
     /** Takes the next free place in the queue and returns how long from now it is. */
     synchronized Duration reserve(long nowNanos) {
-        if (!used || nextFreeNanos - nowNanos < 0) {
+        if (!used || nextSlotNanos - nowNanos < 0) {
             used = true;
-            nextFreeNanos = nowNanos;
+            nextSlotNanos = nowNanos;
         }
-        long delay = nextFreeNanos - nowNanos;
-        nextFreeNanos += intervalNanos;
+        long delay = nextSlotNanos - nowNanos;
+        nextSlotNanos += intervalNanos;
         return Duration.ofNanos(delay);
     }
 }
--- a/library/src/main/java/org/chivetally/log/HttpPlatformLog.java
+++ b/library/src/main/java/org/chivetally/log/HttpPlatformLog.java
@@ -27,14 +27,14 @@
 /** Client of a log that speaks the HTTP protocol of docs/LOG-PROTOCOL.md. Safe from any thread. */
 public final class HttpPlatformLog implements PlatformLog {
     /** Longest wait that one read may ask for; longer ones are shortened to it. */
-    public static final Duration LONGEST_WAIT = Duration.ofSeconds(10);
+    public static final Duration MAXIMUM_READ_WAIT = Duration.ofSeconds(10);
 
     private static final int APPEND_CONNECTIONS = 16;
     private static final int READ_CONNECTIONS = 64;
-    private static final int OPEN_REQUESTS = 1024;
-    private static final long LARGEST_ANSWER_BYTES = 64L << 20;
-    private static final Duration FIRST_BACKOFF = Duration.ofMillis(50);
-    private static final Duration LONGEST_BACKOFF = Duration.ofMillis(250);
+    private static final int MAXIMUM_OPEN_REQUESTS = 1024;
+    private static final long MAXIMUM_RESPONSE_BYTES = 64L << 20;
+    private static final Duration MINIMUM_BACKOFF = Duration.ofMillis(50);
+    private static final Duration MAXIMUM_BACKOFF = Duration.ofMillis(250);
 
     private final ActorSystem<?> system;
     private final Http http;
@@ -56,25 +56,25 @@
         this.timeout = timeout;
         // Reads wait for seconds and would hold up appends, so each kind has connections of its own.
         this.appendPool = pool(APPEND_CONNECTIONS, timeout);
-        this.readPool = pool(READ_CONNECTIONS, timeout.plus(LONGEST_WAIT));
+        this.readPool = pool(READ_CONNECTIONS, timeout.plus(MAXIMUM_READ_WAIT));
     }
 
     @Override
     public CompletionStage<AppendOutcome> append(String stream, List<NewRecord> records) {
-        HttpRequest request = HttpRequest.POST(recordsOf(stream))
+        HttpRequest request = HttpRequest.POST(recordsUrl(stream))
                 .withEntity(ContentTypes.APPLICATION_JSON, LogCodec.encode(new LogCodec.Append(records)));
         return exchange(request, appendPool, timeout, HttpPlatformLog::appendOutcome, HttpPlatformLog::failedAppend);
     }
 
     @Override
     public CompletionStage<ReadOutcome> read(String stream, long from, int limit, Duration wait) {
-        Duration shortened = wait.compareTo(LONGEST_WAIT) > 0 ? LONGEST_WAIT : wait;
+        Duration boundedWait = wait.compareTo(MAXIMUM_READ_WAIT) > 0 ? MAXIMUM_READ_WAIT : wait;
         HttpRequest request = HttpRequest.GET(
-                "%s?from=%d&limit=%d&waitMillis=%d".formatted(recordsOf(stream), from, limit, shortened.toMillis()));
+                "%s?from=%d&limit=%d&waitMillis=%d".formatted(recordsUrl(stream), from, limit, boundedWait.toMillis()));
         return exchange(
                 request,
                 readPool,
-                timeout.plus(shortened),
+                timeout.plus(boundedWait),
                 HttpPlatformLog::readOutcome,
                 failure -> new ReadOutcome.Unavailable(failure.toString()));
     }
@@ -82,16 +82,16 @@
     private <T> CompletionStage<T> exchange(
             HttpRequest request,
             ConnectionPoolSettings pool,
-            Duration longest,
-            BiFunction<HttpResponse, byte[], T> onAnswer,
+            Duration responseTimeout,
+            BiFunction<HttpResponse, byte[], T> onResponse,
             Function<Throwable, T> onFailure) {
         CompletableFuture<T> outcome = new CompletableFuture<>();
         // A connection can go silent for good: its request would stay open for ever. The timer ends the caller's
         // wait whatever the connection does, and the pool's idle timeout closes the connection itself.
         Cancellable timer = system.scheduler()
                 .scheduleOnce(
-                        longest,
-                        () -> outcome.complete(onFailure.apply(new AnswerTimeout(longest))),
+                        responseTimeout,
+                        () -> outcome.complete(onFailure.apply(new ResponseTimeout(responseTimeout))),
                         system.executionContext());
         http.singleRequest(
                         request,
@@ -99,9 +99,9 @@
                         pool,
                         system.classicSystem().log())
                 .thenCompose(response -> response.entity()
-                        .toStrict(longest.toMillis(), LARGEST_ANSWER_BYTES, system)
-                        .thenApply(
-                                body -> onAnswer.apply(response, body.getData().toArrayUnsafe())))
+                        .toStrict(responseTimeout.toMillis(), MAXIMUM_RESPONSE_BYTES, system)
+                        .thenApply(body ->
+                                onResponse.apply(response, body.getData().toArrayUnsafe())))
                 .whenComplete((answer, failure) -> {
                     timer.cancel();
                     outcome.complete(failure == null ? answer : onFailure.apply(failure));
@@ -114,7 +114,7 @@
             return LogCodec.decode(body, AppendOutcome.Appended.class);
         }
         String status = "the log answered " + response.status().intValue();
-        if (saysNothingWritten(body)) {
+        if (confirmsNothingWritten(body)) {
             return new AppendOutcome.Refused(status);
         }
         return new AppendOutcome.Unknown(status);
@@ -124,7 +124,7 @@
      * Tells whether the log itself stated that it wrote nothing. The status alone is no proof: something between may
      * answer 503 after it has handed the append on, and a claim taken for unwritten would then stand in the log.
      */
-    private static boolean saysNothingWritten(byte[] body) {
+    private static boolean confirmsNothingWritten(byte[] body) {
         try {
             return !LogCodec.decode(body, LogCodec.Refusal.class).written();
         } catch (JacksonException e) {
@@ -162,33 +162,33 @@
         return false;
     }
 
-    private String recordsOf(String stream) {
+    private String recordsUrl(String stream) {
         String encoded = URLEncoder.encode(stream, StandardCharsets.UTF_8).replace("+", "%20");
         return base + "/streams/" + encoded + "/records";
     }
 
-    private ConnectionPoolSettings pool(int connections, Duration longestAnswer) {
+    private ConnectionPoolSettings pool(int connections, Duration responseTimeout) {
         ClientConnectionSettings connection = ClientConnectionSettings.create(system.classicSystem())
                 .withConnectingTimeout(timeout)
-                .withIdleTimeout(longestAnswer);
+                .withIdleTimeout(responseTimeout);
         return ConnectionPoolSettings.create(system.classicSystem())
                 .withConnectionSettings(connection)
                 .withMaxConnections(connections)
-                .withMaxOpenRequests(OPEN_REQUESTS)
+                .withMaxOpenRequests(MAXIMUM_OPEN_REQUESTS)
                 // Whoever reads or appends decides about the next attempt, and when.
                 .withMaxRetries(0)
                 .withPipeliningLimit(1)
                 // The pool closes a connection that nobody uses before its idle timeout can cut a new request.
-                .withKeepAliveTimeout(longestAnswer.dividedBy(2))
-                .withBaseConnectionBackoff(FIRST_BACKOFF)
-                .withMaxConnectionBackoff(LONGEST_BACKOFF);
+                .withKeepAliveTimeout(responseTimeout.dividedBy(2))
+                .withBaseConnectionBackoff(MINIMUM_BACKOFF)
+                .withMaxConnectionBackoff(MAXIMUM_BACKOFF);
     }
 
-    private static final class AnswerTimeout extends RuntimeException {
+    private static final class ResponseTimeout extends RuntimeException {
         private static final long serialVersionUID = 1L;
 
-        AnswerTimeout(Duration longest) {
-            super("no answer within " + longest.toMillis() + " ms", null, false, false);
+        ResponseTimeout(Duration timeout) {
+            super("no answer within " + timeout.toMillis() + " ms", null, false, false);
         }
     }
 }
--- a/library/src/main/java/org/chivetally/log/InMemoryPlatformLog.java
+++ b/library/src/main/java/org/chivetally/log/InMemoryPlatformLog.java
@@ -14,7 +14,7 @@
 import java.util.function.Supplier;
 import org.apache.pekko.actor.Cancellable;
 import org.apache.pekko.actor.typed.ActorSystem;
-import org.chivetally.log.RecordStream.Landing;
+import org.chivetally.log.RecordStream.AppendResult;
 import org.chivetally.log.RecordStream.WaitingRead;
 import org.chivetally.logging.EventLine;
 import org.chivetally.time.NanoClock;
@@ -33,7 +33,7 @@
     private final ActorSystem<?> system;
     private final NanoClock clock;
     private final InMemoryLogSettings settings;
-    private final AppendPacer pacer;
+    private final AppendRateLimiter rateLimiter;
     private final Random random;
     private final Map<String, RecordStream> streams = new ConcurrentHashMap<>();
     private final AtomicReference<LogFaults> faults = new AtomicReference<>(LogFaults.NONE);
@@ -48,7 +48,7 @@
         this.system = system;
         this.clock = clock;
         this.settings = settings;
-        this.pacer = new AppendPacer(settings.appendsPerSecond());
+        this.rateLimiter = new AppendRateLimiter(settings.appendsPerSecond());
         this.random = new Random(settings.seed());
     }
 
@@ -79,10 +79,11 @@
         if (faults.get().down()) {
             return CompletableFuture.completedFuture(refuse());
         }
-        Duration delay = pacer.reserve(clock.nanos())
+        Duration delay = rateLimiter
+                .reserve(clock.nanos())
                 .plus(settings.appendLatency())
                 .plusMillis(faults.get().appendDelayMillis());
-        return after(delay, () -> CompletableFuture.completedFuture(takeEffect(stream, copy)));
+        return after(delay, () -> CompletableFuture.completedFuture(apply(stream, copy)));
     }
 
     @Override
@@ -92,29 +93,29 @@
         return after(delay, () -> readNow(stream(stream), from, limit, wait));
     }
 
-    private AppendOutcome takeEffect(String stream, List<NewRecord> records) {
+    private AppendOutcome apply(String stream, List<NewRecord> records) {
         LogFaults current = faults.get();
         if (current.down()) {
             return refuse();
         }
-        if (!losesAnswer()) {
+        if (!takeAnswerLoss()) {
             return new AppendOutcome.Appended(write(stream, records));
         }
         lostAnswers.increment();
         Duration late = Duration.ofMillis(current.lateWriteMillis());
-        later(late, () -> write(stream, records));
+        runAfter(late, () -> write(stream, records));
         if (current.lateDuplicateMillis() > 0) {
-            later(late.plusMillis(current.lateDuplicateMillis()), () -> write(stream, records));
+            runAfter(late.plusMillis(current.lateDuplicateMillis()), () -> write(stream, records));
         }
         return new AppendOutcome.Unknown(ANSWER_LOST);
     }
 
     private long write(String stream, List<NewRecord> records) {
-        Landing landing = stream(stream).append(records, clock.nanos());
+        AppendResult appended = stream(stream).append(records, clock.nanos());
         appends.increment();
         writtenRecords.add(records.size());
-        landing.answered().forEach(read -> answer(stream(stream), read));
-        return landing.firstOffset();
+        appended.answered().forEach(read -> answer(stream(stream), read));
+        return appended.firstOffset();
     }
 
     private AppendOutcome refuse() {
@@ -122,7 +123,7 @@
         return new AppendOutcome.Refused(DOWN);
     }
 
-    private boolean losesAnswer() {
+    private boolean takeAnswerLoss() {
         LogFaults before = faults.getAndUpdate(current ->
                 current.loseNextAnswers() == 0 ? current : current.withLoseNextAnswers(current.loseNextAnswers() - 1));
         if (before.loseNextAnswers() > 0) {
@@ -143,23 +144,23 @@
         if (found.isPresent()) {
             return CompletableFuture.completedFuture(found.get());
         }
-        Cancellable timeout = later(wait, () -> stopWaiting(stream, read));
+        Cancellable timeout = runAfter(wait, () -> endWait(stream, read));
         read.answer().whenComplete((outcome, failure) -> timeout.cancel());
         // The log may have gone down between the check above and the start of the wait; nobody would then answer
         // this read before its wait is over. Looking again after it waits leaves no such gap.
         if (faults.get().down()) {
-            stopWaiting(stream, read);
+            endWait(stream, read);
         }
         return read.answer();
     }
 
-    private void stopWaiting(RecordStream stream, WaitingRead read) {
-        stream.forget(read);
+    private void endWait(RecordStream stream, WaitingRead read) {
+        stream.cancelRead(read);
         answer(stream, read);
     }
 
     private void failWaiting(RecordStream stream) {
-        stream.takeWaiting().forEach(read -> answer(stream, read));
+        stream.removeWaiting().forEach(read -> answer(stream, read));
     }
 
     private void answer(RecordStream stream, WaitingRead read) {
@@ -179,11 +180,11 @@
             return step.get();
         }
         CompletableFuture<Void> passed = new CompletableFuture<>();
-        later(delay, () -> passed.complete(null));
+        runAfter(delay, () -> passed.complete(null));
         return passed.thenCompose(ignored -> step.get());
     }
 
-    private Cancellable later(Duration delay, Runnable step) {
+    private Cancellable runAfter(Duration delay, Runnable step) {
         if (!delay.isPositive()) {
             step.run();
             return Cancellable.alreadyCancelled();
--- a/library/src/main/java/org/chivetally/log/RecordStream.java
+++ b/library/src/main/java/org/chivetally/log/RecordStream.java
@@ -11,10 +11,10 @@
 final class RecordStream {
     private final int keptRecords;
     private final long keptForNanos;
-    private final List<KeptRecord> kept = new ArrayList<>();
+    private final List<StoredRecord> stored = new ArrayList<>();
     private final Set<WaitingRead> waiting = new LinkedHashSet<>();
     /** Number of expired records at the front of the list that are not yet removed from it. */
-    private int expired;
+    private int expiredCount;
 
     private long endOffset;
 
@@ -24,14 +24,14 @@
     }
 
     /** Appends records and returns the waiting reads that now have an answer; the caller completes them. */
-    synchronized Landing append(List<NewRecord> records, long nowNanos) {
+    synchronized AppendResult append(List<NewRecord> records, long nowNanos) {
         long firstOffset = endOffset;
         for (NewRecord added : records) {
-            kept.add(new KeptRecord(new LogRecord(endOffset, added.id(), added.payload()), nowNanos));
+            stored.add(new StoredRecord(new LogRecord(endOffset, added.id(), added.payload()), nowNanos));
             endOffset++;
         }
         expireOld(nowNanos);
-        return new Landing(firstOffset, takeAnswered());
+        return new AppendResult(firstOffset, removeAnswerable());
     }
 
     /** Returns what a read finds now, possibly no records. */
@@ -40,10 +40,10 @@
         if (from < earliestOffset()) {
             return new ReadOutcome.Expired(earliestOffset());
         }
-        int first = (int) Math.min(kept.size(), expired + (from - earliestOffset()));
-        int end = (int) Math.min(kept.size(), (long) first + limit);
+        int first = (int) Math.min(stored.size(), expiredCount + (from - earliestOffset()));
+        int end = (int) Math.min(stored.size(), (long) first + limit);
         List<LogRecord> found =
-                kept.subList(first, end).stream().map(KeptRecord::content).toList();
+                stored.subList(first, end).stream().map(StoredRecord::content).toList();
         return new ReadOutcome.Records(found, endOffset);
     }
 
@@ -57,12 +57,12 @@
     }
 
     /** Stops a read from waiting. */
-    synchronized void forget(WaitingRead read) {
+    synchronized void cancelRead(WaitingRead read) {
         waiting.remove(read);
     }
 
     /** Stops all reads from waiting and returns them. */
-    synchronized List<WaitingRead> takeWaiting() {
+    synchronized List<WaitingRead> removeWaiting() {
         List<WaitingRead> taken = List.copyOf(waiting);
         waiting.clear();
         return taken;
@@ -71,16 +71,16 @@
     /** Expires the records below an offset. */
     synchronized void expire(long upTo) {
         while (earliestOffset() < Math.min(upTo, endOffset)) {
-            expired++;
+            expiredCount++;
         }
         compact();
     }
 
     private long earliestOffset() {
-        return endOffset - (kept.size() - expired);
+        return endOffset - (stored.size() - expiredCount);
     }
 
-    private List<WaitingRead> takeAnswered() {
+    private List<WaitingRead> removeAnswerable() {
         List<WaitingRead> answered =
                 waiting.stream().filter(read -> read.from() < endOffset).toList();
         answered.forEach(waiting::remove);
@@ -88,26 +88,26 @@
     }
 
     private void expireOld(long nowNanos) {
-        while (expired < kept.size() && isOld(kept.get(expired), nowNanos)) {
-            expired++;
+        while (expiredCount < stored.size() && isOld(stored.get(expiredCount), nowNanos)) {
+            expiredCount++;
         }
         compact();
     }
 
-    private boolean isOld(KeptRecord oldest, long nowNanos) {
-        return kept.size() - expired > keptRecords || nowNanos - oldest.writtenNanos() > keptForNanos;
+    private boolean isOld(StoredRecord oldest, long nowNanos) {
+        return stored.size() - expiredCount > keptRecords || nowNanos - oldest.writtenNanos() > keptForNanos;
     }
 
     /** Removes expired records only once they are half of the list, so that expiry costs constant time a record. */
     private void compact() {
-        if (expired > kept.size() / 2) {
-            kept.subList(0, expired).clear();
-            expired = 0;
+        if (expiredCount > stored.size() / 2) {
+            stored.subList(0, expiredCount).clear();
+            expiredCount = 0;
         }
     }
 
     /** What an append did: where its records stand, and the waiting reads that it answers. */
-    record Landing(long firstOffset, List<WaitingRead> answered) {}
+    record AppendResult(long firstOffset, List<WaitingRead> answered) {}
 
     /** A read that waits for a record; each waits by itself, so equality is identity. */
     static final class WaitingRead {
@@ -133,5 +133,5 @@
         }
     }
 
-    private record KeptRecord(LogRecord content, long writtenNanos) {}
+    private record StoredRecord(LogRecord content, long writtenNanos) {}
 }
--- a/library/src/main/java/org/chivetally/logging/BoundedLogHandler.java
+++ b/library/src/main/java/org/chivetally/logging/BoundedLogHandler.java
@@ -15,7 +15,7 @@
  */
 public final class BoundedLogHandler extends Handler {
     /** Lines that may wait: two seconds of an entry's lines at the highest load measured, under 2 MB. */
-    static final int MOST_LINES = 8_192;
+    static final int MAXIMUM_QUEUED_LINES = 8_192;
 
     private static final Logger ROOT = Logger.getLogger("");
 
@@ -23,12 +23,12 @@
      * Pause between two writes. A wake-up costs more than a line, so it is as long as on-call can do without the last
      * lines of a process that was killed.
      */
-    private static final long PAUSE_MILLIS = 100;
+    private static final long WRITE_INTERVAL_MILLIS = 100;
 
-    private final BlockingQueue<String> lines = new ArrayBlockingQueue<>(MOST_LINES);
+    private final BlockingQueue<String> lines = new ArrayBlockingQueue<>(MAXIMUM_QUEUED_LINES);
     private final AtomicLong dropped = new AtomicLong();
-    private final LogTime time = new LogTime();
-    private volatile Thread unheard;
+    private final TimestampFormatter timestamps = new TimestampFormatter();
+    private volatile Thread suppressedThread;
     private final PrintStream out;
 
     /** Creates a handler that writes when it is flushed, and from its own thread once it is installed. */
@@ -44,7 +44,7 @@
         BoundedLogHandler handler = new BoundedLogHandler(out);
         ROOT.addHandler(handler);
         ROOT.setLevel(level);
-        Thread writer = new Thread(handler::writeForever, "log-writer");
+        Thread writer = new Thread(handler::writeLoop, "log-writer");
         writer.setDaemon(true);
         writer.start();
         return handler;
@@ -53,7 +53,7 @@
     @Override
     public void publish(LogRecord entry) {
         StringBuilder line = new StringBuilder("time=")
-                .append(time.text(entry.getMillis()))
+                .append(timestamps.format(entry.getMillis()))
                 .append(" level=")
                 .append(entry.getLevel())
                 .append(' ')
@@ -61,18 +61,18 @@
         for (Throwable cause = entry.getThrown(); cause != null; cause = cause.getCause()) {
             appendCause(line, cause);
         }
-        if (Thread.currentThread() != unheard && !lines.offer(line.toString())) {
+        if (Thread.currentThread() != suppressedThread && !lines.offer(line.toString())) {
             dropped.incrementAndGet();
         }
     }
 
     /** Runs an action whose lines are made but not written, as they tell of nothing that happened to anybody. */
-    public void quietly(Runnable action) {
-        unheard = Thread.currentThread();
+    public void runWithoutLogging(Runnable action) {
+        suppressedThread = Thread.currentThread();
         try {
             action.run();
         } finally {
-            unheard = null;
+            suppressedThread = null;
         }
     }
 
@@ -84,11 +84,11 @@
         }
     }
 
-    private void writeForever() {
+    private void writeLoop() {
         try {
             while (true) {
                 write(new StringBuilder(lines.take()).append('\n'));
-                Thread.sleep(PAUSE_MILLIS);
+                Thread.sleep(WRITE_INTERVAL_MILLIS);
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
--- a/library/src/main/java/org/chivetally/logging/LastingLogManager.java
+++ b/library/src/main/java/org/chivetally/logging/NonResettingLogManager.java
@@ -9,7 +9,7 @@
  * <p>Takes effect in a process that names it in {@link #PROPERTY} before anything is logged. A compile-time constant,
  * as a call to this class would set up the usual manager first.
  */
-public final class LastingLogManager extends LogManager {
+public final class NonResettingLogManager extends LogManager {
     /** System property that names the manager. */
     public static final String PROPERTY = "java.util.logging.manager";
 
--- a/library/src/main/java/org/chivetally/logging/LogTime.java
+++ b/library/src/main/java/org/chivetally/logging/TimestampFormatter.java
@@ -7,20 +7,20 @@
  * Times of log lines as text: UTC with milliseconds. The text of a second is kept for the lines that follow in it,
  * since formatting a date takes longer than the rest of a line.
  */
-final class LogTime {
+final class TimestampFormatter {
     private static final int MILLIS_PER_SECOND = 1_000;
 
-    private static final int TWO_DIGITS = 10;
+    private static final int SMALLEST_TWO_DIGIT_NUMBER = 10;
 
-    private Second newest = Second.of(0);
+    private Second cached = Second.of(0);
 
     /** Returns the text of a time; may be called by any thread. */
-    String text(long epochMillis) {
+    String format(long epochMillis) {
         long epochSecond = Math.floorDiv(epochMillis, MILLIS_PER_SECOND);
-        Second second = newest;
+        Second second = cached;
         if (second.epochSecond() != epochSecond) {
             second = Second.of(epochSecond);
-            newest = second;
+            cached = second;
         }
         int millis = (int) Math.floorMod(epochMillis, (long) MILLIS_PER_SECOND);
         String padding = millis < 10 ? "00" : millis < 100 ? "0" : "";
@@ -45,7 +45,7 @@
         }
 
         private static void append(StringBuilder text, int number) {
-            text.append(number < TWO_DIGITS ? "0" : "").append(number);
+            text.append(number < SMALLEST_TWO_DIGIT_NUMBER ? "0" : "").append(number);
         }
     }
 }
--- a/library/src/main/java/org/chivetally/resource/BackendServerSchema.java
+++ b/library/src/main/java/org/chivetally/resource/BackendServerSchema.java
@@ -17,7 +17,7 @@
         }
         boolean draining = spec.flag("draining", false);
         Optional<VendorAdapter> state = VendorAdapterSchema.read(spec.section("state"));
-        if (!spec.isSound()) {
+        if (!spec.isValid()) {
             return Optional.empty();
         }
         return Optional.of(new BackendServerPolicy(name, service, draining, state));
--- a/library/src/main/java/org/chivetally/resource/ResourceDocuments.java
+++ b/library/src/main/java/org/chivetally/resource/ResourceDocuments.java
@@ -65,7 +65,7 @@
      */
     public static Declared readBody(String place, ResourceKey key, String text) {
         Document document = Document.parse(place, text);
-        document.requireValue();
+        document.requireNotEmpty();
         Section root = document.root();
         refuseOther(root, "kind", key.kind().singular());
         refuseOther(root, "name", key.name());
--- a/library/src/main/java/org/chivetally/resource/ResourceStatus.java
+++ b/library/src/main/java/org/chivetally/resource/ResourceStatus.java
@@ -37,7 +37,7 @@
 
         /** Returns the word used in documents. */
         public String text() {
-            return Section.written(this);
+            return Section.kebabCase(this);
         }
     }
 
--- a/library/src/main/java/org/chivetally/resource/RoutingSchema.java
+++ b/library/src/main/java/org/chivetally/resource/RoutingSchema.java
@@ -19,7 +19,7 @@
         RoutingPolicy policy = new RoutingPolicy(
                 name,
                 spec.choice("placement", RoutingPolicy.Placement.class, defaults.placement()),
-                (int) spec.whole("overcommit", 0, MOST_OVERCOMMIT, defaults.overcommit()),
+                (int) spec.integer("overcommit", 0, MOST_OVERCOMMIT, defaults.overcommit()),
                 spec.decimal("retryBudgetShare", 0, 1, defaults.retryBudgetShare()),
                 spec.duration("heartbeatActive", SHORTEST, LONGEST, defaults.heartbeatActive()),
                 spec.duration("heartbeatIdle", SHORTEST, LONGEST, defaults.heartbeatIdle()),
@@ -33,19 +33,19 @@
             spec.mistake(
                     "silentAfter", "must be at least twice heartbeatActive, or one lost heartbeat counts as silence");
         }
-        return spec.isSound() ? Optional.of(policy) : Optional.empty();
+        return spec.isValid() ? Optional.of(policy) : Optional.empty();
     }
 
     @Override
     public ObjectNode write(RoutingPolicy policy) {
         return JsonNodeFactory.instance
                 .objectNode()
-                .put("placement", Section.written(policy.placement()))
+                .put("placement", Section.kebabCase(policy.placement()))
                 .put("overcommit", policy.overcommit())
                 .put("retryBudgetShare", policy.retryBudgetShare())
-                .put("heartbeatActive", Units.duration(policy.heartbeatActive()))
-                .put("heartbeatIdle", Units.duration(policy.heartbeatIdle()))
-                .put("silentAfter", Units.duration(policy.silentAfter()))
+                .put("heartbeatActive", Units.formatDuration(policy.heartbeatActive()))
+                .put("heartbeatIdle", Units.formatDuration(policy.heartbeatIdle()))
+                .put("silentAfter", Units.formatDuration(policy.silentAfter()))
                 .put("quarantineShare", policy.quarantineShare())
                 .put("preferredFailureDomain", policy.preferredFailureDomain());
     }
--- a/library/src/main/java/org/chivetally/resource/ServiceSchema.java
+++ b/library/src/main/java/org/chivetally/resource/ServiceSchema.java
@@ -23,13 +23,13 @@
         ServicePolicy defaults = ServicePolicy.undeclared(name);
         boolean idempotent = spec.flag("idempotent", defaults.idempotent());
         ServicePolicy.ClaimMode claims = spec.choice("claims", ServicePolicy.ClaimMode.class, defaults.claimMode());
-        long attempts = spec.whole("attempts", 1, MOST_ATTEMPTS, defaults.maximumAttempts());
+        long attempts = spec.integer("attempts", 1, MOST_ATTEMPTS, defaults.maximumAttempts());
         Duration lease = spec.duration("attemptLease", SHORTEST, LONGEST, defaults.attemptLease());
         Duration deadline = spec.duration("deadline", SHORTEST, LONGEST, defaults.defaultDeadline());
         boolean speculate = spec.flag("speculate", defaults.speculate());
         Resources resources = resources(spec.section("resources"));
         refuseRepeatsOfWhatRunsOnce(spec, idempotent, claims, speculate);
-        if (!spec.isSound()) {
+        if (!spec.isValid()) {
             return Optional.empty();
         }
         return Optional.of(
@@ -40,23 +40,23 @@
     public ObjectNode write(ServicePolicy policy) {
         ObjectNode node = JsonNodeFactory.instance.objectNode();
         node.put("idempotent", policy.idempotent());
-        node.put("claims", Section.written(policy.claimMode()));
+        node.put("claims", Section.kebabCase(policy.claimMode()));
         node.put("attempts", policy.maximumAttempts());
-        node.put("attemptLease", Units.duration(policy.attemptLease()));
-        node.put("deadline", Units.duration(policy.defaultDeadline()));
+        node.put("attemptLease", Units.formatDuration(policy.attemptLease()));
+        node.put("deadline", Units.formatDuration(policy.defaultDeadline()));
         node.put("speculate", policy.speculate());
         node.putObject("resources")
                 .put("processorMillis", policy.resources().processorMillis())
-                .put("memory", Units.bytes(policy.resources().memoryBytes()))
+                .put("memory", Units.formatBytes(policy.resources().memoryBytes()))
                 .put("accelerators", policy.resources().accelerators());
         return node;
     }
 
     private static Resources resources(Section section) {
         return new Resources(
-                section.whole("processorMillis", 0, MOST_PROCESSOR_MILLIS, 0),
+                section.integer("processorMillis", 0, MOST_PROCESSOR_MILLIS, 0),
                 section.bytes("memory", 0, MOST_MEMORY, 0),
-                (int) section.whole("accelerators", 0, MOST_ACCELERATORS, 0));
+                (int) section.integer("accelerators", 0, MOST_ACCELERATORS, 0));
     }
 
     private static void refuseRepeatsOfWhatRunsOnce(
--- a/library/src/main/java/org/chivetally/resource/TeamSchema.java
+++ b/library/src/main/java/org/chivetally/resource/TeamSchema.java
@@ -14,10 +14,10 @@
     @Override
     public Optional<TeamPolicy> read(String name, Section spec) {
         TeamPolicy defaults = TeamPolicy.undeclared(name);
-        long running = spec.whole("maximumRunning", 0, MOST_TASKS, defaults.maximumRunning());
-        long queued = spec.whole("maximumQueued", 0, MOST_TASKS, defaults.maximumQueued());
-        long weight = spec.whole("weight", 1, LARGEST_WEIGHT, defaults.weight());
-        if (!spec.isSound()) {
+        long running = spec.integer("maximumRunning", 0, MOST_TASKS, defaults.maximumRunning());
+        long queued = spec.integer("maximumQueued", 0, MOST_TASKS, defaults.maximumQueued());
+        long weight = spec.integer("weight", 1, LARGEST_WEIGHT, defaults.weight());
+        if (!spec.isValid()) {
             return Optional.empty();
         }
         return Optional.of(new TeamPolicy(name, (int) running, (int) queued, (int) weight));
--- a/library/src/main/java/org/chivetally/resource/http/ApplyRequest.java
+++ b/library/src/main/java/org/chivetally/resource/http/ApplyRequest.java
@@ -33,7 +33,7 @@
         List<DeclaredResource> resources = new ArrayList<>();
         Map<ResourceKey, Long> basedOn = new HashMap<>();
         for (Section section : root.sections("resources")) {
-            long seen = section.whole("basedOn", 0, Long.MAX_VALUE, NOT_GIVEN);
+            long seen = section.integer("basedOn", 0, Long.MAX_VALUE, NOT_GIVEN);
             Optional<DeclaredResource> resource = ResourceDocuments.readResource(section);
             resource.ifPresent(resources::add);
             resource.filter(ignored -> seen != NOT_GIVEN).ifPresent(found -> basedOn.put(found.key(), seen));
--- a/library/src/main/java/org/chivetally/resource/http/ResourceJson.java
+++ b/library/src/main/java/org/chivetally/resource/http/ResourceJson.java
@@ -74,7 +74,7 @@
     static ObjectNode of(WatchEvent event) {
         return switch (event) {
             case WatchEvent.Changed changed -> {
-                ObjectNode node = object().put("type", Section.written(changed.type()));
+                ObjectNode node = object().put("type", Section.kebabCase(changed.type()));
                 node.put("version", changed.resource().version()).put("resumeFrom", changed.resumeFrom());
                 node.set("resource", of(changed.resource()));
                 yield node;
--- a/library/src/main/java/org/chivetally/resource/http/ResourceRoutes.java
+++ b/library/src/main/java/org/chivetally/resource/http/ResourceRoutes.java
@@ -289,7 +289,7 @@
         for (ApplyPlan.Step step : plan.steps()) {
             ObjectNode result = results.addObject();
             ResourceJson.write(result, step.key());
-            result.put("action", Section.written(step.action()));
+            result.put("action", Section.kebabCase(step.action()));
             step.before().ifPresent(before -> result.set("before", ResourceJson.of(before)));
             step.after().ifPresent(after -> ResourceJson.write(result.putObject("after"), after));
         }
--- a/library/src/main/java/org/chivetally/settings/AgentDaemonSettings.java
+++ b/library/src/main/java/org/chivetally/settings/AgentDaemonSettings.java
@@ -21,8 +21,8 @@
     private static final int MAXIMUM_PROCESSORS = 4096;
     private static final int MAXIMUM_ACCELERATORS = 1024;
     private static final int MAXIMUM_QUEUE = 10_000;
-    private static final long MAXIMUM_MEMORY = 1L << 46;
-    private static final int MILLIS = 1000;
+    private static final long MAXIMUM_MEMORY_BYTES = 1L << 46;
+    private static final int MILLIS_PER_PROCESSOR = 1000;
     private static final int DEFAULT_QUEUE = 16;
     private static final Duration SECOND = Duration.ofSeconds(1);
     private static final Duration MINUTE = Duration.ofMinutes(1);
@@ -44,7 +44,7 @@
         AgentDaemonSettings settings = new AgentDaemonSettings(
                 SettingsSections.process(root),
                 minion(root.section("minion")),
-                (int) limits.whole("queue", 0, MAXIMUM_QUEUE, DEFAULT_QUEUE),
+                (int) limits.integer("queue", 0, MAXIMUM_QUEUE, DEFAULT_QUEUE),
                 limits.duration("ticketAge", SECOND, MINUTE, DEFAULT_TICKET_AGE),
                 limits.duration("retention", SECOND, HOUR, DEFAULT_RETENTION));
         // A start may arrive for as long as its ticket is accepted; an attempt forgotten before that could run twice.
@@ -59,10 +59,10 @@
                 minion.requiredText("backend"),
                 minion.requiredText("service"),
                 SettingsSections.url(minion, "url"),
-                (int) minion.requiredWhole("slots", 1, MAXIMUM_SLOTS),
-                (int) minion.requiredWhole("connections", MINIMUM_CONNECTIONS, MAXIMUM_CONNECTIONS),
-                minion.requiredWhole("processors", 1, MAXIMUM_PROCESSORS) * MILLIS,
-                minion.requiredBytes("memory", 0, MAXIMUM_MEMORY),
-                (int) minion.whole("accelerators", 0, MAXIMUM_ACCELERATORS, 0));
+                (int) minion.requiredInteger("slots", 1, MAXIMUM_SLOTS),
+                (int) minion.requiredInteger("connections", MINIMUM_CONNECTIONS, MAXIMUM_CONNECTIONS),
+                minion.requiredInteger("processors", 1, MAXIMUM_PROCESSORS) * MILLIS_PER_PROCESSOR,
+                minion.requiredBytes("memory", 0, MAXIMUM_MEMORY_BYTES),
+                (int) minion.integer("accelerators", 0, MAXIMUM_ACCELERATORS, 0));
     }
 }
--- a/library/src/main/java/org/chivetally/settings/ClaimTimes.java
+++ b/library/src/main/java/org/chivetally/settings/EntryClaimSettings.java
@@ -14,7 +14,7 @@
  * @param claimTimeout how long a submission waits for the log before it is refused as not run
  * @param appendsPerSecond this entry's share of the log's append budget
  */
-public record ClaimTimes(
+public record EntryClaimSettings(
         Duration window,
         Duration logRetention,
         Duration lease,
@@ -23,7 +23,7 @@
         Duration claimTimeout,
         int appendsPerSecond) {
     /** Refuses missing parts. */
-    public ClaimTimes {
+    public EntryClaimSettings {
         Objects.requireNonNull(window, "window");
         Objects.requireNonNull(logRetention, "logRetention");
         Objects.requireNonNull(lease, "lease");
--- a/library/src/main/java/org/chivetally/settings/EntryDaemonSettings.java
+++ b/library/src/main/java/org/chivetally/settings/EntryDaemonSettings.java
@@ -11,21 +11,21 @@
  * @param http where callers and operators are served
  * @param claims times and rates of claims
  */
-public record EntryDaemonSettings(ProcessSettings process, HostPort http, ClaimTimes claims) {
+public record EntryDaemonSettings(ProcessSettings process, HostPort http, EntryClaimSettings claims) {
     private static final Duration DAY = Duration.ofDays(1);
     private static final Duration HOUR = Duration.ofHours(1);
     private static final Duration SECOND = Duration.ofSeconds(1);
     private static final Duration MINUTE = Duration.ofMinutes(1);
     private static final Duration DEFAULT_WINDOW = Duration.ofMinutes(10);
     private static final Duration MONTH = Duration.ofDays(31);
-    private static final Duration SHORTEST_CLAIM = Duration.ofMillis(100);
+    private static final Duration MINIMUM_CLAIM_TIMEOUT = Duration.ofMillis(100);
     private static final Duration DEFAULT_LOG_RETENTION = Duration.ofMinutes(30);
     private static final Duration DEFAULT_LEASE = Duration.ofSeconds(6);
     private static final Duration DEFAULT_AGENT_RETENTION = Duration.ofMinutes(5);
     private static final Duration DEFAULT_CLAIM_TIMEOUT = Duration.ofSeconds(2);
     private static final Duration DEFAULT_TICKET_AGE = Duration.ofSeconds(3);
-    private static final int DEFAULT_APPENDS = 30;
-    private static final int MAXIMUM_APPENDS = 1000;
+    private static final int DEFAULT_APPENDS_PER_SECOND = 30;
+    private static final int MAXIMUM_APPENDS_PER_SECOND = 1000;
 
     /** Refuses missing parts. */
     public EntryDaemonSettings {
@@ -42,15 +42,15 @@
                 claims(root.section("claims")));
     }
 
-    private static ClaimTimes claims(Section section) {
-        ClaimTimes claims = new ClaimTimes(
+    private static EntryClaimSettings claims(Section section) {
+        EntryClaimSettings claims = new EntryClaimSettings(
                 section.duration("window", MINUTE, DAY, DEFAULT_WINDOW),
                 section.duration("logRetention", MINUTE, MONTH, DEFAULT_LOG_RETENTION),
                 section.duration("lease", SECOND, MINUTE, DEFAULT_LEASE),
                 section.duration("ticketAge", SECOND, MINUTE, DEFAULT_TICKET_AGE),
                 section.duration("agentRetention", SECOND, HOUR, DEFAULT_AGENT_RETENTION),
-                section.duration("claimTimeout", SHORTEST_CLAIM, MINUTE, DEFAULT_CLAIM_TIMEOUT),
-                (int) section.whole("appendsPerSecond", 1, MAXIMUM_APPENDS, DEFAULT_APPENDS));
+                section.duration("claimTimeout", MINIMUM_CLAIM_TIMEOUT, MINUTE, DEFAULT_CLAIM_TIMEOUT),
+                (int) section.integer("appendsPerSecond", 1, MAXIMUM_APPENDS_PER_SECOND, DEFAULT_APPENDS_PER_SECOND));
         Duration needed = claims.window().plus(claims.lease()).plus(claims.claimTimeout());
         if (needed.compareTo(claims.logRetention()) > 0) {
             section.mistake("logRetention", "must not be shorter than window, lease and claimTimeout together");
--- a/library/src/main/java/org/chivetally/settings/QueueSettings.java
+++ b/library/src/main/java/org/chivetally/settings/QueueSettings.java
@@ -37,7 +37,7 @@
         SchedulingSettings scheduling,
         Optional<EntryAddresses> entry,
         Optional<AgentAddresses> agent) {
-    private static final int MOST_PARTITIONS = 1_000;
+    private static final int MAXIMUM_PARTITIONS = 1_000;
     private static final Duration SECOND = Duration.ofSeconds(1);
     private static final Duration HOUR = Duration.ofHours(1);
     private static final Duration DAY = Duration.ofDays(1);
@@ -81,10 +81,10 @@
         return new QueueSettings(
                 process.requiredText("name"),
                 process.requiredText("failureDomain"),
-                new HostPort(host, (int) frames.requiredWhole("port", 1, HostPort.MAXIMUM_PORT)),
-                new HostPort(host, (int) frames.requiredWhole("metricsPort", 1, HostPort.MAXIMUM_PORT)),
+                new HostPort(host, (int) frames.requiredInteger("port", 1, HostPort.MAXIMUM_PORT)),
+                new HostPort(host, (int) frames.requiredInteger("metricsPort", 1, HostPort.MAXIMUM_PORT)),
                 address(log, "address"),
-                (int) log.requiredWhole("partitions", 1, MOST_PARTITIONS),
+                (int) log.requiredInteger("partitions", 1, MAXIMUM_PARTITIONS),
                 root.requiredDuration("statusRetention", SECOND, DAY),
                 root.requiredDuration("drainTimeout", SECOND, HOUR),
                 root.choice("logLevel", LogLevel.class, LogLevel.INFO),
--- a/library/src/main/java/org/chivetally/settings/SchedulingSettings.java
+++ b/library/src/main/java/org/chivetally/settings/SchedulingSettings.java
@@ -14,14 +14,14 @@
     public static final SchedulingSettings NONE = new SchedulingSettings(false, false, 0);
 
     /** Fewest crashes after which a job may be given up: one says nothing of the tasks that ran there. */
-    private static final int LEAST_CRASH_LIMIT = 2;
+    private static final int MINIMUM_CRASH_LIMIT = 2;
 
     /** Most crashes after which a job is given up: every further one costs all that runs on another minion. */
-    private static final int MOST_CRASH_LIMIT = 5;
+    private static final int MAXIMUM_CRASH_LIMIT = 5;
 
     /** Refuses a limit under which a task is given up for a single crash. */
     public SchedulingSettings {
-        if (crashLimit != 0 && (crashLimit < LEAST_CRASH_LIMIT || crashLimit > MOST_CRASH_LIMIT)) {
+        if (crashLimit != 0 && (crashLimit < MINIMUM_CRASH_LIMIT || crashLimit > MAXIMUM_CRASH_LIMIT)) {
             throw new IllegalArgumentException("crash limit " + crashLimit);
         }
     }
@@ -29,6 +29,6 @@
     /** Reads the section {@code scheduling} of a settings file. */
     static SchedulingSettings read(Section section) {
         return new SchedulingSettings(section.flag("learnedSpeeds", false), section.flag("fairShares", false), (int)
-                section.whole("crashLimit", LEAST_CRASH_LIMIT, MOST_CRASH_LIMIT, 0));
+                section.integer("crashLimit", MINIMUM_CRASH_LIMIT, MAXIMUM_CRASH_LIMIT, 0));
     }
 }
--- a/library/src/main/java/org/chivetally/settings/SettingsSections.java
+++ b/library/src/main/java/org/chivetally/settings/SettingsSections.java
@@ -11,10 +11,10 @@
     private static final Duration MILLISECOND = Duration.ofMillis(1);
     private static final Duration HOUR = Duration.ofHours(1);
     private static final Duration MINUTE = Duration.ofMinutes(1);
-    private static final Duration DEFAULT_DRAIN = Duration.ofMinutes(2);
-    private static final Duration DEFAULT_LOG_TIMEOUT = Duration.ofSeconds(2);
+    private static final Duration DEFAULT_DRAIN_TIMEOUT = Duration.ofMinutes(2);
+    private static final Duration DEFAULT_LOG_REQUEST_TIMEOUT = Duration.ofSeconds(2);
     private static final Set<String> SCHEMES = Set.of("http", "https");
-    private static final URI NO_URL = URI.create("http://0.0.0.0");
+    private static final URI PLACEHOLDER_URL = URI.create("http://0.0.0.0");
 
     private SettingsSections() {}
 
@@ -29,27 +29,27 @@
                 advertised(frames, listener),
                 log(root.section("log")),
                 root.sections("seeds").stream().map(SettingsSections::address).toList(),
-                root.duration("drainTimeout", MILLISECOND, HOUR, DEFAULT_DRAIN),
+                root.duration("drainTimeout", MILLISECOND, HOUR, DEFAULT_DRAIN_TIMEOUT),
                 root.choice("logLevel", LogLevel.class, LogLevel.INFO));
     }
 
     /** Reads a listener, whose port may be 0. */
     static HostPort listener(Section section) {
         return new HostPort(
-                section.requiredText("host"), (int) section.requiredWhole("port", 0, HostPort.MAXIMUM_PORT));
+                section.requiredText("host"), (int) section.requiredInteger("port", 0, HostPort.MAXIMUM_PORT));
     }
 
     /** Reads the address of another process. */
     static HostPort address(Section section) {
         return new HostPort(
-                section.requiredText("host"), (int) section.requiredWhole("port", 1, HostPort.MAXIMUM_PORT));
+                section.requiredText("host"), (int) section.requiredInteger("port", 1, HostPort.MAXIMUM_PORT));
     }
 
     /** Reads an address that must be given as an absolute HTTP URL. */
     static URI url(Section section, String key) {
         String text = section.requiredText(key);
         if (text.isEmpty()) {
-            return NO_URL;
+            return PLACEHOLDER_URL;
         }
         try {
             URI url = new URI(text);
@@ -60,16 +60,16 @@
             // Reported below like any other text that is no such address.
         }
         section.mistake(key, '"' + text + "\" is not an address such as http://127.0.0.1:9000");
-        return NO_URL;
+        return PLACEHOLDER_URL;
     }
 
     private static HostPort advertised(Section frames, HostPort listener) {
         return new HostPort(frames.text("advertisedHost", listener.host()), (int)
-                frames.whole("advertisedPort", 1, HostPort.MAXIMUM_PORT, listener.port()));
+                frames.integer("advertisedPort", 1, HostPort.MAXIMUM_PORT, listener.port()));
     }
 
     private static LogAccessSettings log(Section log) {
         return new LogAccessSettings(
-                url(log, "url"), log.duration("requestTimeout", MILLISECOND, MINUTE, DEFAULT_LOG_TIMEOUT));
+                url(log, "url"), log.duration("requestTimeout", MILLISECOND, MINUTE, DEFAULT_LOG_REQUEST_TIMEOUT));
     }
 }
--- a/library/src/main/java/org/chivetally/time/Timers.java
+++ b/library/src/main/java/org/chivetally/time/Timers.java
@@ -12,7 +12,7 @@
 
     /** Runs an action in regular intervals, the first time after one interval. */
     default Timer every(Duration interval, Runnable action) {
-        Repetition repetition = new Repetition(this, interval, action);
+        RepeatingTimer repetition = new RepeatingTimer(this, interval, action);
         repetition.arm();
         return repetition;
     }
@@ -25,14 +25,14 @@
     }
 
     /** Arms itself again after each run. */
-    final class Repetition implements Timer {
+    final class RepeatingTimer implements Timer {
         private final Timers timers;
         private final Duration interval;
         private final Runnable action;
         private Timer next;
         private boolean cancelled;
 
-        private Repetition(Timers timers, Duration interval, Runnable action) {
+        private RepeatingTimer(Timers timers, Duration interval, Runnable action) {
             this.timers = timers;
             this.interval = interval;
             this.action = action;
--- a/library/src/main/java/org/chivetally/time/VirtualTimers.java
+++ b/library/src/main/java/org/chivetally/time/VirtualTimers.java
@@ -5,9 +5,9 @@
 
 /** Clocks and timers that stand still until they are told to go on. Not safe for several threads. */
 public class VirtualTimers implements Timers {
-    private final PriorityQueue<Due> due = new PriorityQueue<>();
+    private final PriorityQueue<ScheduledAction> scheduled = new PriorityQueue<>();
     private long nanos = Duration.ofHours(1).toNanos();
-    private long orders;
+    private long sequence;
 
     @Override
     public long nanos() {
@@ -21,16 +21,16 @@
 
     @Override
     public Timer after(Duration delay, Runnable action) {
-        Due entry = new Due(nanos + delay.toNanos(), orders++, action);
-        due.add(entry);
-        return () -> due.remove(entry);
+        ScheduledAction entry = new ScheduledAction(nanos + delay.toNanos(), sequence++, action);
+        scheduled.add(entry);
+        return () -> scheduled.remove(entry);
     }
 
     /** Lets time pass and runs what falls due, in order. */
     public void advance(Duration time) {
         long until = nanos + time.toNanos();
-        while (!due.isEmpty() && due.peek().atNanos() <= until) {
-            Due next = due.poll();
+        while (!scheduled.isEmpty() && scheduled.peek().atNanos() <= until) {
+            ScheduledAction next = scheduled.poll();
             nanos = Math.max(nanos, next.atNanos());
             next.action().run();
         }
@@ -46,14 +46,15 @@
      * An action that waits for its time.
      *
      * @param atNanos when it is due
-     * @param order tells those of the same time apart
+     * @param sequence tells those of the same time apart
      * @param action what is due
      */
-    private record Due(long atNanos, long order, Runnable action) implements Comparable<Due> {
+    private record ScheduledAction(long atNanos, long sequence, Runnable action)
+            implements Comparable<ScheduledAction> {
         @Override
-        public int compareTo(Due other) {
+        public int compareTo(ScheduledAction other) {
             int byTime = Long.compare(atNanos, other.atNanos);
-            return byTime != 0 ? byTime : Long.compare(order, other.order);
+            return byTime != 0 ? byTime : Long.compare(sequence, other.sequence);
         }
     }
 }
--- a/library/src/main/java/org/chivetally/transport/BoundedFrameDecoder.java
+++ b/library/src/main/java/org/chivetally/transport/BoundedFrameDecoder.java
@@ -33,11 +33,11 @@
     private void checkLength(ByteBuf in) {
         long length = 0;
         int available = Math.min(PREFIX_BYTES, in.readableBytes());
-        for (int place = 0; place < available; place++) {
-            byte next = in.getByte(in.readerIndex() + place);
-            length |= (long) (next & VALUE_MASK) << (place * VALUE_BITS);
+        for (int index = 0; index < available; index++) {
+            byte next = in.getByte(in.readerIndex() + index);
+            length |= (long) (next & VALUE_MASK) << (index * VALUE_BITS);
             if (next >= 0) {
-                requireShort(length);
+                requireWithinLimit(length);
                 return;
             }
         }
@@ -46,7 +46,7 @@
         }
     }
 
-    private void requireShort(long length) {
+    private void requireWithinLimit(long length) {
         if (length > maximumBytes) {
             throw new TooLongFrameException("frame of " + length + " bytes, at most " + maximumBytes + " are allowed");
         }
--- a/library/src/main/java/org/chivetally/transport/PatientIoHandler.java
+++ b/library/src/main/java/org/chivetally/transport/DelayRoundingIoHandler.java
@@ -15,13 +15,13 @@
  * second in a process with many timers: an agent at 36 starts a second polled 946 times a second for 139 reads. A timer
  * that fires up to a millisecond late harms nobody, as the shortest one here takes four.
  */
-public final class PatientIoHandler implements IoHandler {
+public final class DelayRoundingIoHandler implements IoHandler {
     private static final long NANOS_PER_MILLI = 1_000_000;
 
-    private final IoHandler handler;
+    private final IoHandler delegate;
 
-    private PatientIoHandler(IoHandler handler) {
-        this.handler = handler;
+    private DelayRoundingIoHandler(IoHandler delegate) {
+        this.delegate = delegate;
     }
 
     /** Returns a factory of handlers for sockets. */
@@ -30,75 +30,75 @@
     }
 
     /** Returns a factory of handlers that leave all but the time of sleep to those of another. */
-    static IoHandlerFactory newFactory(IoHandlerFactory factory) {
-        return executor -> new PatientIoHandler(factory.newHandler(executor));
+    static IoHandlerFactory newFactory(IoHandlerFactory delegates) {
+        return executor -> new DelayRoundingIoHandler(delegates.newHandler(executor));
     }
 
     @Override
     public void initialize() {
-        handler.initialize();
+        delegate.initialize();
     }
 
     @Override
     public int run(IoHandlerContext context) {
-        return handler.run(new PatientContext(context));
+        return delegate.run(new RoundedDelayContext(context));
     }
 
     @Override
     public void prepareToDestroy() {
-        handler.prepareToDestroy();
+        delegate.prepareToDestroy();
     }
 
     @Override
     public void destroy() {
-        handler.destroy();
+        delegate.destroy();
     }
 
     @Override
     public IoRegistration register(IoHandle handle) throws Exception {
-        return handler.register(handle);
+        return delegate.register(handle);
     }
 
     @Override
     public void wakeup() {
-        handler.wakeup();
+        delegate.wakeup();
     }
 
     @Override
     public boolean isCompatible(Class<? extends IoHandle> handleType) {
-        return handler.isCompatible(handleType);
+        return delegate.isCompatible(handleType);
     }
 
     /**
      * Tells the time to the next timer in whole milliseconds.
      *
-     * @param loop what the loop itself tells
+     * @param delegate what the loop itself tells
      */
-    private record PatientContext(IoHandlerContext loop) implements IoHandlerContext {
+    private record RoundedDelayContext(IoHandlerContext delegate) implements IoHandlerContext {
         @Override
         public boolean canBlock() {
-            return loop.canBlock();
+            return delegate.canBlock();
         }
 
         @Override
         public long delayNanos(long currentTimeNanos) {
-            long delay = loop.delayNanos(currentTimeNanos);
+            long delay = delegate.delayNanos(currentTimeNanos);
             return delay <= 0 ? 0 : Math.ceilDiv(delay, NANOS_PER_MILLI) * NANOS_PER_MILLI;
         }
 
         @Override
         public long deadlineNanos() {
-            return loop.deadlineNanos();
+            return delegate.deadlineNanos();
         }
 
         @Override
         public void reportActiveIoTime(long activeNanos) {
-            loop.reportActiveIoTime(activeNanos);
+            delegate.reportActiveIoTime(activeNanos);
         }
 
         @Override
         public boolean shouldReportActiveIoTime() {
-            return loop.shouldReportActiveIoTime();
+            return delegate.shouldReportActiveIoTime();
         }
     }
 }
--- a/library/src/main/java/org/chivetally/transport/LoopTimers.java
+++ b/library/src/main/java/org/chivetally/transport/EventLoopTimers.java
@@ -9,13 +9,13 @@
 import org.chivetally.time.Timers;
 
 /** Clocks and timers of a Netty event loop. */
-public final class LoopTimers implements Timers {
+public final class EventLoopTimers implements Timers {
     private static final FluentLogger LOGGER = FluentLogger.forEnclosingClass();
 
     private final EventLoop loop;
 
     /** Creates timers whose actions run on the given loop. */
-    public LoopTimers(EventLoop loop) {
+    public EventLoopTimers(EventLoop loop) {
         this.loop = loop;
     }
 
--- a/library/src/main/java/org/chivetally/transport/FrameChannelHandler.java
+++ b/library/src/main/java/org/chivetally/transport/FrameChannelHandler.java
@@ -54,7 +54,7 @@
         }
         // A peer that stopped reading would make this process buffer for it until memory ends. Its connection is
         // closed; what it missed can be asked for over a new one.
-        meters.closedAsOverflowing();
+        meters.countOverflow();
         closeReason = "peer reads too slowly";
         EventLine.of("connection-overflow").with("peer", connection.peer()).log(LOGGER.atWarning());
         context.close();
@@ -74,7 +74,7 @@
         failed = true;
         closeReason = String.valueOf(cause);
         if (isMalformed(cause)) {
-            meters.closedAsMalformed();
+            meters.countMalformedFrame();
             EventLine.of("frame-malformed")
                     .with("peer", connection.peer())
                     .with("cause", cause)
--- a/library/src/main/java/org/chivetally/transport/FrameMeters.java
+++ b/library/src/main/java/org/chivetally/transport/FrameMeters.java
@@ -32,22 +32,22 @@
     }
 
     private void count(Map<Frame.BodyCase, Traffic> traffic, Frame.BodyCase body, String direction, int bytes) {
-        Traffic known = traffic.get(body);
-        if (known == null) {
-            known = traffic.computeIfAbsent(body, kind -> traffic(kind, direction));
+        Traffic counters = traffic.get(body);
+        if (counters == null) {
+            counters = traffic.computeIfAbsent(body, kind -> traffic(kind, direction));
         }
-        known.add(bytes);
+        counters.add(bytes);
     }
 
-    void closedAsMalformed() {
+    void countMalformedFrame() {
         malformed.increment();
     }
 
-    void closedAsOverflowing() {
+    void countOverflow() {
         overflows.increment();
     }
 
-    void droppedAsOversize() {
+    void countOversizeFrame() {
         oversize.increment();
     }
 
--- a/library/src/main/java/org/chivetally/transport/FrameTransport.java
+++ b/library/src/main/java/org/chivetally/transport/FrameTransport.java
@@ -29,10 +29,10 @@
     public static final int MAXIMUM_FRAME_BYTES = 4 * 1024 * 1024;
 
     /** Most bytes that may wait for a slow peer before its connection is closed. */
-    static final int MAXIMUM_WAITING_BYTES = 8 * 1024 * 1024;
+    static final int MAXIMUM_UNSENT_BYTES = 8 * 1024 * 1024;
 
     private static final int CONNECT_TIMEOUT_MILLIS = 500;
-    private static final int PENDING_ACCEPTS = 1024;
+    private static final int ACCEPT_BACKLOG = 1024;
     private static final long SHUTDOWN_SECONDS = 2;
 
     private final EventLoopGroup eventLoops;
@@ -52,7 +52,7 @@
      */
     public FrameTransport(int threads, MeterRegistry registry) {
         Objects.requireNonNull(registry, "registry");
-        this.eventLoops = new MultiThreadIoEventLoopGroup(threads, PatientIoHandler.newFactory());
+        this.eventLoops = new MultiThreadIoEventLoopGroup(threads, DelayRoundingIoHandler.newFactory());
         this.ownsEventLoops = true;
         this.meters = new FrameMeters(registry);
     }
@@ -78,7 +78,7 @@
         ServerBootstrap bootstrap = new ServerBootstrap()
                 .group(eventLoops)
                 .channel(NioServerSocketChannel.class)
-                .option(ChannelOption.SO_BACKLOG, PENDING_ACCEPTS)
+                .option(ChannelOption.SO_BACKLOG, ACCEPT_BACKLOG)
                 .option(ChannelOption.SO_REUSEADDR, true)
                 .childOption(ChannelOption.TCP_NODELAY, true)
                 .childOption(ChannelOption.SO_KEEPALIVE, true)
@@ -130,7 +130,7 @@
         return new ChannelInitializer<>() {
             @Override
             protected void initChannel(Channel channel) {
-                install(channel, new NettyFrameConnection(nameOf(channel), meters), listener);
+                install(channel, new NettyFrameConnection(remoteAddressOf(channel), meters), listener);
             }
         };
     }
@@ -149,7 +149,7 @@
         channel.pipeline().addLast(new FrameChannelHandler(connection, listener, meters));
     }
 
-    private static String nameOf(Channel channel) {
+    private static String remoteAddressOf(Channel channel) {
         // No address is left when the peer reset the connection right after it was accepted.
         if (channel.remoteAddress() instanceof InetSocketAddress remote) {
             return remote.getHostString() + ":" + remote.getPort();
@@ -158,6 +158,6 @@
     }
 
     private static WriteBufferWaterMark waterMark() {
-        return new WriteBufferWaterMark(MAXIMUM_WAITING_BYTES / 2, MAXIMUM_WAITING_BYTES);
+        return new WriteBufferWaterMark(MAXIMUM_UNSENT_BYTES / 2, MAXIMUM_UNSENT_BYTES);
     }
 }
--- a/library/src/main/java/org/chivetally/transport/NettyFrameConnection.java
+++ b/library/src/main/java/org/chivetally/transport/NettyFrameConnection.java
@@ -30,8 +30,8 @@
 
     private final String peer;
     private final FrameMeters meters;
-    private final Queue<Frame> waiting = new ConcurrentLinkedQueue<>();
-    private final AtomicBoolean drainScheduled = new AtomicBoolean();
+    private final Queue<Frame> outbound = new ConcurrentLinkedQueue<>();
+    private final AtomicBoolean flushScheduled = new AtomicBoolean();
     private volatile Channel channel;
     private volatile boolean closed;
 
@@ -46,7 +46,7 @@
 
     void detach() {
         closed = true;
-        waiting.clear();
+        outbound.clear();
     }
 
     @Override
@@ -55,9 +55,9 @@
         if (closed || open == null) {
             return;
         }
-        waiting.add(frame);
-        if (drainScheduled.compareAndSet(false, true)) {
-            execute(open, this::drain);
+        outbound.add(frame);
+        if (flushScheduled.compareAndSet(false, true)) {
+            execute(open, this::flushOutbound);
         }
     }
 
@@ -86,16 +86,16 @@
     }
 
     private void closeAfterFlush(Channel open) {
-        drain();
+        flushOutbound();
         open.writeAndFlush(Unpooled.EMPTY_BUFFER).addListener(ChannelFutureListener.CLOSE);
         // A silent peer takes nothing more, so its flush would never end and the socket would stay for good.
         open.eventLoop().schedule(() -> open.close(), CLOSE_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
     }
 
-    private void drain() {
+    private void flushOutbound() {
         // Cleared first: a frame added while draining is either seen by this loop or schedules the next one.
-        drainScheduled.set(false);
-        Frame next = waiting.poll();
+        flushScheduled.set(false);
+        Frame next = outbound.poll();
         while (next != null) {
             next = writeBatch(next);
         }
@@ -108,7 +108,7 @@
         Frame next = first;
         while (next != null) {
             encode(next, batch);
-            next = waiting.poll();
+            next = outbound.poll();
             if (batch.readableBytes() >= BATCH_BYTES) {
                 break;
             }
@@ -145,7 +145,7 @@
 
     private void dropOversize(Frame frame, int size) {
         // The peer would close the connection over it, and fail everything else in flight there.
-        meters.droppedAsOversize();
+        meters.countOversizeFrame();
         EventLine.of("frame-oversize")
                 .with("peer", peer)
                 .with("body", frame.getBodyCase())
--- a/library/src/test/java/org/chivetally/ModuleBordersTest.java
+++ b/library/src/test/java/org/chivetally/ArchitectureTest.java
@@ -9,9 +9,9 @@
 
 /** Keeps decisions free of sockets, threads and clocks, and the packages in their layers. */
 @AnalyzeClasses(packages = "org.chivetally", importOptions = ImportOption.DoNotIncludeTests.class)
-class ModuleBordersTest {
+class ArchitectureTest {
     @ArchTest
-    static final ArchRule DECISIONS_USE_NO_SHELL = noClasses()
+    static final ArchRule DECISIONS_PERFORM_NO_IO = noClasses()
             .that()
             .resideInAnyPackage("org.chivetally.job", "org.chivetally.placement", "org.chivetally.coordination")
             .should()
@@ -35,7 +35,7 @@
             .because("tests pause and advance the clock that is passed in");
 
     @ArchTest
-    static final ArchRule NO_CLUSTERING_OF_LIBRARIES = noClasses()
+    static final ArchRule NO_PEKKO_CLUSTERING = noClasses()
             .should()
             .dependOnClassesThat()
             .resideInAnyPackage(
@@ -43,7 +43,7 @@
             .because("what has to be agreed goes through the platform's log");
 
     @ArchTest
-    static final ArchRule JOBS_KNOW_NOBODY = noClasses()
+    static final ArchRule JOBS_DO_NOT_DEPEND_ON_ROLES = noClasses()
             .that()
             .resideInAPackage("org.chivetally.job")
             .should()
@@ -51,7 +51,7 @@
             .resideInAnyPackage("org.chivetally.coordination..", "org.chivetally.entry..", "org.chivetally.agent..");
 
     @ArchTest
-    static final ArchRule THE_AGENT_KNOWS_NO_ENTRY = noClasses()
+    static final ArchRule AGENT_DOES_NOT_DEPEND_ON_ENTRY = noClasses()
             .that()
             .resideInAPackage("org.chivetally.agent..")
             .should()
@@ -60,7 +60,7 @@
                     "org.chivetally.entry..", "org.chivetally.coordination..", "org.chivetally.placement..");
 
     @ArchTest
-    static final ArchRule THE_ENTRY_KNOWS_NO_AGENT = noClasses()
+    static final ArchRule ENTRY_DOES_NOT_DEPEND_ON_AGENT = noClasses()
             .that()
             .resideInAnyPackage("org.chivetally.entry..", "org.chivetally.coordination..")
             .should()
--- a/library/src/test/java/org/chivetally/agent/AgentServerTest.java
+++ b/library/src/test/java/org/chivetally/agent/AgentServerTest.java
@@ -130,7 +130,7 @@
         assertThat(nextOutcome().getRefusal().getReason(), is(RefusalReason.REFUSAL_REASON_DRAINING));
         arrival.succeed("1");
         assertThat(nextOutcome().getResult().getStatus(), is(TaskStatus.TASK_STATUS_DONE));
-        assertThat(coordinator.nextClosing(), is("closed by the peer"));
+        assertThat(coordinator.nextDisconnectReason(), is("closed by the peer"));
         drained.join();
         assertThat(minion.arrivalsLeft(), is(0));
     }
@@ -148,7 +148,7 @@
         AgentServer agent = startAgent(minion.base());
         transport.dial(LOOPBACK, agent.address().getPort(), coordinator);
         coordinator.nextConnection().send(heartbeat());
-        assertThat(coordinator.nextClosing(), is("closed by the peer"));
+        assertThat(coordinator.nextDisconnectReason(), is("closed by the peer"));
     }
 
     /** Waits for the next result or refusal, past news of the agent's state. */
--- a/library/src/test/java/org/chivetally/document/DocumentTest.java
+++ b/library/src/test/java/org/chivetally/document/DocumentTest.java
@@ -48,14 +48,14 @@
                 """);
         Section root = document.root();
         assertThat(root.requiredText("name"), is("entry-1"));
-        assertThat(root.whole("queue", 1, 1000, 7), is(200L));
+        assertThat(root.integer("queue", 1, 1000, 7), is(200L));
         assertThat(root.decimal("share", 0, 1, 0.5), is(0.25));
         assertThat(
                 root.duration("wait", Duration.ZERO, Duration.ofHours(1), Duration.ZERO), is(Duration.ofMillis(250)));
         assertThat(root.bytes("size", 0, 1L << 30, 0), is(16L << 20));
         assertThat(root.choice("mode", Mode.class, Mode.LOG), is(Mode.IN_MEMORY));
         assertThat(root.flag("on", false), is(true));
-        assertThat(root.section("limits").whole("most", 1, 9, 1), is(3L));
+        assertThat(root.section("limits").integer("most", 1, 9, 1), is(3L));
         assertThat(
                 root.sections("seeds").stream()
                         .map(seed -> seed.requiredText("host"))
@@ -70,7 +70,7 @@
     @Test
     void givesDefaultsForWhatIsMissing() {
         Document document = Document.parse("empty.yaml", "");
-        assertThat(document.root().section("limits").whole("queue", 1, 9, 5), is(5L));
+        assertThat(document.root().section("limits").integer("queue", 1, 9, 5), is(5L));
         assertThat(document.root().text("name", "nobody"), is("nobody"));
         assertThat(document.root().sections("seeds"), empty());
         assertThat(document.finish().isEmpty(), is(true));
@@ -82,12 +82,12 @@
         Section root = document.root();
         root.requiredText("name");
         root.requiredText("team");
-        root.whole("queue", 1, 10, 1);
+        root.integer("queue", 1, 10, 1);
         root.duration("wait", Duration.ofMillis(1), Duration.ofSeconds(5), Duration.ofSeconds(1));
         root.bytes("size", 0, 1 << 20, 0);
         root.choice("mode", Mode.class, Mode.LOG);
         root.flag("flag", false);
-        root.section("limits").whole("most", 1, 9, 1);
+        root.section("limits").integer("most", 1, 9, 1);
         root.sections("seeds").forEach(seed -> seed.text("host", ""));
         root.map("labels");
         List<String> lines =
@@ -143,7 +143,7 @@
     void partsSeveralDocuments() {
         List<Document> documents = Document.parseAll("f", "a: 1\n---\n---\na: 2\n---\na: ]\n");
         assertThat(documents, hasSize(3));
-        assertThat(documents.get(1).root().whole("a", 0, 9, 0), is(2L));
+        assertThat(documents.get(1).root().integer("a", 0, 9, 0), is(2L));
         assertThat(documents.get(2).finish().list().getFirst().place(), is("f:6:4"));
     }
 
@@ -162,7 +162,7 @@
     void neverCrashesAndNamesThePlaceOfEachRefusal(@ForAll("texts") String text) {
         for (Document document : Document.parseAll("f", text)) {
             Section root = document.root();
-            root.whole("a", 0, 9, 0);
+            root.integer("a", 0, 9, 0);
             root.map("b");
             root.sections("c").forEach(Section::toJson);
             root.json("d");
--- a/library/src/test/java/org/chivetally/http/HttpListenerTest.java
+++ b/library/src/test/java/org/chivetally/http/HttpListenerTest.java
@@ -22,7 +22,7 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 import org.chivetally.settings.HostPort;
-import org.chivetally.transport.LoopTimers;
+import org.chivetally.transport.EventLoopTimers;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
@@ -114,7 +114,7 @@
     void tellsWhenTheCallerHangsUp() throws Exception {
         CountDownLatch gone = new CountDownLatch(1);
         try (Socket socket = connect("GET /a HTTP/1.1\r\nHost: h\r\n\r\n")) {
-            next().onCallerGone(gone::countDown);
+            next().onDisconnect(gone::countDown);
         }
         assertThat(gone.await(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS), is(true));
     }
@@ -133,12 +133,12 @@
 
     @Test
     void servesItsOwnCallerOverOneConnection() throws Exception {
-        HttpCaller caller = new HttpCaller(loop, new LoopTimers(loop), address, 1);
+        PooledHttpClient caller = new PooledHttpClient(loop, new EventLoopTimers(loop), address, 1);
         for (String text : new String[] {"one", "two"}) {
             CompletableFuture<HttpResult> result = new CompletableFuture<>();
             loop.execute(() -> caller.call(HttpCall.get("/x", Duration.ofSeconds(5)), result::complete));
             answer(next(), text);
-            HttpResult.Answer answer = (HttpResult.Answer) result.get(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
+            HttpResult.Response answer = (HttpResult.Response) result.get(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
             assertThat(new String(answer.body(), StandardCharsets.UTF_8), is(text));
         }
         assertThat(listener.openConnections(), is(1));
@@ -149,7 +149,7 @@
      */
     @Test
     void endsACallWithoutAnAnswer() throws Exception {
-        HttpCaller caller = new HttpCaller(loop, new LoopTimers(loop), address, 1);
+        PooledHttpClient caller = new PooledHttpClient(loop, new EventLoopTimers(loop), address, 1);
         CompletableFuture<HttpResult> result = new CompletableFuture<>();
         loop.execute(() -> caller.call(HttpCall.get("/x", Duration.ofMillis(100)), result::complete));
         HttpResult.Failed failed = (HttpResult.Failed) result.get(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
@@ -158,7 +158,8 @@
 
     @Test
     void tellsThatACallNeverLeft() throws Exception {
-        HttpCaller caller = new HttpCaller(loop, new LoopTimers(loop), new HostPort("127.0.0.1", 1), 1);
+        PooledHttpClient caller =
+                new PooledHttpClient(loop, new EventLoopTimers(loop), new HostPort("127.0.0.1", 1), 1);
         CompletableFuture<HttpResult> result = new CompletableFuture<>();
         loop.execute(() -> caller.call(HttpCall.get("/x", Duration.ofSeconds(2)), result::complete));
         HttpResult outcome = result.get(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
--- a/library/src/test/java/org/chivetally/logging/BoundedLogHandlerTest.java
+++ b/library/src/test/java/org/chivetally/logging/BoundedLogHandlerTest.java
@@ -41,7 +41,7 @@
     @Test
     void writesNothingOfWhatIsDoneQuietly() {
         Thread other = new Thread(() -> log("event=real"));
-        handler.quietly(() -> {
+        handler.runWithoutLogging(() -> {
             log("event=practice");
             other.start();
             join(other);
--- a/library/src/test/java/org/chivetally/transport/PatientIoHandlerTest.java
+++ b/library/src/test/java/org/chivetally/transport/DelayRoundingIoHandlerTest.java
@@ -18,13 +18,13 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-class PatientIoHandlerTest {
+class DelayRoundingIoHandlerTest {
     private static final int TIMERS = 100;
 
-    private final AtomicInteger turns = new AtomicInteger();
+    private final AtomicInteger iterations = new AtomicInteger();
     private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(
             1,
-            PatientIoHandler.newFactory(
+            DelayRoundingIoHandler.newFactory(
                     executor -> new CountingHandler(NioIoHandler.newFactory().newHandler(executor))));
 
     @AfterEach
@@ -39,21 +39,21 @@
     @Test
     void sleepsUntilTheNextTimerIsDue() throws InterruptedException {
         CountDownLatch fired = new CountDownLatch(TIMERS);
-        turns.set(0);
+        iterations.set(0);
 
-        next(fired);
+        scheduleNext(fired);
 
         assertThat(fired.await(10, TimeUnit.SECONDS), is(true));
-        assertThat(turns.get(), is(lessThan(4 * TIMERS)));
+        assertThat(iterations.get(), is(lessThan(4 * TIMERS)));
     }
 
-    private void next(CountDownLatch fired) {
+    private void scheduleNext(CountDownLatch fired) {
         group.next()
                 .schedule(
                         () -> {
                             fired.countDown();
                             if (fired.getCount() > 0) {
-                                next(fired);
+                                scheduleNext(fired);
                             }
                         },
                         2_300,
@@ -72,46 +72,46 @@
 
     /** Counts the turns of the loop. */
     private final class CountingHandler implements IoHandler {
-        private final IoHandler handler;
+        private final IoHandler delegate;
 
-        private CountingHandler(IoHandler handler) {
-            this.handler = handler;
+        private CountingHandler(IoHandler delegate) {
+            this.delegate = delegate;
         }
 
         @Override
         public void initialize() {
-            handler.initialize();
+            delegate.initialize();
         }
 
         @Override
         public int run(IoHandlerContext context) {
-            turns.incrementAndGet();
-            return handler.run(context);
+            iterations.incrementAndGet();
+            return delegate.run(context);
         }
 
         @Override
         public void prepareToDestroy() {
-            handler.prepareToDestroy();
+            delegate.prepareToDestroy();
         }
 
         @Override
         public void destroy() {
-            handler.destroy();
+            delegate.destroy();
         }
 
         @Override
         public IoRegistration register(IoHandle handle) throws Exception {
-            return handler.register(handle);
+            return delegate.register(handle);
         }
 
         @Override
         public void wakeup() {
-            handler.wakeup();
+            delegate.wakeup();
         }
 
         @Override
         public boolean isCompatible(Class<? extends IoHandle> handleType) {
-            return handler.isCompatible(handleType);
+            return delegate.isCompatible(handleType);
         }
     }
 }
--- a/library/src/test/java/org/chivetally/transport/FrameTransportTest.java
+++ b/library/src/test/java/org/chivetally/transport/FrameTransportTest.java
@@ -71,9 +71,9 @@
         dialled.close();
         dialled.send(hello());
         assertThat(server.nextFrame().getRequestId(), is(1L));
-        server.nextClosing();
-        client.nextClosing();
-        assertThat(server.framesLeft(), is(0));
+        server.nextDisconnectReason();
+        client.nextDisconnectReason();
+        assertThat(server.unreadFrames(), is(0));
     }
 
     @Test
@@ -83,7 +83,7 @@
             unused = reserved.getLocalPort();
         }
         transport.dial(LOOPBACK, unused, client);
-        assertThat(client.nextClosing(), startsWith("dial failed"));
+        assertThat(client.nextDisconnectReason(), startsWith("dial failed"));
     }
 
     /**
@@ -97,7 +97,7 @@
             socket.getOutputStream().write(new byte[] {3, 7, 7, 7, 9, 9});
             assertThat(socket.getInputStream().read(), is(END_OF_STREAM));
         }
-        assertThat(server.nextClosing(), containsString("InvalidProtocolBuffer"));
+        assertThat(server.nextDisconnectReason(), containsString("InvalidProtocolBuffer"));
         server.nextConnection();
         carriesFramesBothWaysInOrder();
     }
@@ -113,7 +113,7 @@
             socket.getOutputStream().write(new byte[] {-1, -1, -1, -1, 7});
             assertThat(socket.getInputStream().read(), is(END_OF_STREAM));
         }
-        assertThat(server.nextClosing(), containsString("TooLongFrame"));
+        assertThat(server.nextDisconnectReason(), containsString("TooLongFrame"));
     }
 
     @Test
@@ -141,7 +141,7 @@
             for (int number = 1; number <= 64; number++) {
                 accepted.send(result(number, megabyte));
             }
-            assertThat(server.nextClosing(), is("peer reads too slowly"));
+            assertThat(server.nextDisconnectReason(), is("peer reads too slowly"));
         }
     }
 
--- a/library/src/test/java/org/chivetally/transport/RecordingListener.java
+++ b/library/src/test/java/org/chivetally/transport/RecordingListener.java
@@ -11,7 +11,7 @@
 
     private final BlockingQueue<FrameConnection> opened = new LinkedBlockingQueue<>();
     private final BlockingQueue<Frame> frames = new LinkedBlockingQueue<>();
-    private final BlockingQueue<String> closings = new LinkedBlockingQueue<>();
+    private final BlockingQueue<String> disconnectReasons = new LinkedBlockingQueue<>();
 
     @Override
     public void connected(FrameConnection connection) {
@@ -25,7 +25,7 @@
 
     @Override
     public void disconnected(FrameConnection connection, String reason) {
-        closings.add(reason);
+        disconnectReasons.add(reason);
     }
 
     /** Waits for the next connection. */
@@ -39,12 +39,12 @@
     }
 
     /** Waits for the next closing and returns its reason. */
-    public String nextClosing() throws InterruptedException {
-        return next(closings);
+    public String nextDisconnectReason() throws InterruptedException {
+        return next(disconnectReasons);
     }
 
     /** Returns the number of frames that nobody took. */
-    public int framesLeft() {
+    public int unreadFrames() {
         return frames.size();
     }
 
--- a/load/src/main/java/org/chivetally/load/Fault.java
+++ b/load/src/main/java/org/chivetally/load/Fault.java
@@ -62,7 +62,7 @@
 
         @Override
         public String name() {
-            return Section.written(action) + " " + target;
+            return Section.kebabCase(action) + " " + target;
         }
     }
 
--- a/load/src/main/java/org/chivetally/load/FaultSchedule.java
+++ b/load/src/main/java/org/chivetally/load/FaultSchedule.java
@@ -54,7 +54,7 @@
     public List<String> processSteps() {
         List<Step> steps = new ArrayList<>();
         for (ProcessFault fault : processFaults()) {
-            steps.add(new Step(fault.at().toMillis(), Section.written(fault.action()), fault.target()));
+            steps.add(new Step(fault.at().toMillis(), Section.kebabCase(fault.action()), fault.target()));
             if (fault.lasting().isPositive()) {
                 long endMillis = fault.at().plus(fault.lasting()).toMillis();
                 steps.add(new Step(endMillis, ending(fault.action()), fault.target()));
--- a/load/src/main/java/org/chivetally/load/Figure.java
+++ b/load/src/main/java/org/chivetally/load/Figure.java
@@ -67,7 +67,7 @@
 
     /** Returns the name as it stands in plans and reports. */
     public String text() {
-        return Section.written(this);
+        return Section.kebabCase(this);
     }
 
     /** Returns the number of decimals worth printing. */
--- a/load/src/main/java/org/chivetally/load/LoadPlanReader.java
+++ b/load/src/main/java/org/chivetally/load/LoadPlanReader.java
@@ -56,7 +56,7 @@
     private Reading<LoadPlan> plan() {
         PlanParts parts = new PlanParts(
                 root.requiredText("name"),
-                root.whole("seed", Long.MIN_VALUE, Long.MAX_VALUE, 1),
+                root.integer("seed", Long.MIN_VALUE, Long.MAX_VALUE, 1),
                 root.requiredDuration("duration", SHORTEST, LONGEST),
                 root.duration("warmUp", Duration.ZERO, LONGEST, Duration.ZERO));
         if (parts.warmUp().compareTo(parts.duration()) >= 0) {
@@ -106,7 +106,7 @@
 
     private static WorkloadParts workloadParts(Section section) {
         return new WorkloadParts(
-                (int) section.requiredWhole("slots", 1, MOST_SLOTS),
+                (int) section.requiredInteger("slots", 1, MOST_SLOTS),
                 offered(section),
                 list(section, "phases", LoadPlanReader::phase),
                 required(section, "services", LoadPlanReader::service),
@@ -148,7 +148,8 @@
     }
 
     private static Workload.JobSize jobSize(Section item) {
-        return new Workload.JobSize((int) item.requiredWhole("tasks", 1, JobSpecification.MAXIMUM_TASKS), weight(item));
+        return new Workload.JobSize(
+                (int) item.requiredInteger("tasks", 1, JobSpecification.MAXIMUM_TASKS), weight(item));
     }
 
     private static Workload.TaskTimeBand taskTimes(Section item) {
@@ -167,7 +168,7 @@
     private static Workload.Resubmissions resubmissions(Section section) {
         return new Workload.Resubmissions(
                 section.decimal("share", 0, 1, 0),
-                (int) section.whole("copies", 1, MOST_COPIES, 1),
+                (int) section.integer("copies", 1, MOST_COPIES, 1),
                 list(section, "delays", item -> item.requiredDuration("after", Duration.ZERO, LONGEST)));
     }
 
@@ -180,7 +181,7 @@
 
     private static Workload.Retries retries(Section section) {
         return new Workload.Retries(
-                (int) section.whole("most", 0, MOST_RETRIES, 0),
+                (int) section.integer("most", 0, MOST_RETRIES, 0),
                 section.duration("delay", Duration.ZERO, LONGEST, Duration.ofMillis(200)),
                 section.duration("patience", Duration.ZERO, LONGEST, Duration.ZERO));
     }
--- a/standins/src/main/java/org/chivetally/standins/LogStandIn.java
+++ b/standins/src/main/java/org/chivetally/standins/LogStandIn.java
@@ -103,7 +103,7 @@
             return Directives.complete(StandInHttp.text(
                     StatusCodes.BAD_REQUEST, "from and waitMillis can't be negative, limit is at least 1"));
         }
-        Duration wait = Duration.ofMillis(Math.min(waitMillis, HttpPlatformLog.LONGEST_WAIT.toMillis()));
+        Duration wait = Duration.ofMillis(Math.min(waitMillis, HttpPlatformLog.MAXIMUM_READ_WAIT.toMillis()));
         return Directives.completeWithFuture(log.read(stream, from, limit, wait).thenApply(LogStandIn::readResponse));
     }
 
--- a/standins/src/test/java/org/chivetally/log/HttpPlatformLogTest.java
+++ b/standins/src/test/java/org/chivetally/log/HttpPlatformLogTest.java
@@ -62,7 +62,7 @@
 
     @Test
     void aWaitingReadIsAnsweredByAnAppend() {
-        CompletionStage<ReadOutcome> waiting = log.read("claims", 0, 10, HttpPlatformLog.LONGEST_WAIT);
+        CompletionStage<ReadOutcome> waiting = log.read("claims", 0, 10, HttpPlatformLog.MAXIMUM_READ_WAIT);
         awaitReads(1);
         await(log.append("claims", List.of(record("a", "x"))));
         ReadOutcome.Records found = (ReadOutcome.Records) await(waiting);
@@ -176,7 +176,7 @@
     @Test
     void waitingReadsDoNotHoldUpAppends() {
         List<CompletionStage<ReadOutcome>> reads = Stream.generate(
-                        () -> log.read("claims", 0, 1, HttpPlatformLog.LONGEST_WAIT))
+                        () -> log.read("claims", 0, 1, HttpPlatformLog.MAXIMUM_READ_WAIT))
                 .limit(100)
                 .toList();
         awaitReads(64);
