--- a/command/src/main/java/org/chivetally/command/AgentCommand.java
+++ b/command/src/main/java/org/chivetally/command/AgentCommand.java
@@ -2,7 +2,7 @@
 
 import java.util.concurrent.Callable;
 import org.apache.pekko.actor.typed.ActorSystem;
-import org.chivetally.command.daemon.DaemonRun;
+import org.chivetally.command.daemon.DaemonRuntime;
 import org.chivetally.daemon.AgentDaemon;
 import org.chivetally.settings.AgentDaemonSettings;
 import org.chivetally.settings.SettingsFile;
@@ -26,10 +26,10 @@
     @Override
     public Integer call() throws InterruptedException {
         AgentDaemonSettings settings = SettingsFile.readAgent(options.settings());
-        DaemonRun run = DaemonRun.begin(settings.process());
+        DaemonRuntime run = DaemonRuntime.start(settings.process());
         ActorSystem<Void> system = run.system();
-        AgentDaemon daemon = DaemonRun.await(AgentDaemon.start(system, settings, run.log(), NanoClock.system()));
-        run.untilSignal(daemon.whenStopped(), () -> daemon.drain(SIGNAL));
+        AgentDaemon daemon = DaemonRuntime.await(AgentDaemon.start(system, settings, run.log(), NanoClock.system()));
+        run.awaitSignal(daemon.whenStopped(), () -> daemon.drain(SIGNAL));
         return ExitCodes.INTERNAL;
     }
 }
--- a/command/src/main/java/org/chivetally/command/ApplyCommand.java
+++ b/command/src/main/java/org/chivetally/command/ApplyCommand.java
@@ -33,7 +33,7 @@
     private OperatorOptions operator;
 
     @Mixin
-    private ApplyOptions wanted;
+    private ApplyOptions resources;
 
     @Option(names = "--dry-run", description = "Have the entry check everything, and change nothing.")
     private boolean dryRun;
@@ -41,12 +41,12 @@
     @Override
     public Integer call() {
         Console console = Console.of(command);
-        EntryRequest request =
-                EntryRequest.post(ResourcePath.apply(dryRun), wanted.request().toString());
+        EntryRequest request = EntryRequest.post(
+                ResourcePath.apply(dryRun), resources.request().toString());
         try (EntryClient client = connection.client()) {
-            EntryReply reply = client.send(operator.signed(request));
+            EntryReply reply = client.send(operator.withOperator(request));
             if (!reply.succeeded()) {
-                return console.failed(reply);
+                return console.reportFailure(reply);
             }
             show(console, reply.document());
             return ExitCodes.OK;
--- a/command/src/main/java/org/chivetally/command/ApplyOptions.java
+++ b/command/src/main/java/org/chivetally/command/ApplyOptions.java
@@ -30,6 +30,6 @@
 
     /** Returns the request's body; throws with all mistakes in the files. */
     ObjectNode request() {
-        return DeclaredFiles.read(files).request(basedOn, prune);
+        return ResourceFiles.read(files).request(basedOn, prune);
     }
 }
--- a/command/src/main/java/org/chivetally/command/CancelCommand.java
+++ b/command/src/main/java/org/chivetally/command/CancelCommand.java
@@ -19,7 +19,7 @@
             "Exit code 3 for a job that was complete before."
         })
 final class CancelCommand implements Callable<Integer> {
-    private static final String COMPLETE = "complete";
+    private static final String STATE_COMPLETE = "complete";
 
     @Spec
     private CommandSpec command;
@@ -45,10 +45,10 @@
     private static int cancel(EntryClient client, Console console, String job) {
         EntryReply reply = client.send(EntryRequest.delete(ResourcePath.job(job)));
         if (!reply.succeeded()) {
-            return console.failed(reply);
+            return console.reportFailure(reply);
         }
         String state = reply.document().path("state").asString("");
         console.line("job " + job + " is " + state);
-        return state.equals(COMPLETE) ? ExitCodes.CONFLICT : ExitCodes.OK;
+        return state.equals(STATE_COMPLETE) ? ExitCodes.CONFLICT : ExitCodes.OK;
     }
 }
--- a/command/src/main/java/org/chivetally/command/ConfigurationCommand.java
+++ b/command/src/main/java/org/chivetally/command/ConfigurationCommand.java
@@ -44,7 +44,7 @@
             try (EntryClient client = connection.client()) {
                 EntryReply reply = client.send(EntryRequest.get("/v1/configuration/status"));
                 if (!reply.succeeded()) {
-                    return console.failed(reply);
+                    return console.reportFailure(reply);
                 }
                 if (output.isTable()) {
                     console.lines(table(reply.document()).lines());
--- a/command/src/main/java/org/chivetally/command/Console.java
+++ b/command/src/main/java/org/chivetally/command/Console.java
@@ -29,19 +29,19 @@
         lines(DocumentText.lines(tree, format));
     }
 
-    void note(String text) {
+    void errorLine(String text) {
         error.println(text);
         error.flush();
     }
 
     /** Writes what went wrong with a failed request and returns the exit code that tells of it. */
-    int failed(EntryReply reply) {
+    int reportFailure(EntryReply reply) {
         Problem problem = Problem.of(reply);
-        note("error: " + problem.line());
+        errorLine("error: " + problem.line());
         return exitCode(problem);
     }
 
     private static int exitCode(Problem problem) {
-        return problem.leavesWorkUnknown() ? ExitCodes.OUTCOME_UNKNOWN : ExitCodes.of(problem.code());
+        return problem.isOutcomeUnknown() ? ExitCodes.OUTCOME_UNKNOWN : ExitCodes.of(problem.code());
     }
 }
--- a/command/src/main/java/org/chivetally/command/DeleteCommand.java
+++ b/command/src/main/java/org/chivetally/command/DeleteCommand.java
@@ -47,12 +47,12 @@
         try (EntryClient client = connection.client()) {
             EntryReply read = client.send(EntryRequest.get(path));
             if (!read.succeeded()) {
-                return console.failed(read);
+                return console.reportFailure(read);
             }
             String version = basedOn == null ? read.document().path("version").asString("") : basedOn.toString();
-            EntryReply reply = client.send(operator.signed(EntryRequest.delete(path + "?basedOn=" + version)));
+            EntryReply reply = client.send(operator.withOperator(EntryRequest.delete(path + "?basedOn=" + version)));
             if (!reply.succeeded()) {
-                return console.failed(reply);
+                return console.reportFailure(reply);
             }
             console.line(kind.singular() + "/" + name + " is deleted in version "
                     + reply.document().path("version").asString(""));
--- a/command/src/main/java/org/chivetally/command/Demonstration.java
+++ b/command/src/main/java/org/chivetally/command/Demonstration.java
@@ -17,8 +17,8 @@
 
 /** Submits a job twice with one key, and shows that the second submission starts nothing. */
 final class Demonstration {
-    private static final Duration LONGEST_WAIT = Duration.ofSeconds(60);
-    private static final Duration READINESS_PAUSE = Duration.ofMillis(50);
+    private static final Duration TIMEOUT = Duration.ofSeconds(60);
+    private static final Duration READINESS_POLL_INTERVAL = Duration.ofMillis(50);
 
     private final Console console;
     private final RunningDeployment running;
@@ -32,53 +32,53 @@
 
     /** Returns the exit code. */
     int run(Path file) {
-        JsonNode job = addressed(DocumentFile.readOne(file));
+        JsonNode job = forDeployment(DocumentFile.readOne(file));
         String key = "demo-" + UUID.randomUUID();
         List<URI> entries = running.entries();
         entries.forEach(Demonstration::awaitReadiness);
-        long before = starts(running);
+        long startsBefore = countStarts(running);
         console.line("submitting " + file + " with key " + key + " to " + entries.getFirst());
         EntryReply first = submit(entries.getFirst(), job, key);
         if (!first.succeeded()) {
-            return console.failed(first);
+            return console.reportFailure(first);
         }
         console.lines(AnswerTable.lines(first.document()));
-        long after = starts(running);
+        long startsAfter = countStarts(running);
         console.line("the whole answer: " + first.document().path("answers").size() + " tasks; the minions recorded "
-                + (after - before) + " starts");
-        return submitAgain(entries.getLast(), job, key, first, after);
+                + (startsAfter - startsBefore) + " starts");
+        return submitAgain(entries.getLast(), job, key, first, startsAfter);
     }
 
     private int submitAgain(URI entry, JsonNode job, String key, EntryReply first, long startsBefore) {
         console.line("submitting it again with the same key to " + entry);
         EntryReply second = submit(entry, job, key);
         if (!second.succeeded()) {
-            return console.failed(second);
+            return console.reportFailure(second);
         }
         boolean same = first.document().equals(second.document());
-        long started = starts(running) - startsBefore;
+        long started = countStarts(running) - startsBefore;
         console.line(
                 (same ? "the same answer" : "ANOTHER ANSWER") + "; the minions recorded " + started + " new starts");
         return same && started == 0 ? ExitCodes.OK : ExitCodes.FAILED;
     }
 
     // The example names one deployment's service and team; the other deployment runs it for its own.
-    private JsonNode addressed(JsonNode job) {
+    private JsonNode forDeployment(JsonNode job) {
         ObjectNode copy = job.deepCopy().asObject();
         return copy.put("service", plan.service()).put("team", plan.team());
     }
 
     private EntryReply submit(URI entry, JsonNode job, String key) {
-        try (EntryClient client = new EntryClient(entry, LONGEST_WAIT.plus(LONGEST_WAIT))) {
-            return client.send(SubmitCommand.request(job, key, LONGEST_WAIT));
+        try (EntryClient client = new EntryClient(entry, TIMEOUT.plus(TIMEOUT))) {
+            return client.send(SubmitCommand.request(job, key, TIMEOUT));
         }
     }
 
     /** Returns how many starts the minions recorded themselves. */
-    static long starts(RunningDeployment running) {
+    static long countStarts(RunningDeployment running) {
         long count = 0;
         for (URI minion : running.minions()) {
-            try (EntryClient client = new EntryClient(minion, LONGEST_WAIT)) {
+            try (EntryClient client = new EntryClient(minion, TIMEOUT)) {
                 count += client.send(EntryRequest.get("/starts")).body().lines().count();
             }
         }
@@ -87,13 +87,13 @@
 
     /** Waits until an entry takes jobs; throws when it does not within a minute. */
     static void awaitReadiness(URI entry) {
-        long deadline = System.nanoTime() + LONGEST_WAIT.toNanos();
-        try (EntryClient client = new EntryClient(entry, LONGEST_WAIT)) {
+        long deadline = System.nanoTime() + TIMEOUT.toNanos();
+        try (EntryClient client = new EntryClient(entry, TIMEOUT)) {
             while (!client.send(EntryRequest.get("/readyz")).succeeded()) {
                 if (System.nanoTime() > deadline) {
                     throw new ChivetallyException(ErrorCode.NOT_READY, entry + " does not become ready");
                 }
-                Thread.sleep(READINESS_PAUSE);
+                Thread.sleep(READINESS_POLL_INTERVAL);
             }
         } catch (InterruptedException interrupted) {
             Thread.currentThread().interrupt();
--- a/command/src/main/java/org/chivetally/command/DescribeCommand.java
+++ b/command/src/main/java/org/chivetally/command/DescribeCommand.java
@@ -40,7 +40,7 @@
         try (EntryClient client = connection.client()) {
             EntryReply reply = client.send(EntryRequest.get(ResourcePath.resource(kind, name)));
             if (!reply.succeeded()) {
-                return console.failed(reply);
+                return console.reportFailure(reply);
             }
             OutputFormat format = output.isTable() ? OutputFormat.YAML : output.format();
             console.document(reply.document(), format);
--- a/command/src/main/java/org/chivetally/command/DiffCommand.java
+++ b/command/src/main/java/org/chivetally/command/DiffCommand.java
@@ -27,16 +27,16 @@
     private EntryOptions connection;
 
     @Mixin
-    private ApplyOptions wanted;
+    private ApplyOptions resources;
 
     @Override
     public Integer call() {
         Console console = Console.of(command);
         EntryRequest request =
-                EntryRequest.post(ResourcePath.apply(true), wanted.request().toString());
+                EntryRequest.post(ResourcePath.apply(true), resources.request().toString());
         try (EntryClient client = connection.client()) {
             EntryReply reply = client.send(request);
-            return reply.succeeded() ? show(console, reply.document()) : console.failed(reply);
+            return reply.succeeded() ? show(console, reply.document()) : console.reportFailure(reply);
         }
     }
 
--- a/command/src/main/java/org/chivetally/command/DocumentFile.java
+++ b/command/src/main/java/org/chivetally/command/DocumentFile.java
@@ -36,11 +36,11 @@
     }
 
     /** Returns a file itself, or the YAML and JSON files of a folder in the order of their names. */
-    static List<Path> filesAt(Path path) {
-        return Files.isDirectory(path) ? filesOf(path) : List.of(path);
+    static List<Path> documentFiles(Path path) {
+        return Files.isDirectory(path) ? documentFilesIn(path) : List.of(path);
     }
 
-    private static List<Path> filesOf(Path folder) {
+    private static List<Path> documentFilesIn(Path folder) {
         try (Stream<Path> files = Files.list(folder)) {
             return files.filter(DocumentFile::isDocument).sorted().toList();
         } catch (IOException unreadable) {
--- a/command/src/main/java/org/chivetally/command/DurationConverter.java
+++ b/command/src/main/java/org/chivetally/command/DurationConverter.java
@@ -14,7 +14,7 @@
     public Duration convert(String text) {
         Matcher matcher = SHORT_FORM.matcher(text);
         if (!matcher.matches()) {
-            return isoForm(text);
+            return parseIso(text);
         }
         long number = Long.parseLong(matcher.group(1));
         return switch (matcher.group(2)) {
@@ -25,7 +25,7 @@
         };
     }
 
-    private static Duration isoForm(String text) {
+    private static Duration parseIso(String text) {
         try {
             return Duration.parse(text);
         } catch (java.time.format.DateTimeParseException malformed) {
--- a/command/src/main/java/org/chivetally/command/EntryCommand.java
+++ b/command/src/main/java/org/chivetally/command/EntryCommand.java
@@ -2,7 +2,7 @@
 
 import java.util.concurrent.Callable;
 import org.apache.pekko.actor.typed.ActorSystem;
-import org.chivetally.command.daemon.DaemonRun;
+import org.chivetally.command.daemon.DaemonRuntime;
 import org.chivetally.daemon.EntryDaemon;
 import org.chivetally.settings.EntryDaemonSettings;
 import org.chivetally.settings.SettingsFile;
@@ -26,10 +26,10 @@
     @Override
     public Integer call() throws InterruptedException {
         EntryDaemonSettings settings = SettingsFile.readEntry(options.settings());
-        DaemonRun run = DaemonRun.begin(settings.process());
+        DaemonRuntime run = DaemonRuntime.start(settings.process());
         ActorSystem<Void> system = run.system();
-        EntryDaemon daemon = DaemonRun.await(EntryDaemon.start(system, settings, run.log(), NanoClock.system()));
-        run.untilSignal(daemon.whenStopped(), () -> daemon.drain(SIGNAL));
+        EntryDaemon daemon = DaemonRuntime.await(EntryDaemon.start(system, settings, run.log(), NanoClock.system()));
+        run.awaitSignal(daemon.whenStopped(), () -> daemon.drain(SIGNAL));
         return ExitCodes.INTERNAL;
     }
 }
--- a/command/src/main/java/org/chivetally/command/ExperimentCommand.java
+++ b/command/src/main/java/org/chivetally/command/ExperimentCommand.java
@@ -31,7 +31,7 @@
         })
 final class ExperimentCommand implements Callable<Integer> {
     /** Lines of the product's own decisions would fill the screen and count as their cost. */
-    private static final Logger PRODUCT_LINES = Logger.getLogger("org.chivetally");
+    private static final Logger CHIVETALLY_LOGGER = Logger.getLogger("org.chivetally");
 
     @Spec
     private CommandSpec command;
@@ -51,7 +51,7 @@
     @Override
     public Integer call() {
         PrintStream progress = System.err;
-        PRODUCT_LINES.setLevel(Level.WARNING);
+        CHIVETALLY_LOGGER.setLevel(Level.WARNING);
         switch (experiment) {
             case POLICIES -> new PolicyExperiment(plan(), PolicyExperiment.Settings.all(), progress).run(folder);
             case COORDINATORS ->
--- a/command/src/main/java/org/chivetally/command/ExplainCommand.java
+++ b/command/src/main/java/org/chivetally/command/ExplainCommand.java
@@ -32,7 +32,7 @@
         try (EntryClient client = connection.client()) {
             EntryReply reply = client.send(EntryRequest.get(ResourcePath.job(job) + "/decisions"));
             if (!reply.succeeded()) {
-                return console.failed(reply);
+                return console.reportFailure(reply);
             }
             if (!output.isTable()) {
                 console.document(reply.document(), output.format());
--- a/command/src/main/java/org/chivetally/command/GetCommand.java
+++ b/command/src/main/java/org/chivetally/command/GetCommand.java
@@ -49,7 +49,7 @@
         try (EntryClient client = connection.client()) {
             EntryReply reply = client.send(EntryRequest.get(path()));
             if (!reply.succeeded()) {
-                return console.failed(reply);
+                return console.reportFailure(reply);
             }
             if (output.isTable()) {
                 console.lines(ResourceTable.lines(reply.document()));
--- a/command/src/main/java/org/chivetally/command/JobsCommand.java
+++ b/command/src/main/java/org/chivetally/command/JobsCommand.java
@@ -39,7 +39,7 @@
         try (EntryClient client = connection.client()) {
             EntryReply reply = client.send(EntryRequest.get(path()));
             if (!reply.succeeded()) {
-                return console.failed(reply);
+                return console.reportFailure(reply);
             }
             show(console, reply.document());
             return ExitCodes.OK;
--- a/command/src/main/java/org/chivetally/command/LossesCommand.java
+++ b/command/src/main/java/org/chivetally/command/LossesCommand.java
@@ -37,15 +37,15 @@
     public Integer call() {
         Console console = Console.of(command);
         if (window.toMillis() < 1) {
-            console.note("error: --window: shorter than a millisecond: " + window);
+            console.errorLine("error: --window: shorter than a millisecond: " + window);
             return ExitCodes.INVALID_INPUT;
         }
         LossTable table = new LossTable(window);
         for (Path log : logs) {
             try (Stream<String> lines = Files.lines(log, StandardCharsets.ISO_8859_1)) {
-                lines.forEach(table::read);
+                lines.forEach(table::add);
             } catch (IOException e) {
-                console.note("error: " + log + " can't be read: " + e);
+                console.errorLine("error: " + log + " can't be read: " + e);
                 return ExitCodes.INVALID_INPUT;
             }
         }
--- a/command/src/main/java/org/chivetally/command/OperatorOptions.java
+++ b/command/src/main/java/org/chivetally/command/OperatorOptions.java
@@ -14,7 +14,7 @@
             description = "Name that the change is kept under; by default CHIVETALLY_OPERATOR, then USER.")
     private String operator;
 
-    EntryRequest signed(EntryRequest request) {
-        return request.with(HEADER, operator);
+    EntryRequest withOperator(EntryRequest request) {
+        return request.withHeader(HEADER, operator);
     }
 }
--- a/command/src/main/java/org/chivetally/command/RelayCommand.java
+++ b/command/src/main/java/org/chivetally/command/RelayCommand.java
@@ -10,7 +10,7 @@
 import java.util.concurrent.CompletionStage;
 import java.util.logging.Level;
 import org.apache.pekko.actor.typed.ActorSystem;
-import org.chivetally.command.daemon.DaemonRun;
+import org.chivetally.command.daemon.DaemonRuntime;
 import org.chivetally.command.daemon.GracefulStop;
 import org.chivetally.command.daemon.LogSetup;
 import org.chivetally.command.deployment.RelayPlan;
@@ -31,7 +31,7 @@
             "PUT /faults at a relay's control port sets its faults."
         })
 final class RelayCommand implements Callable<Integer> {
-    private static final Duration LONGEST_STOP = Duration.ofSeconds(30);
+    private static final Duration STOP_TIMEOUT = Duration.ofSeconds(30);
     private static final String HOST = "127.0.0.1";
 
     @Spec
@@ -51,16 +51,16 @@
         ActorSystem<Void> system = DaemonSystem.start("relay");
         List<TcpRelay> relays = new ArrayList<>();
         plans.forEach(plan -> relays.add(start(system, plan)));
-        new GracefulStop(LONGEST_STOP, () -> stop(system, relays)).awaitSignal();
+        new GracefulStop(STOP_TIMEOUT, () -> stop(system, relays)).awaitSignal();
         return ExitCodes.OK;
     }
 
     private TcpRelay start(ActorSystem<Void> system, RelayPlan plan) {
         InetSocketAddress target =
                 new InetSocketAddress(plan.target().host(), plan.target().port());
-        TcpRelay relay = TcpRelay.start(plan.listen(), () -> target, plan.distance());
-        DaemonRun.await(RelayStandIn.start(system, HOST, plan.control(), relay));
-        Console.of(command).line(plan.name() + " http://" + HOST + ":" + plan.control());
+        TcpRelay relay = TcpRelay.start(plan.listenPort(), () -> target, plan.oneWayDelay());
+        DaemonRuntime.await(RelayStandIn.start(system, HOST, plan.controlPort(), relay));
+        Console.of(command).line(plan.name() + " http://" + HOST + ":" + plan.controlPort());
         return relay;
     }
 
--- a/command/src/main/java/org/chivetally/command/DeclaredFiles.java
+++ b/command/src/main/java/org/chivetally/command/ResourceFiles.java
@@ -11,18 +11,18 @@
 import tools.jackson.databind.node.ObjectNode;
 
 /** Resources declared in files, checked here already so that mistakes are told with file, line and column. */
-record DeclaredFiles(List<DeclaredResource> resources) {
+record ResourceFiles(List<DeclaredResource> resources) {
     private static final JsonMapper MAPPER = JsonMapper.shared();
 
     /** Reads files, and the YAML and JSON files of folders; throws with all mistakes when there are some. */
-    static DeclaredFiles read(List<Path> paths) {
+    static ResourceFiles read(List<Path> paths) {
         Map<String, String> texts = new LinkedHashMap<>();
         for (Path path : paths) {
-            DocumentFile.filesAt(path).forEach(file -> texts.put(file.toString(), DocumentFile.text(file)));
+            DocumentFile.documentFiles(path).forEach(file -> texts.put(file.toString(), DocumentFile.text(file)));
         }
         ResourceDocuments.Declared declared = ResourceDocuments.readFiles(texts);
         declared.mistakes().requireNone();
-        return new DeclaredFiles(declared.resources());
+        return new ResourceFiles(declared.resources());
     }
 
     /**
--- a/command/src/main/java/org/chivetally/command/ResourceTable.java
+++ b/command/src/main/java/org/chivetally/command/ResourceTable.java
@@ -8,7 +8,7 @@
 
 /** Resources as a table: one line each, with its specification and status in short. */
 final class ResourceTable {
-    private static final int LONGEST_CELL = 80;
+    private static final int MAXIMUM_CELL_LENGTH = 80;
 
     private ResourceTable() {}
 
@@ -34,12 +34,12 @@
                 resource.path("version").asString(""),
                 resource.path("status").path("state").asString(""),
                 resource.path("changedBy").asString(""),
-                shortForm(resource.path("spec")));
+                abbreviated(resource.path("spec")));
     }
 
-    private static String shortForm(JsonNode section) {
+    private static String abbreviated(JsonNode section) {
         String text = section.properties().stream().map(ResourceTable::pair).collect(Collectors.joining(" "));
-        return text.length() <= LONGEST_CELL ? text : text.substring(0, LONGEST_CELL) + "...";
+        return text.length() <= MAXIMUM_CELL_LENGTH ? text : text.substring(0, MAXIMUM_CELL_LENGTH) + "...";
     }
 
     private static String pair(Map.Entry<String, JsonNode> property) {
--- a/command/src/main/java/org/chivetally/command/StandInCommand.java
+++ b/command/src/main/java/org/chivetally/command/StandInCommand.java
@@ -11,7 +11,7 @@
 import java.util.logging.Level;
 import org.apache.pekko.actor.typed.ActorSystem;
 import org.apache.pekko.http.javadsl.ServerBinding;
-import org.chivetally.command.daemon.DaemonRun;
+import org.chivetally.command.daemon.DaemonRuntime;
 import org.chivetally.command.daemon.GracefulStop;
 import org.chivetally.command.daemon.LogSetup;
 import org.chivetally.daemon.DaemonSystem;
@@ -33,7 +33,7 @@
                 + " with settable faults.",
         subcommands = {StandInCommand.LogCommand.class, StandInCommand.MinionCommand.class, RelayCommand.class})
 final class StandInCommand implements Runnable {
-    private static final Duration LONGEST_STOP = Duration.ofSeconds(30);
+    private static final Duration STOP_TIMEOUT = Duration.ofSeconds(30);
 
     @Spec
     private CommandSpec command;
@@ -45,12 +45,12 @@
 
     private static void runUntilSignal(ActorSystem<Void> system, List<ServerBinding> bindings)
             throws InterruptedException {
-        new GracefulStop(LONGEST_STOP, () -> stop(system, bindings)).awaitSignal();
+        new GracefulStop(STOP_TIMEOUT, () -> stop(system, bindings)).awaitSignal();
     }
 
     private static CompletionStage<Void> stop(ActorSystem<Void> system, List<ServerBinding> bindings) {
         CompletableFuture<?>[] stops = bindings.stream()
-                .map(binding -> binding.terminate(LONGEST_STOP).toCompletableFuture())
+                .map(binding -> binding.terminate(STOP_TIMEOUT).toCompletableFuture())
                 .toArray(CompletableFuture[]::new);
         return CompletableFuture.allOf(stops).thenRun(system::terminate);
     }
@@ -116,7 +116,7 @@
             LogSetup.install(Level.INFO);
             ActorSystem<Void> system = DaemonSystem.start("log");
             LogStandInSettings settings = new LogStandInSettings(appendLatency, appendsPerSecond, keptRecords, keptFor);
-            ServerBinding binding = DaemonRun.await(LogStandIn.start(system, listen.host, listen.port, settings));
+            ServerBinding binding = DaemonRuntime.await(LogStandIn.start(system, listen.host, listen.port, settings));
             Console.of(command).line("log " + addressOf(binding));
             runUntilSignal(system, List.of(binding));
             return ExitCodes.OK;
@@ -152,7 +152,7 @@
                 names = "--record",
                 paramLabel = "FOLDER",
                 description = "Folder that keeps each minion's record of starts beyond its process, as NAME.starts.")
-        private Path record;
+        private Path recordFolder;
 
         @Option(names = "--connections", defaultValue = "64", description = "Most connections at once; 64 by default.")
         private int connections;
@@ -171,9 +171,9 @@
 
         private ServerBinding start(ActorSystem<Void> system, int position) {
             String name = "minion-" + (first + position);
-            Optional<Path> file = Optional.ofNullable(record).map(folder -> folder.resolve(name + ".starts"));
+            Optional<Path> file = Optional.ofNullable(recordFolder).map(folder -> folder.resolve(name + ".starts"));
             int port = listen.port == 0 ? 0 : listen.port + position;
-            ServerBinding binding = DaemonRun.await(MinionStandIn.start(
+            ServerBinding binding = DaemonRuntime.await(MinionStandIn.start(
                     system, listen.host, port, new MinionStandInSettings(name, slots, connections, file)));
             Console.of(command).line(name + " " + addressOf(binding));
             return binding;
--- a/command/src/main/java/org/chivetally/command/StandaloneCommand.java
+++ b/command/src/main/java/org/chivetally/command/StandaloneCommand.java
@@ -26,7 +26,7 @@
         })
 final class StandaloneCommand implements Callable<Integer> {
     private static final String DEMO_JOB = "job-250.yaml";
-    private static final Duration LONGEST_STOP = Duration.ofSeconds(150);
+    private static final Duration STOP_TIMEOUT = Duration.ofSeconds(150);
 
     @Spec
     private CommandSpec command;
@@ -40,7 +40,7 @@
     private boolean freePorts;
 
     @Option(names = "--submit", paramLabel = "FILE", description = "Submit this job once everything is up, then end.")
-    private Path submitted;
+    private Path jobFile;
 
     @Option(names = "--demo", description = "The same as --submit examples/" + DEMO_JOB + ".")
     private boolean demo;
@@ -52,7 +52,7 @@
     public Integer call() throws InterruptedException {
         LogSetup.install(verbose ? Level.INFO : Level.WARNING);
         DeploymentPlan declared = DeploymentCatalogue.read(deployment.name());
-        boolean ends = demo || submitted != null;
+        boolean ends = demo || jobFile != null;
         DeploymentPlan plan = freePorts || ends ? declared.withFreePorts() : declared;
         RunningDeployment running = RunningDeployment.start(plan);
         Console console = Console.of(command);
@@ -65,12 +65,12 @@
         console.line("submit a job: bin/chivetally submit examples/job-small.yaml --entry "
                 + running.entries().getFirst());
         console.line("stop with Ctrl-C");
-        new GracefulStop(LONGEST_STOP, running::stop).awaitSignal();
+        new GracefulStop(STOP_TIMEOUT, running::stop).awaitSignal();
         return ExitCodes.OK;
     }
 
     private int demonstrate(Console console, RunningDeployment running, DeploymentPlan plan) {
-        Path file = submitted == null ? DeploymentCatalogue.example(DEMO_JOB) : submitted;
+        Path file = jobFile == null ? DeploymentCatalogue.example(DEMO_JOB) : jobFile;
         try {
             return new Demonstration(console, running, plan).run(file);
         } finally {
--- a/command/src/main/java/org/chivetally/command/SubmitCommand.java
+++ b/command/src/main/java/org/chivetally/command/SubmitCommand.java
@@ -55,13 +55,13 @@
         Console console = Console.of(command);
         String usedKey = key == null ? UUID.randomUUID().toString() : key;
         EntryRequest request = request(DocumentFile.readOne(file), usedKey, wait);
-        console.note("key: " + usedKey);
+        console.errorLine("key: " + usedKey);
         try (EntryClient client = connection.client(wait)) {
             EntryReply reply = client.send(request);
-            return reply.succeeded() ? show(console, reply) : console.failed(reply);
+            return reply.succeeded() ? show(console, reply) : console.reportFailure(reply);
         } catch (ChivetallyException failure) {
             if (failure.code() == ErrorCode.OUTCOME_UNKNOWN) {
-                console.note("submit again with --key " + usedKey + " to learn the outcome; nothing starts twice");
+                console.errorLine("submit again with --key " + usedKey + " to learn the outcome; nothing starts twice");
             }
             throw failure;
         }
@@ -70,7 +70,7 @@
     /** Returns the request that submits a job. */
     static EntryRequest request(JsonNode job, String key, Duration wait) {
         String path = ResourcePath.jobs() + "?wait=" + wait.toSeconds();
-        return EntryRequest.post(path, job.toString()).with(KEY_HEADER, key);
+        return EntryRequest.post(path, job.toString()).withHeader(KEY_HEADER, key);
     }
 
     private int show(Console console, EntryReply reply) {
--- a/command/src/main/java/org/chivetally/command/WatchCommand.java
+++ b/command/src/main/java/org/chivetally/command/WatchCommand.java
@@ -53,14 +53,14 @@
         try (EntryClient client = connection.client()) {
             while (true) {
                 EntryReply reply = client.stream(EntryRequest.get(path(shown)), shown::line);
-                if (shown.complete()) {
+                if (shown.isComplete()) {
                     return ExitCodes.OK;
                 }
                 if (isTooOld(reply)) {
                     reply = list(client, shown);
                 }
                 if (!reply.succeeded()) {
-                    return console.failed(reply);
+                    return console.reportFailure(reply);
                 }
             }
         }
@@ -81,7 +81,7 @@
         EntryReply reply = client.send(EntryRequest.get(ResourcePath.kind(kind)));
         if (reply.succeeded()) {
             JsonNode document = reply.document();
-            document.path("items").forEach(shown::listed);
+            document.path("items").forEach(shown::showListed);
             shown.resumeAt(document.path("version").asLong(0));
         }
         return reply;
--- a/command/src/main/java/org/chivetally/command/WatchOutput.java
+++ b/command/src/main/java/org/chivetally/command/WatchOutput.java
@@ -12,14 +12,14 @@
 
     private final Console console;
     private final OutputFormat format;
-    private final Long most;
+    private final Long maximumCount;
     private Optional<Long> resumeFrom;
-    private long shown;
+    private long shownCount;
 
     WatchOutput(Console console, OutputFormat format, Long most, Long from) {
         this.console = console;
         this.format = format;
-        this.most = most;
+        this.maximumCount = most;
         this.resumeFrom = Optional.ofNullable(from);
     }
 
@@ -31,17 +31,17 @@
             resumeAt(event.path("resumeFrom").asLong(0));
         }
         if (type.equals(ERROR)) {
-            console.note("the watch ended: " + event.path("detail").asString("") + "; it is resumed");
+            console.errorLine("the watch ended: " + event.path("detail").asString("") + "; it is resumed");
             return false;
         }
         if (!type.equals(BOOKMARK)) {
             show(type, event, event.path("resource"));
         }
-        return !complete();
+        return !isComplete();
     }
 
     /** Shows a resource that was listed because its changes are no longer kept. */
-    void listed(JsonNode resource) {
+    void showListed(JsonNode resource) {
         show("listed", resource, resource);
     }
 
@@ -53,12 +53,12 @@
         return resumeFrom;
     }
 
-    boolean complete() {
-        return most != null && shown >= most;
+    boolean isComplete() {
+        return maximumCount != null && shownCount >= maximumCount;
     }
 
     private void show(String type, JsonNode whole, JsonNode resource) {
-        shown++;
+        shownCount++;
         switch (format) {
             case TABLE ->
                 console.line(type + " " + ResourceTable.nameOf(resource) + " version "
--- a/command/src/main/java/org/chivetally/command/client/EntryRequest.java
+++ b/command/src/main/java/org/chivetally/command/client/EntryRequest.java
@@ -12,7 +12,7 @@
  * @param body JSON text
  */
 public record EntryRequest(String method, String pathAndQuery, Map<String, String> headers, Optional<String> body) {
-    private static final String READ = "GET";
+    private static final String READ_METHOD = "GET";
 
     /** Copies the headers. */
     public EntryRequest {
@@ -24,7 +24,7 @@
 
     /** Returns a request that reads. */
     public static EntryRequest get(String pathAndQuery) {
-        return new EntryRequest(READ, pathAndQuery, Map.of(), Optional.empty());
+        return new EntryRequest(READ_METHOD, pathAndQuery, Map.of(), Optional.empty());
     }
 
     /** Returns a request that deletes. */
@@ -43,7 +43,7 @@
     }
 
     /** Returns the same request with one more header. */
-    public EntryRequest with(String header, String value) {
+    public EntryRequest withHeader(String header, String value) {
         Map<String, String> more = new HashMap<>(headers);
         more.put(header, value);
         return new EntryRequest(method, pathAndQuery, more, body);
@@ -51,7 +51,7 @@
 
     /** Tells whether the request changes nothing. */
     public boolean isRead() {
-        return method.equals(READ);
+        return method.equals(READ_METHOD);
     }
 
     private static EntryRequest withDocument(String method, String pathAndQuery, String body) {
--- a/command/src/main/java/org/chivetally/command/client/Problem.java
+++ b/command/src/main/java/org/chivetally/command/client/Problem.java
@@ -15,7 +15,7 @@
  * @param detail one sentence for a person
  */
 public record Problem(ErrorCode code, String certainty, String detail) {
-    private static final String UNKNOWN_WORK = "unknown";
+    private static final String UNKNOWN = "unknown";
 
     /** Reads the problem out of an answer; a body that is no problem document is kept as its detail. */
     public static Problem of(EntryReply reply) {
@@ -29,8 +29,8 @@
     }
 
     /** Tells whether work may have started without a known outcome. */
-    public boolean leavesWorkUnknown() {
-        return certainty.equals(UNKNOWN_WORK);
+    public boolean isOutcomeUnknown() {
+        return certainty.equals(UNKNOWN);
     }
 
     /** Returns one line for a person. */
--- a/command/src/main/java/org/chivetally/command/daemon/DaemonRun.java
+++ b/command/src/main/java/org/chivetally/command/daemon/DaemonRuntime.java
@@ -17,14 +17,14 @@
  * @param system actor system of the process
  * @param log client of the platform's log
  */
-public record DaemonRun(ProcessSettings process, ActorSystem<Void> system, PlatformLog log) {
+public record DaemonRuntime(ProcessSettings process, ActorSystem<Void> system, PlatformLog log) {
     /** Sets up log lines, the actor system and the log's client. */
-    public static DaemonRun begin(ProcessSettings process) {
+    public static DaemonRuntime start(ProcessSettings process) {
         LogSetup.install(process.logLevel().level());
         ActorSystem<Void> system = DaemonSystem.start(process.name());
         PlatformLog log =
                 new HttpPlatformLog(system, process.log().url(), process.log().requestTimeout());
-        return new DaemonRun(process, system, log);
+        return new DaemonRuntime(process, system, log);
     }
 
     /** Waits for a daemon's start; throws when it failed. */
@@ -45,7 +45,7 @@
      *
      * @param whenStopped fails when a broken invariant ended the daemon; only then this returns
      */
-    public void untilSignal(CompletionStage<Void> whenStopped, Supplier<CompletionStage<Void>> drain)
+    public void awaitSignal(CompletionStage<Void> whenStopped, Supplier<CompletionStage<Void>> drain)
             throws InterruptedException {
         new GracefulStop(process.drainTimeout(), drain).awaitSignal(whenStopped);
     }
--- a/command/src/main/java/org/chivetally/command/daemon/GracefulStop.java
+++ b/command/src/main/java/org/chivetally/command/daemon/GracefulStop.java
@@ -17,9 +17,9 @@
 
     private static final String COMPLETE = "complete";
     private static final int DRAINED_STATUS = 0;
-    private static final int CUT_STATUS = 1;
+    private static final int INCOMPLETE_STATUS = 1;
 
-    private final Duration limit;
+    private final Duration drainTimeout;
     private final Supplier<CompletionStage<Void>> drain;
 
     /**
@@ -28,8 +28,8 @@
      * @param limit longest wait for the drain
      * @param drain starts the drain; its stage completes when no request is in progress any more
      */
-    public GracefulStop(Duration limit, Supplier<CompletionStage<Void>> drain) {
-        this.limit = limit;
+    public GracefulStop(Duration drainTimeout, Supplier<CompletionStage<Void>> drain) {
+        this.drainTimeout = drainTimeout;
         this.drain = drain;
     }
 
@@ -58,15 +58,15 @@
     // A signal ends the JVM as soon as its hooks return; the hook therefore waits for the drain, or requests in
     // progress would be cut. The limit keeps a drain that hangs from keeping the machine.
     private void run() {
-        LOGGER.atInfo().log("%s", EventLine.of("drain-started").with("limit", limit));
-        String result = drained();
+        LOGGER.atInfo().log("%s", EventLine.of("drain-started").with("limit", drainTimeout));
+        String result = awaitDrain();
         LOGGER.atInfo().log("%s", EventLine.of("drain-ended").with("result", result));
-        Runtime.getRuntime().halt(result.equals(COMPLETE) ? DRAINED_STATUS : CUT_STATUS);
+        Runtime.getRuntime().halt(result.equals(COMPLETE) ? DRAINED_STATUS : INCOMPLETE_STATUS);
     }
 
-    private String drained() {
+    private String awaitDrain() {
         try {
-            drain.get().toCompletableFuture().get(limit.toMillis(), TimeUnit.MILLISECONDS);
+            drain.get().toCompletableFuture().get(drainTimeout.toMillis(), TimeUnit.MILLISECONDS);
             return COMPLETE;
         } catch (TimeoutException slow) {
             return "timed-out";
--- a/command/src/main/java/org/chivetally/command/daemon/KeyValueFormatter.java
+++ b/command/src/main/java/org/chivetally/command/daemon/KeyValueFormatter.java
@@ -12,7 +12,7 @@
     private static final DateTimeFormatter TIME = DateTimeFormatter.ofPattern(
                     "yyyy-MM-dd'T'HH:mm:ss.SSSSSS'Z'", Locale.ROOT)
             .withZone(ZoneOffset.UTC);
-    private static final String EVENT_START = "event=";
+    private static final String EVENT_PREFIX = "event=";
 
     @Override
     public String format(LogRecord record) {
@@ -24,16 +24,16 @@
                 .append(" logger=")
                 .append(simpleName(record.getLoggerName()))
                 .append(' ')
-                .append(pairs(formatMessage(record)));
+                .append(messagePairs(formatMessage(record)));
         if (record.getThrown() != null) {
-            line.append(' ').append(causes(record.getThrown()));
+            line.append(' ').append(thrownPair(record.getThrown()));
         }
         return line.append('\n').toString();
     }
 
     // Libraries log free text; as the value of one pair it can't break the line's form.
-    private static String pairs(String message) {
-        if (message.startsWith(EVENT_START)) {
+    private static String messagePairs(String message) {
+        if (message.startsWith(EVENT_PREFIX)) {
             return message;
         }
         return EventLine.of("text").with("text", message).toString();
@@ -46,16 +46,16 @@
         return logger.substring(logger.lastIndexOf('.') + 1);
     }
 
-    private static String causes(Throwable thrown) {
+    private static String thrownPair(Throwable thrown) {
         StringBuilder text = new StringBuilder();
         for (Throwable cause = thrown; cause != null; cause = cause.getCause()) {
-            text.append(text.isEmpty() ? "" : " < ").append(cause).append(place(cause));
+            text.append(text.isEmpty() ? "" : " < ").append(cause).append(topFrame(cause));
         }
         String pair = EventLine.of("-").with("thrown", text).toString();
         return pair.substring(pair.indexOf(' ') + 1);
     }
 
-    private static String place(Throwable cause) {
+    private static String topFrame(Throwable cause) {
         StackTraceElement[] frames = cause.getStackTrace();
         return frames.length == 0 ? "" : " at " + frames[0];
     }
--- a/command/src/main/java/org/chivetally/command/daemon/LogSetup.java
+++ b/command/src/main/java/org/chivetally/command/daemon/LogSetup.java
@@ -9,7 +9,7 @@
 /** Sends log lines of one process to standard error. */
 public final class LogSetup {
     private static final Logger ROOT = Logger.getLogger("");
-    private static final Logger OWN = Logger.getLogger("org.chivetally");
+    private static final Logger CHIVETALLY = Logger.getLogger("org.chivetally");
 
     private LogSetup() {}
 
@@ -27,7 +27,7 @@
         standardError.setFormatter(new KeyValueFormatter());
         ROOT.addHandler(standardError);
         ROOT.setLevel(higher(level, Level.WARNING));
-        OWN.setLevel(level);
+        CHIVETALLY.setLevel(level);
         // Pekko logs from several threads while it starts; SLF4J would warn about lines it had to hold back meanwhile.
         LoggerFactory.getILoggerFactory();
     }
--- a/command/src/main/java/org/chivetally/command/deployment/DeploymentFiles.java
+++ b/command/src/main/java/org/chivetally/command/deployment/DeploymentFiles.java
@@ -22,7 +22,7 @@
 
     private static final String RELAYS_FILE = "relays.yaml";
     private static final String HOST = "127.0.0.1";
-    private static final int MILLIS = 1000;
+    private static final int MILLIS_PER_PROCESSOR = 1000;
 
     private final DeploymentPlan plan;
     private final Path folder;
@@ -35,9 +35,9 @@
      * @param folder existing folder to write to
      */
     public DeploymentFiles(DeploymentPlan plan, Path folder, Options options) {
-        if (plan.httpPorts().size() > PortPlan.MOST_ENTRIES) {
+        if (plan.httpPorts().size() > PortPlan.MAXIMUM_ENTRIES) {
             throw new ChivetallyException(
-                    ErrorCode.INVALID_INPUT, "there is room for " + PortPlan.MOST_ENTRIES + " entries at most");
+                    ErrorCode.INVALID_INPUT, "there is room for " + PortPlan.MAXIMUM_ENTRIES + " entries at most");
         }
         this.plan = plan;
         this.folder = folder;
@@ -62,7 +62,7 @@
         if (options.relays()) {
             write(
                     RELAYS_FILE,
-                    "relays:\n" + relays().stream().map(RelayPlan::item).collect(Collectors.joining()));
+                    "relays:\n" + relays().stream().map(RelayPlan::toYamlItem).collect(Collectors.joining()));
         }
         write(PROCESSES_FILE, processes());
         write(TARGETS_FILE, targets());
@@ -126,7 +126,7 @@
                         ports.minion(agent),
                         plan.slots(),
                         plan.connections(),
-                        plan.worker().processorMillis() / MILLIS,
+                        plan.worker().processorMillis() / MILLIS_PER_PROCESSOR,
                         Units.bytes(plan.worker().memoryBytes()),
                         plan.worker().accelerators());
     }
@@ -177,7 +177,7 @@
         text.append("  logs:\n").append(target("log", ports.log()));
         if (options.relays()) {
             text.append("  relays:\n");
-            relays().forEach(relay -> text.append(target(relay.name(), relay.control())));
+            relays().forEach(relay -> text.append(target(relay.name(), relay.controlPort())));
         }
         return text.toString();
     }
--- a/command/src/main/java/org/chivetally/command/deployment/DeploymentPlan.java
+++ b/command/src/main/java/org/chivetally/command/deployment/DeploymentPlan.java
@@ -33,14 +33,14 @@
         int slots,
         int connections,
         Resources worker) {
-    private static final int APPENDS_PER_SECOND = 270;
+    private static final int TOTAL_APPENDS_PER_SECOND = 270;
     private static final int MAXIMUM_PORT = 65_535;
     private static final int MAXIMUM_MINIONS = 1000;
     private static final int MAXIMUM_SLOTS = 1024;
     private static final int MAXIMUM_PROCESSORS = 4096;
-    private static final long MAXIMUM_MEMORY = 1L << 46;
-    private static final int MILLIS = 1000;
-    private static final Duration LONGEST_DELAY = Duration.ofSeconds(1);
+    private static final long MAXIMUM_MEMORY_BYTES = 1L << 46;
+    private static final int MILLIS_PER_PROCESSOR = 1000;
+    private static final Duration MAXIMUM_DELAY = Duration.ofSeconds(1);
 
     /** Copies the lists and refuses missing parts. */
     public DeploymentPlan {
@@ -61,8 +61,8 @@
                 root.requiredText("service"),
                 root.requiredText("team"),
                 failureDomains(root),
-                delays.duration("betweenFailureDomains", Duration.ZERO, LONGEST_DELAY, Duration.ZERO),
-                delays.duration("toClients", Duration.ZERO, LONGEST_DELAY, Duration.ZERO),
+                delays.duration("betweenFailureDomains", Duration.ZERO, MAXIMUM_DELAY, Duration.ZERO),
+                delays.duration("toClients", Duration.ZERO, MAXIMUM_DELAY, Duration.ZERO),
                 httpPorts(root.section("entries")),
                 (int) minions.requiredWhole("count", 1, MAXIMUM_MINIONS),
                 (int) minions.requiredWhole("slots", 1, MAXIMUM_SLOTS),
@@ -94,7 +94,7 @@
 
     /** Returns each entry's share of the log's append budget. */
     public int appendsPerSecond() {
-        return APPENDS_PER_SECOND / httpPorts.size();
+        return TOTAL_APPENDS_PER_SECOND / httpPorts.size();
     }
 
     private static List<String> failureDomains(Section root) {
@@ -128,8 +128,8 @@
 
     private static Resources worker(Section worker) {
         return new Resources(
-                worker.requiredWhole("processors", 1, MAXIMUM_PROCESSORS) * MILLIS,
-                worker.requiredBytes("memory", 0, MAXIMUM_MEMORY),
+                worker.requiredWhole("processors", 1, MAXIMUM_PROCESSORS) * MILLIS_PER_PROCESSOR,
+                worker.requiredBytes("memory", 0, MAXIMUM_MEMORY_BYTES),
                 (int) worker.whole("accelerators", 0, MAXIMUM_SLOTS, 0));
     }
 }
--- a/command/src/main/java/org/chivetally/command/deployment/InProcessSettings.java
+++ b/command/src/main/java/org/chivetally/command/deployment/InProcessSettings.java
@@ -19,9 +19,9 @@
     private static final HostPort ANY_PORT = new HostPort(HOST, 0);
     private static final Duration LOG_TIMEOUT = Duration.ofSeconds(2);
     private static final Duration DRAIN_TIMEOUT = Duration.ofMinutes(2);
-    private static final Duration TICKET_AGE = Duration.ofSeconds(3);
+    private static final Duration MAXIMUM_TICKET_AGE = Duration.ofSeconds(3);
     private static final Duration RETENTION = Duration.ofMinutes(5);
-    private static final int QUEUE_PER_SLOT = 2;
+    private static final int QUEUED_TASKS_PER_SLOT = 2;
 
     private final DeploymentPlan plan;
 
@@ -34,7 +34,7 @@
                 Duration.ofMinutes(10),
                 Duration.ofMinutes(30),
                 Duration.ofSeconds(6),
-                TICKET_AGE,
+                MAXIMUM_TICKET_AGE,
                 RETENTION,
                 Duration.ofSeconds(2),
                 plan.appendsPerSecond());
@@ -43,7 +43,7 @@
     }
 
     AgentDaemonSettings agent(int position, URI log, URI minion, HostPort advertised, List<HostPort> seeds) {
-        MinionSettings beside = new MinionSettings(
+        MinionSettings minionSettings = new MinionSettings(
                 ProcessNames.minion(position),
                 plan.service(),
                 minion,
@@ -54,9 +54,9 @@
                 plan.worker().accelerators());
         return new AgentDaemonSettings(
                 process(ProcessNames.agent(position), position, advertised, log, seeds),
-                beside,
-                QUEUE_PER_SLOT * plan.slots(),
-                TICKET_AGE,
+                minionSettings,
+                QUEUED_TASKS_PER_SLOT * plan.slots(),
+                MAXIMUM_TICKET_AGE,
                 RETENTION);
     }
 
--- a/command/src/main/java/org/chivetally/command/deployment/PortPlan.java
+++ b/command/src/main/java/org/chivetally/command/deployment/PortPlan.java
@@ -3,31 +3,31 @@
 /**
  * Ports of a deployment's separate processes, which follow from the first one.
  *
- * @param first first port, that of the log
+ * @param firstPort first port, that of the log
  * @param minions number of minions
  */
-record PortPlan(int first, int minions) {
+record PortPlan(int firstPort, int minions) {
     /** Most entries that the plan has room for. */
-    static final int MOST_ENTRIES = 10;
+    static final int MAXIMUM_ENTRIES = 10;
 
-    private static final int HTTP = 10;
-    private static final int FRAMES = HTTP + MOST_ENTRIES;
-    private static final int AGENTS = FRAMES + MOST_ENTRIES;
+    private static final int HTTP_OFFSET = 10;
+    private static final int FRAMES_OFFSET = HTTP_OFFSET + MAXIMUM_ENTRIES;
+    private static final int AGENTS_OFFSET = FRAMES_OFFSET + MAXIMUM_ENTRIES;
 
     int log() {
-        return first;
+        return firstPort;
     }
 
     int http(int entry) {
-        return first + HTTP + entry;
+        return firstPort + HTTP_OFFSET + entry;
     }
 
     int frames(int entry) {
-        return first + FRAMES + entry;
+        return firstPort + FRAMES_OFFSET + entry;
     }
 
     int agent(int position) {
-        return first + AGENTS + position;
+        return firstPort + AGENTS_OFFSET + position;
     }
 
     int minion(int position) {
@@ -39,7 +39,7 @@
     }
 
     int agentRelay(int agent) {
-        return entryRelay(MOST_ENTRIES) + agent;
+        return entryRelay(MAXIMUM_ENTRIES) + agent;
     }
 
     int entryRelayControl(int entry) {
@@ -47,6 +47,6 @@
     }
 
     int agentRelayControl(int agent) {
-        return entryRelayControl(MOST_ENTRIES) + agent;
+        return entryRelayControl(MAXIMUM_ENTRIES) + agent;
     }
 }
--- a/command/src/main/java/org/chivetally/command/deployment/RelayPlan.java
+++ b/command/src/main/java/org/chivetally/command/deployment/RelayPlan.java
@@ -10,19 +10,19 @@
  * One relay between two processes.
  *
  * @param name name in lists of targets
- * @param listen port on the loopback address that takes connections
+ * @param listenPort port on the loopback address that takes connections
  * @param target where they are forwarded to
- * @param distance how long each byte is under way in each direction
- * @param control port on the loopback address at which faults are set
+ * @param oneWayDelay how long each byte is under way in each direction
+ * @param controlPort port on the loopback address at which faults are set
  */
-public record RelayPlan(String name, int listen, HostPort target, Duration distance, int control) {
-    private static final Duration LONGEST_DISTANCE = Duration.ofSeconds(1);
+public record RelayPlan(String name, int listenPort, HostPort target, Duration oneWayDelay, int controlPort) {
+    private static final Duration MAXIMUM_ONE_WAY_DELAY = Duration.ofSeconds(1);
 
     /** Refuses missing parts. */
     public RelayPlan {
         Objects.requireNonNull(name, "name");
         Objects.requireNonNull(target, "target");
-        Objects.requireNonNull(distance, "distance");
+        Objects.requireNonNull(oneWayDelay, "distance");
     }
 
     /** Reads the relays of a document; its mistakes tell whether they may be used. */
@@ -35,9 +35,9 @@
     }
 
     /** Returns the relay as an item of the list that {@link #readAll} reads. */
-    String item() {
+    String toYamlItem() {
         return "  - {name: %s, listen: %d, target: {host: %s, port: %d}, distance: %dus, control: %d}\n"
-                .formatted(name, listen, target.host(), target.port(), distance.toNanos() / 1000, control);
+                .formatted(name, listenPort, target.host(), target.port(), oneWayDelay.toNanos() / 1000, controlPort);
     }
 
     private static RelayPlan read(Section item) {
@@ -46,7 +46,7 @@
                 item.requiredText("name"),
                 port(item, "listen"),
                 new HostPort(target.requiredText("host"), port(target, "port")),
-                item.duration("distance", Duration.ZERO, LONGEST_DISTANCE, Duration.ZERO),
+                item.duration("distance", Duration.ZERO, MAXIMUM_ONE_WAY_DELAY, Duration.ZERO),
                 port(item, "control"));
     }
 
--- a/command/src/main/java/org/chivetally/command/deployment/RunningDeployment.java
+++ b/command/src/main/java/org/chivetally/command/deployment/RunningDeployment.java
@@ -32,8 +32,8 @@
  * also where both are in one failure domain; the log is used without distance.
  */
 public final class RunningDeployment {
-    private static final Duration LONGEST_TERMINATION = Duration.ofSeconds(5);
-    private static final String STOPPING = "standalone stops";
+    private static final Duration TERMINATION_TIMEOUT = Duration.ofSeconds(5);
+    private static final String DRAIN_REASON = "standalone stops";
 
     private final ActorSystem<Void> system = DaemonSystem.start("standalone");
     private final NanoClock clock = NanoClock.system();
@@ -64,7 +64,7 @@
             deployment.close();
             throw new ChivetallyException(
                     ErrorCode.NOT_READY,
-                    "the deployment can't start: " + innermost(failure).getMessage(),
+                    "the deployment can't start: " + rootCause(failure).getMessage(),
                     failure);
         }
     }
@@ -88,11 +88,11 @@
 
     /** Stops without cutting a request: entries, then agents, then stand-ins; completes once all have stopped. */
     public CompletionStage<Void> stop() {
-        return all(entries.stream().map(entry -> entry.drain(STOPPING)).toList())
-                .thenCompose(drained ->
-                        all(agents.stream().map(agent -> agent.drain(STOPPING)).toList()))
-                .thenCompose(drained -> all(standIns.stream()
-                        .map(standIn -> standIn.terminate(LONGEST_TERMINATION))
+        return allOf(entries.stream().map(entry -> entry.drain(DRAIN_REASON)).toList())
+                .thenCompose(drained -> allOf(
+                        agents.stream().map(agent -> agent.drain(DRAIN_REASON)).toList()))
+                .thenCompose(drained -> allOf(standIns.stream()
+                        .map(standIn -> standIn.terminate(TERMINATION_TIMEOUT))
                         .toList()))
                 .thenRun(this::close);
     }
@@ -141,7 +141,7 @@
         return URI.create("http://" + InProcessSettings.HOST + ":" + port);
     }
 
-    private static Throwable innermost(Throwable failure) {
+    private static Throwable rootCause(Throwable failure) {
         Throwable cause = failure;
         while (cause instanceof CompletionException && cause.getCause() != null) {
             cause = cause.getCause();
@@ -153,7 +153,7 @@
         return stage.toCompletableFuture().join();
     }
 
-    private static CompletionStage<Void> all(List<? extends CompletionStage<?>> stages) {
+    private static CompletionStage<Void> allOf(List<? extends CompletionStage<?>> stages) {
         return CompletableFuture.allOf(
                 stages.stream().map(CompletionStage::toCompletableFuture).toArray(CompletableFuture[]::new));
     }
--- a/command/src/main/java/org/chivetally/command/losses/JobCourse.java
+++ b/command/src/main/java/org/chivetally/command/losses/JobHistory.java
@@ -4,33 +4,33 @@
 import java.util.Optional;
 
 /** What the log of one entry tells of one job. */
-final class JobCourse {
+final class JobHistory {
     /** A job's end is worth nothing after this many objectives; entries log the time that is left until then. */
-    private static final int LIMIT_OBJECTIVES = 3;
+    private static final int DEADLINE_IN_OBJECTIVES = 3;
 
     /** Share of the objective that tasks may wait before the wait is what made the job late. */
-    private static final double LONG_WAIT = 0.25;
+    private static final double LONG_WAIT_SHARE = 0.25;
 
-    private final Instant takenAt;
+    private final Instant acceptedAt;
     private final long objectiveMillis;
     private long longestWaitMillis;
     private boolean failedTask;
     private boolean lostRun;
-    private Optional<Loss> end = Optional.empty();
+    private Optional<Loss> loss = Optional.empty();
 
     /** Begins with the line by which an entry took the job on. */
-    JobCourse(LogLine accepted) {
-        this.takenAt = accepted.time();
-        this.objectiveMillis = accepted.whole("left_ms") / LIMIT_OBJECTIVES;
+    JobHistory(LogLine accepted) {
+        this.acceptedAt = accepted.time();
+        this.objectiveMillis = accepted.wholeNumber("left_ms") / DEADLINE_IN_OBJECTIVES;
     }
 
-    Instant takenAt() {
-        return takenAt;
+    Instant acceptedAt() {
+        return acceptedAt;
     }
 
     void placed(LogLine line) {
-        if (line.whole("run") == 1) {
-            longestWaitMillis = Math.max(longestWaitMillis, line.whole("waited_ms"));
+        if (line.wholeNumber("run") == 1) {
+            longestWaitMillis = Math.max(longestWaitMillis, line.wholeNumber("waited_ms"));
         }
     }
 
@@ -43,25 +43,25 @@
     }
 
     void ended(LogLine line) {
-        end = Optional.of(
+        loss = Optional.of(
                 switch (line.text("phase")) {
-                    case "COMPLETED" -> line.whole("age_ms") <= objectiveMillis ? Loss.NONE : whyLate();
+                    case "COMPLETED" -> line.wholeNumber("age_ms") <= objectiveMillis ? Loss.NONE : lateCause();
                     case "FAILED" -> Loss.FAILED;
-                    default -> whyCancelled(line.text("reason"));
+                    default -> cancellationCause(line.text("reason"));
                 });
     }
 
-    private Loss whyLate() {
+    private Loss lateCause() {
         if (failedTask) {
             return Loss.FAILED_TASK;
         }
         if (lostRun) {
             return Loss.LOST_RUN;
         }
-        return longestWaitMillis > LONG_WAIT * objectiveMillis ? Loss.WAITED : Loss.SLOW_TASK;
+        return longestWaitMillis > LONG_WAIT_SHARE * objectiveMillis ? Loss.WAITED : Loss.SLOW_TASK;
     }
 
-    private static Loss whyCancelled(String reason) {
+    private static Loss cancellationCause(String reason) {
         return switch (reason) {
             case "overtaken" -> Loss.REFUSED;
             case "not started in time" -> Loss.NOT_STARTED;
@@ -71,6 +71,6 @@
 
     /** Returns what became of the job as far as the log goes. */
     Loss loss() {
-        return end.orElse(Loss.ENTRY_LOST);
+        return loss.orElse(Loss.ENTRY_LOST);
     }
 }
--- a/command/src/main/java/org/chivetally/command/losses/LogLine.java
+++ b/command/src/main/java/org/chivetally/command/losses/LogLine.java
@@ -48,7 +48,7 @@
     }
 
     /** Returns a whole number; 0 where there is none, as pairs with nothing to tell are left out. */
-    long whole(String key) {
+    long wholeNumber(String key) {
         String value = text(key);
         return value.matches("-?\\d{1,18}") ? Long.parseLong(value) : 0;
     }
--- a/command/src/main/java/org/chivetally/command/losses/LossTable.java
+++ b/command/src/main/java/org/chivetally/command/losses/LossTable.java
@@ -13,10 +13,10 @@
 /** Counts jobs by the window of time in which they came and by what became of them. */
 public final class LossTable {
     private final Duration window;
-    private final Map<String, JobCourse> courses = new LinkedHashMap<>();
+    private final Map<String, JobHistory> unfinishedJobs = new LinkedHashMap<>();
     private final Map<Instant, Map<Loss, Integer>> counts = new TreeMap<>();
     private final Map<Instant, Integer> starts = new TreeMap<>();
-    private long passedOver;
+    private long skippedLines;
 
     /**
      * Creates an empty table.
@@ -31,62 +31,63 @@
     }
 
     /** Takes a line of a log; lines of each process in their order. */
-    public void read(String text) {
+    public void add(String text) {
         Optional<LogLine> line = LogLine.parse(text);
         if (line.isEmpty()) {
-            passedOver++;
+            skippedLines++;
             return;
         }
-        read(line.get());
+        add(line.get());
     }
 
-    private void read(LogLine line) {
+    private void add(LogLine line) {
         switch (line.event()) {
             case "job-accepted" -> accepted(line);
             case "job-refused" -> count(line.time(), Loss.REFUSED);
-            case "run-placed" -> course(line.text("task")).ifPresent(job -> job.placed(line));
-            case "run-ended" -> course(line.text("task")).ifPresent(job -> job.runEnded(line));
+            case "run-placed" -> unfinishedJob(line.text("task")).ifPresent(job -> job.placed(line));
+            case "run-ended" -> unfinishedJob(line.text("task")).ifPresent(job -> job.runEnded(line));
             case "job-ended" -> {
-                Optional<JobCourse> job = Optional.ofNullable(courses.remove(line.text("job")));
+                Optional<JobHistory> job = Optional.ofNullable(unfinishedJobs.remove(line.text("job")));
                 job.ifPresent(course -> {
                     course.ended(line);
                     count(course);
                 });
             }
-            case "started" -> starts.merge(rowOf(line.time()), 1, Integer::sum);
+            case "started" -> starts.merge(windowStart(line.time()), 1, Integer::sum);
             default -> {}
         }
     }
 
     /** Begins a course. A caller sends a job again under its id, so an earlier one without an end was lost. */
     private void accepted(LogLine line) {
-        JobCourse before = courses.put(line.text("job"), new JobCourse(line));
-        if (before != null) {
-            count(before);
+        JobHistory earlier = unfinishedJobs.put(line.text("job"), new JobHistory(line));
+        if (earlier != null) {
+            count(earlier);
         }
     }
 
-    private Optional<JobCourse> course(String task) {
+    private Optional<JobHistory> unfinishedJob(String task) {
         int dot = task.indexOf('.');
-        return dot < 0 ? Optional.empty() : Optional.ofNullable(courses.get(task.substring(0, dot)));
+        return dot < 0 ? Optional.empty() : Optional.ofNullable(unfinishedJobs.get(task.substring(0, dot)));
     }
 
-    private void count(JobCourse job) {
-        count(job.takenAt(), job.loss());
+    private void count(JobHistory job) {
+        count(job.acceptedAt(), job.loss());
     }
 
     private void count(Instant time, Loss loss) {
-        counts.computeIfAbsent(rowOf(time), row -> new EnumMap<>(Loss.class)).merge(loss, 1, Integer::sum);
+        counts.computeIfAbsent(windowStart(time), row -> new EnumMap<>(Loss.class))
+                .merge(loss, 1, Integer::sum);
     }
 
-    private Instant rowOf(Instant time) {
+    private Instant windowStart(Instant time) {
         return Instant.ofEpochMilli(time.toEpochMilli() / window.toMillis() * window.toMillis());
     }
 
     /** Returns the table as lines of text; jobs without an end so far count as lost with their entry. */
     public List<String> lines() {
-        courses.values().forEach(this::count);
-        courses.clear();
+        unfinishedJobs.values().forEach(this::count);
+        unfinishedJobs.clear();
         List<String> lines = new ArrayList<>();
         StringBuilder header = new StringBuilder("%-24s %6s".formatted("from", "starts"));
         for (Loss loss : Loss.values()) {
@@ -95,8 +96,8 @@
         lines.add(header.toString());
         starts.keySet().forEach(row -> counts.computeIfAbsent(row, same -> new EnumMap<>(Loss.class)));
         counts.forEach((row, byLoss) -> lines.add(line(row, byLoss)));
-        if (passedOver > 0) {
-            lines.add(passedOver + " lines passed over, as they are no lines of our logs");
+        if (skippedLines > 0) {
+            lines.add(skippedLines + " lines passed over, as they are no lines of our logs");
         }
         return lines;
     }
--- a/command/src/main/java/org/chivetally/command/output/Table.java
+++ b/command/src/main/java/org/chivetally/command/output/Table.java
@@ -7,7 +7,7 @@
 
 /** Aligned columns of text under headings. */
 public final class Table {
-    private static final String GAP = "  ";
+    private static final String COLUMN_SEPARATOR = "  ";
 
     private final List<String> headings;
     private final List<List<String>> rows = new ArrayList<>();
@@ -23,7 +23,7 @@
             throw new IllegalArgumentException("a row has " + headings.size() + " cells, not " + cells.length);
         }
         rows.add(IntStream.range(0, cells.length)
-                .mapToObj(column -> shown(cells[column]))
+                .mapToObj(column -> cellText(cells[column]))
                 .toList());
         return this;
     }
@@ -39,7 +39,7 @@
         return all.stream().map(row -> line(row, widths)).toList();
     }
 
-    private static String shown(Object cell) {
+    private static String cellText(Object cell) {
         String text = String.valueOf(cell);
         return text.isEmpty() ? "-" : text;
     }
@@ -51,7 +51,7 @@
     private static String line(List<String> row, int[] widths) {
         return IntStream.range(0, widths.length)
                 .mapToObj(column -> padded(row.get(column), widths[column]))
-                .collect(Collectors.joining(GAP))
+                .collect(Collectors.joining(COLUMN_SEPARATOR))
                 .stripTrailing();
     }
 
--- a/command/src/test/java/org/chivetally/command/CommandRun.java
+++ b/command/src/test/java/org/chivetally/command/CommandResult.java
@@ -5,14 +5,14 @@
 import picocli.CommandLine;
 
 /** What one run of the command line wrote and ended with. */
-record CommandRun(int code, String out, String error) {
-    static CommandRun of(String... arguments) {
+record CommandResult(int code, String out, String error) {
+    static CommandResult of(String... arguments) {
         StringWriter out = new StringWriter();
         StringWriter error = new StringWriter();
         CommandLine commandLine = ChivetallyCommand.commandLine();
         commandLine.setOut(new PrintWriter(out));
         commandLine.setErr(new PrintWriter(error));
         int code = commandLine.execute(arguments);
-        return new CommandRun(code, out.toString(), error.toString());
+        return new CommandResult(code, out.toString(), error.toString());
     }
 }
--- a/command/src/test/java/org/chivetally/command/CommandTest.java
+++ b/command/src/test/java/org/chivetally/command/CommandTest.java
@@ -38,7 +38,7 @@
     @ParameterizedTest
     @MethodSource("everyCommand")
     void everyCommandHasHelpWithExitCodes(List<String> names) {
-        CommandRun run = run(with(names, "--help"));
+        CommandResult run = run(with(names, "--help"));
         assertThat(run.code(), is(ExitCodes.OK));
         assertThat(run.out(), containsString("Usage: " + String.join(" ", with(List.of("chivetally"), names))));
         assertThat(run.out(), containsString("5    the request may have taken effect"));
@@ -47,7 +47,7 @@
     @ParameterizedTest
     @MethodSource("everyCommand")
     void everyCommandRefusesAnUnknownOption(List<String> names) {
-        CommandRun run = run(with(names, "--no-such-option"));
+        CommandResult run = run(with(names, "--no-such-option"));
         assertThat(run.code(), is(ExitCodes.INVALID_INPUT));
         // What is required and missing is told first, where there is such.
         assertThat(run.error(), anyOf(containsString("--no-such-option"), startsWith("Missing required")));
@@ -72,7 +72,7 @@
      */
     @Test
     void anEntryThatIsNotThereIsUnavailable() throws IOException {
-        CommandRun run = CommandRun.of("get", "services", "--entry", "http://127.0.0.1:" + freePort());
+        CommandResult run = CommandResult.of("get", "services", "--entry", "http://127.0.0.1:" + freePort());
         assertThat(run.code(), is(ExitCodes.UNAVAILABLE));
         assertThat(run.error(), containsString("not-ready: no entry answers"));
     }
@@ -86,7 +86,8 @@
         try (ServerSocket socket = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             Thread server = Thread.ofVirtual().start(() -> closeAfterRequest(socket));
             String entry = "http://127.0.0.1:" + socket.getLocalPort();
-            CommandRun run = CommandRun.of("submit", "../examples/job-small.yaml", "--key", "key-1", "--entry", entry);
+            CommandResult run =
+                    CommandResult.of("submit", "../examples/job-small.yaml", "--key", "key-1", "--entry", entry);
             server.join();
             assertThat(run.code(), is(ExitCodes.OUTCOME_UNKNOWN));
             assertThat(run.error(), containsString("submit again with --key key-1"));
@@ -96,7 +97,7 @@
     @ParameterizedTest
     @ValueSource(strings = {"entry --settings", "agent --settings", "submit", "load", "apply -f"})
     void aFileThatIsNotThereIsInvalidInput(String command) {
-        CommandRun run = CommandRun.of((command + " no-such-file.yaml").split(" "));
+        CommandResult run = CommandResult.of((command + " no-such-file.yaml").split(" "));
         assertThat(run.code(), is(ExitCodes.INVALID_INPUT));
         assertThat(run.error(), containsString("no-such-file.yaml"));
     }
@@ -106,7 +107,7 @@
     void aFileInAnotherEncodingIsRefusedWithThePlace(@TempDir Path folder) throws IOException {
         Path file = folder.resolve("team.yaml");
         Files.write(file, "kind: team\nname: ranger\u00e6".getBytes(StandardCharsets.ISO_8859_1));
-        CommandRun run = CommandRun.of("apply", "-f", folder.toString());
+        CommandResult run = CommandResult.of("apply", "-f", folder.toString());
         assertThat(run.code(), is(ExitCodes.INVALID_INPUT));
         assertThat(run.error(), containsString("team.yaml:2:13: is not UTF-8"));
     }
@@ -118,7 +119,7 @@
                 .replace("failureDomain:", "domain:")
                 .replace("port: 8080", "port: 80800");
         Path file = Files.writeString(folder.resolve("entry.yaml"), settings);
-        CommandRun run = CommandRun.of("entry", "--settings", file.toString());
+        CommandResult run = CommandResult.of("entry", "--settings", file.toString());
         assertThat(run.code(), is(ExitCodes.INVALID_INPUT));
         assertThat(
                 run.error(),
@@ -131,7 +132,7 @@
     /** The layout of a deployment writes settings that the daemons accept. */
     @Test
     void theLayoutOfADeploymentIsAccepted(@TempDir Path folder) {
-        CommandRun run = CommandRun.of(
+        CommandResult run = CommandResult.of(
                 "layout", folder.toString(), "--deployment", "../examples/deployments/tasmania.yaml", "--relays");
         assertThat(run.error(), run.code(), is(ExitCodes.OK));
         assertThat(
@@ -165,8 +166,8 @@
         }
     }
 
-    private static CommandRun run(List<String> arguments) {
-        return CommandRun.of(arguments.toArray(String[]::new));
+    private static CommandResult run(List<String> arguments) {
+        return CommandResult.of(arguments.toArray(String[]::new));
     }
 
     private static void collect(CommandLine commandLine, List<String> names, List<Arguments> found) {
--- a/command/src/test/java/org/chivetally/command/StandaloneTest.java
+++ b/command/src/test/java/org/chivetally/command/StandaloneTest.java
@@ -50,13 +50,13 @@
      */
     @Test
     void aJobIsAnsweredOnceWhateverEntryIsAsked() {
-        long before = Demonstration.starts(running);
-        CommandRun first = atEntry(0, "submit", EXAMPLES + "job-250.yaml", "--key", "once", "-o", "json");
+        long before = Demonstration.countStarts(running);
+        CommandResult first = atEntry(0, "submit", EXAMPLES + "job-250.yaml", "--key", "once", "-o", "json");
         assertThat(first.error(), first.code(), is(ExitCodes.OK));
         assertThat(first.out(), allOf(containsString("report 1 routed"), containsString("report 250 routed")));
-        CommandRun second = atEntry(2, "submit", EXAMPLES + "job-250.yaml", "--key", "once", "-o", "json");
+        CommandResult second = atEntry(2, "submit", EXAMPLES + "job-250.yaml", "--key", "once", "-o", "json");
         assertThat(second.out(), is(first.out()));
-        assertThat(Demonstration.starts(running) - before, is(250L));
+        assertThat(Demonstration.countStarts(running) - before, is(250L));
     }
 
     @Test
@@ -65,14 +65,14 @@
                 atEntry(0, "submit", EXAMPLES + "job-small.yaml", "--key", "twice")
                         .code(),
                 is(ExitCodes.OK));
-        CommandRun reused = atEntry(1, "submit", EXAMPLES + "job-250.yaml", "--key", "twice");
+        CommandResult reused = atEntry(1, "submit", EXAMPLES + "job-250.yaml", "--key", "twice");
         assertThat(reused.code(), is(ExitCodes.CONFLICT));
         assertThat(reused.error(), containsString("key-reused"));
     }
 
     @Test
     void theDecisionsOfAJobCanBeReadBack() {
-        CommandRun submitted = atEntry(0, "submit", EXAMPLES + "job-small.yaml", "-o", "yaml");
+        CommandResult submitted = atEntry(0, "submit", EXAMPLES + "job-small.yaml", "-o", "yaml");
         Matcher job = Pattern.compile("job: (\\S+)").matcher(submitted.out());
         assertThat(submitted.out(), job.find(), is(true));
         assertThat(atEntry(0, "explain", job.group(1)).out(), containsString("job=" + job.group(1)));
@@ -84,7 +84,7 @@
         Path job = Files.writeString(
                 folder.resolve("failing.yaml"),
                 "service: trail-report-routing\ntasks: [{payload: {workMillis: 0, fail: true}}]\n");
-        CommandRun run = atEntry(0, "submit", job.toString());
+        CommandResult run = atEntry(0, "submit", job.toString());
         assertThat(run.code(), is(ExitCodes.FAILED));
         assertThat(run.error(), containsString("task-failed (failed)"));
     }
@@ -98,7 +98,7 @@
         assertThat(atEntry(0, "get", "services").out(), containsString("service/trail-report-routing"));
         Path malformed = Files.writeString(
                 folder.resolve("malformed.yaml"), "kind: team\nname: new\nspec: {weight: none, wieght: 2}\n");
-        CommandRun refused = atEntry(0, "apply", "-f", malformed.toString());
+        CommandResult refused = atEntry(0, "apply", "-f", malformed.toString());
         assertThat(refused.code(), is(ExitCodes.INVALID_INPUT));
         assertThat(
                 refused.error(),
@@ -117,7 +117,7 @@
         String[] basedOnNothing = {"apply", "-f", team.toString(), "--based-on", "team/raced=0"};
         assertThat(atEntry(0, basedOnNothing).code(), is(ExitCodes.OK));
         Files.writeString(team, "kind: team\nname: raced\nspec: {weight: 3}\n");
-        CommandRun loser = atEntry(0, basedOnNothing);
+        CommandResult loser = atEntry(0, basedOnNothing);
         assertThat(loser.code(), is(ExitCodes.CONFLICT));
         assertThat(loser.error(), containsString("team/raced was changed by"));
         assertThat(atEntry(0, "describe", "team", "raced").out(), containsString("weight: 2"));
@@ -130,10 +130,10 @@
         assertThat(atEntry(0, "watch", "teams", "--from", "0", "--count", "1").out(), containsString("added team/"));
     }
 
-    private static CommandRun atEntry(int position, String... arguments) {
+    private static CommandResult atEntry(int position, String... arguments) {
         URI entry = running.entries().get(position);
         List<String> all = new ArrayList<>(List.of(arguments));
         all.addAll(List.of("--entry", entry.toString()));
-        return CommandRun.of(all.toArray(String[]::new));
+        return CommandResult.of(all.toArray(String[]::new));
     }
 }
--- a/command/src/test/java/org/chivetally/command/losses/LossTableTest.java
+++ b/command/src/test/java/org/chivetally/command/losses/LossTableTest.java
@@ -15,7 +15,7 @@
     private final LossTable table = new LossTable(Duration.ofSeconds(2));
 
     private void log(double second, String rest) {
-        table.read("12.5 entry-1 time=2026-01-01T00:00:%06.3fZ level=INFO event=%s".formatted(second, rest));
+        table.add("12.5 entry-1 time=2026-01-01T00:00:%06.3fZ level=INFO event=%s".formatted(second, rest));
     }
 
     private void accepted(double second, String job) {
@@ -114,8 +114,8 @@
 
     @Test
     void saysHowManyLinesItPassedOver() {
-        table.read("no line of ours");
-        table.read("time=soon event=started");
+        table.add("no line of ours");
+        table.add("time=soon event=started");
         assertThat(table.lines().getLast(), containsString("2 lines passed over"));
     }
 }
--- a/standins/src/main/java/org/chivetally/standins/LogStandIn.java
+++ b/standins/src/main/java/org/chivetally/standins/LogStandIn.java
@@ -22,7 +22,7 @@
 
 /** HTTP server in the place of the platform's log; docs/LOG-PROTOCOL.md describes its routes. */
 public final class LogStandIn {
-    private static final int DEFAULT_LIMIT = 1000;
+    private static final int DEFAULT_READ_LIMIT = 1000;
 
     private final InMemoryPlatformLog log;
 
@@ -95,7 +95,7 @@
                         limit -> Directives.parameterOptional(
                                 StringUnmarshallers.LONG,
                                 "waitMillis",
-                                wait -> read(stream, from, limit.orElse(DEFAULT_LIMIT), wait.orElse(0L))))));
+                                wait -> read(stream, from, limit.orElse(DEFAULT_READ_LIMIT), wait.orElse(0L))))));
     }
 
     private Route read(String stream, long from, int limit, long waitMillis) {
--- a/standins/src/main/java/org/chivetally/standins/Minion.java
+++ b/standins/src/main/java/org/chivetally/standins/Minion.java
@@ -22,7 +22,7 @@
     private final NanoClock clock;
     private final MinionStandInSettings settings;
     private final Random random;
-    private final Optional<StartFile> file;
+    private final Optional<StartFile> startFile;
     private final List<MinionStart> starts;
     private MinionFaults faults = MinionFaults.NONE;
     private int running;
@@ -33,14 +33,14 @@
         this.system = system;
         this.clock = clock;
         this.settings = settings;
-        this.file = settings.record().map(StartFile::new);
-        this.starts = file.map(StartFile::read).orElseGet(ArrayList::new);
+        this.startFile = settings.record().map(StartFile::new);
+        this.starts = startFile.map(StartFile::read).orElseGet(ArrayList::new);
         this.random = new Random(settings.name().hashCode());
     }
 
     /** Runs a task; the stage completes with its answer, never when the minion is silent. */
     CompletionStage<MinionAnswer> run(MinionTask task) {
-        Plan plan;
+        ExecutionPlan plan;
         int start;
         synchronized (this) {
             if (faults.down()) {
@@ -55,7 +55,7 @@
             plan = plan(task);
         }
         CompletableFuture<MinionAnswer> answer = new CompletableFuture<>();
-        later(plan.duration(), () -> finish(start, task, plan, answer));
+        runAfter(plan.duration(), () -> finish(start, task, plan, answer));
         return answer;
     }
 
@@ -122,28 +122,28 @@
     }
 
     private void write(int position) {
-        file.ifPresent(record -> record.write(position, starts.get(position)));
+        startFile.ifPresent(record -> record.write(position, starts.get(position)));
     }
 
-    private Plan plan(MinionTask task) {
+    private ExecutionPlan plan(MinionTask task) {
         if (faults.failEveryTask()) {
-            return new Plan(Duration.ZERO, true, faults.silent());
+            return new ExecutionPlan(Duration.ZERO, true, faults.silent());
         }
-        double factor = happens(faults.straggleShare()) ? faults.straggleFactor() : 1;
+        double factor = isSampled(faults.straggleShare()) ? faults.straggleFactor() : 1;
         Duration duration = Duration.ofMillis(Math.round(task.work().workMillis() * factor) + faults.delayMillis());
-        boolean fails = task.work().fail() || happens(faults.failShare());
-        return new Plan(duration, fails, faults.silent());
+        boolean fails = task.work().fail() || isSampled(faults.failShare());
+        return new ExecutionPlan(duration, fails, faults.silent());
     }
 
-    private boolean happens(double share) {
+    private boolean isSampled(double share) {
         return share > 0 && random.nextDouble() < share;
     }
 
     /** Ends a task. Its slot is free before the answer is out, so that whoever reads the answer may use it. */
-    private void finish(int start, MinionTask task, Plan plan, CompletableFuture<MinionAnswer> answer) {
+    private void finish(int start, MinionTask task, ExecutionPlan plan, CompletableFuture<MinionAnswer> answer) {
         synchronized (this) {
             running--;
-            starts.set(start, starts.get(start).ended(clock.nanos(), plan.outcome()));
+            starts.set(start, starts.get(start).asEnded(clock.nanos(), plan.outcome()));
             write(start);
         }
         if (plan.silent()) {
@@ -155,7 +155,7 @@
                         : new MinionAnswer.Done(task.index(), task.work().answer(), settings.name()));
     }
 
-    private void later(Duration delay, Runnable step) {
+    private void runAfter(Duration delay, Runnable step) {
         if (!delay.isPositive()) {
             step.run();
             return;
@@ -164,7 +164,7 @@
     }
 
     /** How one task goes, decided at its start. */
-    private record Plan(Duration duration, boolean fails, boolean silent) {
+    private record ExecutionPlan(Duration duration, boolean fails, boolean silent) {
         String outcome() {
             if (silent) {
                 return MinionStart.SILENT;
--- a/standins/src/main/java/org/chivetally/standins/MinionStandIn.java
+++ b/standins/src/main/java/org/chivetally/standins/MinionStandIn.java
@@ -77,22 +77,22 @@
             ActorSystem<?> system, String host, int port, MinionStandInSettings settings) {
         Minion minion = new Minion(system, NanoClock.system(), settings);
         MinionStandIn standIn = new MinionStandIn(minion, settings);
-        return StandInHttp.bindFlow(system, host, port, standIn.requests(system));
+        return StandInHttp.bindFlow(system, host, port, standIn.requestFlow(system));
     }
 
-    private Flow<HttpRequest, HttpResponse, ?> requests(ActorSystem<?> system) {
-        return Flow.fromMaterializer((materializer, attributes) -> requestsOfConnection(system));
+    private Flow<HttpRequest, HttpResponse, ?> requestFlow(ActorSystem<?> system) {
+        return Flow.fromMaterializer((materializer, attributes) -> requestFlowOfConnection(system));
     }
 
-    private Flow<HttpRequest, HttpResponse, NotUsed> requestsOfConnection(ActorSystem<?> system) {
-        TaskConnections.Connection connection = connections.opened();
+    private Flow<HttpRequest, HttpResponse, NotUsed> requestFlowOfConnection(ActorSystem<?> system) {
+        TaskConnections.Connection connection = connections.newConnection();
         Function<HttpRequest, CompletionStage<HttpResponse>> handler =
                 routes(connection).function(system);
         // A task that is never answered would keep its connection counted after the caller closed it, and later callers
         // would meet a false limit. So the requests are watched, not the answers: they end when the caller closes.
         return Flow.of(HttpRequest.class)
                 .watchTermination((unused, done) -> {
-                    done.whenComplete((ignored, failure) -> connection.closed());
+                    done.whenComplete((ignored, failure) -> connection.release());
                     return unused;
                 })
                 .mapAsync(1, handler);
@@ -127,7 +127,7 @@
         } catch (JacksonException | IllegalArgumentException e) {
             return CompletableFuture.completedFuture(StandInHttp.badRequest(e));
         }
-        if (!connection.admitsTask()) {
+        if (!connection.tryAdmitTask()) {
             minion.countOverrun(task);
             return CompletableFuture.completedFuture(response(new MinionAnswer.Refused(TOO_MANY_CONNECTIONS)));
         }
@@ -163,21 +163,21 @@
     }
 
     private CompletionStage<HttpResponse> state() {
-        return unlessAtFault(StandInHttp.json(StatusCodes.OK, minion.state()));
+        return unlessFaulty(StandInHttp.json(StatusCodes.OK, minion.state()));
     }
 
     private CompletionStage<HttpResponse> metricsText() {
-        return unlessAtFault(HttpResponse.create().withEntity(metrics.text()));
+        return unlessFaulty(HttpResponse.create().withEntity(metrics.text()));
     }
 
     private CompletionStage<HttpResponse> drain() {
         if (!minion.faults().down()) {
             minion.drain();
         }
-        return unlessAtFault(StandInHttp.json(StatusCodes.OK, minion.state()));
+        return unlessFaulty(StandInHttp.json(StatusCodes.OK, minion.state()));
     }
 
-    private CompletionStage<HttpResponse> unlessAtFault(HttpResponse response) {
+    private CompletionStage<HttpResponse> unlessFaulty(HttpResponse response) {
         MinionFaults faults = minion.faults();
         if (faults.down()) {
             return CompletableFuture.completedFuture(
--- a/standins/src/main/java/org/chivetally/standins/MinionStart.java
+++ b/standins/src/main/java/org/chivetally/standins/MinionStart.java
@@ -28,11 +28,11 @@
     static final String SILENT = "silent";
     static final String LOST = "lost";
 
-    MinionStart lost() {
+    MinionStart asLost() {
         return new MinionStart(job, task, attempt, startedNanos, null, LOST, token);
     }
 
-    MinionStart ended(long nanos, String how) {
+    MinionStart asEnded(long nanos, String how) {
         return new MinionStart(job, task, attempt, startedNanos, nanos, how, token);
     }
 }
--- a/standins/src/main/java/org/chivetally/standins/RelayDirection.java
+++ b/standins/src/main/java/org/chivetally/standins/RelayDirection.java
@@ -21,7 +21,7 @@
     private final Timer timer;
     private final LongAdder forwardedBytes;
     private final LongAdder withheldBytes;
-    private final Queue<Piece> underWay = new ArrayDeque<>();
+    private final Queue<Item> inTransit = new ArrayDeque<>();
     private boolean silent;
 
     RelayDirection(
@@ -36,18 +36,18 @@
     /** Withholds from now on everything, also what is under way; on the event loop only. */
     void silence() {
         silent = true;
-        underWay.forEach(this::withhold);
-        underWay.clear();
+        inTransit.forEach(this::withhold);
+        inTransit.clear();
     }
 
     @Override
     public void channelRead(ChannelHandlerContext context, Object message) {
-        send(context, new Piece.Bytes((ByteBuf) message));
+        enqueue(context, new Item.Bytes((ByteBuf) message));
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext context) {
-        send(context, new Piece.End());
+        enqueue(context, new Item.End());
     }
 
     /** The far side reads this channel's writes slowly: its source waits, so that the relay keeps no heap of bytes. */
@@ -61,14 +61,14 @@
         context.close();
     }
 
-    private void send(ChannelHandlerContext context, Piece piece) {
+    private void enqueue(ChannelHandlerContext context, Item piece) {
         if (silent) {
             withhold(piece);
             return;
         }
         long delay = delayNanos.getAsLong();
-        underWay.add(piece);
-        if (delay == 0 && underWay.size() == 1) {
+        inTransit.add(piece);
+        if (delay == 0 && inTransit.size() == 1) {
             forwardOldest();
             return;
         }
@@ -77,18 +77,18 @@
 
     /** Each timer forwards the oldest piece, not its own: a delay made shorter must not let bytes overtake others. */
     private void forwardOldest() {
-        switch (underWay.poll()) {
+        switch (inTransit.poll()) {
             case null -> {}
-            case Piece.Bytes(ByteBuf bytes) -> {
+            case Item.Bytes(ByteBuf bytes) -> {
                 forwardedBytes.add(bytes.readableBytes());
                 sink.writeAndFlush(bytes);
             }
-            case Piece.End() -> sink.writeAndFlush(sink.alloc().buffer(0)).addListener(ChannelFutureListener.CLOSE);
+            case Item.End() -> sink.writeAndFlush(sink.alloc().buffer(0)).addListener(ChannelFutureListener.CLOSE);
         }
     }
 
-    private void withhold(Piece piece) {
-        if (piece instanceof Piece.Bytes(ByteBuf bytes)) {
+    private void withhold(Item piece) {
+        if (piece instanceof Item.Bytes(ByteBuf bytes)) {
             withheldBytes.add(bytes.readableBytes());
             bytes.release();
         }
@@ -102,11 +102,11 @@
     }
 
     /** What is forwarded. */
-    private sealed interface Piece {
+    private sealed interface Item {
         /** Some bytes. */
-        record Bytes(ByteBuf content) implements Piece {}
+        record Bytes(ByteBuf content) implements Item {}
 
         /** The end of the connection. */
-        record End() implements Piece {}
+        record End() implements Item {}
     }
 }
--- a/standins/src/main/java/org/chivetally/standins/RelayFaults.java
+++ b/standins/src/main/java/org/chivetally/standins/RelayFaults.java
@@ -37,11 +37,11 @@
         /** Both. */
         BOTH;
 
-        boolean coversToTarget() {
+        boolean silencesToTarget() {
             return this == TO_TARGET || this == BOTH;
         }
 
-        boolean coversToClient() {
+        boolean silencesToClient() {
             return this == TO_CLIENT || this == BOTH;
         }
     }
--- a/standins/src/main/java/org/chivetally/standins/StandInHttp.java
+++ b/standins/src/main/java/org/chivetally/standins/StandInHttp.java
@@ -25,8 +25,8 @@
             .disable(DeserializationFeature.FAIL_ON_NULL_FOR_PRIMITIVES)
             .build();
 
-    private static final int CONNECTIONS = 16_384;
-    private static final long LARGEST_REQUEST_BYTES = 64L << 20;
+    private static final int MAXIMUM_CONNECTIONS = 16_384;
+    private static final long MAXIMUM_REQUEST_BYTES = 64L << 20;
 
     private StandInHttp() {}
 
@@ -51,8 +51,8 @@
         return HttpResponse.create().withStatus(status).withEntity(ContentTypes.APPLICATION_JSON, document);
     }
 
-    static HttpResponse text(StatusCode status, String sentence) {
-        return HttpResponse.create().withStatus(status).withEntity(sentence + "\n");
+    static HttpResponse text(StatusCode status, String message) {
+        return HttpResponse.create().withStatus(status).withEntity(message + "\n");
     }
 
     static HttpResponse badRequest(RuntimeException cause) {
@@ -65,10 +65,10 @@
 
     private static ServerSettings settings(ActorSystem<?> system) {
         ServerSettings defaults = ServerSettings.create(system.classicSystem());
-        return defaults.withMaxConnections(CONNECTIONS)
+        return defaults.withMaxConnections(MAXIMUM_CONNECTIONS)
                 .withParserSettings(defaults.getParserSettings()
-                        .withMaxContentLength(LARGEST_REQUEST_BYTES)
-                        .withMaxToStrictBytes(LARGEST_REQUEST_BYTES))
+                        .withMaxContentLength(MAXIMUM_REQUEST_BYTES)
+                        .withMaxToStrictBytes(MAXIMUM_REQUEST_BYTES))
                 // The server would answer 503 by itself after 20 s. Of a slow append or a hung task that is false:
                 // it may still take effect. Without this timeout a late answer is late, and a silent one is silent.
                 .withTimeouts(defaults.getTimeouts()
--- a/standins/src/main/java/org/chivetally/standins/StartFile.java
+++ b/standins/src/main/java/org/chivetally/standins/StartFile.java
@@ -29,11 +29,11 @@
             return starts;
         }
         try {
-            Files.readAllLines(file).forEach(text -> take(text, starts));
+            Files.readAllLines(file).forEach(text -> replay(text, starts));
         } catch (IOException unreadable) {
             throw new UncheckedIOException("record of starts", unreadable);
         }
-        starts.replaceAll(start -> start.outcome().equals(MinionStart.RUNNING) ? start.lost() : start);
+        starts.replaceAll(start -> start.outcome().equals(MinionStart.RUNNING) ? start.asLost() : start);
         return starts;
     }
 
@@ -47,7 +47,7 @@
         }
     }
 
-    private static void take(String text, List<MinionStart> starts) {
+    private static void replay(String text, List<MinionStart> starts) {
         Line line;
         try {
             line = StandInHttp.JSON.readValue(text, Line.class);
--- a/standins/src/main/java/org/chivetally/standins/TaskConnections.java
+++ b/standins/src/main/java/org/chivetally/standins/TaskConnections.java
@@ -12,11 +12,11 @@
     }
 
     /** Begins to follow a connection, which counts from its first task on. */
-    Connection opened() {
+    Connection newConnection() {
         return new Connection();
     }
 
-    private boolean take() {
+    private boolean tryAcquire() {
         return open.getAndUpdate(count -> Math.min(limit, count + 1)) < limit;
     }
 
@@ -26,15 +26,15 @@
         private boolean closed;
 
         /** Tells whether this connection may carry a task. */
-        synchronized boolean admitsTask() {
+        synchronized boolean tryAdmitTask() {
             if (!counted && !closed) {
-                counted = take();
+                counted = tryAcquire();
             }
             return counted;
         }
 
         /** Gives the connection's place back. */
-        synchronized void closed() {
+        synchronized void release() {
             closed = true;
             if (counted) {
                 counted = false;
--- a/standins/src/main/java/org/chivetally/standins/TcpRelay.java
+++ b/standins/src/main/java/org/chivetally/standins/TcpRelay.java
@@ -41,16 +41,16 @@
  */
 public final class TcpRelay implements AutoCloseable {
     private static final FluentLogger LOG = FluentLogger.forEnclosingClass();
-    private static final int THREADS = 2;
-    private static final long STOP_SECONDS = 5;
+    private static final int EVENT_LOOP_THREADS = 2;
+    private static final long SHUTDOWN_TIMEOUT_SECONDS = 5;
 
     private final Supplier<InetSocketAddress> target;
-    private final long distanceNanos;
+    private final long oneWayDelayNanos;
     private final ScheduledExecutorService timer = Executors.newSingleThreadScheduledExecutor(
             Thread.ofPlatform().name("relay-timer").daemon().factory());
-    private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(THREADS, NioIoHandler.newFactory());
+    private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(EVENT_LOOP_THREADS, NioIoHandler.newFactory());
     private final ChannelGroup channels = new DefaultChannelGroup(GlobalEventExecutor.INSTANCE);
-    private final Set<Link> links = ConcurrentHashMap.newKeySet();
+    private final Set<RelayedConnection> connections = ConcurrentHashMap.newKeySet();
     private final LongAdder accepted = new LongAdder();
     private final LongAdder bytesToTarget = new LongAdder();
     private final LongAdder bytesToClient = new LongAdder();
@@ -60,7 +60,7 @@
 
     private TcpRelay(Supplier<InetSocketAddress> target, Duration distance) {
         this.target = target;
-        this.distanceNanos = distance.toNanos();
+        this.oneWayDelayNanos = distance.toNanos();
     }
 
     /**
@@ -103,7 +103,7 @@
         faults = next;
         LOG.atInfo().log(
                 "%s", EventLine.of("relay-faults-set").with("port", port()).with("faults", next));
-        List<? extends Future<?>> applied = links.stream()
+        List<? extends Future<?>> applied = connections.stream()
                 .map(link -> link.client().eventLoop().submit(() -> link.apply(next)))
                 .toList();
         applied.forEach(Future::awaitUninterruptibly);
@@ -115,7 +115,7 @@
     /** Returns counts since the start. */
     public RelayStatistics statistics() {
         return new RelayStatistics(
-                accepted.sum(), links.size(), bytesToTarget.sum(), bytesToClient.sum(), bytesWithheld.sum());
+                accepted.sum(), connections.size(), bytesToTarget.sum(), bytesToClient.sum(), bytesWithheld.sum());
     }
 
     /** Stops listening and closes every connection. */
@@ -123,7 +123,7 @@
     public void close() {
         listener.close().awaitUninterruptibly();
         channels.close().awaitUninterruptibly();
-        group.shutdownGracefully(0, STOP_SECONDS, TimeUnit.SECONDS).awaitUninterruptibly();
+        group.shutdownGracefully(0, SHUTDOWN_TIMEOUT_SECONDS, TimeUnit.SECONDS).awaitUninterruptibly();
         timer.shutdownNow();
     }
 
@@ -153,7 +153,7 @@
         channels.add(client);
         NewConnections fate = faults.newConnections();
         switch (fate) {
-            case FORWARDED -> dial(client);
+            case FORWARDED -> connectToTarget(client);
             // Never read from, and dropped only when the relay closes.
             case SILENT -> {}
             case CLOSED -> client.close();
@@ -161,7 +161,7 @@
     }
 
     /** Dials the target on the client's event loop, so that both directions of a connection share one thread. */
-    private void dial(Channel client) {
+    private void connectToTarget(Channel client) {
         Bootstrap bootstrap = new Bootstrap()
                 .group(client.eventLoop())
                 .channel(NioSocketChannel.class)
@@ -171,14 +171,14 @@
         ChannelFuture dialled = bootstrap.connect(target.get());
         dialled.addListener(done -> {
             if (done.isSuccess()) {
-                join(client, dialled.channel());
+                startForwarding(client, dialled.channel());
             } else {
                 client.close();
             }
         });
     }
 
-    private void join(Channel client, Channel server) {
+    private void startForwarding(Channel client, Channel server) {
         channels.add(server);
         // A client that was reset while the target was dialled has had its last event; nothing else would close the
         // target's side, and the target would serve a connection without an owner.
@@ -190,10 +190,10 @@
                 new RelayDirection(server, this::delayNanos, this::runAfter, bytesToTarget, bytesWithheld);
         RelayDirection toClient =
                 new RelayDirection(client, this::delayNanos, this::runAfter, bytesToClient, bytesWithheld);
-        Link link = new Link(client, server, toTarget, toClient);
-        links.add(link);
-        client.closeFuture().addListener(closed -> forgetIfClosed(link));
-        server.closeFuture().addListener(closed -> forgetIfClosed(link));
+        RelayedConnection link = new RelayedConnection(client, server, toTarget, toClient);
+        connections.add(link);
+        client.closeFuture().addListener(closed -> removeIfClosed(link));
+        server.closeFuture().addListener(closed -> removeIfClosed(link));
         client.pipeline().addLast(toTarget);
         server.pipeline().addLast(toClient);
         client.config().setAutoRead(true);
@@ -201,7 +201,7 @@
     }
 
     private long delayNanos() {
-        return distanceNanos + TimeUnit.MILLISECONDS.toNanos(faults.delayMillis());
+        return oneWayDelayNanos + TimeUnit.MILLISECONDS.toNanos(faults.delayMillis());
     }
 
     // An event loop's own timers fire at whole milliseconds only, which would make a distance of 0.5 ms twice as long.
@@ -209,20 +209,20 @@
         timer.schedule(() -> eventLoop.execute(step), nanos, TimeUnit.NANOSECONDS);
     }
 
-    private void forgetIfClosed(Link link) {
+    private void removeIfClosed(RelayedConnection link) {
         if (link.isClosed()) {
-            links.remove(link);
+            connections.remove(link);
         }
     }
 
     /** One forwarded connection. */
-    private record Link(Channel client, Channel server, RelayDirection toTarget, RelayDirection toClient) {
+    private record RelayedConnection(Channel client, Channel server, RelayDirection toTarget, RelayDirection toClient) {
         void apply(RelayFaults faults) {
             Silence silence = faults.silence();
-            if (silence.coversToTarget()) {
+            if (silence.silencesToTarget()) {
                 toTarget.silence();
             }
-            if (silence.coversToClient()) {
+            if (silence.silencesToClient()) {
                 toClient.silence();
             }
         }
--- a/standins/src/test/java/org/chivetally/log/HttpPlatformLogTest.java
+++ b/standins/src/test/java/org/chivetally/log/HttpPlatformLogTest.java
@@ -26,21 +26,22 @@
 
 @Timeout(value = 60, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
 class HttpPlatformLogTest {
-    private static final Duration PATIENT = Duration.ofSeconds(10);
-    private static final Duration IMPATIENT = Duration.ofMillis(200);
-    private static final String FOREIGN_REFUSAL =
+    private static final Duration LONG_TIMEOUT = Duration.ofSeconds(10);
+    private static final Duration SHORT_TIMEOUT = Duration.ofMillis(200);
+    private static final String PROXY_REFUSAL =
             "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 2\r\nContent-Type: application/json\r\n\r\n{}";
 
     private final ActorTestKit kit = ActorTestKit.create();
-    private final InMemoryPlatformLog behind =
+    private final InMemoryPlatformLog backingLog =
             new InMemoryPlatformLog(kit.system(), NanoClock.system(), InMemoryLogSettings.immediate());
     private HttpTester server;
     private HttpPlatformLog log;
 
     @BeforeEach
     void start() {
-        server = new HttpTester(kit.system(), HttpTester.await(LogStandIn.start(kit.system(), "127.0.0.1", 0, behind)));
-        log = new HttpPlatformLog(kit.system(), server.uri(), PATIENT);
+        server = new HttpTester(
+                kit.system(), HttpTester.await(LogStandIn.start(kit.system(), "127.0.0.1", 0, backingLog)));
+        log = new HttpPlatformLog(kit.system(), server.uri(), LONG_TIMEOUT);
     }
 
     @AfterEach
@@ -78,7 +79,7 @@
     @Test
     void anExpiredOffsetNamesTheOldest() {
         await(log.append("claims", List.of(record("a", ""), record("b", ""))));
-        behind.setFaults(LogFaults.NONE.withExpiry("claims", 1));
+        backingLog.setFaults(LogFaults.NONE.withExpiry("claims", 1));
         MatcherAssert.assertThat(
                 await(log.read("claims", 0, 10, Duration.ZERO)), Matchers.is(new ReadOutcome.Expired(1)));
     }
@@ -86,19 +87,19 @@
     // The log says that it is down. The caller may tell its own caller that nothing was claimed.
     @Test
     void aDownLogRefusesAppendsAndFailsReads() {
-        behind.setFaults(LogFaults.NONE.withDown(true));
+        backingLog.setFaults(LogFaults.NONE.withDown(true));
         MatcherAssert.assertThat(
                 await(log.append("claims", List.of(record("a", "")))),
                 Matchers.instanceOf(AppendOutcome.Refused.class));
         MatcherAssert.assertThat(
-                await(log.read("claims", 0, 10, PATIENT)), Matchers.instanceOf(ReadOutcome.Unavailable.class));
+                await(log.read("claims", 0, 10, LONG_TIMEOUT)), Matchers.instanceOf(ReadOutcome.Unavailable.class));
     }
 
     // The append takes effect and then its answer is lost. The caller must not hear that nothing was written, or it
     // would tell its caller "not run" while the claim stands.
     @Test
     void aLostAnswerIsUnknownAndTheRecordStands() {
-        behind.setFaults(LogFaults.NONE.withLoseNextAnswers(1));
+        backingLog.setFaults(LogFaults.NONE.withLoseNextAnswers(1));
         MatcherAssert.assertThat(
                 await(log.append("claims", List.of(record("a", "")))),
                 Matchers.instanceOf(AppendOutcome.Unknown.class));
@@ -110,12 +111,12 @@
     // the same: the reader that waits for it sees it.
     @Test
     void aSlowAppendIsUnknownAndLandsLater() {
-        HttpPlatformLog hasty = new HttpPlatformLog(kit.system(), server.uri(), IMPATIENT);
-        behind.setFaults(LogFaults.NONE.withDelays(2 * IMPATIENT.toMillis(), 0));
+        HttpPlatformLog hasty = new HttpPlatformLog(kit.system(), server.uri(), SHORT_TIMEOUT);
+        backingLog.setFaults(LogFaults.NONE.withDelays(2 * SHORT_TIMEOUT.toMillis(), 0));
         MatcherAssert.assertThat(
                 await(hasty.append("claims", List.of(record("a", "")))),
                 Matchers.instanceOf(AppendOutcome.Unknown.class));
-        ReadOutcome.Records found = (ReadOutcome.Records) await(log.read("claims", 0, 10, PATIENT));
+        ReadOutcome.Records found = (ReadOutcome.Records) await(log.read("claims", 0, 10, LONG_TIMEOUT));
         MatcherAssert.assertThat(found.records(), Matchers.hasSize(1));
     }
 
@@ -123,7 +124,7 @@
     // certainly did not take effect.
     @Test
     void aRefusedConnectionIsRefused() throws IOException {
-        HttpPlatformLog nowhere = new HttpPlatformLog(kit.system(), closedPort(), PATIENT);
+        HttpPlatformLog nowhere = new HttpPlatformLog(kit.system(), closedPort(), LONG_TIMEOUT);
         MatcherAssert.assertThat(
                 await(nowhere.append("claims", List.of(record("a", "")))),
                 Matchers.instanceOf(AppendOutcome.Refused.class));
@@ -137,7 +138,7 @@
     void aConnectionClosedAfterSendingIsUnknown() throws IOException {
         try (ServerSocket socket = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             Thread.ofVirtual().start(() -> closeAfterFirstByte(socket));
-            HttpPlatformLog cut = new HttpPlatformLog(kit.system(), address(socket), PATIENT);
+            HttpPlatformLog cut = new HttpPlatformLog(kit.system(), address(socket), LONG_TIMEOUT);
             MatcherAssert.assertThat(
                     await(cut.append("claims", List.of(record("a", "")))),
                     Matchers.instanceOf(AppendOutcome.Unknown.class));
@@ -148,7 +149,7 @@
     @Test
     void aSilentServerIsUnknown() throws IOException {
         try (ServerSocket socket = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            HttpPlatformLog silent = new HttpPlatformLog(kit.system(), address(socket), IMPATIENT);
+            HttpPlatformLog silent = new HttpPlatformLog(kit.system(), address(socket), SHORT_TIMEOUT);
             MatcherAssert.assertThat(
                     await(silent.append("claims", List.of(record("a", "")))),
                     Matchers.instanceOf(AppendOutcome.Unknown.class));
@@ -163,8 +164,8 @@
     @Test
     void aForeignRefusalIsUnknown() throws IOException {
         try (ServerSocket socket = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            Thread.ofVirtual().start(() -> answerOnce(socket, FOREIGN_REFUSAL));
-            HttpPlatformLog proxied = new HttpPlatformLog(kit.system(), address(socket), PATIENT);
+            Thread.ofVirtual().start(() -> answerOnce(socket, PROXY_REFUSAL));
+            HttpPlatformLog proxied = new HttpPlatformLog(kit.system(), address(socket), LONG_TIMEOUT);
             MatcherAssert.assertThat(
                     await(proxied.append("claims", List.of(record("a", "")))),
                     Matchers.is(new AppendOutcome.Unknown("the log answered 503")));
@@ -192,7 +193,7 @@
     void silentConnectionsAreReplaced() {
         try (TcpRelay relay = TcpRelay.start(0, "127.0.0.1", server.uri().getPort())) {
             HttpPlatformLog relayed =
-                    new HttpPlatformLog(kit.system(), URI.create("http://127.0.0.1:" + relay.port()), IMPATIENT);
+                    new HttpPlatformLog(kit.system(), URI.create("http://127.0.0.1:" + relay.port()), SHORT_TIMEOUT);
             for (int round = 0; round < 20; round++) {
                 AppendOutcome outcome = new AppendOutcome.Unknown("not tried");
                 while (!(outcome instanceof AppendOutcome.Appended)) {
@@ -206,7 +207,7 @@
     }
 
     private void awaitReads(long count) {
-        while (behind.statistics().reads() < count) {
+        while (backingLog.statistics().reads() < count) {
             Thread.onSpinWait();
         }
     }
--- a/standins/src/test/java/org/chivetally/standins/HttpTester.java
+++ b/standins/src/test/java/org/chivetally/standins/HttpTester.java
@@ -12,8 +12,8 @@
 
 /** Sends requests to a stand-in under test and waits for the answers. */
 public final class HttpTester {
-    private static final long GIVE_UP_SECONDS = 20;
-    private static final int LARGEST_BODY_MILLIS = 10_000;
+    private static final long TIMEOUT_SECONDS = 20;
+    private static final int BODY_TIMEOUT_MILLIS = 10_000;
 
     private final ActorSystem<?> system;
     private final String base;
@@ -49,7 +49,7 @@
         return Http.get(system)
                 .singleRequest(request)
                 .thenCompose(response -> response.entity()
-                        .toStrict(LARGEST_BODY_MILLIS, system)
+                        .toStrict(BODY_TIMEOUT_MILLIS, system)
                         .thenApply(body -> new Answer(
                                 response.status().intValue(), body.getData().utf8String())))
                 .toCompletableFuture();
@@ -58,7 +58,7 @@
     /** Waits for a stage; a test that waits too long fails. */
     public static <T> T await(CompletionStage<T> stage) {
         return stage.toCompletableFuture()
-                .orTimeout(GIVE_UP_SECONDS, TimeUnit.SECONDS)
+                .orTimeout(TIMEOUT_SECONDS, TimeUnit.SECONDS)
                 .join();
     }
 
--- a/standins/src/test/java/org/chivetally/standins/RelayDirectionTest.java
+++ b/standins/src/test/java/org/chivetally/standins/RelayDirectionTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.api.Test;
 
 class RelayDirectionTest {
-    private static final int LONGEST_DELAY_MILLIS = 20;
+    private static final int MAXIMUM_DELAY_MILLIS = 20;
 
     private final AtomicLong delayMillis = new AtomicLong();
     private final LongAdder forwarded = new LongAdder();
@@ -64,8 +64,8 @@
 
     @Property
     void changesOfTheDelayNeverReorder(
-            @ForAll @Size(max = 30) List<@IntRange(max = LONGEST_DELAY_MILLIS) Integer> delays,
-            @ForAll @IntRange(max = LONGEST_DELAY_MILLIS) int pause) {
+            @ForAll @Size(max = 30) List<@IntRange(max = MAXIMUM_DELAY_MILLIS) Integer> delays,
+            @ForAll @IntRange(max = MAXIMUM_DELAY_MILLIS) int pause) {
         source.freezeTime();
         StringBuilder expected = new StringBuilder();
         StringBuilder seen = new StringBuilder();
@@ -78,7 +78,7 @@
             seen.append(sent());
             MatcherAssert.assertThat(expected.toString(), Matchers.startsWith(seen.toString()));
         }
-        passMillis(LONGEST_DELAY_MILLIS);
+        passMillis(MAXIMUM_DELAY_MILLIS);
         seen.append(sent());
         MatcherAssert.assertThat(seen.toString(), Matchers.is(expected.toString()));
     }
