--- a/library/src/test/java/org/chivetally/queue/placement/SpeedPlacementTest.java
+++ b/library/src/test/java/org/chivetally/queue/placement/SpeedPlacementTest.java
@@ -65,10 +65,7 @@
                 : decision.worker().map(Worker::kind).orElse("no room");
     }
 
-    /**
-     * The last room of fast workers is left to tasks that need it. A task of 50 ms lasts 75 ms on a slow worker, well
-     * within its objective of 140 ms. A task of 2 s lasts 3 s there, too close to its objective of 3.26 s.
-     */
+    /** The slow worker has more free room, but is not needed while the fast one has spare room. */
     @Test
     void prefersFastWorkersWhileTheyHaveRoomToSpare() {
         worker("slow", 60_000);
@@ -78,8 +75,8 @@
     }
 
     /**
-     * The last room of fast workers is left to tasks that need it. A task of 50 ms lasts 75 ms on a slow worker and may
-     * last 140; one of 2 s lasts 3 s there and may last 3.26.
+     * The last room of fast workers is left to tasks that need it. A task of 50 ms lasts 75 ms on a slow worker, well
+     * within its objective of 140 ms. A task of 2 s lasts 3 s there, too close to its objective of 3.26 s.
      */
     @Test
     void reservesScarceFastRoomForTasksThatWouldBeLateElsewhere() {
