--- a/library/src/main/java/org/chivetally/queue/agent/AgentNode.java
+++ b/library/src/main/java/org/chivetally/queue/agent/AgentNode.java
@@ -560,12 +560,12 @@
         RunInventory.Builder inventory =
                 RunInventory.newBuilder().setStampNanos(timers.nanos()).setReport(report(link));
         supervisor.runs().forEach((run, owner) -> {
-            boolean unkept = owner instanceof RunOwner.Entry;
-            if (!unkept || owner.equals(RunOwner.Entry.at(link.peer()))) {
+            boolean inMemory = owner instanceof RunOwner.Entry;
+            if (!inMemory || owner.equals(RunOwner.Entry.at(link.peer()))) {
                 inventory.addRuns(HeldRun.newBuilder()
                         .setTask(run.task().toString())
                         .setRun(run.run())
-                        .setUnkept(unkept));
+                        .setUnkept(inMemory));
             }
         });
         for (OwnedEnd end : supervisor.unstoredEnds()) {
--- a/library/src/test/java/org/chivetally/queue/agent/AgentNodeTest.java
+++ b/library/src/test/java/org/chivetally/queue/agent/AgentNodeTest.java
@@ -68,22 +68,22 @@
             if (link == null) {
                 return;
             }
-            EntryBeat.Builder beat = EntryBeat.newBuilder()
+            EntryBeat.Builder message = EntryBeat.newBuilder()
                     .setStampNanos(timers.nanos())
                     .setEchoNanos(link.peerStampNanos())
                     .setAgents(agents)
                     .setEvacuations(JobCodec.encode(evacuations));
             if (epoch > 0) {
-                beat.addOwned(OwnedPartition.newBuilder().setPartition(3).setEpoch(epoch));
+                message.addOwned(OwnedPartition.newBuilder().setPartition(3).setEpoch(epoch));
             }
-            link.send(Frame.newBuilder().setEntryBeat(beat).build());
+            link.send(Frame.newBuilder().setEntryBeat(message).build());
         }
 
-        private void start(String job, long run, boolean unkept) {
-            start(job, run, unkept, Duration.ZERO);
+        private void start(String job, long run, boolean inMemory) {
+            start(job, run, inMemory, Duration.ZERO);
         }
 
-        private void start(String job, long run, boolean unkept, Duration stampAge) {
+        private void start(String job, long run, boolean inMemory, Duration stampAge) {
             lastStartNumber++;
             link.send(Frame.newBuilder()
                     .setRunStart(RunStart.newBuilder()
@@ -92,7 +92,7 @@
                             .setRun(run)
                             .setPartition(3)
                             .setEpoch(epoch)
-                            .setUnkept(unkept)
+                            .setUnkept(inMemory)
                             .setEchoNanos(link.peerStampNanos())
                             .setStampAgeNanos(stampAge.toNanos())
                             .setRoom(org.chivetally.wire.v1.Room.newBuilder().setProcessorMillis(6_000)))
@@ -632,9 +632,9 @@
         announce();
         entry.start("a", 1, true);
         entry.start("b", 1, true);
-        for (int beat = 0; beat < 20; beat++) {
+        for (int message = 0; message < 20; message++) {
             timers.advance(Duration.ofMillis(200));
-            announceCapacity(beat % 2 == 0 ? new Room(3_000, 1_000, 0) : CAPACITY);
+            announceCapacity(message % 2 == 0 ? new Room(3_000, 1_000, 0) : CAPACITY);
         }
         assertThat(minion.stops, is(empty()));
         assertThat(minion.running.keySet(), contains(run("a", 1), run("b", 1)));
--- a/library/src/test/java/org/chivetally/queue/agent/FakeMinion.java
+++ b/library/src/test/java/org/chivetally/queue/agent/FakeMinion.java
@@ -28,7 +28,7 @@
     public final List<ListedEnd> acknowledgedUnderLease = new ArrayList<>();
 
     private final Map<Long, Long> endedAtMillis = new HashMap<>();
-    private long lastLeaseEndMillis = Long.MIN_VALUE;
+    private long expiredLeaseEndMillis = Long.MIN_VALUE;
     private final ManualTimers timers;
     private final List<RunKey> stoppedRuns = new ArrayList<>();
     private long leaseEndMillis;
@@ -73,7 +73,7 @@
         token = 0;
         sequence = 0;
         leaseEndMillis = 0;
-        lastLeaseEndMillis = Long.MIN_VALUE;
+        expiredLeaseEndMillis = Long.MIN_VALUE;
         running.clear();
         ends.clear();
         endedAtMillis.clear();
@@ -127,7 +127,7 @@
 
     private void extendLease(long endMillis) {
         if (isLeaseExpired()) {
-            lastLeaseEndMillis = leaseEndMillis;
+            expiredLeaseEndMillis = leaseEndMillis;
         }
         leaseEndMillis = Math.max(leaseEndMillis, endMillis);
     }
@@ -143,7 +143,7 @@
         Map<Long, ListedEnd> discarded = ends.headMap(through, true);
         for (ListedEnd end : discarded.values()) {
             long endMillis = endedAtMillis.get(end.sequence());
-            boolean expired = lastLeaseEndMillis >= endMillis || isLeaseExpired() && leaseEndMillis >= endMillis;
+            boolean expired = expiredLeaseEndMillis >= endMillis || isLeaseExpired() && leaseEndMillis >= endMillis;
             if (!expired) {
                 acknowledgedUnderLease.add(end);
             }
--- a/library/src/test/java/org/chivetally/queue/agent/IncarnationTest.java
+++ b/library/src/test/java/org/chivetally/queue/agent/IncarnationTest.java
@@ -287,9 +287,9 @@
         timers.advance(Duration.ofMillis(100));
         minion.down = true;
         timers.advance(Duration.ofMillis(400));
-        MinionPort.PollRequest look = minion.polls.getLast();
-        assertThat(look.acknowledgedThrough(), is(0L));
-        assertThat(look.leaseEndMillis(), is(OptionalLong.empty()));
+        MinionPort.PollRequest poll = minion.polls.getLast();
+        assertThat(poll.acknowledgedThrough(), is(0L));
+        assertThat(poll.leaseEndMillis(), is(OptionalLong.empty()));
     }
 
     /**
--- a/library/src/test/java/org/chivetally/queue/agent/RunSupervisorTest.java
+++ b/library/src/test/java/org/chivetally/queue/agent/RunSupervisorTest.java
@@ -314,9 +314,9 @@
         timers.advance(Duration.ofSeconds(5));
         assertThat(supervisor.minion(), is(Optional.empty()));
         assertThat(supervisor.isInventoryComplete(), is(true));
-        int looks = minion.polls.size();
+        int pollsBefore = minion.polls.size();
         timers.advance(Duration.ofSeconds(2));
-        assertThat(minion.polls, hasSize(looks));
+        assertThat(minion.polls, hasSize(pollsBefore));
         minion.down = false;
         announce("boot", false);
         assertThat(supervisor.isAccepting(), is(true));
