--- a/library/src/test/java/org/chivetally/queue/agent/AgentNodeTest.java
+++ b/library/src/test/java/org/chivetally/queue/agent/AgentNodeTest.java
@@ -632,9 +632,9 @@
         announce();
         entry.start("a", 1, true);
         entry.start("b", 1, true);
-        for (int message = 0; message < 20; message++) {
+        for (int number = 0; number < 20; number++) {
             timers.advance(Duration.ofMillis(200));
-            announceCapacity(message % 2 == 0 ? new Room(3_000, 1_000, 0) : CAPACITY);
+            announceCapacity(number % 2 == 0 ? new Room(3_000, 1_000, 0) : CAPACITY);
         }
         assertThat(minion.stops, is(empty()));
         assertThat(minion.running.keySet(), contains(run("a", 1), run("b", 1)));
--- a/library/src/test/java/org/chivetally/queue/agent/CrashedRunsTest.java
+++ b/library/src/test/java/org/chivetally/queue/agent/CrashedRunsTest.java
@@ -25,7 +25,7 @@
     private static final Room TASK_RESOURCES = new Room(1_000, 64, 0);
     private static final RunOwner OWNER = new RunOwner.Partition(3);
     private static final RunOwner ENTRY = new RunOwner.Entry("entry-1", 1);
-    private static final long STARTED = 1_800_000_000_000L;
+    private static final long STARTED_AT_MILLIS = 1_800_000_000_000L;
 
     private final ManualTimers timers = new ManualTimers();
     private final FakeMinion minion = new FakeMinion(timers);
@@ -44,8 +44,8 @@
     }
 
     private void startMinionAndRun() {
-        minion.restart(STARTED);
-        announce("minion", STARTED, false);
+        minion.restart(STARTED_AT_MILLIS);
+        announce("minion", STARTED_AT_MILLIS, false);
         supervisor.start(run("a"), OWNER, TASK_RESOURCES, "payload", "");
         timers.advance(Duration.ofMillis(150));
     }
@@ -57,16 +57,16 @@
     @Test
     void reportsACrashWhenTheMinionRestartsUnderTheSameId() {
         startMinionAndRun();
-        minion.restart(STARTED + 1);
-        announce("minion", STARTED + 1, false);
+        minion.restart(STARTED_AT_MILLIS + 1);
+        announce("minion", STARTED_AT_MILLIS + 1, false);
         assertThat(outcomes(), contains(RunOutcome.CRASHED));
     }
 
     @Test
     void reportsACrashWhenTheMinionRestartsUnderAnotherId() {
         startMinionAndRun();
-        minion.restart(STARTED + 1);
-        announce("other", STARTED + 1, false);
+        minion.restart(STARTED_AT_MILLIS + 1);
+        announce("other", STARTED_AT_MILLIS + 1, false);
         assertThat(outcomes(), contains(RunOutcome.CRASHED));
     }
 
@@ -88,8 +88,8 @@
         minion.down = true;
         timers.advance(Duration.ofSeconds(2));
         assertThat(outcomes(), contains(RunOutcome.CRASHED));
-        minion.restart(STARTED + 1);
-        announce("minion", STARTED + 1, false);
+        minion.restart(STARTED_AT_MILLIS + 1);
+        announce("minion", STARTED_AT_MILLIS + 1, false);
         assertThat(outcomes(), hasSize(1));
     }
 
@@ -104,8 +104,8 @@
         timers.advance(Duration.ofSeconds(3));
         assertThat(outcomes(), contains(RunOutcome.LOST));
         minion.unresponsive = false;
-        minion.restart(STARTED + 1);
-        announce("minion", STARTED + 1, false);
+        minion.restart(STARTED_AT_MILLIS + 1);
+        announce("minion", STARTED_AT_MILLIS + 1, false);
         assertThat(outcomes(), contains(RunOutcome.LOST));
         assertThat(supervisor.unstoredEnds(), is(empty()));
     }
@@ -113,9 +113,9 @@
     @Test
     void reportsALossWhenTheMinionAnnouncedThatItLeaves() {
         startMinionAndRun();
-        announce("minion", STARTED, true);
-        minion.restart(STARTED + 1);
-        announce("minion", STARTED + 1, false);
+        announce("minion", STARTED_AT_MILLIS, true);
+        minion.restart(STARTED_AT_MILLIS + 1);
+        announce("minion", STARTED_AT_MILLIS + 1, false);
         assertThat(outcomes(), contains(RunOutcome.LOST));
     }
 
@@ -132,11 +132,11 @@
     @Test
     void reportsACrashOfADurableJobUntilItIsStored() {
         startMinionAndRun();
-        minion.restart(STARTED + 1);
-        announce("minion", STARTED + 1, false);
+        minion.restart(STARTED_AT_MILLIS + 1);
+        announce("minion", STARTED_AT_MILLIS + 1, false);
         EndedRun end = supervisor.unstoredEnds().getFirst().end();
         assertThat(end.outcome(), is(RunOutcome.CRASHED));
-        supervisor.markStored("minion@" + (STARTED + 1), List.of(end.sequence()));
+        supervisor.markStored("minion@" + (STARTED_AT_MILLIS + 1), List.of(end.sequence()));
         assertThat(supervisor.unstoredEnds(), hasSize(1));
         supervisor.markStored(end.incarnation(), List.of(end.sequence()));
         assertThat(supervisor.unstoredEnds(), is(empty()));
@@ -145,12 +145,12 @@
     /** No crash of such a job is stored, so there is no acknowledgement to wait for. */
     @Test
     void reportsACrashOfAnInMemoryJobOnce() {
-        minion.restart(STARTED);
-        announce("minion", STARTED, false);
+        minion.restart(STARTED_AT_MILLIS);
+        announce("minion", STARTED_AT_MILLIS, false);
         supervisor.start(run("a"), ENTRY, TASK_RESOURCES, "payload", "");
         timers.advance(Duration.ofMillis(150));
-        minion.restart(STARTED + 1);
-        announce("minion", STARTED + 1, false);
+        minion.restart(STARTED_AT_MILLIS + 1);
+        announce("minion", STARTED_AT_MILLIS + 1, false);
         assertThat(outcomes(), contains(RunOutcome.CRASHED));
         assertThat(supervisor.unstoredEnds(), is(empty()));
     }
@@ -161,8 +161,8 @@
      */
     @Test
     void holdsOneSuspectedTaskAtATime() {
-        minion.restart(STARTED);
-        announce("minion", STARTED, false);
+        minion.restart(STARTED_AT_MILLIS);
+        announce("minion", STARTED_AT_MILLIS, false);
         assertThat(supervisor.start(run("a"), ENTRY, TASK_RESOURCES, true, "payload", ""), is(Optional.empty()));
         assertThat(
                 supervisor.start(run("b"), OWNER, TASK_RESOURCES, true, "payload", ""),
--- a/library/src/test/java/org/chivetally/queue/agent/IncarnationTest.java
+++ b/library/src/test/java/org/chivetally/queue/agent/IncarnationTest.java
@@ -24,8 +24,8 @@
     private static final Room CAPACITY = new Room(12_000, 1_000, 0);
     private static final Room HALF_CAPACITY = new Room(6_000, 64, 0);
     private static final RunOwner OWNER = new RunOwner.Partition(3);
-    private static final long STARTED = 1_800_000_000_000L;
-    private static final long RESTARTED = STARTED + 60_000;
+    private static final long STARTED_AT_MILLIS = 1_800_000_000_000L;
+    private static final long RESTARTED_AT_MILLIS = STARTED_AT_MILLIS + 60_000;
 
     private final ManualTimers timers = new ManualTimers();
     private final FakeMinion minion = new FakeMinion(timers);
@@ -59,9 +59,9 @@
 
     /** Starts the minion and advances its clock far from zero. */
     private void startMinion() {
-        minion.restart(STARTED);
+        minion.restart(STARTED_AT_MILLIS);
         timers.advance(Duration.ofSeconds(600));
-        announce(STARTED);
+        announce(STARTED_AT_MILLIS);
     }
 
     private Optional<String> start(RunKey run) {
@@ -81,12 +81,12 @@
         startMinion();
         start(run("a", 1));
         timers.advance(Duration.ofMillis(50));
-        minion.restart(RESTARTED);
-        announce(RESTARTED);
+        minion.restart(RESTARTED_AT_MILLIS);
+        announce(RESTARTED_AT_MILLIS);
         assertThat(reportedEnds, hasSize(1));
         assertThat(supervisor.free(), is(CAPACITY));
         assertThat(supervisor.isAccepting(), is(true));
-        assertThat(supervisor.minion().orElseThrow().incarnation(), is(Incarnation.of("minion", RESTARTED)));
+        assertThat(supervisor.minion().orElseThrow().incarnation(), is(Incarnation.of("minion", RESTARTED_AT_MILLIS)));
     }
 
     /**
@@ -99,10 +99,10 @@
         start(run("a", 1));
         minion.end(run("a", 1), RunOutcome.DONE);
         timers.advance(Duration.ofMillis(100));
-        supervisor.markStored("minion@" + STARTED, List.of(1L));
+        supervisor.markStored("minion@" + STARTED_AT_MILLIS, List.of(1L));
         timers.advance(Duration.ofMillis(100));
-        minion.restart(RESTARTED);
-        announce(RESTARTED);
+        minion.restart(RESTARTED_AT_MILLIS);
+        announce(RESTARTED_AT_MILLIS);
         start(run("b", 1));
         minion.end(run("b", 1), RunOutcome.DONE);
         timers.advance(Duration.ofMillis(100));
@@ -116,15 +116,15 @@
     @Test
     void keepsEndsApartFromThoseOfThePreviousIncarnation() {
         startMinion();
-        minion.restart(RESTARTED);
-        announce(RESTARTED);
+        minion.restart(RESTARTED_AT_MILLIS);
+        announce(RESTARTED_AT_MILLIS);
         start(run("b", 1));
         minion.end(run("b", 1), RunOutcome.DONE);
         timers.advance(Duration.ofMillis(100));
-        supervisor.markStored("minion@" + STARTED, List.of(1L));
+        supervisor.markStored("minion@" + STARTED_AT_MILLIS, List.of(1L));
         timers.advance(Duration.ofMillis(100));
         assertThat(minion.ends.keySet(), contains(1L));
-        supervisor.markStored("minion@" + RESTARTED, List.of(1L));
+        supervisor.markStored("minion@" + RESTARTED_AT_MILLIS, List.of(1L));
         timers.advance(Duration.ofMillis(100));
         assertThat(minion.ends.keySet(), is(empty()));
     }
@@ -136,8 +136,8 @@
     @Test
     void calculatesLeasesByTheClockOfTheNewIncarnation() {
         startMinion();
-        minion.restart(RESTARTED);
-        announce(RESTARTED);
+        minion.restart(RESTARTED_AT_MILLIS);
+        announce(RESTARTED_AT_MILLIS);
         start(run("a", 1));
         assertThat(minion.starts.getLast().leaseEndMillis(), lessThanOrEqualTo(minion.clock() + 1_000));
         timers.advance(Duration.ofMillis(500));
@@ -152,11 +152,11 @@
     @Test
     void ignoresAnAnnouncementOfAnEarlierIncarnation() {
         startMinion();
-        minion.restart(RESTARTED);
-        announce(RESTARTED);
+        minion.restart(RESTARTED_AT_MILLIS);
+        announce(RESTARTED_AT_MILLIS);
         start(run("a", 1));
-        supervisor.announced(state(STARTED, 900, new Room(1, 1, 0), 600_000));
-        supervisor.announced(state(STARTED - 1, 901, new Room(1, 1, 0), 600_000));
+        supervisor.announced(state(STARTED_AT_MILLIS, 900, new Room(1, 1, 0), 600_000));
+        supervisor.announced(state(STARTED_AT_MILLIS - 1, 901, new Room(1, 1, 0), 600_000));
         timers.advance(Duration.ofMillis(100));
         assertThat(reportedEnds, is(empty()));
         assertThat(supervisor.minion().orElseThrow().capacity(), is(CAPACITY));
@@ -167,10 +167,10 @@
     @Test
     void ignoresAnAnnouncementWithALowerSequence() {
         startMinion();
-        announce(STARTED, 7, HALF_CAPACITY);
-        announce(STARTED, 6, CAPACITY);
+        announce(STARTED_AT_MILLIS, 7, HALF_CAPACITY);
+        announce(STARTED_AT_MILLIS, 6, CAPACITY);
         assertThat(supervisor.free(), is(HALF_CAPACITY));
-        announce(STARTED, 8, CAPACITY);
+        announce(STARTED_AT_MILLIS, 8, CAPACITY);
         assertThat(supervisor.free(), is(CAPACITY));
     }
 
@@ -183,11 +183,11 @@
         startMinion();
         start(run("a", 1));
         timers.advance(Duration.ofMillis(50));
-        minion.restart(RESTARTED);
+        minion.restart(RESTARTED_AT_MILLIS);
         timers.advance(Duration.ofMillis(200));
         assertThat(reportedEnds, hasSize(1));
         assertThat(supervisor.isAccepting(), is(false));
-        announce(RESTARTED, 1, HALF_CAPACITY);
+        announce(RESTARTED_AT_MILLIS, 1, HALF_CAPACITY);
         assertThat(supervisor.isAccepting(), is(true));
         assertThat(supervisor.free(), is(HALF_CAPACITY));
     }
@@ -199,14 +199,15 @@
         startMinion();
         start(run("a", 1));
         timers.advance(Duration.ofMillis(50));
-        minion.restart(RESTARTED);
+        minion.restart(RESTARTED_AT_MILLIS);
         minion.end(run("z", 4), RunOutcome.DONE);
         timers.advance(Duration.ofMillis(200));
         assertThat(
                 reportedEnds.stream()
                         .map(end -> end.end().run() + " " + end.end().incarnation())
                         .toList(),
-                containsInAnyOrder(run("z", 4) + " minion@" + RESTARTED, run("a", 1) + " crashes@" + agentToken));
+                containsInAnyOrder(
+                        run("z", 4) + " minion@" + RESTARTED_AT_MILLIS, run("a", 1) + " crashes@" + agentToken));
     }
 
     /**
@@ -220,9 +221,9 @@
         start(run("a", 1));
         timers.advance(Duration.ofMillis(10));
         minion.startsDelayed = false;
-        minion.restart(RESTARTED);
+        minion.restart(RESTARTED_AT_MILLIS);
         minion.execute(minion.starts.getFirst());
-        announce(RESTARTED);
+        announce(RESTARTED_AT_MILLIS);
         timers.advance(Duration.ofMillis(500));
         assertThat(reportedEnds, is(empty()));
         assertThat(supervisor.runs().keySet(), contains(run("a", 1)));
@@ -243,8 +244,8 @@
         start(run("a", 1));
         timers.advance(Duration.ofMillis(10));
         minion.startsDelayed = false;
-        minion.restart(RESTARTED);
-        announce(RESTARTED);
+        minion.restart(RESTARTED_AT_MILLIS);
+        announce(RESTARTED_AT_MILLIS);
         timers.advance(Duration.ofMillis(100));
         assertThat(reportedEnds, hasSize(1));
         minion.execute(minion.starts.getFirst());
@@ -263,9 +264,9 @@
         minion.down = true;
         timers.advance(Duration.ofSeconds(3));
         assertThat(outcomes(), hasSize(1));
-        minion.restart(RESTARTED);
+        minion.restart(RESTARTED_AT_MILLIS);
         minion.execute(minion.starts.getFirst());
-        supervisor.announced(state(RESTARTED, 1, CAPACITY, minion.clock()));
+        supervisor.announced(state(RESTARTED_AT_MILLIS, 1, CAPACITY, minion.clock()));
         assertThat(start(run("b", 1)), is(Optional.of("not accepting")));
         timers.advance(Duration.ofMillis(60));
         assertThat(minion.running.keySet(), is(empty()));
@@ -283,7 +284,7 @@
         start(run("b", 1));
         minion.end(run("a", 1), RunOutcome.DONE);
         timers.advance(Duration.ofMillis(100));
-        supervisor.markStored("minion@" + STARTED, List.of(1L));
+        supervisor.markStored("minion@" + STARTED_AT_MILLIS, List.of(1L));
         timers.advance(Duration.ofMillis(100));
         minion.down = true;
         timers.advance(Duration.ofMillis(400));
@@ -298,8 +299,8 @@
     @Test
     void ignoresADelayedDepartureOfAnEarlierIncarnation() {
         startMinion();
-        minion.restart(RESTARTED);
-        announce(RESTARTED);
+        minion.restart(RESTARTED_AT_MILLIS);
+        announce(RESTARTED_AT_MILLIS);
         start(run("a", 1));
         timers.advance(Duration.ofMillis(50));
         supervisor.departed("minion");
@@ -312,8 +313,8 @@
     @Test
     void acceptsADepartureOnceTheMinionRefusesConnections() {
         startMinion();
-        minion.restart(RESTARTED);
-        announce(RESTARTED);
+        minion.restart(RESTARTED_AT_MILLIS);
+        announce(RESTARTED_AT_MILLIS);
         start(run("a", 1));
         timers.advance(Duration.ofMillis(50));
         minion.down = true;
@@ -321,10 +322,10 @@
         timers.advance(Duration.ofMillis(300));
         assertThat(outcomes(), contains(RunOutcome.LOST));
         assertThat(supervisor.minion(), is(Optional.empty()));
-        supervisor.announced(state(RESTARTED, 5, CAPACITY, 0));
+        supervisor.announced(state(RESTARTED_AT_MILLIS, 5, CAPACITY, 0));
         assertThat(supervisor.minion(), is(Optional.empty()));
-        minion.restart(RESTARTED + 1);
-        announce(RESTARTED + 1);
+        minion.restart(RESTARTED_AT_MILLIS + 1);
+        announce(RESTARTED_AT_MILLIS + 1);
         assertThat(supervisor.isAccepting(), is(true));
     }
 
@@ -337,8 +338,8 @@
         timers.advance(Duration.ofMillis(10));
         supervisor.departed("minion");
         minion.startsDelayed = false;
-        minion.restart(RESTARTED);
-        announce(RESTARTED);
+        minion.restart(RESTARTED_AT_MILLIS);
+        announce(RESTARTED_AT_MILLIS);
         timers.advance(Duration.ofMillis(50));
         minion.execute(minion.starts.getFirst());
         assertThat(minion.running.keySet(), is(empty()));
@@ -348,11 +349,11 @@
     /** The agent restores an incarnation that was replaced while the agent itself was down. */
     @Test
     void distinguishesARestoredIncarnationFromTheOneThatAnswers() {
-        minion.restart(RESTARTED);
-        supervisor.restore(state(STARTED, 0, CAPACITY, 5));
+        minion.restart(RESTARTED_AT_MILLIS);
+        supervisor.restore(state(STARTED_AT_MILLIS, 0, CAPACITY, 5));
         timers.advance(Duration.ofMillis(200));
         assertThat(supervisor.isAccepting(), is(false));
-        announce(RESTARTED);
+        announce(RESTARTED_AT_MILLIS);
         assertThat(supervisor.isAccepting(), is(true));
     }
 
@@ -361,7 +362,7 @@
     void ignoresAnAnnouncedIncarnationThatDoesNotAnswer() {
         startMinion();
         start(run("a", 1));
-        announce(RESTARTED);
+        announce(RESTARTED_AT_MILLIS);
         timers.advance(Duration.ofMillis(200));
         assertThat(reportedEnds, is(empty()));
         assertThat(supervisor.isAccepting(), is(true));
@@ -373,18 +374,18 @@
      */
     @Test
     void acceptsAnEarlierIncarnationThatKeepsAnswering() {
-        minion.restart(STARTED);
-        announce(RESTARTED);
+        minion.restart(STARTED_AT_MILLIS);
+        announce(RESTARTED_AT_MILLIS);
         timers.advance(Duration.ofSeconds(5));
-        announce(STARTED);
+        announce(STARTED_AT_MILLIS);
         assertThat(supervisor.isAccepting(), is(true));
-        assertThat(supervisor.minion().orElseThrow().incarnation(), is(Incarnation.of("minion", STARTED)));
+        assertThat(supervisor.minion().orElseThrow().incarnation(), is(Incarnation.of("minion", STARTED_AT_MILLIS)));
     }
 
     /** If no start time is announced, only the id is compared, whatever start time the lists contain. */
     @Test
     void comparesOnlyIdsWithoutAStartTime() {
-        minion.restart(STARTED);
+        minion.restart(STARTED_AT_MILLIS);
         announce(0);
         start(run("a", 1));
         timers.advance(Duration.ofMillis(200));
@@ -399,7 +400,7 @@
         startMinion();
         start(run("a", 1));
         start(run("b", 1));
-        announce(STARTED, 2, HALF_CAPACITY);
+        announce(STARTED_AT_MILLIS, 2, HALF_CAPACITY);
         assertThat(listener.capacityShrunk, contains(true));
         timers.advance(Duration.ofSeconds(1));
         assertThat(minion.stops, is(empty()));
@@ -409,7 +410,7 @@
         minion.end(run("b", 1), RunOutcome.DONE);
         timers.advance(Duration.ofMillis(150));
         assertThat(start(run("c", 1)), is(Optional.empty()));
-        announce(STARTED, 3, CAPACITY);
+        announce(STARTED_AT_MILLIS, 3, CAPACITY);
         assertThat(start(run("d", 1)), is(Optional.empty()));
     }
 }
