--- a/library/src/main/java/org/chivetally/queue/agent/AgentNode.java
+++ b/library/src/main/java/org/chivetally/queue/agent/AgentNode.java
@@ -52,8 +52,8 @@
 
     /**
      * Interval of heartbeats while no run, unstored end, waiting start or unsent inventory is left. Entries answer each
-     * heartbeat, so heartbeat, so two in each direction fit into the 1.5 s of silence after which a link is closed, and
-     * one of them may be late.
+     * heartbeat, so two in each direction fit into the 1.5 s of silence after which a link is closed, and one of them
+     * may be late.
      */
     static final Duration IDLE_HEARTBEAT_INTERVAL = Duration.ofMillis(700);
 
@@ -560,12 +560,12 @@
         RunInventory.Builder inventory =
                 RunInventory.newBuilder().setStampNanos(timers.nanos()).setReport(report(link));
         supervisor.runs().forEach((run, owner) -> {
-            boolean unkept = owner instanceof RunOwner.Entry;
-            if (!unkept || owner.equals(RunOwner.Entry.at(link.peer()))) {
+            boolean inMemory = owner instanceof RunOwner.Entry;
+            if (!inMemory || owner.equals(RunOwner.Entry.at(link.peer()))) {
                 inventory.addRuns(HeldRun.newBuilder()
                         .setTask(run.task().toString())
                         .setRun(run.run())
-                        .setUnkept(unkept));
+                        .setUnkept(inMemory));
             }
         });
         for (OwnedEnd end : supervisor.unstoredEnds()) {
