--- a/library/src/main/java/org/chivetally/log/AppendOutcome.java
+++ b/library/src/main/java/org/chivetally/log/AppendOutcome.java
@@ -1,13 +1,13 @@
 package org.chivetally.log;
 
-/** What is known about an append. */
+/** Outcome of an append as far as the client knows it. */
 public sealed interface AppendOutcome {
-    /** The records stand in the stream from this offset on. */
+    /** The records are in the stream, beginning at this offset. */
     record Appended(long firstOffset) implements AppendOutcome {}
 
-    /** The log said that it wrote nothing. */
+    /** The log wrote nothing. */
     record Refused(String reason) implements AppendOutcome {}
 
-    /** No answer: the records may stand in the stream now, later or never. */
+    /** The response was lost: the records may already be in the stream, may be written later, or never. */
     record Unknown(String reason) implements AppendOutcome {}
 }
--- a/library/src/main/java/org/chivetally/log/AppendRateLimiter.java
+++ b/library/src/main/java/org/chivetally/log/AppendRateLimiter.java
@@ -3,7 +3,7 @@
 import java.time.Duration;
 import java.util.concurrent.TimeUnit;
 
-/** Spaces appends evenly so that no more than a ceiling take effect in a second; the surplus queues. */
+/** Spaces appends evenly so that at most a given number takes effect per second; further ones are delayed. */
 final class AppendRateLimiter {
     private final long intervalNanos;
     private long nextSlotNanos;
@@ -13,7 +13,7 @@
         this.intervalNanos = appendsPerSecond == 0 ? 0 : TimeUnit.SECONDS.toNanos(1) / appendsPerSecond;
     }
 
-    /** Takes the next free place in the queue and returns how long from now it is. */
+    /** Reserves the next free slot and returns the delay until it. */
     synchronized Duration reserve(long nowNanos) {
         if (!used || nextSlotNanos - nowNanos < 0) {
             used = true;
--- a/library/src/main/java/org/chivetally/log/HttpPlatformLog.java
+++ b/library/src/main/java/org/chivetally/log/HttpPlatformLog.java
@@ -24,9 +24,9 @@
 import org.apache.pekko.stream.BufferOverflowException;
 import tools.jackson.core.JacksonException;
 
-/** Client of a log that speaks the HTTP protocol of docs/LOG-PROTOCOL.md. Safe from any thread. */
+/** Client of a log with the HTTP protocol of docs/LOG-PROTOCOL.md. Thread-safe. */
 public final class HttpPlatformLog implements PlatformLog {
-    /** Longest wait that one read may ask for; longer ones are shortened to it. */
+    /** Maximum wait of one read; longer waits are reduced to it. */
     public static final Duration MAXIMUM_READ_WAIT = Duration.ofSeconds(10);
 
     private static final int APPEND_CONNECTIONS = 16;
@@ -46,15 +46,15 @@
     /**
      * Creates a client.
      *
-     * @param base address of the log, such as {@code http://10.0.0.5:8600}
-     * @param timeout longest time for an answer; a read's wait comes on top
+     * @param base base URL of the log, such as {@code http://10.0.0.5:8600}
+     * @param timeout maximum time until a response, in addition to the wait of a read
      */
     public HttpPlatformLog(ActorSystem<?> system, URI base, Duration timeout) {
         this.system = system;
         this.http = Http.get(system);
         this.base = base.toString().replaceAll("/+$", "");
         this.timeout = timeout;
-        // Reads wait for seconds and would hold up appends, so each kind has connections of its own.
+        // Reads block for seconds and would delay appends on a shared pool.
         this.appendPool = pool(APPEND_CONNECTIONS, timeout);
         this.readPool = pool(READ_CONNECTIONS, timeout.plus(MAXIMUM_READ_WAIT));
     }
@@ -86,8 +86,8 @@
             BiFunction<HttpResponse, byte[], T> onResponse,
             Function<Throwable, T> onFailure) {
         CompletableFuture<T> outcome = new CompletableFuture<>();
-        // A connection can go silent for good: its request would stay open for ever. The timer ends the caller's
-        // wait whatever the connection does, and the pool's idle timeout closes the connection itself.
+        // A request on a connection that has gone silent would never complete. The timer fails the request in any
+        // case, and the pool's idle timeout closes the connection.
         Cancellable timer = system.scheduler()
                 .scheduleOnce(
                         responseTimeout,
@@ -121,8 +121,8 @@
     }
 
     /**
-     * Tells whether the log itself stated that it wrote nothing. The status alone is no proof: something between may
-     * answer 503 after it has handed the append on, and a claim taken for unwritten would then stand in the log.
+     * Returns whether the log itself states that it wrote nothing. The HTTP status does not prove this: a proxy may
+     * respond with 503 after it has forwarded the append, and a claim considered unwritten would then be in the log.
      */
     private static boolean confirmsNothingWritten(byte[] body) {
         try {
@@ -175,10 +175,10 @@
                 .withConnectionSettings(connection)
                 .withMaxConnections(connections)
                 .withMaxOpenRequests(MAXIMUM_OPEN_REQUESTS)
-                // Whoever reads or appends decides about the next attempt, and when.
+                // Callers decide whether and when to retry.
                 .withMaxRetries(0)
                 .withPipeliningLimit(1)
-                // The pool closes a connection that nobody uses before its idle timeout can cut a new request.
+                // Closes unused connections early, so that their idle timeout cannot fail a new request.
                 .withKeepAliveTimeout(responseTimeout.dividedBy(2))
                 .withBaseConnectionBackoff(MINIMUM_BACKOFF)
                 .withMaxConnectionBackoff(MAXIMUM_BACKOFF);
@@ -188,7 +188,7 @@
         private static final long serialVersionUID = 1L;
 
         ResponseTimeout(Duration timeout) {
-            super("no answer within " + timeout.toMillis() + " ms", null, false, false);
+            super("no response within " + timeout.toMillis() + " ms", null, false, false);
         }
     }
 }
--- a/library/src/main/java/org/chivetally/log/InMemoryPlatformLog.java
+++ b/library/src/main/java/org/chivetally/log/InMemoryPlatformLog.java
@@ -20,15 +20,15 @@
 import org.chivetally.time.NanoClock;
 
 /**
- * A log in the memory of one process, for tests and for running everything in one process. Safe from any thread.
+ * An in-memory log, for tests and for deployments in a single process. Thread-safe.
  *
- * <p>Ages are read from the given clock, and delays pass on the actor system's scheduler. Without delays an append
- * takes effect, and answers waiting reads, on the caller's thread.
+ * <p>The age of records is taken from the given clock, and delays use the actor system's scheduler. Without delays an
+ * append takes effect, and completes waiting reads, on the caller's thread.
  */
 public final class InMemoryPlatformLog implements PlatformLog {
     private static final FluentLogger LOG = FluentLogger.forEnclosingClass();
     private static final String DOWN = "the log is down";
-    private static final String ANSWER_LOST = "the answer was lost";
+    private static final String ANSWER_LOST = "the response was lost";
 
     private final ActorSystem<?> system;
     private final NanoClock clock;
@@ -52,12 +52,12 @@
         this.random = new Random(settings.seed());
     }
 
-    /** Returns the faults in force; the number of answers still to lose is current. */
+    /** Returns the current faults; the number of responses still to be lost is up to date. */
     public LogFaults faults() {
         return faults.get();
     }
 
-    /** Replaces the faults in force. Waiting reads fail at once when the log goes down. */
+    /** Replaces the current faults. Waiting reads fail immediately if the log goes down. */
     public void setFaults(LogFaults next) {
         faults.set(next);
         LOG.atInfo().log("%s", EventLine.of("log-faults-set").with("faults", next));
@@ -67,7 +67,7 @@
         }
     }
 
-    /** Returns counts since the log was created. */
+    /** Returns the counters since the log was created. */
     public LogStatistics statistics() {
         return new LogStatistics(
                 appends.sum(), writtenRecords.sum(), reads.sum(), refusedAppends.sum(), lostAnswers.sum());
@@ -146,8 +146,8 @@
         }
         Cancellable timeout = runAfter(wait, () -> endWait(stream, read));
         read.answer().whenComplete((outcome, failure) -> timeout.cancel());
-        // The log may have gone down between the check above and the start of the wait; nobody would then answer
-        // this read before its wait is over. Looking again after it waits leaves no such gap.
+        // The log may have gone down between the check above and the start of the wait, and the read would then stay
+        // open until its wait is over. This second check closes the gap.
         if (faults.get().down()) {
             endWait(stream, read);
         }
--- a/library/src/main/java/org/chivetally/log/LogCodec.java
+++ b/library/src/main/java/org/chivetally/log/LogCodec.java
@@ -15,8 +15,8 @@
 import tools.jackson.databind.module.SimpleModule;
 
 /**
- * JSON of the log's HTTP protocol, for both of its ends. The documents are the contract's own records, so their
- * component names are the wire's names; docs/LOG-PROTOCOL.md lists them.
+ * JSON encoding of the log's HTTP protocol, for client and server. The documents are records whose component names are
+ * the names of the JSON fields; docs/LOG-PROTOCOL.md lists them.
  */
 public final class LogCodec {
     private static final JsonMapper JSON = JsonMapper.builder()
@@ -31,7 +31,7 @@
     private LogCodec() {}
 
     /**
-     * The body of an append.
+     * Request body of an append.
      *
      * @param records records in order
      */
@@ -43,28 +43,28 @@
     }
 
     /**
-     * The body of a refusal to append.
+     * Response body of a refused append.
      *
-     * @param written always false: the log states that it wrote nothing
-     * @param reason one sentence
+     * @param written always false: the log wrote nothing
+     * @param reason explanation in one sentence
      */
     public record Refusal(boolean written, String reason) {}
 
-    /** Encodes one of the protocol's documents. */
+    /** Encodes a document of the protocol. */
     public static byte[] encode(Object document) {
         return JSON.writeValueAsBytes(document);
     }
 
     /**
-     * Decodes one of the protocol's documents.
+     * Decodes a document of the protocol.
      *
-     * @throws JacksonException when the bytes are not such a document
+     * @throws JacksonException if the bytes are not such a document
      */
     public static <T> T decode(byte[] bytes, Class<T> type) {
         return JSON.readValue(bytes, type);
     }
 
-    /** Base64 of the runtime, which is faster than the mapper's own; an entry decodes the claims of all entries. */
+    /** Uses the JDK's Base64 encoder, which is faster than Jackson's; each entry decodes the claims of all entries. */
     private static final class PayloadWriter extends ValueSerializer<byte[]> {
         @Override
         public void serialize(byte[] payload, JsonGenerator generator, SerializationContext context) {
--- a/library/src/main/java/org/chivetally/log/LogFaults.java
+++ b/library/src/main/java/org/chivetally/log/LogFaults.java
@@ -3,16 +3,16 @@
 import java.util.Map;
 
 /**
- * Faults of an {@link InMemoryPlatformLog}, settable while it runs. All times are in milliseconds.
+ * Injected faults of an {@link InMemoryPlatformLog}, which can be changed at run time. All times are in milliseconds.
  *
  * @param down whether every append is refused and every read fails
- * @param appendDelayMillis added to the time before an append takes effect
- * @param readDelayMillis added to the time before a read looks at the stream
- * @param loseNextAnswers how many of the next appends take effect but have their answer lost; counts down
- * @param lostAnswerShare share of appends, 0 to 1, that take effect but have their answer lost
- * @param lateWriteMillis how long after its lost answer an append takes effect; a retry may land before it
- * @param lateDuplicateMillis how long after it took effect an append with a lost answer does so again; zero for never
- * @param expireUpTo by stream, the offset below which records are treated as expired
+ * @param appendDelayMillis additional delay before an append takes effect
+ * @param readDelayMillis additional delay before a read accesses the stream
+ * @param loseNextAnswers number of the next appends that take effect but whose response is lost; counts down
+ * @param lostAnswerShare fraction of appends, 0 to 1, that take effect but whose response is lost
+ * @param lateWriteMillis delay from the lost response of an append to its effect; a retry may be written before it
+ * @param lateDuplicateMillis delay from the effect of an append with a lost response to a duplicate of it; 0 for none
+ * @param expireUpTo offsets by stream below which records count as expired
  */
 public record LogFaults(
         boolean down,
@@ -23,19 +23,19 @@
         long lateWriteMillis,
         long lateDuplicateMillis,
         Map<String, Long> expireUpTo) {
-    /** No fault at all. */
+    /** No faults. */
     public static final LogFaults NONE = new LogFaults(false, 0, 0, 0, 0, 0, 0, Map.of());
 
-    /** Refuses negative numbers and shares over one; a missing map is empty. */
+    /** Rejects negative numbers and shares over 1; replaces a missing map by an empty one. */
     public LogFaults {
         if (appendDelayMillis < 0 || readDelayMillis < 0 || lateWriteMillis < 0 || lateDuplicateMillis < 0) {
-            throw new IllegalArgumentException("delays can't be negative");
+            throw new IllegalArgumentException("delays must not be negative");
         }
         if (loseNextAnswers < 0) {
-            throw new IllegalArgumentException("loseNextAnswers can't be negative");
+            throw new IllegalArgumentException("loseNextAnswers must not be negative");
         }
         if (!(lostAnswerShare >= 0 && lostAnswerShare <= 1)) {
-            throw new IllegalArgumentException("lostAnswerShare lies between 0 and 1");
+            throw new IllegalArgumentException("lostAnswerShare must be between 0 and 1");
         }
         expireUpTo = expireUpTo == null ? Map.of() : Map.copyOf(expireUpTo);
     }
@@ -53,7 +53,7 @@
                 expireUpTo);
     }
 
-    /** Returns these faults with another number of answers still to lose. */
+    /** Returns these faults with another number of responses to lose. */
     public LogFaults withLoseNextAnswers(int count) {
         return new LogFaults(
                 down,
@@ -66,7 +66,7 @@
                 expireUpTo);
     }
 
-    /** Returns these faults with the delays of appends and reads, in milliseconds. */
+    /** Returns these faults with other delays of appends and reads, in milliseconds. */
     public LogFaults withDelays(long appendMillis, long readMillis) {
         return new LogFaults(
                 down,
@@ -79,7 +79,7 @@
                 expireUpTo);
     }
 
-    /** Returns these faults with late effects of appends whose answer is lost, in milliseconds. */
+    /** Returns these faults with other delays for appends whose response is lost, in milliseconds. */
     public LogFaults withLateEffects(long writeMillis, long duplicateMillis) {
         return new LogFaults(
                 down,
--- a/library/src/main/java/org/chivetally/log/LogStatistics.java
+++ b/library/src/main/java/org/chivetally/log/LogStatistics.java
@@ -1,12 +1,12 @@
 package org.chivetally.log;
 
 /**
- * Counts of an {@link InMemoryPlatformLog} since it started.
+ * Counters of an {@link InMemoryPlatformLog} since its creation.
  *
- * @param appends appends that took effect, late duplicates included
- * @param records records written by them
- * @param reads reads asked for
+ * @param appends appends that took effect, including late duplicates
+ * @param records records written by these appends
+ * @param reads requested reads
  * @param refusedAppends appends refused because the log was down
- * @param lostAnswers appends whose answer was lost
+ * @param lostAnswers appends whose response was lost
  */
 public record LogStatistics(long appends, long records, long reads, long refusedAppends, long lostAnswers) {}
--- a/library/src/main/java/org/chivetally/log/NewRecord.java
+++ b/library/src/main/java/org/chivetally/log/NewRecord.java
@@ -2,9 +2,9 @@
 
 import java.util.Objects;
 
-/** A record to append: a globally unique id, by which readers drop repeats, and its content. */
+/** A record to append: a globally unique id, by which readers discard duplicates, and its content. */
 public record NewRecord(String id, byte[] payload) {
-    /** Refuses missing parts. */
+    /** Rejects missing components. */
     public NewRecord {
         Objects.requireNonNull(id, "id");
         Objects.requireNonNull(payload, "payload");
--- a/library/src/main/java/org/chivetally/log/ReadOutcome.java
+++ b/library/src/main/java/org/chivetally/log/ReadOutcome.java
@@ -2,13 +2,13 @@
 
 import java.util.List;
 
-/** What a read found. */
+/** Outcome of a read. */
 public sealed interface ReadOutcome {
     /**
-     * Records from the wanted offset on, possibly none.
+     * Records from the requested offset on, possibly none.
      *
      * @param records consecutive records
-     * @param endOffset offset that the stream's next record will get
+     * @param endOffset offset of the stream's next record
      */
     record Records(List<LogRecord> records, long endOffset) implements ReadOutcome {
         /** Copies the list. */
@@ -17,9 +17,9 @@
         }
     }
 
-    /** The wanted offset has expired; the oldest kept one is given. */
+    /** The requested offset has expired; {@code earliestOffset} is the oldest retained one. */
     record Expired(long earliestOffset) implements ReadOutcome {}
 
-    /** The log can't be reached or failed. */
+    /** The log is unreachable or failed. */
     record Unavailable(String reason) implements ReadOutcome {}
 }
--- a/library/src/main/java/org/chivetally/log/RecordStream.java
+++ b/library/src/main/java/org/chivetally/log/RecordStream.java
@@ -7,13 +7,13 @@
 import java.util.Set;
 import java.util.concurrent.CompletableFuture;
 
-/** One stream: its kept records and the reads that wait for more. Safe from any thread; completes no future itself. */
+/** The retained records of one stream and the reads that wait for more. Thread-safe; completes no futures itself. */
 final class RecordStream {
     private final int keptRecords;
     private final long keptForNanos;
     private final List<StoredRecord> stored = new ArrayList<>();
     private final Set<WaitingRead> waiting = new LinkedHashSet<>();
-    /** Number of expired records at the front of the list that are not yet removed from it. */
+    /** Number of expired records that are still at the front of the list. */
     private int expiredCount;
 
     private long endOffset;
@@ -23,7 +23,7 @@
         this.keptForNanos = settings.keptFor().toNanos();
     }
 
-    /** Appends records and returns the waiting reads that now have an answer; the caller completes them. */
+    /** Appends records. The caller completes the waiting reads that are returned. */
     synchronized AppendResult append(List<NewRecord> records, long nowNanos) {
         long firstOffset = endOffset;
         for (NewRecord added : records) {
@@ -34,7 +34,7 @@
         return new AppendResult(firstOffset, removeAnswerable());
     }
 
-    /** Returns what a read finds now, possibly no records. */
+    /** Returns the current outcome of a read, possibly without records. */
     synchronized ReadOutcome read(long from, int limit, long nowNanos) {
         expireOld(nowNanos);
         if (from < earliestOffset()) {
@@ -47,7 +47,7 @@
         return new ReadOutcome.Records(found, endOffset);
     }
 
-    /** Returns what a read finds now, or keeps it waiting when there is no record for it yet. */
+    /** Returns the outcome of a read, or adds the read to the waiting ones if there is no record for it yet. */
     synchronized Optional<ReadOutcome> readOrWait(WaitingRead read, long nowNanos) {
         if (read.from() >= endOffset) {
             waiting.add(read);
@@ -56,12 +56,12 @@
         return Optional.of(read(read.from(), read.limit(), nowNanos));
     }
 
-    /** Stops a read from waiting. */
+    /** Removes a waiting read. */
     synchronized void cancelRead(WaitingRead read) {
         waiting.remove(read);
     }
 
-    /** Stops all reads from waiting and returns them. */
+    /** Removes all waiting reads and returns them. */
     synchronized List<WaitingRead> removeWaiting() {
         List<WaitingRead> taken = List.copyOf(waiting);
         waiting.clear();
@@ -98,7 +98,7 @@
         return stored.size() - expiredCount > keptRecords || nowNanos - oldest.writtenNanos() > keptForNanos;
     }
 
-    /** Removes expired records only once they are half of the list, so that expiry costs constant time a record. */
+    /** Removes expired records once they are more than half of the list, for amortized constant time per record. */
     private void compact() {
         if (expiredCount > stored.size() / 2) {
             stored.subList(0, expiredCount).clear();
@@ -106,10 +106,10 @@
         }
     }
 
-    /** What an append did: where its records stand, and the waiting reads that it answers. */
+    /** Result of an append: the offset of its first record, and the waiting reads that can be completed. */
     record AppendResult(long firstOffset, List<WaitingRead> answered) {}
 
-    /** A read that waits for a record; each waits by itself, so equality is identity. */
+    /** A read that waits for a record. Equality is identity, as two reads may have the same parameters. */
     static final class WaitingRead {
         private final long from;
         private final int limit;
--- a/library/src/main/java/org/chivetally/log/package-info.java
+++ b/library/src/main/java/org/chivetally/log/package-info.java
@@ -1,2 +1,2 @@
-/** The platform's append-only log: the interface chivetally needs and its clients. */
+/** The platform's append-only log: its interface, an HTTP client and an in-memory implementation. */
 package org.chivetally.log;
--- a/library/src/main/java/org/chivetally/transport/BoundedFrameDecoder.java
+++ b/library/src/main/java/org/chivetally/transport/BoundedFrameDecoder.java
@@ -8,10 +8,10 @@
 import java.util.List;
 
 /**
- * Cuts the byte stream into frames by their varint length prefix, and refuses long ones.
+ * Splits the byte stream into frames by their varint length prefix and rejects frames over a maximum size.
  *
- * <p>A peer that sends garbage would otherwise name a length of up to 2 GiB and make this process buffer all of it. The
- * prefix is looked at before anything is buffered, so memory per connection stays under the bound.
+ * <p>Without the limit, a peer that sends garbage could announce a frame of up to 2 GiB and make this process buffer
+ * all of it. The prefix is checked before any content is buffered, which bounds the memory per connection.
  */
 final class BoundedFrameDecoder extends ProtobufVarint32FrameDecoder {
     private static final int PREFIX_BYTES = 5;
@@ -42,13 +42,13 @@
             }
         }
         if (available == PREFIX_BYTES) {
-            throw new CorruptedFrameException("length prefix of more than " + PREFIX_BYTES + " bytes");
+            throw new CorruptedFrameException("length prefix exceeds " + PREFIX_BYTES + " bytes");
         }
     }
 
     private void requireWithinLimit(long length) {
         if (length > maximumBytes) {
-            throw new TooLongFrameException("frame of " + length + " bytes, at most " + maximumBytes + " are allowed");
+            throw new TooLongFrameException("frame of " + length + " bytes exceeds the maximum of " + maximumBytes);
         }
     }
 }
--- a/library/src/main/java/org/chivetally/transport/DelayRoundingIoHandler.java
+++ b/library/src/main/java/org/chivetally/transport/DelayRoundingIoHandler.java
@@ -8,12 +8,11 @@
 import io.netty.channel.nio.NioIoHandler;
 
 /**
- * Lets an event loop sleep until its next timer is due, in whole milliseconds and rather too long than too short.
+ * Rounds the delay until an event loop's next timer up to whole milliseconds.
  *
- * <p>The failure it prevents: the loop's selector sleeps whole milliseconds, and Netty rounds the time to the next
- * timer to the nearest one. In the half millisecond before a timer the loop polls without a pause, thousands of times a
- * second in a process with many timers: an agent at 36 starts a second polled 946 times a second for 139 reads. A timer
- * that fires up to a millisecond late harms nobody, as the shortest one here takes four.
+ * <p>The selector blocks for whole milliseconds, and Netty rounds the delay to the nearest one. Rounded down, it makes
+ * the loop busy-poll during the half millisecond before each timer: an agent at 36 starts per second polled 946 times
+ * per second for 139 reads. Rounding up makes a timer fire at most 1 ms late, and the shortest timer here takes 4 ms.
  */
 public final class DelayRoundingIoHandler implements IoHandler {
     private static final long NANOS_PER_MILLI = 1_000_000;
@@ -24,12 +23,12 @@
         this.delegate = delegate;
     }
 
-    /** Returns a factory of handlers for sockets. */
+    /** Returns a factory of NIO handlers for sockets. */
     public static IoHandlerFactory newFactory() {
         return newFactory(NioIoHandler.newFactory());
     }
 
-    /** Returns a factory of handlers that leave all but the time of sleep to those of another. */
+    /** Returns a factory of handlers that delegate to the handlers of another factory. */
     static IoHandlerFactory newFactory(IoHandlerFactory delegates) {
         return executor -> new DelayRoundingIoHandler(delegates.newHandler(executor));
     }
@@ -70,9 +69,9 @@
     }
 
     /**
-     * Tells the time to the next timer in whole milliseconds.
+     * Reports the delay until the next timer, rounded up to whole milliseconds.
      *
-     * @param delegate what the loop itself tells
+     * @param delegate context of the event loop
      */
     private record RoundedDelayContext(IoHandlerContext delegate) implements IoHandlerContext {
         @Override
--- a/library/src/main/java/org/chivetally/transport/EventLoopTimers.java
+++ b/library/src/main/java/org/chivetally/transport/EventLoopTimers.java
@@ -8,13 +8,13 @@
 import org.chivetally.logging.EventLine;
 import org.chivetally.time.Timers;
 
-/** Clocks and timers of a Netty event loop. */
+/** Clocks and timers on a Netty event loop. */
 public final class EventLoopTimers implements Timers {
     private static final FluentLogger LOGGER = FluentLogger.forEnclosingClass();
 
     private final EventLoop loop;
 
-    /** Creates timers whose actions run on the given loop. */
+    /** Creates timers whose actions run on the given event loop. */
     public EventLoopTimers(EventLoop loop) {
         this.loop = loop;
     }
--- a/library/src/main/java/org/chivetally/transport/FrameChannelHandler.java
+++ b/library/src/main/java/org/chivetally/transport/FrameChannelHandler.java
@@ -11,7 +11,7 @@
 import org.chivetally.logging.EventLine;
 import org.chivetally.wire.v1.Frame;
 
-/** Parses the frames of one channel and tells the listener. */
+/** Parses the frames of one channel and passes them to the listener. */
 final class FrameChannelHandler extends SimpleChannelInboundHandler<ByteBuf> {
     private static final FluentLogger LOGGER = FluentLogger.forEnclosingClass();
 
@@ -41,7 +41,7 @@
         int length = bytes.readableBytes();
         Frame frame = Frame.parseFrom(CodedInputStream.newInstance(bytes.nioBuffer()));
         meters.received(frame, length);
-        // A kind of frame that only a newer release knows; skipping it lets releases run side by side.
+        // Skips frame types that this release does not know, so that different releases can run side by side.
         if (frame.getBodyCase() != Frame.BodyCase.BODY_NOT_SET) {
             listener.received(connection, frame);
         }
@@ -52,8 +52,8 @@
         if (context.channel().isWritable() || !context.channel().isActive()) {
             return;
         }
-        // A peer that stopped reading would make this process buffer for it until memory ends. Its connection is
-        // closed; what it missed can be asked for over a new one.
+        // Buffering for a peer that has stopped reading would exhaust the memory. Its connection is closed; the peer
+        // can request the missed data over a new one.
         meters.countOverflow();
         closeReason = "peer reads too slowly";
         EventLine.of("connection-overflow").with("peer", connection.peer()).log(LOGGER.atWarning());
--- a/library/src/main/java/org/chivetally/transport/FrameConnection.java
+++ b/library/src/main/java/org/chivetally/transport/FrameConnection.java
@@ -2,14 +2,14 @@
 
 import org.chivetally.wire.v1.Frame;
 
-/** One open connection. All calls are safe from any thread and never block. */
+/** An open connection. Thread-safe; no method blocks. */
 public interface FrameConnection {
-    /** Sends a frame; dropped when the connection is closed. Frames sent within one loop turn share a flush. */
+    /** Sends a frame, or drops it if the connection is closed. Frames sent within one loop iteration share a flush. */
     void send(Frame frame);
 
-    /** Closes the connection after what was sent is flushed. */
+    /** Closes the connection once all frames sent before are flushed. */
     void close();
 
-    /** Returns the far end as host:port, for logs. */
+    /** Returns the remote address as host:port, for logs. */
     String peer();
 }
--- a/library/src/main/java/org/chivetally/transport/FrameListener.java
+++ b/library/src/main/java/org/chivetally/transport/FrameListener.java
@@ -2,14 +2,18 @@
 
 import org.chivetally.wire.v1.Frame;
 
-/** Told about one or more connections, on the connection's own thread; must not block. */
+/** Receives the events of one or more connections on the connection's event loop; must not block. */
 public interface FrameListener {
-    /** The connection is open. */
+    /** Called when the connection is open. */
     void connected(FrameConnection connection);
 
-    /** A frame arrived. */
+    /** Called for each received frame. */
     void received(FrameConnection connection, Frame frame);
 
-    /** The connection is closed, or the dial failed and {@code connected} was never called. */
+    /**
+     * Called when the connection is closed, or when it could not be established and {@code connected} was never called.
+     *
+     * @param reason cause, for logs
+     */
     void disconnected(FrameConnection connection, String reason);
 }
--- a/library/src/main/java/org/chivetally/transport/FrameMeters.java
+++ b/library/src/main/java/org/chivetally/transport/FrameMeters.java
@@ -7,7 +7,7 @@
 import java.util.concurrent.ConcurrentHashMap;
 import org.chivetally.wire.v1.Frame;
 
-/** Counts frames and bytes by direction and kind of frame. */
+/** Counts frames and bytes by direction and frame type. */
 final class FrameMeters {
     private final MeterRegistry registry;
     private final Map<Frame.BodyCase, Traffic> received = new ConcurrentHashMap<>();
@@ -52,7 +52,8 @@
     }
 
     /**
-     * Meters are made when a kind of frame is first seen: a process uses a third of them, and all cost its start-up.
+     * Returns the counters of a frame type. They are registered when the type is first seen, because a process uses
+     * only a third of them and registering all of them would delay its start-up.
      */
     private Traffic traffic(Frame.BodyCase body, String direction) {
         String kind = body.name().toLowerCase(Locale.ROOT);
@@ -61,7 +62,7 @@
                 registry.counter("chivetally.transport.bytes", "direction", direction, "body", kind));
     }
 
-    /** Counts of one kind of frame in one direction. */
+    /** Counters of one frame type in one direction. */
     private record Traffic(Counter frames, Counter bytes) {
         private void add(int size) {
             frames.increment();
--- a/library/src/main/java/org/chivetally/transport/FrameTransport.java
+++ b/library/src/main/java/org/chivetally/transport/FrameTransport.java
@@ -20,15 +20,15 @@
 import org.chivetally.errors.ChivetallyException;
 import org.chivetally.errors.ErrorCode;
 
-/** Listens for and dials connections that carry frames, over TCP. */
+/** Accepts and opens TCP connections that carry frames. */
 public final class FrameTransport implements AutoCloseable {
-    /** Event loop threads of a transport that names no number. */
+    /** Default number of event loop threads. */
     public static final int DEFAULT_THREADS = 2;
 
-    /** Longest frame that is sent or accepted, in bytes without its length prefix. */
+    /** Maximum size of a frame that is sent or accepted, in bytes without its length prefix. */
     public static final int MAXIMUM_FRAME_BYTES = 4 * 1024 * 1024;
 
-    /** Most bytes that may wait for a slow peer before its connection is closed. */
+    /** Maximum number of unsent bytes for a slow peer; its connection is closed beyond that. */
     static final int MAXIMUM_UNSENT_BYTES = 8 * 1024 * 1024;
 
     private static final int CONNECT_TIMEOUT_MILLIS = 500;
@@ -48,7 +48,7 @@
      * Creates a transport.
      *
      * @param threads event loop threads shared by all connections, at least 1
-     * @param registry receives counts of frames and bytes by direction and kind of frame
+     * @param registry registry of the frame and byte counters
      */
     public FrameTransport(int threads, MeterRegistry registry) {
         Objects.requireNonNull(registry, "registry");
@@ -58,9 +58,9 @@
     }
 
     /**
-     * Creates a transport on event loops that somebody else created and closes.
+     * Creates a transport on event loops of the caller, which {@link #close} leaves running.
      *
-     * @param registry receives counts of frames and bytes by direction and kind of frame
+     * @param registry registry of the frame and byte counters
      */
     public FrameTransport(EventLoopGroup eventLoops, MeterRegistry registry) {
         this.eventLoops = Objects.requireNonNull(eventLoops, "eventLoops");
@@ -69,10 +69,11 @@
     }
 
     /**
-     * Accepts connections on an address; completes with the bound address, or exceptionally when it can't be bound.
+     * Accepts connections on an address. The stage completes with the bound address, or exceptionally if the address
+     * cannot be bound.
      *
-     * @param port port, or zero for any free one
-     * @param listener told about every accepted connection
+     * @param port port to bind, or 0 for any free port
+     * @param listener receives the events of all accepted connections
      */
     public CompletionStage<InetSocketAddress> listen(String host, int port, FrameListener listener) {
         ServerBootstrap bootstrap = new ServerBootstrap()
@@ -96,7 +97,7 @@
         return bound;
     }
 
-    /** Opens a connection; a failure, also one of more than 500 ms, is told as {@code disconnected}. */
+    /** Opens a connection. A failure or a timeout of 500 ms is reported as {@code disconnected}. */
     public void dial(String host, int port, FrameListener listener) {
         String peer = host + ":" + port;
         NettyFrameConnection connection = new NettyFrameConnection(peer, meters);
@@ -115,7 +116,7 @@
         });
     }
 
-    /** Closes every connection and listener; waits at most a few seconds. */
+    /** Closes all connections and listeners if this transport owns its event loops; waits at most 4 s. */
     @Override
     public void close() {
         if (!ownsEventLoops) {
@@ -150,7 +151,7 @@
     }
 
     private static String remoteAddressOf(Channel channel) {
-        // No address is left when the peer reset the connection right after it was accepted.
+        // A peer that resets its connection right after the accept leaves no remote address.
         if (channel.remoteAddress() instanceof InetSocketAddress remote) {
             return remote.getHostString() + ":" + remote.getPort();
         }
--- a/library/src/main/java/org/chivetally/transport/NettyFrameConnection.java
+++ b/library/src/main/java/org/chivetally/transport/NettyFrameConnection.java
@@ -20,8 +20,8 @@
 /**
  * A connection over a Netty channel.
  *
- * <p>Senders put frames into a queue; the first of them schedules one task on the channel's event loop, which encodes
- * all that wait into shared buffers and flushes once. Thus a burst of frames costs one wake-up and one write.
+ * <p>Senders add frames to a queue. The first sender schedules a task on the channel's event loop that encodes all
+ * queued frames into shared buffers and flushes once, so that a burst of frames costs one wake-up and one write.
  */
 final class NettyFrameConnection implements FrameConnection {
     private static final FluentLogger LOGGER = FluentLogger.forEnclosingClass();
@@ -80,7 +80,7 @@
         try {
             open.eventLoop().execute(step);
         } catch (RejectedExecutionException e) {
-            // The transport is being closed, and every connection with it.
+            // The event loop is shutting down, which closes all its connections.
             detach();
         }
     }
@@ -88,12 +88,12 @@
     private void closeAfterFlush(Channel open) {
         flushOutbound();
         open.writeAndFlush(Unpooled.EMPTY_BUFFER).addListener(ChannelFutureListener.CLOSE);
-        // A silent peer takes nothing more, so its flush would never end and the socket would stay for good.
+        // The flush never completes if the peer has stopped reading; the timeout closes the socket in that case.
         open.eventLoop().schedule(() -> open.close(), CLOSE_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
     }
 
     private void flushOutbound() {
-        // Cleared first: a frame added while draining is either seen by this loop or schedules the next one.
+        // Reset first, so that a frame added during the flush is either written by it or schedules another one.
         flushScheduled.set(false);
         Frame next = outbound.poll();
         while (next != null) {
@@ -102,7 +102,7 @@
         channel.flush();
     }
 
-    /** Writes frames up to the size of a batch; returns the first one that is left. */
+    /** Writes queued frames up to the batch size; returns the first frame that was not written, or null. */
     private Frame writeBatch(Frame first) {
         ByteBuf batch = channel.alloc().ioBuffer(bufferSize(first));
         Frame next = first;
@@ -137,14 +137,14 @@
             frame.writeTo(out);
             out.flush();
         } catch (IOException e) {
-            throw new UncheckedIOException("a frame did not fit its own size", e);
+            throw new UncheckedIOException("the encoded frame exceeds its computed size", e);
         }
         batch.writerIndex(batch.writerIndex() + total);
         meters.sent(frame, size);
     }
 
     private void dropOversize(Frame frame, int size) {
-        // The peer would close the connection over it, and fail everything else in flight there.
+        // The peer would close the connection on an oversize frame, and all requests in flight on it would fail.
         meters.countOversizeFrame();
         EventLine.of("frame-oversize")
                 .with("peer", peer)
--- a/library/src/main/java/org/chivetally/transport/package-info.java
+++ b/library/src/main/java/org/chivetally/transport/package-info.java
@@ -1,2 +1,2 @@
-/** Frames between chivetally's own processes over Netty. */
+/** Transport of protobuf frames between chivetally's processes over TCP, based on Netty. */
 package org.chivetally.transport;
--- a/library/src/test/java/org/chivetally/log/InMemoryPlatformLogTest.java
+++ b/library/src/test/java/org/chivetally/log/InMemoryPlatformLogTest.java
@@ -31,7 +31,7 @@
     }
 
     @Test
-    void readsFromAnOffsetUpToALimit() {
+    void readsFromAnOffsetUpToTheLimit() {
         InMemoryPlatformLog log = log(InMemoryLogSettings.immediate());
         MatcherAssert.assertThat(append(log, "a", "b"), Matchers.is(new AppendOutcome.Appended(0)));
         MatcherAssert.assertThat(append(log, "c", "d"), Matchers.is(new AppendOutcome.Appended(2)));
@@ -40,7 +40,7 @@
     }
 
     @Test
-    void anAppendAnswersTheReadThatWaitsForIt() {
+    void appendCompletesTheReadThatWaitsForItsOffset() {
         InMemoryPlatformLog log = log(InMemoryLogSettings.immediate());
         CompletionStage<ReadOutcome> first = log.read(STREAM, 0, 10, WAIT);
         CompletionStage<ReadOutcome> second = log.read(STREAM, 1, 10, WAIT);
@@ -50,7 +50,7 @@
     }
 
     @Test
-    void aWaitingReadEndsWithoutRecordsWhenItsWaitIsOver() {
+    void waitingReadReturnsNoRecordsAfterItsTimeout() {
         InMemoryPlatformLog log = log(InMemoryLogSettings.immediate());
         CompletionStage<ReadOutcome> read = log.read(STREAM, 0, 10, WAIT);
         time.timePasses(WAIT.minusMillis(1));
@@ -60,7 +60,7 @@
     }
 
     @Test
-    void keepsTheNewestRecordsAndSaysWhichIsTheOldest() {
+    void retainsTheNewestRecordsAndReportsTheEarliestOffset() {
         InMemoryPlatformLog log = log(new InMemoryLogSettings(3, Duration.ofHours(1), Duration.ZERO, 0, 0));
         for (int round = 0; round < 50; round++) {
             append(log, "a", "b");
@@ -80,8 +80,8 @@
         MatcherAssert.assertThat(read(log, 1, 10), Matchers.is(found(2, "1new")));
     }
 
-    // A process that reads at offset 0 is told that its records expired, as if the log's retention had passed while
-    // it was away; it has to start from a snapshot. The records above the offset are untouched.
+    // A reader below the offset gets Expired, as if it had been disconnected for longer than the log's retention, and
+    // has to start from a snapshot. Records from the offset on are unaffected.
     @Test
     void expiresUpToAnOffsetOnDemand() {
         InMemoryPlatformLog log = log(InMemoryLogSettings.immediate());
@@ -91,25 +91,26 @@
         MatcherAssert.assertThat(read(log, 2, 10), Matchers.is(found(3, "2c")));
     }
 
-    // The log goes down while one read waits and one append is under way. The caller's append is refused, and nothing
-    // of it stands in the stream afterwards; the waiting read fails at once instead of at the end of its wait.
+    // The log goes down while a read waits and an append is in flight. The append must be refused and leave no record
+    // in the stream; the read must fail immediately instead of after its wait.
     @Test
-    void whileDownItWritesNothingAndFailsReads() {
+    void writesNothingAndFailsReadsWhileDown() {
         InMemoryPlatformLog log = log(new InMemoryLogSettings(10, Duration.ofHours(1), Duration.ofMillis(4), 0, 0));
         CompletionStage<ReadOutcome> waiting = log.read(STREAM, 0, 10, WAIT);
-        CompletionStage<AppendOutcome> underWay = log.append(STREAM, records("a"));
+        CompletionStage<AppendOutcome> inFlight = log.append(STREAM, records("a"));
         log.setFaults(LogFaults.NONE.withDown(true));
         MatcherAssert.assertThat(shown(waiting), Matchers.instanceOf(ReadOutcome.Unavailable.class));
         time.timePasses(Duration.ofMillis(4));
-        MatcherAssert.assertThat(now(underWay), Matchers.instanceOf(AppendOutcome.Refused.class));
+        MatcherAssert.assertThat(now(inFlight), Matchers.instanceOf(AppendOutcome.Refused.class));
         MatcherAssert.assertThat(append(log, "b"), Matchers.instanceOf(AppendOutcome.Refused.class));
         log.setFaults(LogFaults.NONE);
         MatcherAssert.assertThat(read(log, 0, 10), Matchers.is(found(0)));
     }
 
-    // Two answers are to be lost. Both callers see Unknown although their records stand; the third sees its offset.
+    // The next two responses are lost: both clients get Unknown although their records are written; the third client
+    // gets its offset.
     @Test
-    void losesTheNextAnswersAfterTheWrite() {
+    void losesTheNextResponsesAfterTheWrite() {
         InMemoryPlatformLog log = log(InMemoryLogSettings.immediate());
         log.setFaults(LogFaults.NONE.withLoseNextAnswers(2));
         MatcherAssert.assertThat(append(log, "a"), Matchers.instanceOf(AppendOutcome.Unknown.class));
@@ -119,10 +120,10 @@
         MatcherAssert.assertThat(log.statistics(), Matchers.is(new LogStatistics(3, 3, 1, 0, 2)));
     }
 
-    // The first append's answer is lost and its write is held up. The caller appends the same record again, which
-    // stands first; then the held write lands, and later a duplicate of it. Readers see one id three times.
+    // The response to the first append is lost and its write is delayed. The client retries, and the retry is written
+    // first; then the delayed write follows, and later a duplicate of it. Readers see the same id three times.
     @Test
-    void aLostAppendLandsAfterItsRetryAndOnceMore() {
+    void appendWithALostResponseIsWrittenAfterItsRetryAndDuplicated() {
         InMemoryPlatformLog log = log(InMemoryLogSettings.immediate());
         log.setFaults(LogFaults.NONE.withLoseNextAnswers(1).withLateEffects(100, 50));
         MatcherAssert.assertThat(append(log, "a"), Matchers.instanceOf(AppendOutcome.Unknown.class));
@@ -135,7 +136,7 @@
     }
 
     @Test
-    void appendsBeyondTheCeilingQueue() {
+    void delaysAppendsOverTheRateLimit() {
         InMemoryPlatformLog log = log(new InMemoryLogSettings(10, Duration.ofHours(1), Duration.ofMillis(4), 500, 0));
         List<CompletionStage<AppendOutcome>> appends = new ArrayList<>();
         for (int count = 0; count < 3; count++) {
@@ -152,7 +153,7 @@
     }
 
     @Test
-    void concurrentAppendsGetOffsetsOfTheirOwnAndWakeTheReader() throws InterruptedException {
+    void concurrentAppendsGetDistinctOffsetsAndCompleteTheRead() throws InterruptedException {
         InMemoryPlatformLog log = log(InMemoryLogSettings.immediate());
         List<Thread> writers = IntStream.range(0, 4)
                 .mapToObj(writer -> Thread.ofPlatform().unstarted(() -> appendMany(log, writer)))
@@ -198,7 +199,7 @@
         return shown(log.read(STREAM, from, limit, Duration.ZERO));
     }
 
-    /** Returns what a read gave, null while it waits; records as offset and payload, since arrays have no equality. */
+    /** Returns the outcome of a read in a form with value equality for payloads, or null while the read waits. */
     private static Object shown(CompletionStage<ReadOutcome> read) {
         return now(read) instanceof ReadOutcome.Records(List<LogRecord> records, long endOffset)
                 ? new Found(records.stream().map(InMemoryPlatformLogTest::shown).toList(), endOffset)
--- a/library/src/test/java/org/chivetally/transport/DelayRoundingIoHandlerTest.java
+++ b/library/src/test/java/org/chivetally/transport/DelayRoundingIoHandlerTest.java
@@ -33,8 +33,9 @@
     }
 
     /**
-     * A hundred timers are due one after the other, none of them at a whole millisecond. The loop polled without a
-     * pause in the half millisecond before each, up to a hundred times; a turn or two a timer are enough.
+     * A hundred timers expire one after the other, each after a fraction of a millisecond. Without rounding up, the
+     * loop busy-polls during the half millisecond before each timer, up to a hundred times; one or two iterations
+     * suffice.
      */
     @Test
     void sleepsUntilTheNextTimerIsDue() throws InterruptedException {
@@ -70,7 +71,7 @@
         assertThat(fired - begun, is(greaterThanOrEqualTo(3_700_000L)));
     }
 
-    /** Counts the turns of the loop. */
+    /** Counts the iterations of the event loop. */
     private final class CountingHandler implements IoHandler {
         private final IoHandler delegate;
 
--- a/library/src/test/java/org/chivetally/transport/FrameTransportTest.java
+++ b/library/src/test/java/org/chivetally/transport/FrameTransportTest.java
@@ -56,7 +56,7 @@
     }
 
     @Test
-    void carriesAFrameOfTheGreatestSize() throws InterruptedException {
+    void carriesAFrameOfTheMaximumSize() throws InterruptedException {
         transport.dial(LOOPBACK, address.getPort(), client);
         Frame frame = result(1, "y".repeat(FrameTransport.MAXIMUM_FRAME_BYTES - 64));
         client.nextConnection().send(frame);
@@ -64,7 +64,7 @@
     }
 
     @Test
-    void flushesWhatWasSentBeforeClose() throws InterruptedException {
+    void flushesSentFramesBeforeClosing() throws InterruptedException {
         transport.dial(LOOPBACK, address.getPort(), client);
         FrameConnection dialled = client.nextConnection();
         dialled.send(result(1, "z".repeat(1_000_000)));
@@ -77,7 +77,7 @@
     }
 
     @Test
-    void tellsThatADialFailed() throws Exception {
+    void reportsAFailedConnectionAttempt() throws Exception {
         int unused;
         try (ServerSocket reserved = new ServerSocket(0, 1, InetAddress.getByName(LOOPBACK))) {
             unused = reserved.getLocalPort();
@@ -87,9 +87,8 @@
     }
 
     /**
-     * What the caller sees: garbage costs the sender its connection, and nobody else anything. A stray program connects
-     * and writes bytes whose length prefix fits but whose content is no frame. The connection closes, with the cause
-     * logged; the next connection works.
+     * A foreign program connects and writes bytes with a valid length prefix and invalid content. Only its own
+     * connection may be closed, with the cause logged; the next connection must work.
      */
     @Test
     void closesAConnectionThatSendsGarbage() throws Exception {
@@ -103,9 +102,8 @@
     }
 
     /**
-     * What the caller sees: a length prefix of over 4 MiB closes the connection at once. A broken peer announces a
-     * frame of 2 GiB; waiting for it would fill this process's memory. The prefix alone is enough to refuse, before any
-     * content is buffered.
+     * A faulty peer announces a frame of 2 GiB. Buffering it would exhaust the memory of the process, so a length
+     * prefix of more than 4 MiB closes the connection before any content is buffered.
      */
     @Test
     void closesAConnectionThatAnnouncesAnOversizeFrame() throws Exception {
@@ -127,9 +125,8 @@
     }
 
     /**
-     * What the caller sees: a peer that stops reading loses its connection, and memory stays bounded. The peer opens a
-     * connection and reads nothing while this side sends megabytes to it. The kernel's buffers fill, then ours up to 8
-     * MiB; then the connection is closed and the rest dropped.
+     * A peer opens a connection and does not read while this side sends 64 MB. Once the socket buffers are full and 8
+     * MiB are queued, the connection must be closed and the rest dropped; otherwise the queue would grow without bound.
      */
     @Test
     void closesAConnectionWhosePeerDoesNotRead() throws Exception {
@@ -146,7 +143,7 @@
     }
 
     @Test
-    void skipsKindsOfFramesItDoesNotKnow() throws InterruptedException {
+    void skipsUnknownFrameTypes() throws InterruptedException {
         transport.dial(LOOPBACK, address.getPort(), client);
         FrameConnection dialled = client.nextConnection();
         dialled.send(Frame.newBuilder().setRequestId(5).build());
--- a/library/src/test/java/org/chivetally/transport/RecordingListener.java
+++ b/library/src/test/java/org/chivetally/transport/RecordingListener.java
@@ -5,7 +5,7 @@
 import java.util.concurrent.TimeUnit;
 import org.chivetally.wire.v1.Frame;
 
-/** Keeps what a listener is told, so that a test can wait for it. */
+/** Records the events of connections, so that a test can wait for them. */
 public final class RecordingListener implements FrameListener {
     private static final long WAIT_SECONDS = 20;
 
@@ -38,12 +38,12 @@
         return next(frames);
     }
 
-    /** Waits for the next closing and returns its reason. */
+    /** Waits until the next connection is closed and returns the reason. */
     public String nextDisconnectReason() throws InterruptedException {
         return next(disconnectReasons);
     }
 
-    /** Returns the number of frames that nobody took. */
+    /** Returns the number of received frames that the test has not taken. */
     public int unreadFrames() {
         return frames.size();
     }
@@ -51,7 +51,7 @@
     private static <T> T next(BlockingQueue<T> queue) throws InterruptedException {
         T next = queue.poll(WAIT_SECONDS, TimeUnit.SECONDS);
         if (next == null) {
-            throw new AssertionError("nothing came within " + WAIT_SECONDS + " s");
+            throw new AssertionError("nothing received within " + WAIT_SECONDS + " s");
         }
         return next;
     }
