--- a/library/src/main/java/org/chivetally/errors/package-info.java
+++ b/library/src/main/java/org/chivetally/errors/package-info.java
@@ -1,2 +1,2 @@
-/** Error codes and the one unchecked exception that carries them. */
+/** Error codes and the unchecked exception that carries them. */
 package org.chivetally.errors;
--- a/library/src/main/java/org/chivetally/http/HttpCall.java
+++ b/library/src/main/java/org/chivetally/http/HttpCall.java
@@ -6,14 +6,14 @@
 import java.util.Objects;
 
 /**
- * A request to another process.
+ * An HTTP request to another process.
  *
- * @param method method
+ * @param method HTTP method
  * @param path path with query
- * @param headers further headers
- * @param contentType type of the body; empty when there is none
+ * @param headers additional headers
+ * @param contentType content type of the body; empty if there is no body
  * @param body body; empty for none
- * @param timeout longest time until the whole answer is there
+ * @param timeout maximum time until the complete response
  */
 @SuppressWarnings("ArrayRecordComponent")
 public record HttpCall(
@@ -28,17 +28,17 @@
         headers = Map.copyOf(headers);
     }
 
-    /** Returns a GET. */
+    /** Returns a GET request. */
     public static HttpCall get(String path, Duration timeout) {
         return new HttpCall("GET", path, Map.of(), "", NO_BODY, timeout);
     }
 
-    /** Returns a POST with a JSON body. */
+    /** Returns a POST request with a JSON body. */
     public static HttpCall postJson(String path, byte[] body, Duration timeout) {
         return new HttpCall("POST", path, Map.of(), "application/json", body, timeout);
     }
 
-    /** Returns the call with another header. */
+    /** Returns this call with an additional header. */
     public HttpCall withHeader(String name, String value) {
         Map<String, String> more = new HashMap<>(headers);
         more.put(name, value);
--- a/library/src/main/java/org/chivetally/http/HttpExchange.java
+++ b/library/src/main/java/org/chivetally/http/HttpExchange.java
@@ -3,28 +3,28 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** A request of a caller, which is to be answered once. */
+/** A request from a client, which is answered once. */
 public interface HttpExchange {
-    /** Returns the method. */
+    /** Returns the HTTP method. */
     String method();
 
-    /** Returns the path with query, as sent. */
+    /** Returns the path with query, as sent by the client. */
     String path();
 
-    /** Returns a header's first value. */
+    /** Returns the first value of a header. */
     Optional<String> header(String name);
 
-    /** Returns the body. */
+    /** Returns the request body. */
     byte[] body();
 
-    /** Names what is to run when the caller's connection ends before the answer. */
+    /** Sets the action to run if the client disconnects before the answer. */
     void onDisconnect(Runnable action);
 
     /**
-     * Answers.
+     * Sends the response. Further calls have no effect.
      *
-     * @param headers further headers
-     * @param contentType type of the body; empty when there is none
+     * @param headers additional headers
+     * @param contentType content type of the body; empty if there is no body
      */
     void answer(int status, Map<String, String> headers, String contentType, byte[] body);
 }
--- a/library/src/main/java/org/chivetally/http/HttpListener.java
+++ b/library/src/main/java/org/chivetally/http/HttpListener.java
@@ -40,15 +40,13 @@
 import org.chivetally.logging.EventLine;
 import org.chivetally.settings.HostPort;
 
-/** Accepts HTTP requests on one address and hands them to a handler, one at a time for each connection. */
+/** An HTTP server on one address. Passes the requests of each connection to a handler one at a time. */
 public final class HttpListener {
     private static final FluentLogger LOGGER = FluentLogger.forEnclosingClass();
     private static final int ACCEPT_BACKLOG = 1024;
     private static final int MAXIMUM_LINE_BYTES = 4096;
 
-    /**
-     * Requests that may wait behind one in progress on the same connection; callers of HTTP/1.1 hardly ever do that.
-     */
+    /** Maximum number of requests queued behind the current one on a connection; clients rarely pipeline requests. */
     private static final int MAXIMUM_PIPELINED_REQUESTS = 4;
 
     private final EventLoop loop;
@@ -58,22 +56,22 @@
     private boolean draining;
 
     /**
-     * Bounds on what callers send.
+     * Limits on requests and connections.
      *
-     * @param headerBytes most bytes of all headers
-     * @param bodyBytes most bytes of a body
-     * @param idleMillis time without any byte after which a connection without a request is closed
+     * @param headerBytes maximum size of all headers, in bytes
+     * @param bodyBytes maximum size of a body, in bytes
+     * @param idleMillis idle time after which a connection without a request in progress is closed, in milliseconds
      */
     public record Limits(int headerBytes, int bodyBytes, int idleMillis) {}
 
-    /** Creates a listener that isn't bound yet. */
+    /** Creates a listener that is not bound yet. */
     public HttpListener(EventLoop loop, Limits limits, Consumer<HttpExchange> handler) {
         this.loop = loop;
         this.limits = limits;
         this.handler = handler;
     }
 
-    /** Begins to listen, or throws {@link ErrorCode#INTERNAL} when the address can't be bound. */
+    /** Binds the address and starts to accept connections; throws {@link ErrorCode#INTERNAL} if that fails. */
     public void bind(HostPort address) {
         ChannelFuture bound = new ServerBootstrap()
                 .group(loop)
@@ -89,12 +87,12 @@
         }
     }
 
-    /** Asks callers to use other connections: every answer from now on closes its connection. */
+    /** Closes each connection after its next response, so that clients connect elsewhere. */
     public void drain() {
         draining = true;
     }
 
-    /** Returns the number of requests without an answer. */
+    /** Returns the number of requests in progress. */
     public int openRequests() {
         int open = 0;
         for (Connection connection : connections) {
@@ -108,7 +106,7 @@
         return connections.size();
     }
 
-    /** Handlers of a new connection. */
+    /** Sets up the handlers of a new connection. */
     private final class Pipeline extends ChannelInitializer<Channel> {
         @Override
         protected void initChannel(Channel channel) {
@@ -120,7 +118,7 @@
         }
     }
 
-    /** One connection of a caller. */
+    /** A connection of a client. */
     private final class Connection extends SimpleChannelInboundHandler<FullHttpRequest> {
         private final Deque<FullHttpRequest> pipelined = new ArrayDeque<>();
         private boolean busy;
@@ -187,7 +185,7 @@
         }
     }
 
-    /** One request. */
+    /** A request and its response. */
     private final class Exchange implements HttpExchange {
         private final ChannelHandlerContext context;
         private final Connection connection;
--- a/library/src/main/java/org/chivetally/http/HttpResult.java
+++ b/library/src/main/java/org/chivetally/http/HttpResult.java
@@ -1,21 +1,21 @@
 package org.chivetally.http;
 
-/** What became of a call. */
+/** Result of a call. */
 public sealed interface HttpResult {
     /**
-     * A whole answer.
+     * A complete response.
      *
-     * @param status status
-     * @param body body
+     * @param status HTTP status code
+     * @param body response body
      */
     @SuppressWarnings("ArrayRecordComponent")
     record Response(int status, byte[] body) implements HttpResult {}
 
     /**
-     * No whole answer.
+     * No complete response.
      *
-     * @param reason why, for logs
-     * @param sent whether the request may have reached the other process
+     * @param reason cause, for logs
+     * @param sent whether the server may have received the request
      */
     record Failed(String reason, boolean sent) implements HttpResult {}
 }
--- a/library/src/main/java/org/chivetally/http/PooledHttpClient.java
+++ b/library/src/main/java/org/chivetally/http/PooledHttpClient.java
@@ -27,8 +27,8 @@
 import org.chivetally.time.Timers;
 
 /**
- * Calls one other process over a few connections that stay open. A call that gets no answer in time costs its
- * connection, as an answer that comes late could be taken for that of the next call.
+ * An HTTP client for one server with a small pool of persistent connections. A call that times out closes its
+ * connection, because a late response could otherwise be taken for the response to the next call.
  */
 public final class PooledHttpClient {
     private static final int MAXIMUM_RESPONSE_BYTES = 8 << 20;
@@ -44,9 +44,9 @@
     private int connections;
 
     /**
-     * Creates a caller.
+     * Creates a client.
      *
-     * @param mostConnections connections that may be open at once; further calls wait
+     * @param maximumConnections maximum number of open connections; further calls are queued
      */
     public PooledHttpClient(EventLoop loop, Timers timers, HostPort target, int maximumConnections) {
         this.loop = loop;
@@ -56,7 +56,7 @@
         this.maximumConnections = maximumConnections;
     }
 
-    /** Makes a call; tells its result once, on the event loop. */
+    /** Makes a call. The callback is invoked exactly once, on the event loop. */
     public void call(HttpCall call, Consumer<HttpResult> result) {
         PendingCall pending = new PendingCall(call, result);
         pending.timer = timers.after(call.timeout(), () -> timeOut(pending));
@@ -76,7 +76,7 @@
         if (pending.connection != null) {
             pending.connection.channel.close();
         }
-        pending.complete(new HttpResult.Failed("no answer in time", pending.connection != null));
+        pending.complete(new HttpResult.Failed("timed out waiting for the response", pending.connection != null));
     }
 
     private void connect() {
@@ -103,7 +103,7 @@
         }
     }
 
-    /** Handlers of a new connection. */
+    /** Sets up the handlers of a new connection. */
     private final class Pipeline extends ChannelInitializer<Channel> {
         @Override
         protected void initChannel(Channel channel) {
@@ -114,7 +114,7 @@
         }
     }
 
-    /** An open connection with at most one call on it. */
+    /** An open connection with at most one call in flight. */
     private final class Connection extends SimpleChannelInboundHandler<FullHttpResponse> {
         private final Channel channel;
         private PendingCall current;
@@ -200,7 +200,7 @@
         }
     }
 
-    /** A call without a result so far. */
+    /** A call that has not completed yet. */
     private static final class PendingCall {
         private final HttpCall call;
         private final Consumer<HttpResult> result;
--- a/library/src/main/java/org/chivetally/http/package-info.java
+++ b/library/src/main/java/org/chivetally/http/package-info.java
@@ -1,2 +1,2 @@
-/** HTTP/1.1 on the event loop of the frames: one thread, no second pool, for instances with half a core. */
+/** HTTP/1.1 client and server on the event loop of the frame transport: one thread, for instances with half a core. */
 package org.chivetally.http;
--- a/library/src/main/java/org/chivetally/logging/BoundedLogHandler.java
+++ b/library/src/main/java/org/chivetally/logging/BoundedLogHandler.java
@@ -10,18 +10,19 @@
 import java.util.logging.Logger;
 
 /**
- * Writes log lines from a thread of its own. A reader of the output that stops reading would otherwise stop the event
- * loop, and with it every lease; lines that don't fit into the queue are dropped and counted in a line of their own.
+ * Writes log lines from a separate thread through a bounded queue. If the reader of the output stalls, a blocking write
+ * would stall the event loop, and all leases would expire. Lines that exceed the queue are dropped, and their number is
+ * logged.
  */
 public final class BoundedLogHandler extends Handler {
-    /** Lines that may wait: two seconds of an entry's lines at the highest load measured, under 2 MB. */
+    /** Capacity of the queue: an entry's lines of two seconds at the highest load measured, less than 2 MB. */
     static final int MAXIMUM_QUEUED_LINES = 8_192;
 
     private static final Logger ROOT = Logger.getLogger("");
 
     /**
-     * Pause between two writes. A wake-up costs more than a line, so it is as long as on-call can do without the last
-     * lines of a process that was killed.
+     * Interval between two writes. Waking the thread costs more than writing a line, so lines are batched; a process
+     * that is killed loses the lines of the last interval.
      */
     private static final long WRITE_INTERVAL_MILLIS = 100;
 
@@ -31,12 +32,12 @@
     private volatile Thread suppressedThread;
     private final PrintStream out;
 
-    /** Creates a handler that writes when it is flushed, and from its own thread once it is installed. */
+    /** Creates a handler that writes only when it is flushed, until it is installed. */
     BoundedLogHandler(PrintStream out) {
         this.out = out;
     }
 
-    /** Makes this the only way for log lines of the process. */
+    /** Replaces all log handlers of the process and starts the writer thread. */
     public static BoundedLogHandler install(PrintStream out, Level level) {
         for (Handler handler : ROOT.getHandlers()) {
             ROOT.removeHandler(handler);
@@ -66,7 +67,10 @@
         }
     }
 
-    /** Runs an action whose lines are made but not written, as they tell of nothing that happened to anybody. */
+    /**
+     * Runs an action and discards the log lines of its thread, such as those of a warm-up, which would mislead
+     * operators.
+     */
     public void runWithoutLogging(Runnable action) {
         suppressedThread = Thread.currentThread();
         try {
@@ -95,7 +99,7 @@
         }
     }
 
-    /** Writes a batch and all lines that wait behind it. */
+    /** Writes a batch and all queued lines in one call. */
     private void write(StringBuilder batch) {
         String next = lines.poll();
         while (next != null) {
--- a/library/src/main/java/org/chivetally/logging/EventLine.java
+++ b/library/src/main/java/org/chivetally/logging/EventLine.java
@@ -3,7 +3,7 @@
 import com.google.common.flogger.FluentLogger;
 import com.google.common.flogger.LogSite;
 
-/** Builds one log line of key=value pairs; values with spaces, quotes or equals signs are quoted. */
+/** Builds a log line of key=value pairs; values with spaces, quotes or equals signs are quoted. */
 public final class EventLine {
     private final StringBuilder text;
 
@@ -11,18 +11,18 @@
         this.text = new StringBuilder("event=").append(event);
     }
 
-    /** Starts the line of one event. */
+    /** Starts a log line with the name of its event. */
     public static EventLine of(String event) {
         return new EventLine(event);
     }
 
-    /** Appends one pair; null is written as {@code -}. */
+    /** Appends a pair; null is written as {@code -}. */
     public EventLine with(String key, Object value) {
         text.append(' ').append(key).append('=').append(quoted(value));
         return this;
     }
 
-    /** Appends one pair with a whole number. */
+    /** Appends a pair with an integer value. */
     public EventLine with(String key, long value) {
         text.append(' ').append(key).append('=').append(value);
         return this;
@@ -31,9 +31,9 @@
     /**
      * Writes the line to a logger at the level of the given call.
      *
-     * <p>The event's name tells where the line comes from, so no place in the code is looked up for it: the walk over
-     * the stack costs as much as the rest of a line, and an entry writes three lines for each start. The text is handed
-     * over as it is, without a format that would be parsed for each line.
+     * <p>The event's name identifies the origin of the line, so the log site is not determined: the stack walk would
+     * double the cost of a line, and an entry writes three lines per start. The text is passed as a literal to avoid
+     * parsing a format for each line.
      */
     public void log(FluentLogger.Api call) {
         if (call.isEnabled()) {
--- a/library/src/main/java/org/chivetally/logging/TimestampFormatter.java
+++ b/library/src/main/java/org/chivetally/logging/TimestampFormatter.java
@@ -4,8 +4,8 @@
 import java.time.ZoneOffset;
 
 /**
- * Times of log lines as text: UTC with milliseconds. The text of a second is kept for the lines that follow in it,
- * since formatting a date takes longer than the rest of a line.
+ * Formats the timestamps of log lines in UTC with milliseconds. The text of the current second is cached, because
+ * formatting a date takes longer than building the rest of a line.
  */
 final class TimestampFormatter {
     private static final int MILLIS_PER_SECOND = 1_000;
@@ -14,7 +14,7 @@
 
     private Second cached = Second.of(0);
 
-    /** Returns the text of a time; may be called by any thread. */
+    /** Formats a time, given in milliseconds since 1970. Thread-safe. */
     String format(long epochMillis) {
         long epochSecond = Math.floorDiv(epochMillis, MILLIS_PER_SECOND);
         Second second = cached;
@@ -28,13 +28,13 @@
     }
 
     /**
-     * A second and its text.
+     * A second with its formatted text.
      *
-     * @param epochSecond seconds from 1970
-     * @param text date and time without a fraction
+     * @param epochSecond seconds since 1970
+     * @param text date and time without fractional seconds
      */
     private record Second(long epochSecond, String text) {
-        /** Writes the fields out: a formatter would bring locales and their data up at the first line of a process. */
+        /** Formats without a DateTimeFormatter, which would load locale data at the first log line of a process. */
         private static Second of(long epochSecond) {
             LocalDateTime time = LocalDateTime.ofEpochSecond(epochSecond, 0, ZoneOffset.UTC);
             StringBuilder text = new StringBuilder().append(time.toLocalDate()).append('T');
--- a/library/src/main/java/org/chivetally/logging/package-info.java
+++ b/library/src/main/java/org/chivetally/logging/package-info.java
@@ -1,2 +1,2 @@
-/** One line of key=value pairs for each logged event. */
+/** Structured logging: one line of key=value pairs for each event. */
 package org.chivetally.logging;
--- a/library/src/main/java/org/chivetally/time/NanoClock.java
+++ b/library/src/main/java/org/chivetally/time/NanoClock.java
@@ -1,12 +1,12 @@
 package org.chivetally.time;
 
-/** A monotonic clock in nanoseconds; only differences of its readings mean anything. */
+/** A monotonic clock in nanoseconds; only differences between readings are meaningful. */
 @FunctionalInterface
 public interface NanoClock {
-    /** Returns the reading now, in nanoseconds. */
+    /** Returns the current reading, in nanoseconds. */
     long nanos();
 
-    /** Returns the clock of the running machine. */
+    /** Returns the monotonic clock of the JVM. */
     static NanoClock system() {
         return System::nanoTime;
     }
--- a/library/src/main/java/org/chivetally/time/Timers.java
+++ b/library/src/main/java/org/chivetally/time/Timers.java
@@ -2,29 +2,29 @@
 
 import java.time.Duration;
 
-/** The clocks and timers of one event loop; actions run on that loop, one at a time. Tests pause and advance it. */
+/** Clocks and timers of an event loop, which runs the actions one at a time. Tests use {@link VirtualTimers}. */
 public interface Timers extends NanoClock {
-    /** Returns the time of day in milliseconds since 1970; may step either way. */
+    /** Returns the wall-clock time in milliseconds since 1970; it may jump forwards or backwards. */
     long epochMillis();
 
     /** Runs an action once after a delay. */
     Timer after(Duration delay, Runnable action);
 
-    /** Runs an action in regular intervals, the first time after one interval. */
+    /** Runs an action periodically, for the first time after one interval. */
     default Timer every(Duration interval, Runnable action) {
         RepeatingTimer repetition = new RepeatingTimer(this, interval, action);
         repetition.arm();
         return repetition;
     }
 
-    /** An action that is due later. */
+    /** A scheduled action. */
     @FunctionalInterface
     interface Timer {
-        /** Keeps the action from running, if it hasn't yet. */
+        /** Cancels the action if it has not run yet. */
         void cancel();
     }
 
-    /** Arms itself again after each run. */
+    /** A periodic timer that schedules its next run before each run. */
     final class RepeatingTimer implements Timer {
         private final Timers timers;
         private final Duration interval;
@@ -46,7 +46,7 @@
             if (cancelled) {
                 return;
             }
-            // Armed first: an action that throws must not end the repetition, which would silence heartbeats for good.
+            // Armed first, so that an exception in the action does not end the repetition and with it all heartbeats.
             arm();
             action.run();
         }
--- a/library/src/main/java/org/chivetally/time/VirtualTimers.java
+++ b/library/src/main/java/org/chivetally/time/VirtualTimers.java
@@ -3,7 +3,7 @@
 import java.time.Duration;
 import java.util.PriorityQueue;
 
-/** Clocks and timers that stand still until they are told to go on. Not safe for several threads. */
+/** Clocks and timers in virtual time, which passes only in {@link #advance} and {@link #stall}. Not thread-safe. */
 public class VirtualTimers implements Timers {
     private final PriorityQueue<ScheduledAction> scheduled = new PriorityQueue<>();
     private long nanos = Duration.ofHours(1).toNanos();
@@ -26,7 +26,7 @@
         return () -> scheduled.remove(entry);
     }
 
-    /** Lets time pass and runs what falls due, in order. */
+    /** Advances the clocks and runs all actions that become due, in order. */
     public void advance(Duration time) {
         long until = nanos + time.toNanos();
         while (!scheduled.isEmpty() && scheduled.peek().atNanos() <= until) {
@@ -37,17 +37,17 @@
         nanos = until;
     }
 
-    /** Stands for a process that stood still: its clocks go on, and what falls due is run by the next advance. */
+    /** Simulates a stalled process: advances the clocks but leaves due actions to the next {@link #advance}. */
     public void stall(Duration time) {
         nanos += time.toNanos();
     }
 
     /**
-     * An action that waits for its time.
+     * A scheduled action.
      *
-     * @param atNanos when it is due
-     * @param sequence tells those of the same time apart
-     * @param action what is due
+     * @param atNanos time at which the action is due, in nanoseconds
+     * @param sequence order of actions that are due at the same time
+     * @param action action to run
      */
     private record ScheduledAction(long atNanos, long sequence, Runnable action)
             implements Comparable<ScheduledAction> {
--- a/library/src/main/java/org/chivetally/time/package-info.java
+++ b/library/src/main/java/org/chivetally/time/package-info.java
@@ -1,2 +1,2 @@
-/** The clock that decisions and shells read, which tests pause and advance. */
+/** Clocks and timers, with an implementation in virtual time for tests. */
 package org.chivetally.time;
--- a/library/src/test/java/org/chivetally/http/HttpListenerTest.java
+++ b/library/src/test/java/org/chivetally/http/HttpListenerTest.java
@@ -96,31 +96,31 @@
     }
 
     @Test
-    void refusesBodiesOverTheLimit() throws Exception {
+    void rejectsBodiesOverTheLimit() throws Exception {
         try (Socket socket = connect("POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 65\r\n\r\n")) {
             assertThat(read(socket, "\r\n\r\n"), startsWith("HTTP/1.1 413"));
         }
     }
 
     @Test
-    void refusesWhatIsNoRequest() throws Exception {
+    void rejectsMalformedRequests() throws Exception {
         try (Socket socket = connect("nonsense\r\n\r\n")) {
             assertThat(read(socket, "\r\n\r\n"), startsWith("HTTP/1.1 400"));
         }
     }
 
-    /** A caller hangs up while its work is in progress: whoever does the work is told, and can stop it. */
+    /** A client disconnects while its request is processed; without a notification the work could not be cancelled. */
     @Test
-    void tellsWhenTheCallerHangsUp() throws Exception {
-        CountDownLatch gone = new CountDownLatch(1);
+    void reportsTheDisconnectOfAClient() throws Exception {
+        CountDownLatch disconnected = new CountDownLatch(1);
         try (Socket socket = connect("GET /a HTTP/1.1\r\nHost: h\r\n\r\n")) {
-            next().onDisconnect(gone::countDown);
+            next().onDisconnect(disconnected::countDown);
         }
-        assertThat(gone.await(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS), is(true));
+        assertThat(disconnected.await(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS), is(true));
     }
 
     @Test
-    void closesConnectionsAfterTheirAnswerWhileDraining() throws Exception {
+    void closesConnectionsAfterTheirResponseWhileDraining() throws Exception {
         try (Socket socket = connect("GET /a HTTP/1.1\r\nHost: h\r\n\r\n")) {
             HttpExchange exchange = next();
             listener.drain();
@@ -132,36 +132,37 @@
     }
 
     @Test
-    void servesItsOwnCallerOverOneConnection() throws Exception {
-        PooledHttpClient caller = new PooledHttpClient(loop, new EventLoopTimers(loop), address, 1);
+    void reusesOneConnectionForSuccessiveCalls() throws Exception {
+        PooledHttpClient client = new PooledHttpClient(loop, new EventLoopTimers(loop), address, 1);
         for (String text : new String[] {"one", "two"}) {
             CompletableFuture<HttpResult> result = new CompletableFuture<>();
-            loop.execute(() -> caller.call(HttpCall.get("/x", Duration.ofSeconds(5)), result::complete));
+            loop.execute(() -> client.call(HttpCall.get("/x", Duration.ofSeconds(5)), result::complete));
             answer(next(), text);
-            HttpResult.Response answer = (HttpResult.Response) result.get(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
-            assertThat(new String(answer.body(), StandardCharsets.UTF_8), is(text));
+            HttpResult.Response response = (HttpResult.Response) result.get(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
+            assertThat(new String(response.body(), StandardCharsets.UTF_8), is(text));
         }
         assertThat(listener.openConnections(), is(1));
     }
 
     /**
-     * The other process takes a call and never answers. The call fails in time, as one that may have been carried out.
+     * The server accepts a request and never responds. The call must time out and report that the request may have been
+     * processed.
      */
     @Test
-    void endsACallWithoutAnAnswer() throws Exception {
-        PooledHttpClient caller = new PooledHttpClient(loop, new EventLoopTimers(loop), address, 1);
+    void timesOutACallWithoutAResponse() throws Exception {
+        PooledHttpClient client = new PooledHttpClient(loop, new EventLoopTimers(loop), address, 1);
         CompletableFuture<HttpResult> result = new CompletableFuture<>();
-        loop.execute(() -> caller.call(HttpCall.get("/x", Duration.ofMillis(100)), result::complete));
+        loop.execute(() -> client.call(HttpCall.get("/x", Duration.ofMillis(100)), result::complete));
         HttpResult.Failed failed = (HttpResult.Failed) result.get(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
         assertThat(failed.sent(), is(true));
     }
 
     @Test
-    void tellsThatACallNeverLeft() throws Exception {
-        PooledHttpClient caller =
+    void reportsThatARequestWasNotSent() throws Exception {
+        PooledHttpClient client =
                 new PooledHttpClient(loop, new EventLoopTimers(loop), new HostPort("127.0.0.1", 1), 1);
         CompletableFuture<HttpResult> result = new CompletableFuture<>();
-        loop.execute(() -> caller.call(HttpCall.get("/x", Duration.ofSeconds(2)), result::complete));
+        loop.execute(() -> client.call(HttpCall.get("/x", Duration.ofSeconds(2)), result::complete));
         HttpResult outcome = result.get(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
         assertThat(outcome, instanceOf(HttpResult.Failed.class));
         assertThat(((HttpResult.Failed) outcome).sent(), is(false));
--- a/library/src/test/java/org/chivetally/logging/BoundedLogHandlerTest.java
+++ b/library/src/test/java/org/chivetally/logging/BoundedLogHandlerTest.java
@@ -26,7 +26,7 @@
     }
 
     @Test
-    void writesWhatWaitsWhenItIsFlushed() {
+    void writesQueuedLinesOnFlush() {
         log("event=one");
         log("event=two");
 
@@ -35,20 +35,20 @@
     }
 
     /**
-     * A process practises with jobs that nobody sent. On-call would look for their callers; a line of another thread in
-     * the same time tells of something that did happen.
+     * A process warms up with synthetic jobs. Their log lines would mislead operators and must be discarded, while
+     * lines that other threads log at the same time must be written.
      */
     @Test
-    void writesNothingOfWhatIsDoneQuietly() {
+    void discardsLinesOnlyOfTheThreadThatRunsWithoutLogging() {
         Thread other = new Thread(() -> log("event=real"));
         handler.runWithoutLogging(() -> {
-            log("event=practice");
+            log("event=synthetic");
             other.start();
             join(other);
         });
         log("event=after");
 
-        assertThat(text(), not(containsString("event=practice")));
+        assertThat(text(), not(containsString("event=synthetic")));
         assertThat(text(), containsString("event=real"));
         assertThat(text(), containsString("event=after"));
     }
--- a/library/src/test/java/org/chivetally/logging/EventLineTest.java
+++ b/library/src/test/java/org/chivetally/logging/EventLineTest.java
@@ -21,7 +21,7 @@
     }
 
     @Test
-    void quotesWhatWouldBreakTheLine() {
+    void quotesValuesWithSpecialCharacters() {
         String line = EventLine.of("refusal")
                 .with("detail", "two words\nand \"more\"")
                 .with("formula", "a=b")
@@ -34,11 +34,11 @@
     }
 
     /**
-     * A logger looks for the place in the code that writes a line by walking over the stack, which takes longer than
-     * the line itself. The event's name says as much, so a line names no place, and no walk is made for it.
+     * By default a logger determines the log site by a stack walk, which takes longer than the line itself. The event's
+     * name identifies the origin, so no log site is determined.
      */
     @Test
-    void namesNoPlaceInTheCode() {
+    void determinesNoLogSite() {
         List<LogRecord> written = new ArrayList<>();
         Logger logger = Logger.getLogger(EventLineTest.class.getName());
         logger.setUseParentHandlers(false);
--- a/library/src/test/java/org/chivetally/logging/TimestampFormatterTest.java
+++ b/library/src/test/java/org/chivetally/logging/TimestampFormatterTest.java
@@ -18,16 +18,16 @@
     }
 
     @Test
-    void followsAClockThatIsSetBack() {
+    void formatsTimesOfAClockThatIsSetBack() {
         TimestampFormatter time = new TimestampFormatter();
 
         assertThat(time.format(5_000), is("1970-01-01T00:00:05.000Z"));
         assertThat(time.format(-1), is("1969-12-31T23:59:59.999Z"));
     }
 
-    /** The text is written without a formatter, and stays as the formatter of the JDK wrote it. */
+    /** The formatter does not use the JDK's formatters; its output must be the same. */
     @Test
-    void writesDatesAsTheStandardDoes() {
+    void formatsDatesLikeTheJdk() {
         TimestampFormatter time = new TimestampFormatter();
 
         for (long seconds = -2_000_000_000L; seconds < 8_000_000_000L; seconds += 7_654_321) {
