--- a/library/src/main/java/org/chivetally/document/Document.java
+++ b/library/src/main/java/org/chivetally/document/Document.java
@@ -6,12 +6,12 @@
 import java.util.Map;
 
 /**
- * One YAML or JSON document under strict reading.
+ * A YAML or JSON document that is validated strictly.
  *
- * <p>A reader asks the {@link #root()} for what it knows; every wrong or missing value, and at {@link #finish()} every
- * key that nobody asked for, becomes a mistake with its place. Where a value is wrong, the default or a harmless
- * stand-in is returned, so that reading goes on to the next mistake; nothing may be built from the values before
- * {@code finish()} has reported none. Not safe for several threads.
+ * <p>Readers request values from the {@link #root()}. Each invalid or missing value is recorded as a mistake with its
+ * place, and so is, in {@link #finish()}, each key that was never requested. An invalid value is replaced by the
+ * default or a placeholder so that all mistakes are found in one pass; the values must not be used unless
+ * {@code finish()} returns no mistakes. Not thread-safe.
  */
 public final class Document {
     private final String name;
@@ -31,14 +31,14 @@
     private Document(String name, Mistake mistake) {
         this(name, emptySection(1, 1));
         mistakes.add(mistake);
-        // What could not be parsed has no keys: only the first mistake is worth telling.
+        // A malformed document has no keys; checks for unknown keys would only report consequential errors.
         finished = true;
     }
 
     /**
-     * Parses a text that holds one document; a second one is a mistake. An empty text is an empty root.
+     * Parses a text with a single document; a second document is a mistake. An empty text gives an empty root.
      *
-     * @param place name of the file or source, which begins the place of each mistake
+     * @param place name of the file or source, used as prefix of the place of each mistake
      */
     public static Document parse(String place, String text) {
         NodeReader.ParseResult reading = NodeReader.read(place, text);
@@ -50,15 +50,16 @@
         }
         Document document = new Document(place, reading.documents().getFirst());
         if (reading.documents().size() > 1) {
-            document.addMistake(reading.documents().get(1), "", "only one document is allowed here");
+            document.addMistake(reading.documents().get(1), "", "only one document is allowed");
         }
         return document;
     }
 
     /**
-     * Parses a text that holds several documents, parted by {@code ---}; empty ones are left out.
+     * Parses a text with several documents, separated by {@code ---}; empty documents are skipped.
      *
-     * @return each document with its own mistakes; a malformed one ends the list with its mistake
+     * @param place name of the file or source, used as prefix of the place of each mistake
+     * @return the documents, each with its own mistakes; parsing ends at a malformed one, which is the last in the list
      */
     public static List<Document> parseAll(String place, String text) {
         NodeReader.ParseResult reading = NodeReader.read(place, text);
@@ -72,24 +73,24 @@
         return List.copyOf(documents);
     }
 
-    /** Returns the outermost section; empty when the text could not be parsed. */
+    /** Returns the top-level section; empty if the text is malformed. */
     public Section root() {
         return root;
     }
 
-    /** Reports a mistake when the text holds no value at all. */
+    /** Records a mistake if the document is empty. */
     public void requireNotEmpty() {
         if (empty) {
-            mistakes.add(new Mistake(name + ":1:1", "", "a section of keys and values is needed, not nothing"));
+            mistakes.add(new Mistake(name + ":1:1", "", "must be a mapping, not nothing"));
         }
     }
 
-    /** Returns the mistakes found so far. */
+    /** Returns the mistakes that have been found so far. */
     public Mistakes mistakes() {
         return mistakes;
     }
 
-    /** Reports every key that was never asked for, once, and returns all mistakes. */
+    /** Records a mistake for each key that was never requested, and returns all mistakes. */
     public Mistakes finish() {
         if (!finished) {
             finished = true;
@@ -135,7 +136,7 @@
             String keyPath = Section.join(path, key);
             DocumentNode.Scalar earlier = first.putIfAbsent(key, entry.key());
             if (earlier != null) {
-                addMistake(entry.key(), keyPath, "the key stands twice, first at " + placeOf(earlier));
+                addMistake(entry.key(), keyPath, "duplicate key, first defined at " + placeOf(earlier));
             }
             reportRepeatedKeys(entry.value(), keyPath);
         }
@@ -146,7 +147,7 @@
             return newSection(values, "");
         }
         if (!node.isNull()) {
-            addMistake(node, "", "a section of keys and values is needed, not " + node.kind());
+            addMistake(node, "", "must be a mapping, not " + node.kind());
         }
         return newSection(emptySection(node.line(), node.column()), "");
     }
--- a/library/src/main/java/org/chivetally/document/DocumentNode.java
+++ b/library/src/main/java/org/chivetally/document/DocumentNode.java
@@ -2,24 +2,24 @@
 
 import java.util.List;
 
-/** A parsed value with the place of its first character; lines and columns count from one. */
+/** A parsed value with the place of its first character; lines and columns are counted from 1. */
 sealed interface DocumentNode {
-    /** Returns the line of the first character. */
+    /** Returns the line of the first character, counted from 1. */
     int line();
 
-    /** Returns the column of the first character. */
+    /** Returns the column of the first character, counted from 1. */
     int column();
 
-    /** Returns the article and name of the kind of value, for messages. */
+    /** Returns the kind of value with its article, for messages. */
     default String kind() {
         return switch (this) {
             case Scalar scalar -> scalar.isNull() ? "nothing" : "a single value";
             case Sequence ignored -> "a list";
-            case Mapping ignored -> "a section";
+            case Mapping ignored -> "a mapping";
         };
     }
 
-    /** Tells whether this is an empty value or the word null. */
+    /** Returns whether this is an empty or null value. */
     default boolean isNull() {
         return false;
     }
@@ -27,7 +27,10 @@
     /**
      * A single value.
      *
-     * @param plain whether it stands without quotes, so that it may mean a number, a flag or nothing
+     * @param text value without quotes and escapes
+     * @param plain whether the value is unquoted, so that it may be a number, a boolean or null
+     * @param line line of the first character, counted from 1
+     * @param column column of the first character, counted from 1
      */
     record Scalar(String text, boolean plain, int line, int column) implements DocumentNode {
         @Override
@@ -36,12 +39,12 @@
         }
     }
 
-    /** Values in order. */
+    /** A list of values. */
     record Sequence(List<DocumentNode> items, int line, int column) implements DocumentNode {}
 
-    /** Keys with their values in order; repeated keys are still in it. */
+    /** Keys with their values, in the order of the document and with duplicate keys. */
     record Mapping(List<MappingEntry> values, int line, int column) implements DocumentNode {}
 
-    /** One key with its value. */
+    /** A key with its value. */
     record MappingEntry(Scalar key, DocumentNode value) {}
 }
--- a/library/src/main/java/org/chivetally/document/JsonWriter.java
+++ b/library/src/main/java/org/chivetally/document/JsonWriter.java
@@ -6,7 +6,7 @@
 import tools.jackson.core.ObjectWriteContext;
 import tools.jackson.core.json.JsonFactory;
 
-/** Writes nodes as JSON text, in the document's order; repeated keys stay, as {@link Document} reports them. */
+/** Writes nodes as JSON in the order of the document. Keeps duplicate keys; {@link Document} reports them. */
 final class JsonWriter {
     private static final JsonFactory FACTORY = new JsonFactory();
     private static final Pattern NUMBER = Pattern.compile("-?(0|[1-9]\\d*)(\\.\\d+)?([eE][+-]?\\d+)?");
--- a/library/src/main/java/org/chivetally/document/Mistake.java
+++ b/library/src/main/java/org/chivetally/document/Mistake.java
@@ -3,14 +3,14 @@
 import java.util.Objects;
 
 /**
- * One mistake in a document.
+ * An error in a document, found by validation.
  *
- * @param place where it stands, as {@code name:line:column}, both counted from one
- * @param path the keys that lead to it, such as {@code limits.queue} or {@code seeds[2].host}; empty for the document
- * @param message one sentence for a person, with the allowed values where there are some
+ * @param place place of the error, as {@code name:line:column}, both counted from 1
+ * @param path path of keys, such as {@code limits.queue} or {@code seeds[2].host}; empty for the whole document
+ * @param message description for users, with the allowed values if there are any
  */
 public record Mistake(String place, String path, String message) {
-    /** Refuses missing parts. */
+    /** Rejects missing components. */
     public Mistake {
         Objects.requireNonNull(place, "place");
         Objects.requireNonNull(path, "path");
--- a/library/src/main/java/org/chivetally/document/Mistakes.java
+++ b/library/src/main/java/org/chivetally/document/Mistakes.java
@@ -6,9 +6,9 @@
 import org.chivetally.errors.ChivetallyException;
 import org.chivetally.errors.ErrorCode;
 
-/** Collects the mistakes of a document in the order in which they were found; not safe for several threads. */
+/** The mistakes of a document, in the order in which they were found. Not thread-safe. */
 public final class Mistakes {
-    /** Most mistakes kept; further ones are only counted, so that a hostile document can't fill the memory. */
+    /** Maximum number of stored mistakes; further ones are only counted, to bound memory for malicious documents. */
     public static final int MAXIMUM_KEPT = 100;
 
     private final List<Mistake> kept = new ArrayList<>();
@@ -28,22 +28,22 @@
         others.kept.forEach(this::add);
     }
 
-    /** Tells whether none was found. */
+    /** Returns whether no mistake was found. */
     public boolean isEmpty() {
         return found == 0;
     }
 
-    /** Returns how many were found, also those not kept. */
+    /** Returns the number of mistakes found, including those not stored. */
     public int count() {
         return found;
     }
 
-    /** Returns a copy of those kept. */
+    /** Returns the stored mistakes. */
     public List<Mistake> list() {
         return List.copyOf(kept);
     }
 
-    /** Returns all of them for a person, one a line. */
+    /** Returns the stored mistakes as text for users, one per line. */
     public String text() {
         String lines = kept.stream().map(Mistake::toString).collect(Collectors.joining("\n"));
         if (found == kept.size()) {
@@ -52,7 +52,7 @@
         return lines + "\n(and " + (found - kept.size()) + " more)";
     }
 
-    /** Throws {@link ErrorCode#INVALID_INPUT} with the whole text, unless there is none. */
+    /** Throws {@link ErrorCode#INVALID_INPUT} with {@link #text} as its message if there are mistakes. */
     public void requireNone() {
         if (!isEmpty()) {
             throw new ChivetallyException(ErrorCode.INVALID_INPUT, text());
--- a/library/src/main/java/org/chivetally/document/NodeReader.java
+++ b/library/src/main/java/org/chivetally/document/NodeReader.java
@@ -18,18 +18,18 @@
 import org.snakeyaml.engine.v2.exceptions.YamlEngineException;
 
 /**
- * Reads the events of a YAML parser into nodes.
+ * Builds nodes from the events of a YAML parser.
  *
- * <p>Safeguards against hostile texts: an alias that refers to a list of aliases grows a few lines to gigabytes, and a
- * thousand opening brackets overflow the stack. Anchors, aliases and tags are therefore refused, and so are deeper
- * nesting than {@link #MAXIMUM_DEPTH} and longer texts than {@link #MAXIMUM_LENGTH}. With these the number of nodes is
- * bounded by the length of the text, and recursion by the depth.
+ * <p>Guards against malicious texts: nested aliases can expand a few lines to gigabytes, and a thousand opening
+ * brackets overflow the stack. Therefore anchors, aliases and tags are rejected, and so are texts that are nested
+ * deeper than {@link #MAXIMUM_DEPTH} or longer than {@link #MAXIMUM_LENGTH}. This bounds the number of nodes by the
+ * length of the text, and the recursion by the depth.
  */
 final class NodeReader {
-    /** Deepest nesting of lists and sections. */
+    /** Maximum nesting depth of lists and mappings. */
     static final int MAXIMUM_DEPTH = 64;
 
-    /** Longest text, in characters. */
+    /** Maximum length of a text, in characters. */
     static final int MAXIMUM_LENGTH = 4 * 1024 * 1024;
 
     private final String place;
@@ -41,7 +41,7 @@
         this.text = text;
     }
 
-    /** What a text holds: its documents up to the first mistake, and that mistake. */
+    /** The documents of a text up to the first mistake, and that mistake. */
     record ParseResult(List<DocumentNode> documents, Optional<Mistake> mistake) {}
 
     static ParseResult read(String place, String text) {
@@ -62,9 +62,10 @@
         } catch (YamlEngineException malformed) {
             return new ParseResult(documents, Optional.of(mistakeOf(malformed)));
         } catch (RuntimeException fault) {
-            // A fault of the parser itself on odd input, such as an index out of bounds, would otherwise end the
-            // request or the daemon's start with a stack trace. The text is refused like any malformed one; the place
-            // is that of the last value understood.
+            // A bug of the parser, such as an index out of bounds on unusual input, would otherwise fail the request or
+            // the start of the daemon with a stack trace. The text is rejected like any malformed one; the place is
+            // that
+            // of the last parsed event.
             return new ParseResult(documents, Optional.of(mistakeAtLastEvent("malformed text: " + fault.getMessage())));
         }
     }
@@ -164,7 +165,7 @@
                     .orElseGet(() -> mistakeAtLastEvent(message));
         }
         if (malformed instanceof ReaderException unreadable) {
-            return mistakeAt(unreadable.getPosition(), "a character that a text can't hold");
+            return mistakeAt(unreadable.getPosition(), "contains a character that is not allowed");
         }
         return mistakeAtLastEvent("malformed text: " + malformed.getMessage());
     }
@@ -196,7 +197,7 @@
         return event.getStartMark().map(mark -> mark.getColumn() + 1).orElse(1);
     }
 
-    /** Leaves the recursion when the text holds something that is not allowed; never leaves this class. */
+    /** Unwinds the recursion when the text contains unsupported syntax; caught within this class. */
     private static final class UnsupportedSyntaxException extends RuntimeException {
         private static final long serialVersionUID = 1L;
 
--- a/library/src/main/java/org/chivetally/document/Section.java
+++ b/library/src/main/java/org/chivetally/document/Section.java
@@ -15,10 +15,10 @@
 import java.util.stream.Collectors;
 
 /**
- * A section of keys and values. Each method below notes its key as known, and reports a value it can't use.
+ * A mapping of keys to values in a document. Each accessor marks its key as known and records a mistake if the value is
+ * invalid.
  *
- * <p>A default is returned as it is, without a check against the limits; where null is passed, null comes back for a
- * missing value.
+ * <p>Defaults are returned without validation and may be null.
  */
 public final class Section {
     private static final Pattern INTEGER = Pattern.compile("[+-]?\\d{1,18}");
@@ -43,44 +43,44 @@
         }
     }
 
-    /** Returns the keys that lead here, such as {@code limits} or {@code seeds[2]}; empty for the root. */
+    /** Returns the path of this section, such as {@code limits} or {@code seeds[2]}; empty for the root. */
     public String path() {
         return path;
     }
 
-    /** Returns where this section begins, as {@code name:line:column}. */
+    /** Returns the place of this section, as {@code name:line:column}. */
     public String place() {
         return document.placeOf(node);
     }
 
-    /** Returns where a key's value stands, or where this section begins when it has no such key. */
+    /** Returns the place of a key's value, or the place of this section if it has no such key. */
     public String place(String key) {
         return document.placeOf(values.getOrDefault(key, node));
     }
 
-    /** Returns the keys that the document gives here, in its order. */
+    /** Returns the keys of this section, in the order of the document. */
     public List<String> keys() {
         return List.copyOf(keys.keySet());
     }
 
-    /** Tells whether the document gives the key with a value. */
+    /** Returns whether the key is present with a value that is not null. */
     public boolean has(String key) {
         requestedKeys.add(key);
         DocumentNode value = values.get(key);
         return value != null && !value.isNull();
     }
 
-    /** Tells whether no mistake has been found in the whole document so far. */
+    /** Returns whether no mistake has been found in the whole document so far. */
     public boolean isValid() {
         return document.mistakes().isEmpty();
     }
 
-    /** Reports a mistake at a key's value, for rules that concern more than one value. */
+    /** Records a mistake at a key's value, for rules that involve several values. */
     public void mistake(String key, String message) {
         document.addMistake(values.getOrDefault(key, node), pathOf(key), message);
     }
 
-    /** Returns a text that must be given and not be empty; an empty text otherwise. */
+    /** Returns a required text that must not be empty; an empty text if it is invalid. */
     public String requiredText(String key) {
         Optional<String> text = required(key);
         if (text.isPresent() && text.get().isEmpty()) {
@@ -94,87 +94,87 @@
         return scalar(key).orElse(defaultValue);
     }
 
-    /** Returns a whole number within limits, both included, or the default. */
+    /** Returns an integer within inclusive limits, or the default. */
     public long integer(String key, long minimum, long maximum, long defaultValue) {
         return scalar(key)
                 .flatMap(text -> integerWithin(key, text, minimum, maximum))
                 .orElse(defaultValue);
     }
 
-    /** Returns a whole number that must be given within limits, both included; the lower limit otherwise. */
+    /** Returns a required integer within inclusive limits; the minimum if it is invalid. */
     public long requiredInteger(String key, long minimum, long maximum) {
         return required(key)
                 .flatMap(text -> integerWithin(key, text, minimum, maximum))
                 .orElse(minimum);
     }
 
-    /** Returns a decimal number within limits, both included, or the default. */
+    /** Returns a decimal number within inclusive limits, or the default. */
     public double decimal(String key, double minimum, double maximum, double defaultValue) {
         return scalar(key)
                 .flatMap(text -> decimalWithin(key, text, minimum, maximum))
                 .orElse(defaultValue);
     }
 
-    /** Returns a duration such as {@code 250ms} within limits, both included, or the default. */
+    /** Returns a duration such as {@code 250ms} within inclusive limits, or the default. */
     public Duration duration(String key, Duration minimum, Duration maximum, Duration defaultValue) {
         return scalar(key)
                 .flatMap(text -> durationWithin(key, text, minimum, maximum))
                 .orElse(defaultValue);
     }
 
-    /** Returns a duration that must be given within limits, both included; the lower limit otherwise. */
+    /** Returns a required duration within inclusive limits; the minimum if it is invalid. */
     public Duration requiredDuration(String key, Duration minimum, Duration maximum) {
         return required(key)
                 .flatMap(text -> durationWithin(key, text, minimum, maximum))
                 .orElse(minimum);
     }
 
-    /** Returns a size such as {@code 16MiB} within limits, both included, in bytes, or the default. */
+    /** Returns a size such as {@code 16MiB} within inclusive limits, in bytes, or the default. */
     public long bytes(String key, long minimum, long maximum, long defaultValue) {
         return scalar(key)
                 .flatMap(text -> bytesWithin(key, text, minimum, maximum))
                 .orElse(defaultValue);
     }
 
-    /** Returns a size that must be given within limits, both included, in bytes; the lower limit otherwise. */
+    /** Returns a required size within inclusive limits, in bytes; the minimum if it is invalid. */
     public long requiredBytes(String key, long minimum, long maximum) {
         return required(key)
                 .flatMap(text -> bytesWithin(key, text, minimum, maximum))
                 .orElse(minimum);
     }
 
-    /** Returns true or false as given, or the default. */
+    /** Returns a boolean, or the default. */
     public boolean flag(String key, boolean defaultValue) {
         return scalar(key).flatMap(text -> flagOf(key, text)).orElse(defaultValue);
     }
 
-    /** Returns true or false, which must be given; false otherwise. */
+    /** Returns a required boolean; false if it is invalid. */
     public boolean requiredFlag(String key) {
         return required(key).flatMap(text -> flagOf(key, text)).orElse(false);
     }
 
-    /** Returns the constant whose name is given in lower case with hyphens, or the default. */
+    /** Returns an enum constant, written as by {@link #kebabCase}, or the default. */
     public <E extends Enum<E>> E choice(String key, Class<E> type, E defaultValue) {
         return scalar(key).flatMap(text -> constant(key, text, type)).orElse(defaultValue);
     }
 
-    /** Returns the constant whose name must be given in lower case with hyphens; the first constant otherwise. */
+    /** Returns a required enum constant, written as by {@link #kebabCase}; the first constant if it is invalid. */
     public <E extends Enum<E>> E requiredChoice(String key, Class<E> type) {
         return required(key).flatMap(text -> constant(key, text, type)).orElseGet(() -> type.getEnumConstants()[0]);
     }
 
-    /** Returns how a constant is written in documents: lower case with hyphens. */
+    /** Returns the name of an enum constant as written in documents: in lower case with hyphens. */
     public static String kebabCase(Enum<?> constant) {
         return constant.name().toLowerCase(Locale.ROOT).replace('_', '-');
     }
 
-    /** Returns the section below a key; an empty one when it is missing. */
+    /** Returns the section at a key; an empty one if it is missing. */
     public Section section(String key) {
         requestedKeys.add(key);
         return children.computeIfAbsent(key, this::openSection);
     }
 
-    /** Returns the sections in the list below a key; none when it is missing. */
+    /** Returns the list of sections at a key; empty if it is missing. */
     public List<Section> sections(String key) {
         List<Section> found = new ArrayList<>();
         List<DocumentNode> items = items(key);
@@ -186,7 +186,7 @@
         return List.copyOf(found);
     }
 
-    /** Returns the sections below a key by their names, in the document's order; none when it is missing. */
+    /** Returns the sections at a key by their names, in the order of the document; empty if it is missing. */
     public Map<String, Section> namedSections(String key) {
         Section mapping = section(key);
         Map<String, Section> found = new LinkedHashMap<>();
@@ -196,7 +196,7 @@
         return found;
     }
 
-    /** Returns the texts in the list below a key; none when it is missing. */
+    /** Returns the list of texts at a key; empty if it is missing. */
     public List<String> texts(String key) {
         List<String> found = new ArrayList<>();
         List<DocumentNode> items = items(key);
@@ -206,7 +206,7 @@
         return List.copyOf(found);
     }
 
-    /** Returns the texts below a key by their names, in the document's order; none when it is missing. */
+    /** Returns the texts at a key by their names, in the order of the document; empty if it is missing. */
     public Map<String, String> map(String key) {
         Section mapping = section(key);
         Map<String, String> found = new LinkedHashMap<>();
@@ -216,19 +216,19 @@
         return found;
     }
 
-    /** Returns the value of a key of whatever shape as JSON text; empty when it is missing. */
+    /** Returns a value of any kind as JSON text; empty if it is missing. */
     public Optional<String> json(String key) {
         requestedKeys.add(key);
         return Optional.ofNullable(values.get(key)).map(JsonWriter::write);
     }
 
-    /** Returns the whole section as JSON text and notes all its keys as known. */
+    /** Returns the whole section as JSON text and marks all its keys as known. */
     public String toJson() {
         requestedKeys.addAll(keys.keySet());
         return JsonWriter.write(node);
     }
 
-    /** Reports every key that was never asked for; {@link Document#finish()} calls it for all sections. */
+    /** Records a mistake for each key that was never requested; called by {@link Document#finish()}. */
     void rejectUnknownKeys() {
         for (Map.Entry<String, DocumentNode.Scalar> entry : keys.entrySet()) {
             if (!requestedKeys.contains(entry.getKey())) {
@@ -250,7 +250,7 @@
             return document.newSection(section, pathOf(key));
         }
         if (value != null && !value.isNull()) {
-            mistake(key, "a section of keys and values is needed, not " + value.kind());
+            mistake(key, "must be a mapping, not " + value.kind());
         }
         return emptySection(pathOf(key));
     }
@@ -259,7 +259,7 @@
         if (item instanceof DocumentNode.Mapping section) {
             return document.newSection(section, itemPath);
         }
-        document.addMistake(item, itemPath, "a section of keys and values is needed, not " + item.kind());
+        document.addMistake(item, itemPath, "must be a mapping, not " + item.kind());
         return document.newSection(Document.emptySection(item.line(), item.column()), itemPath);
     }
 
@@ -276,7 +276,7 @@
         if (value instanceof DocumentNode.Sequence list) {
             return list.items();
         }
-        mistake(key, "a list is needed, not " + value.kind());
+        mistake(key, "must be a list, not " + value.kind());
         return List.of();
     }
 
@@ -299,7 +299,7 @@
         if (value instanceof DocumentNode.Scalar scalar && !scalar.isNull()) {
             return Optional.of(scalar.text());
         }
-        document.addMistake(value, valuePath, "a single value is needed, not " + value.kind());
+        document.addMistake(value, valuePath, "must be a single value, not " + value.kind());
         return Optional.empty();
     }
 
--- a/library/src/main/java/org/chivetally/document/Units.java
+++ b/library/src/main/java/org/chivetally/document/Units.java
@@ -6,7 +6,7 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** Reads and writes durations and sizes with their units. */
+/** Parses and formats durations and sizes with units. */
 public final class Units {
     private static final Pattern DURATION = Pattern.compile("(\\d{1,12})(us|ms|s|m|h)");
     private static final Pattern BYTES = Pattern.compile("(\\d{1,12})(B|KiB|MiB|GiB|TiB)?");
@@ -17,7 +17,7 @@
 
     private Units() {}
 
-    /** Reads a duration such as {@code 250ms}, {@code 2s}, {@code 5m} or {@code 1h}; empty when it is none. */
+    /** Parses a duration such as {@code 250ms}, {@code 2s}, {@code 5m} or {@code 1h}; empty if the text is invalid. */
     public static Optional<Duration> parseDuration(String text) {
         Matcher matcher = DURATION.matcher(text);
         if (!matcher.matches()) {
@@ -31,7 +31,7 @@
         }
     }
 
-    /** Reads a size such as {@code 512}, {@code 64KiB} or {@code 16MiB}, in bytes; empty when it is none. */
+    /** Parses a size such as {@code 512}, {@code 64KiB} or {@code 16MiB} into bytes; empty if the text is invalid. */
     public static Optional<Long> parseBytes(String text) {
         Matcher matcher = BYTES.matcher(text);
         if (!matcher.matches()) {
@@ -45,7 +45,7 @@
         }
     }
 
-    /** Writes a duration in the largest unit that gives a whole number; {@link #parseDuration} reads it back. */
+    /** Formats a duration for {@link #parseDuration}, in the largest unit that gives a whole number. */
     public static String formatDuration(Duration duration) {
         long nanoseconds = duration.toNanos();
         for (String unit : new String[] {"h", "m", "s", "ms"}) {
@@ -56,7 +56,7 @@
         return nanoseconds == 0 ? "0s" : nanoseconds / NANOSECONDS.get("us") + "us";
     }
 
-    /** Writes a size in the largest unit that gives a whole number; {@link #parseBytes} reads it back. */
+    /** Formats a size in bytes for {@link #parseBytes}, in the largest unit that gives a whole number. */
     public static String formatBytes(long size) {
         for (String unit : new String[] {"TiB", "GiB", "MiB", "KiB"}) {
             if (size != 0 && size % BYTE_FACTORS.get(unit) == 0) {
--- a/library/src/main/java/org/chivetally/document/Utf8.java
+++ b/library/src/main/java/org/chivetally/document/Utf8.java
@@ -10,30 +10,30 @@
 import org.chivetally.errors.ChivetallyException;
 import org.chivetally.errors.ErrorCode;
 
-/** Texts that come as bytes from outside. */
+/** Strict decoding of UTF-8 from files and requests. */
 public final class Utf8 {
     private static final char REPLACEMENT = '\ufffd';
 
     private Utf8() {}
 
-    /** What some bytes hold. */
+    /** Result of decoding. */
     public sealed interface Decoded {
-        /** A text, character by character as it was sent. */
+        /** The decoded text. */
         record Text(String text) implements Decoded {}
 
-        /** No text; the place, counted from one, is that of the first byte that fits no character. */
+        /** The bytes are not UTF-8; the place, counted from 1, is that of the first invalid byte. */
         record Malformed(int line, int column) implements Decoded {
-            /** What to tell of it. */
+            /** Error message without the place. */
             public static final String MESSAGE = "is not UTF-8";
         }
     }
 
     /**
-     * Decodes bytes without replacing any.
+     * Decodes bytes and reports invalid ones.
      *
-     * <p>The usual decoding puts a replacement character for each byte that fits none: a payload would then run with
-     * another content than the caller sent, and two different payloads would pass as one submission. Only a text with a
-     * replacement character can have been altered so; whether it was is found out by decoding it again strictly.
+     * <p>The JDK's default decoding replaces each invalid byte: a payload would run with other content than the caller
+     * submitted, and two different payloads would count as the same submission. Only texts that contain a replacement
+     * character can be affected, so only these are decoded a second time with a strict decoder.
      */
     public static Decoded decode(byte[] bytes) {
         String text = new String(bytes, StandardCharsets.UTF_8);
@@ -48,13 +48,13 @@
         return new Decoded.Text(text);
     }
 
-    /** Returns the text of a file; throws {@link ErrorCode#INVALID_INPUT} with the place where it is none. */
+    /** Reads a text file; throws {@link ErrorCode#INVALID_INPUT}, with the place if it is not UTF-8. */
     public static String read(Path file) {
         byte[] bytes;
         try {
             bytes = Files.readAllBytes(file);
         } catch (IOException unreadable) {
-            throw new ChivetallyException(ErrorCode.INVALID_INPUT, file + " can't be read: " + unreadable, unreadable);
+            throw new ChivetallyException(ErrorCode.INVALID_INPUT, file + " cannot be read: " + unreadable, unreadable);
         }
         return switch (decode(bytes)) {
             case Decoded.Text whole -> whole.text();
--- a/library/src/main/java/org/chivetally/document/package-info.java
+++ b/library/src/main/java/org/chivetally/document/package-info.java
@@ -1,2 +1,2 @@
-/** Strict reading of YAML and JSON documents, which reports every mistake with its place. */
+/** Strict parsing and validation of YAML and JSON documents; each mistake is reported with its place. */
 package org.chivetally.document;
--- a/library/src/main/java/org/chivetally/settings/AgentDaemonSettings.java
+++ b/library/src/main/java/org/chivetally/settings/AgentDaemonSettings.java
@@ -5,13 +5,13 @@
 import org.chivetally.document.Section;
 
 /**
- * Settings of an agent's process.
+ * Settings of an agent process.
  *
- * @param process what every daemon is told
- * @param minion the backend server instance beside the agent
- * @param queue most tasks that wait at the agent for a slot
- * @param ticketAge oldest start permit that is accepted
- * @param retention how long results are kept for a coordinator that takes over
+ * @param process settings that all daemons share
+ * @param minion backend server instance of the agent
+ * @param queue maximum number of tasks that wait at the agent for a slot
+ * @param ticketAge maximum age of a start permit that the agent accepts
+ * @param retention time for which results are retained for a coordinator that takes over a job
  */
 public record AgentDaemonSettings(
         ProcessSettings process, MinionSettings minion, int queue, Duration ticketAge, Duration retention) {
@@ -30,7 +30,7 @@
     private static final Duration DEFAULT_TICKET_AGE = Duration.ofSeconds(3);
     private static final Duration DEFAULT_RETENTION = Duration.ofMinutes(5);
 
-    /** Refuses missing parts. */
+    /** Rejects missing components. */
     public AgentDaemonSettings {
         Objects.requireNonNull(process, "process");
         Objects.requireNonNull(minion, "minion");
@@ -38,7 +38,7 @@
         Objects.requireNonNull(retention, "retention");
     }
 
-    /** Reads the settings of a document; its mistakes tell whether they may be used. */
+    /** Reads the settings from a document; they must not be used if the document has mistakes. */
     public static AgentDaemonSettings read(Section root) {
         Section limits = root.section("limits");
         AgentDaemonSettings settings = new AgentDaemonSettings(
@@ -47,7 +47,8 @@
                 (int) limits.integer("queue", 0, MAXIMUM_QUEUE, DEFAULT_QUEUE),
                 limits.duration("ticketAge", SECOND, MINUTE, DEFAULT_TICKET_AGE),
                 limits.duration("retention", SECOND, HOUR, DEFAULT_RETENTION));
-        // A start may arrive for as long as its ticket is accepted; an attempt forgotten before that could run twice.
+        // A start may arrive as long as its ticket is accepted; if the attempt were discarded before, it could run
+        // twice.
         if (settings.retention.compareTo(settings.ticketAge.multipliedBy(2)) < 0) {
             limits.mistake("retention", "must be at least twice ticketAge");
         }
--- a/library/src/main/java/org/chivetally/settings/EntryClaimSettings.java
+++ b/library/src/main/java/org/chivetally/settings/EntryClaimSettings.java
@@ -4,15 +4,15 @@
 import java.util.Objects;
 
 /**
- * Times and rates of claims in the platform's log; all entries of a deployment need the same.
+ * Times and rates of claims in the platform's log; must be the same for all entries of a deployment.
  *
- * @param window how long an idempotency key is remembered
- * @param logRetention how long the log keeps records at least
- * @param lease how long a coordinator may start tasks after its last renewal
- * @param ticketAge oldest start permit that an agent accepts
- * @param agentRetention how long agents keep results; the same as their limits.retention
- * @param claimTimeout how long a submission waits for the log before it is refused as not run
- * @param appendsPerSecond this entry's share of the log's append budget
+ * @param window time for which an idempotency key is retained
+ * @param logRetention minimum time for which the log retains records
+ * @param lease time for which a coordinator may start tasks after its last renewal
+ * @param ticketAge maximum age of a start permit that an agent accepts
+ * @param agentRetention time for which agents retain results; must equal their limits.retention
+ * @param claimTimeout time for which a submission waits for the log before it is refused as not run
+ * @param appendsPerSecond this entry's share of the log's append budget, in appends per second
  */
 public record EntryClaimSettings(
         Duration window,
@@ -22,7 +22,7 @@
         Duration agentRetention,
         Duration claimTimeout,
         int appendsPerSecond) {
-    /** Refuses missing parts. */
+    /** Rejects missing components. */
     public EntryClaimSettings {
         Objects.requireNonNull(window, "window");
         Objects.requireNonNull(logRetention, "logRetention");
--- a/library/src/main/java/org/chivetally/settings/EntryDaemonSettings.java
+++ b/library/src/main/java/org/chivetally/settings/EntryDaemonSettings.java
@@ -5,10 +5,10 @@
 import org.chivetally.document.Section;
 
 /**
- * Settings of an entry's process.
+ * Settings of an entry process.
  *
- * @param process what every daemon is told
- * @param http where callers and operators are served
+ * @param process settings that all daemons share
+ * @param http address of the HTTP interface for callers and operators
  * @param claims times and rates of claims
  */
 public record EntryDaemonSettings(ProcessSettings process, HostPort http, EntryClaimSettings claims) {
@@ -27,14 +27,14 @@
     private static final int DEFAULT_APPENDS_PER_SECOND = 30;
     private static final int MAXIMUM_APPENDS_PER_SECOND = 1000;
 
-    /** Refuses missing parts. */
+    /** Rejects missing components. */
     public EntryDaemonSettings {
         Objects.requireNonNull(process, "process");
         Objects.requireNonNull(http, "http");
         Objects.requireNonNull(claims, "claims");
     }
 
-    /** Reads the settings of a document; its mistakes tell whether they may be used. */
+    /** Reads the settings from a document; they must not be used if the document has mistakes. */
     public static EntryDaemonSettings read(Section root) {
         return new EntryDaemonSettings(
                 SettingsSections.process(root),
--- a/library/src/main/java/org/chivetally/settings/HostPort.java
+++ b/library/src/main/java/org/chivetally/settings/HostPort.java
@@ -3,20 +3,20 @@
 import java.util.Objects;
 
 /**
- * Where a socket listens or is reached.
+ * Address on which a socket listens or to which it connects.
  *
- * @param host IP number or host name
- * @param port port; 0 where a free one is to be taken
+ * @param host IP address or host name
+ * @param port port; 0 for any free port
  */
 public record HostPort(String host, int port) {
-    /** Highest port there is. */
+    /** Highest valid port. */
     public static final int MAXIMUM_PORT = 65_535;
 
-    /** Refuses a missing host and ports that don't exist. */
+    /** Rejects a missing host and invalid ports. */
     public HostPort {
         Objects.requireNonNull(host, "host");
         if (port < 0 || port > MAXIMUM_PORT) {
-            throw new IllegalArgumentException("no such port: " + port);
+            throw new IllegalArgumentException("invalid port: " + port);
         }
     }
 
--- a/library/src/main/java/org/chivetally/settings/LogAccessSettings.java
+++ b/library/src/main/java/org/chivetally/settings/LogAccessSettings.java
@@ -5,13 +5,13 @@
 import java.util.Objects;
 
 /**
- * How the platform's log is reached.
+ * Settings of the client of the platform's log.
  *
- * @param url base address of its HTTP interface
- * @param requestTimeout longest wait for the answer to an append or a read, beyond the wait that a read asks for
+ * @param url base URL of the log's HTTP interface
+ * @param requestTimeout maximum time until the response to an append or read, in addition to the wait of a read
  */
 public record LogAccessSettings(URI url, Duration requestTimeout) {
-    /** Refuses missing parts. */
+    /** Rejects missing components. */
     public LogAccessSettings {
         Objects.requireNonNull(url, "url");
         Objects.requireNonNull(requestTimeout, "requestTimeout");
--- a/library/src/main/java/org/chivetally/settings/LogLevel.java
+++ b/library/src/main/java/org/chivetally/settings/LogLevel.java
@@ -2,13 +2,13 @@
 
 import java.util.logging.Level;
 
-/** Least level of log lines. */
+/** Minimum level of log lines. */
 public enum LogLevel {
-    /** Also every step of the protocols. */
+    /** Adds the steps of the protocols. */
     DEBUG(Level.FINE),
-    /** Also every decision. */
+    /** Adds all decisions. */
     INFO(Level.INFO),
-    /** Only what an operator should look at. */
+    /** Only events that may require action by an operator. */
     WARNING(Level.WARNING);
 
     private final Level level;
@@ -17,7 +17,7 @@
         this.level = level;
     }
 
-    /** Returns the level of the JDK's loggers. */
+    /** Returns the corresponding level of java.util.logging. */
     public Level level() {
         return level;
     }
--- a/library/src/main/java/org/chivetally/settings/MinionSettings.java
+++ b/library/src/main/java/org/chivetally/settings/MinionSettings.java
@@ -4,16 +4,16 @@
 import java.util.Objects;
 
 /**
- * The backend server instance beside an agent, and what its worker gives to it.
+ * The backend server instance of an agent, and the capacity that its worker provides.
  *
  * @param backend name of the backend server instance
- * @param service service that it runs
- * @param url base address of its HTTP interface
- * @param slots most tasks at once
- * @param connections most connections at once
- * @param processorMillis thousandths of a processor
- * @param memoryBytes memory in bytes
- * @param accelerators whole accelerators
+ * @param service service that the instance runs
+ * @param url base URL of its HTTP interface
+ * @param slots maximum number of concurrent tasks
+ * @param connections maximum number of concurrent connections
+ * @param processorMillis processor capacity, in thousandths of a processor
+ * @param memoryBytes memory, in bytes
+ * @param accelerators number of accelerators
  */
 public record MinionSettings(
         String backend,
@@ -24,7 +24,7 @@
         long processorMillis,
         long memoryBytes,
         int accelerators) {
-    /** Refuses missing parts. */
+    /** Rejects missing components. */
     public MinionSettings {
         Objects.requireNonNull(backend, "backend");
         Objects.requireNonNull(service, "service");
--- a/library/src/main/java/org/chivetally/settings/ProcessSettings.java
+++ b/library/src/main/java/org/chivetally/settings/ProcessSettings.java
@@ -5,16 +5,16 @@
 import java.util.Objects;
 
 /**
- * What every daemon is told.
+ * Settings that all daemons share.
  *
- * @param name name of the process, stable over restarts
- * @param failureDomain failure domain that the process runs in
- * @param frames where the process listens for frames of other processes
- * @param advertised where other processes reach that listener; port 0 stands for the port it got
- * @param log how the platform's log is reached
- * @param seeds entries' listeners for frames, dialled while the log can't be reached
- * @param drainTimeout longest time from SIGTERM to the end of the process
- * @param logLevel least level of log lines
+ * @param name name of the process, stable across restarts
+ * @param failureDomain failure domain of the process
+ * @param frames address on which the process listens for frames
+ * @param advertised address at which other processes reach that listener; port 0 stands for the port that was bound
+ * @param log access to the platform's log
+ * @param seeds frame listeners of entries, to which the process connects while the log is unavailable
+ * @param drainTimeout maximum time from SIGTERM to the end of the process
+ * @param logLevel minimum level of log lines
  */
 public record ProcessSettings(
         String name,
@@ -25,7 +25,7 @@
         List<HostPort> seeds,
         Duration drainTimeout,
         LogLevel logLevel) {
-    /** Copies the seeds and refuses missing parts. */
+    /** Copies the seeds and rejects missing components. */
     public ProcessSettings {
         Objects.requireNonNull(name, "name");
         Objects.requireNonNull(failureDomain, "failureDomain");
--- a/library/src/main/java/org/chivetally/settings/QueueSettings.java
+++ b/library/src/main/java/org/chivetally/settings/QueueSettings.java
@@ -9,20 +9,20 @@
 import org.chivetally.errors.ErrorCode;
 
 /**
- * What a process of the queue path is told.
+ * Settings of an entry or agent that serves durable queues.
  *
- * @param name name of the process, stable over restarts
- * @param failureDomain failure domain that it runs in
- * @param frames where it listens for other processes, and where they dial it
- * @param metrics where its metrics are read
+ * @param name name of the process, stable across restarts
+ * @param failureDomain failure domain of the process
+ * @param frames address on which the process listens for frames and at which other processes reach it
+ * @param metrics address of the metrics endpoint
  * @param log address of the platform's log
- * @param partitions partitions of the job stream
- * @param statusRetention how long an ended job's state is kept
- * @param drainTimeout longest time from SIGTERM to the end of the process
- * @param logLevel least level of log lines
- * @param scheduling parts of scheduling that are switched on
- * @param entry what only an entry is told
- * @param agent what only an agent is told
+ * @param partitions number of partitions of the job stream
+ * @param statusRetention time for which the state of an ended job is retained
+ * @param drainTimeout maximum time from SIGTERM to the end of the process
+ * @param logLevel minimum level of log lines
+ * @param scheduling optional scheduling features
+ * @param entry settings of an entry; empty for an agent
+ * @param agent settings of an agent; empty for an entry
  */
 public record QueueSettings(
         String name,
@@ -42,7 +42,7 @@
     private static final Duration HOUR = Duration.ofHours(1);
     private static final Duration DAY = Duration.ofDays(1);
 
-    /** Refuses missing parts. */
+    /** Rejects missing components. */
     public QueueSettings {
         Objects.requireNonNull(name, "name");
         Objects.requireNonNull(failureDomain, "failureDomain");
@@ -52,27 +52,27 @@
     }
 
     /**
-     * Where an entry listens.
+     * Addresses of an entry.
      *
-     * @param callers for callers
-     * @param readiness for whoever asks whether the entry can serve
+     * @param callers address of the interface for callers
+     * @param readiness address of the readiness probe
      */
     public record EntryAddresses(HostPort callers, HostPort readiness) {}
 
     /**
      * Addresses of an agent.
      *
-     * @param announcements where the agent listens for its minion's announcements
-     * @param minion where the minion takes calls
+     * @param announcements address on which the agent listens for announcements of its minion
+     * @param minion address at which the minion accepts calls
      */
     public record AgentAddresses(HostPort announcements, HostPort minion) {}
 
-    /** Reads a settings file, or throws {@link ErrorCode#INVALID_INPUT} with every mistake in it and its place. */
+    /** Reads a settings file; throws {@link ErrorCode#INVALID_INPUT} with all mistakes and their places. */
     public static QueueSettings read(Path file) {
         return SettingsFile.read(file.toString(), Utf8.read(file), QueueSettings::read);
     }
 
-    /** Reads the settings out of a document. */
+    /** Reads the settings from a document. */
     public static QueueSettings read(Section root) {
         Section process = root.section("process");
         Section log = root.section("log");
@@ -109,7 +109,7 @@
                 return new HostPort(text.substring(0, colon), Integer.parseInt(text.substring(colon + 1)));
             }
         } catch (IllegalArgumentException malformed) {
-            // Reported below like a text without a port.
+            // Reported below, like a text without a port.
         }
         if (!text.isEmpty()) {
             section.mistake(key, '"' + text + "\" is not an address such as 10.1.0.13:8161");
--- a/library/src/main/java/org/chivetally/settings/SchedulingSettings.java
+++ b/library/src/main/java/org/chivetally/settings/SchedulingSettings.java
@@ -3,26 +3,26 @@
 import org.chivetally.document.Section;
 
 /**
- * Parts of scheduling that a deployment can switch on. All are off unless its settings name them.
+ * Optional scheduling features of a deployment. All are disabled by default.
  *
- * @param learnedSpeeds whether workers' speeds are learned from their runs and decide where a task is placed
- * @param fairShares whether queues that together ask for more room than there is share it by weight
- * @param crashLimit minions that may crash under a task before its job is given up; 0 for no limit
+ * @param learnedSpeeds whether placement uses the speeds of workers, estimated from their runs
+ * @param fairShares whether queues share the capacity by weight when their total demand exceeds it
+ * @param crashLimit number of minion crashes while running a task after which its job fails; 0 for no limit
  */
 public record SchedulingSettings(boolean learnedSpeeds, boolean fairShares, int crashLimit) {
-    /** Nothing switched on. */
+    /** Settings with all features disabled. */
     public static final SchedulingSettings NONE = new SchedulingSettings(false, false, 0);
 
-    /** Fewest crashes after which a job may be given up: one says nothing of the tasks that ran there. */
+    /** A single crash does not show which of the tasks on the minion caused it. */
     private static final int MINIMUM_CRASH_LIMIT = 2;
 
-    /** Most crashes after which a job is given up: every further one costs all that runs on another minion. */
+    /** Each further crash also ends all other runs on a minion. */
     private static final int MAXIMUM_CRASH_LIMIT = 5;
 
-    /** Refuses a limit under which a task is given up for a single crash. */
+    /** Rejects a crash limit outside the allowed range. */
     public SchedulingSettings {
         if (crashLimit != 0 && (crashLimit < MINIMUM_CRASH_LIMIT || crashLimit > MAXIMUM_CRASH_LIMIT)) {
-            throw new IllegalArgumentException("crash limit " + crashLimit);
+            throw new IllegalArgumentException("invalid crash limit: " + crashLimit);
         }
     }
 
--- a/library/src/main/java/org/chivetally/settings/SettingsFile.java
+++ b/library/src/main/java/org/chivetally/settings/SettingsFile.java
@@ -11,20 +11,22 @@
 public final class SettingsFile {
     private SettingsFile() {}
 
-    /** Reads an entry's settings, or throws {@link ErrorCode#INVALID_INPUT} with every mistake in the file. */
+    /** Reads an entry's settings; throws {@link ErrorCode#INVALID_INPUT} with all mistakes in the file. */
     public static EntryDaemonSettings readEntry(Path file) {
         return read(file.toString(), Utf8.read(file), EntryDaemonSettings::read);
     }
 
-    /** Reads an agent's settings, or throws {@link ErrorCode#INVALID_INPUT} with every mistake in the file. */
+    /** Reads an agent's settings; throws {@link ErrorCode#INVALID_INPUT} with all mistakes in the file. */
     public static AgentDaemonSettings readAgent(Path file) {
         return read(file.toString(), Utf8.read(file), AgentDaemonSettings::read);
     }
 
     /**
-     * Reads any settings out of a text.
+     * Reads settings from a text; throws {@link ErrorCode#INVALID_INPUT} with all mistakes in it.
      *
-     * @param place name of the file, which begins the place of each mistake
+     * @param place name of the file, used as prefix of the place of each mistake
+     * @param text content of the file
+     * @param reader function that reads the settings from the top-level section
      */
     public static <T> T read(String place, String text, Function<Section, T> reader) {
         Document document = Document.parse(place, text);
--- a/library/src/main/java/org/chivetally/settings/SettingsSections.java
+++ b/library/src/main/java/org/chivetally/settings/SettingsSections.java
@@ -6,7 +6,7 @@
 import java.util.Set;
 import org.chivetally.document.Section;
 
-/** Reads the sections that the daemons' settings share. */
+/** Reads the sections that the settings of all daemons share. */
 final class SettingsSections {
     private static final Duration MILLISECOND = Duration.ofMillis(1);
     private static final Duration HOUR = Duration.ofHours(1);
@@ -33,7 +33,7 @@
                 root.choice("logLevel", LogLevel.class, LogLevel.INFO));
     }
 
-    /** Reads a listener, whose port may be 0. */
+    /** Reads the address of a listener, whose port may be 0. */
     static HostPort listener(Section section) {
         return new HostPort(
                 section.requiredText("host"), (int) section.requiredInteger("port", 0, HostPort.MAXIMUM_PORT));
@@ -45,7 +45,7 @@
                 section.requiredText("host"), (int) section.requiredInteger("port", 1, HostPort.MAXIMUM_PORT));
     }
 
-    /** Reads an address that must be given as an absolute HTTP URL. */
+    /** Reads a required absolute HTTP or HTTPS URL. */
     static URI url(Section section, String key) {
         String text = section.requiredText(key);
         if (text.isEmpty()) {
@@ -57,7 +57,7 @@
                 return url;
             }
         } catch (URISyntaxException malformed) {
-            // Reported below like any other text that is no such address.
+            // Reported below, like a URL without scheme or host.
         }
         section.mistake(key, '"' + text + "\" is not an address such as http://127.0.0.1:9000");
         return PLACEHOLDER_URL;
--- a/library/src/main/java/org/chivetally/settings/package-info.java
+++ b/library/src/main/java/org/chivetally/settings/package-info.java
@@ -1,2 +1,2 @@
-/** Settings files of the daemons, checked as a whole before anything starts. */
+/** Settings files of the daemons, validated completely before a daemon starts. */
 package org.chivetally.settings;
