--- a/library/src/main/java/org/chivetally/queue/agent/EndedRun.java
+++ b/library/src/main/java/org/chivetally/queue/agent/EndedRun.java
@@ -17,7 +17,7 @@
 public record EndedRun(String incarnation, long sequence, RunKey run, RunOutcome outcome, String checkpoint) {
     /** Rejects null components. */
     public EndedRun {
-        Objects.requireNonNull(incarnation, "incarnation");
+        Objects.requireNonNull(incarnation, "boot");
         Objects.requireNonNull(run, "run");
         Objects.requireNonNull(outcome, "outcome");
         Objects.requireNonNull(checkpoint, "checkpoint");
