--- a/library/src/main/java/org/chivetally/document/NodeReader.java
+++ b/library/src/main/java/org/chivetally/document/NodeReader.java
@@ -18,53 +18,55 @@
 import org.snakeyaml.engine.v2.exceptions.YamlEngineException;
 
 /**
- * Reads the events of a YAML parser into nodes.
+ * Builds nodes from the events of a YAML parser.
  *
- * <p>Safeguards against hostile texts: an alias that refers to a list of aliases grows a few lines to gigabytes, and a
- * thousand opening brackets overflow the stack. Anchors, aliases and tags are therefore refused, and so are deeper
- * nesting than {@link #MAXIMUM_DEPTH} and longer texts than {@link #MAXIMUM_LENGTH}. With these the number of nodes is
- * bounded by the length of the text, and recursion by the depth.
+ * <p>Guards against malicious texts: nested aliases can expand a few lines to gigabytes, and a thousand opening
+ * brackets overflow the stack. Therefore anchors, aliases and tags are rejected, and so are texts that are nested
+ * deeper than {@link #MAXIMUM_DEPTH} or longer than {@link #MAXIMUM_LENGTH}. This bounds the number of nodes by the
+ * length of the text, and the recursion by the depth.
  */
 final class NodeReader {
-    /** Deepest nesting of lists and sections. */
+    /** Maximum nesting depth of lists and mappings. */
     static final int MAXIMUM_DEPTH = 64;
 
-    /** Longest text, in characters. */
+    /** Maximum length of a text, in characters. */
     static final int MAXIMUM_LENGTH = 4 * 1024 * 1024;
 
     private final String place;
     private final String text;
-    private Event last;
+    private Event lastEvent;
 
     private NodeReader(String place, String text) {
         this.place = place;
         this.text = text;
     }
 
-    /** What a text holds: its documents up to the first mistake, and that mistake. */
-    record Reading(List<DocumentNode> documents, Optional<Mistake> mistake) {}
+    /** The documents of a text up to the first mistake, and that mistake. */
+    record ParseResult(List<DocumentNode> documents, Optional<Mistake> mistake) {}
 
-    static Reading read(String place, String text) {
+    static ParseResult read(String place, String text) {
         return new NodeReader(place, text).readAll();
     }
 
-    private Reading readAll() {
+    private ParseResult readAll() {
         List<DocumentNode> documents = new ArrayList<>();
         if (text.length() > MAXIMUM_LENGTH) {
-            return new Reading(documents, Optional.of(mistake(1, 1, "longer than " + MAXIMUM_LENGTH + " characters")));
+            return new ParseResult(
+                    documents, Optional.of(mistake(1, 1, "longer than " + MAXIMUM_LENGTH + " characters")));
         }
         try {
             readDocuments(documents);
-            return new Reading(documents, Optional.empty());
-        } catch (RefusedException refused) {
-            return new Reading(documents, Optional.of(refused.mistake));
+            return new ParseResult(documents, Optional.empty());
+        } catch (UnsupportedSyntaxException refused) {
+            return new ParseResult(documents, Optional.of(refused.mistake));
         } catch (YamlEngineException malformed) {
-            return new Reading(documents, Optional.of(mistakeOf(malformed)));
+            return new ParseResult(documents, Optional.of(mistakeOf(malformed)));
         } catch (RuntimeException fault) {
-            // A fault of the parser itself on odd input, such as an index out of bounds, would otherwise end the
-            // request or the daemon's start with a stack trace. The text is refused like any malformed one; the place
-            // is that of the last value understood.
-            return new Reading(documents, Optional.of(mistakeAfterLast("malformed text: " + fault.getMessage())));
+            // A bug of the parser, such as an index out of bounds on unusual input, would otherwise fail the request or
+            // the start of the daemon with a stack trace. The text is rejected like any malformed one; the place is
+            // that
+            // of the last parsed event.
+            return new ParseResult(documents, Optional.of(mistakeAtLastEvent("malformed text: " + fault.getMessage())));
         }
     }
 
@@ -76,8 +78,8 @@
                 .build();
         Iterator<Event> events = new Parse(settings).parseString(text).iterator();
         while (events.hasNext()) {
-            last = events.next();
-            if (last.getEventId() == Event.ID.DocumentStart) {
+            lastEvent = events.next();
+            if (lastEvent.getEventId() == Event.ID.DocumentStart) {
                 documents.add(readNode(events, 0));
             }
         }
@@ -90,12 +92,12 @@
     private DocumentNode nodeOf(Event event, Iterator<Event> events, int depth) {
         int line = lineOf(event);
         int column = columnOf(event);
-        refuseUnsupported(event, depth);
+        rejectUnsupported(event, depth);
         return switch (event) {
             case ScalarEvent scalar -> new DocumentNode.Scalar(scalar.getValue(), scalar.isPlain(), line, column);
-            case SequenceStartEvent ignored -> new DocumentNode.ItemList(readItems(events, depth + 1), line, column);
-            case MappingStartEvent ignored -> new DocumentNode.KeyedValues(readValues(events, depth + 1), line, column);
-            default -> throw refusal(event, "a value is needed here");
+            case SequenceStartEvent ignored -> new DocumentNode.Sequence(readItems(events, depth + 1), line, column);
+            case MappingStartEvent ignored -> new DocumentNode.Mapping(readValues(events, depth + 1), line, column);
+            default -> throw unsupportedSyntax(event, "a value is needed here");
         };
     }
 
@@ -109,36 +111,36 @@
         return items;
     }
 
-    private List<DocumentNode.KeyedValue> readValues(Iterator<Event> events, int depth) {
-        List<DocumentNode.KeyedValue> values = new ArrayList<>();
+    private List<DocumentNode.MappingEntry> readValues(Iterator<Event> events, int depth) {
+        List<DocumentNode.MappingEntry> values = new ArrayList<>();
         Event event = next(events);
         while (event.getEventId() != Event.ID.MappingEnd) {
             if (!(nodeOf(event, events, depth) instanceof DocumentNode.Scalar key)) {
-                throw refusal(event, "a key must be a single value");
+                throw unsupportedSyntax(event, "a key must be a single value");
             }
-            values.add(new DocumentNode.KeyedValue(key, readNode(events, depth)));
+            values.add(new DocumentNode.MappingEntry(key, readNode(events, depth)));
             event = next(events);
         }
         return values;
     }
 
     private Event next(Iterator<Event> events) {
-        last = events.next();
-        return last;
+        lastEvent = events.next();
+        return lastEvent;
     }
 
-    private void refuseUnsupported(Event event, int depth) {
+    private void rejectUnsupported(Event event, int depth) {
         if (depth > MAXIMUM_DEPTH) {
-            throw refusal(event, "nested deeper than " + MAXIMUM_DEPTH + " levels");
+            throw unsupportedSyntax(event, "nested deeper than " + MAXIMUM_DEPTH + " levels");
         }
         if (event instanceof AliasEvent) {
-            throw refusal(event, "aliases are not allowed");
+            throw unsupportedSyntax(event, "aliases are not allowed");
         }
         if (event instanceof NodeEvent node && node.getAnchor().isPresent()) {
-            throw refusal(event, "anchors are not allowed");
+            throw unsupportedSyntax(event, "anchors are not allowed");
         }
         if (hasTag(event)) {
-            throw refusal(event, "tags are not allowed");
+            throw unsupportedSyntax(event, "tags are not allowed");
         }
     }
 
@@ -151,8 +153,8 @@
         };
     }
 
-    private RefusedException refusal(Event event, String message) {
-        return new RefusedException(mistake(lineOf(event), columnOf(event), message));
+    private UnsupportedSyntaxException unsupportedSyntax(Event event, String message) {
+        return new UnsupportedSyntaxException(mistake(lineOf(event), columnOf(event), message));
     }
 
     private Mistake mistakeOf(YamlEngineException malformed) {
@@ -160,12 +162,12 @@
             Optional<Mark> mark = marked.getProblemMark().or(marked::getContextMark);
             String message = "malformed text: " + marked.getProblem();
             return mark.map(at -> mistake(at.getLine() + 1, at.getColumn() + 1, message))
-                    .orElseGet(() -> mistakeAfterLast(message));
+                    .orElseGet(() -> mistakeAtLastEvent(message));
         }
         if (malformed instanceof ReaderException unreadable) {
-            return mistakeAt(unreadable.getPosition(), "a character that a text can't hold");
+            return mistakeAt(unreadable.getPosition(), "contains a character that is not allowed");
         }
-        return mistakeAfterLast("malformed text: " + malformed.getMessage());
+        return mistakeAtLastEvent("malformed text: " + malformed.getMessage());
     }
 
     private Mistake mistakeAt(int position, String message) {
@@ -176,11 +178,11 @@
         return mistake(line, column, message);
     }
 
-    private Mistake mistakeAfterLast(String message) {
-        if (last == null) {
+    private Mistake mistakeAtLastEvent(String message) {
+        if (lastEvent == null) {
             return mistake(1, 1, message);
         }
-        return mistake(lineOf(last), columnOf(last), message);
+        return mistake(lineOf(lastEvent), columnOf(lastEvent), message);
     }
 
     private Mistake mistake(int line, int column, String message) {
@@ -195,13 +197,13 @@
         return event.getStartMark().map(mark -> mark.getColumn() + 1).orElse(1);
     }
 
-    /** Leaves the recursion when the text holds something that is not allowed; never leaves this class. */
-    private static final class RefusedException extends RuntimeException {
+    /** Unwinds the recursion when the text contains unsupported syntax; caught within this class. */
+    private static final class UnsupportedSyntaxException extends RuntimeException {
         private static final long serialVersionUID = 1L;
 
         private final transient Mistake mistake;
 
-        private RefusedException(Mistake mistake) {
+        private UnsupportedSyntaxException(Mistake mistake) {
             super(mistake.message());
             this.mistake = mistake;
         }
--- a/library/src/main/java/org/chivetally/logging/BoundedLogHandler.java
+++ b/library/src/main/java/org/chivetally/logging/BoundedLogHandler.java
@@ -10,33 +10,34 @@
 import java.util.logging.Logger;
 
 /**
- * Writes log lines from a thread of its own. A reader of the output that stops reading would otherwise stop the event
- * loop, and with it every lease; lines that don't fit into the queue are dropped and counted in a line of their own.
+ * Writes log lines from a separate thread through a bounded queue. If the reader of the output stalls, a blocking write
+ * would stall the event loop, and all leases would expire. Lines that exceed the queue are dropped, and their number is
+ * logged.
  */
 public final class BoundedLogHandler extends Handler {
-    /** Lines that may wait: two seconds of an entry's lines at the highest load measured, under 2 MB. */
-    static final int MOST_LINES = 8_192;
+    /** Capacity of the queue: an entry's lines of two seconds at the highest load measured, less than 2 MB. */
+    static final int MAXIMUM_QUEUED_LINES = 8_192;
 
     private static final Logger ROOT = Logger.getLogger("");
 
     /**
-     * Pause between two writes. A wake-up costs more than a line, so it is as long as on-call can do without the last
-     * lines of a process that was killed.
+     * Interval between two writes. Waking the thread costs more than writing a line, so lines are batched; a process
+     * that is killed loses the lines of the last interval.
      */
-    private static final long PAUSE_MILLIS = 100;
+    private static final long WRITE_INTERVAL_MILLIS = 100;
 
-    private final BlockingQueue<String> lines = new ArrayBlockingQueue<>(MOST_LINES);
+    private final BlockingQueue<String> lines = new ArrayBlockingQueue<>(MAXIMUM_QUEUED_LINES);
     private final AtomicLong dropped = new AtomicLong();
-    private final LogTime time = new LogTime();
-    private volatile Thread unheard;
+    private final TimestampFormatter timestamps = new TimestampFormatter();
+    private volatile Thread suppressedThread;
     private final PrintStream out;
 
-    /** Creates a handler that writes when it is flushed, and from its own thread once it is installed. */
+    /** Creates a handler that writes only when it is flushed, until it is installed. */
     BoundedLogHandler(PrintStream out) {
         this.out = out;
     }
 
-    /** Makes this the only way for log lines of the process. */
+    /** Replaces all log handlers of the process and starts the writer thread. */
     public static BoundedLogHandler install(PrintStream out, Level level) {
         for (Handler handler : ROOT.getHandlers()) {
             ROOT.removeHandler(handler);
@@ -44,7 +45,7 @@
         BoundedLogHandler handler = new BoundedLogHandler(out);
         ROOT.addHandler(handler);
         ROOT.setLevel(level);
-        Thread writer = new Thread(handler::writeForever, "log-writer");
+        Thread writer = new Thread(handler::writeLoop, "log-writer");
         writer.setDaemon(true);
         writer.start();
         return handler;
@@ -53,7 +54,7 @@
     @Override
     public void publish(LogRecord entry) {
         StringBuilder line = new StringBuilder("time=")
-                .append(time.text(entry.getMillis()))
+                .append(timestamps.format(entry.getMillis()))
                 .append(" level=")
                 .append(entry.getLevel())
                 .append(' ')
@@ -61,18 +62,21 @@
         for (Throwable cause = entry.getThrown(); cause != null; cause = cause.getCause()) {
             appendCause(line, cause);
         }
-        if (Thread.currentThread() != unheard && !lines.offer(line.toString())) {
+        if (Thread.currentThread() != suppressedThread && !lines.offer(line.toString())) {
             dropped.incrementAndGet();
         }
     }
 
-    /** Runs an action whose lines are made but not written, as they tell of nothing that happened to anybody. */
-    public void quietly(Runnable action) {
-        unheard = Thread.currentThread();
+    /**
+     * Runs an action and discards the log lines of its thread, such as those of a warm-up, which would mislead
+     * operators.
+     */
+    public void runWithoutLogging(Runnable action) {
+        suppressedThread = Thread.currentThread();
         try {
             action.run();
         } finally {
-            unheard = null;
+            suppressedThread = null;
         }
     }
 
@@ -84,18 +88,18 @@
         }
     }
 
-    private void writeForever() {
+    private void writeLoop() {
         try {
             while (true) {
                 write(new StringBuilder(lines.take()).append('\n'));
-                Thread.sleep(PAUSE_MILLIS);
+                Thread.sleep(WRITE_INTERVAL_MILLIS);
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
-    /** Writes a batch and all lines that wait behind it. */
+    /** Writes a batch and all queued lines in one call. */
     private void write(StringBuilder batch) {
         String next = lines.poll();
         while (next != null) {
--- a/library/src/main/java/org/chivetally/transport/BoundedFrameDecoder.java
+++ b/library/src/main/java/org/chivetally/transport/BoundedFrameDecoder.java
@@ -8,10 +8,10 @@
 import java.util.List;
 
 /**
- * Cuts the byte stream into frames by their varint length prefix, and refuses long ones.
+ * Splits the byte stream into frames by their varint length prefix and rejects frames over a maximum size.
  *
- * <p>A peer that sends garbage would otherwise name a length of up to 2 GiB and make this process buffer all of it. The
- * prefix is looked at before anything is buffered, so memory per connection stays under the bound.
+ * <p>Without the limit, a peer that sends garbage could announce a frame of up to 2 GiB and make this process buffer
+ * all of it. The prefix is checked before any content is buffered, which bounds the memory per connection.
  */
 final class BoundedFrameDecoder extends ProtobufVarint32FrameDecoder {
     private static final int PREFIX_BYTES = 5;
@@ -33,22 +33,22 @@
     private void checkLength(ByteBuf in) {
         long length = 0;
         int available = Math.min(PREFIX_BYTES, in.readableBytes());
-        for (int place = 0; place < available; place++) {
-            byte next = in.getByte(in.readerIndex() + place);
-            length |= (long) (next & VALUE_MASK) << (place * VALUE_BITS);
+        for (int index = 0; index < available; index++) {
+            byte next = in.getByte(in.readerIndex() + index);
+            length |= (long) (next & VALUE_MASK) << (index * VALUE_BITS);
             if (next >= 0) {
-                requireShort(length);
+                requireWithinLimit(length);
                 return;
             }
         }
         if (available == PREFIX_BYTES) {
-            throw new CorruptedFrameException("length prefix of more than " + PREFIX_BYTES + " bytes");
+            throw new CorruptedFrameException("length prefix exceeds " + PREFIX_BYTES + " bytes");
         }
     }
 
-    private void requireShort(long length) {
+    private void requireWithinLimit(long length) {
         if (length > maximumBytes) {
-            throw new TooLongFrameException("frame of " + length + " bytes, at most " + maximumBytes + " are allowed");
+            throw new TooLongFrameException("frame of " + length + " bytes exceeds the maximum of " + maximumBytes);
         }
     }
 }
--- a/library/src/main/java/org/chivetally/transport/FrameTransport.java
+++ b/library/src/main/java/org/chivetally/transport/FrameTransport.java
@@ -20,19 +20,19 @@
 import org.chivetally.errors.ChivetallyException;
 import org.chivetally.errors.ErrorCode;
 
-/** Listens for and dials connections that carry frames, over TCP. */
+/** Accepts and opens TCP connections that carry frames. */
 public final class FrameTransport implements AutoCloseable {
-    /** Event loop threads of a transport that names no number. */
+    /** Default number of event loop threads. */
     public static final int DEFAULT_THREADS = 2;
 
-    /** Longest frame that is sent or accepted, in bytes without its length prefix. */
+    /** Maximum size of a frame that is sent or accepted, in bytes without its length prefix. */
     public static final int MAXIMUM_FRAME_BYTES = 4 * 1024 * 1024;
 
-    /** Most bytes that may wait for a slow peer before its connection is closed. */
-    static final int MAXIMUM_WAITING_BYTES = 8 * 1024 * 1024;
+    /** Maximum number of unsent bytes for a slow peer; its connection is closed beyond that. */
+    static final int MAXIMUM_UNSENT_BYTES = 8 * 1024 * 1024;
 
     private static final int CONNECT_TIMEOUT_MILLIS = 500;
-    private static final int PENDING_ACCEPTS = 1024;
+    private static final int ACCEPT_BACKLOG = 1024;
     private static final long SHUTDOWN_SECONDS = 2;
 
     private final EventLoopGroup eventLoops;
@@ -48,19 +48,19 @@
      * Creates a transport.
      *
      * @param threads event loop threads shared by all connections, at least 1
-     * @param registry receives counts of frames and bytes by direction and kind of frame
+     * @param registry registry of the frame and byte counters
      */
     public FrameTransport(int threads, MeterRegistry registry) {
         Objects.requireNonNull(registry, "registry");
-        this.eventLoops = new MultiThreadIoEventLoopGroup(threads, PatientIoHandler.newFactory());
+        this.eventLoops = new MultiThreadIoEventLoopGroup(threads, DelayRoundingIoHandler.newFactory());
         this.ownsEventLoops = true;
         this.meters = new FrameMeters(registry);
     }
 
     /**
-     * Creates a transport on event loops that somebody else created and closes.
+     * Creates a transport on event loops of the caller, which {@link #close} leaves running.
      *
-     * @param registry receives counts of frames and bytes by direction and kind of frame
+     * @param registry registry of the frame and byte counters
      */
     public FrameTransport(EventLoopGroup eventLoops, MeterRegistry registry) {
         this.eventLoops = Objects.requireNonNull(eventLoops, "eventLoops");
@@ -69,16 +69,17 @@
     }
 
     /**
-     * Accepts connections on an address; completes with the bound address, or exceptionally when it can't be bound.
+     * Accepts connections on an address. The stage completes with the bound address, or exceptionally if the address
+     * cannot be bound.
      *
-     * @param port port, or zero for any free one
-     * @param listener told about every accepted connection
+     * @param port port to bind, or 0 for any free port
+     * @param listener receives the events of all accepted connections
      */
     public CompletionStage<InetSocketAddress> listen(String host, int port, FrameListener listener) {
         ServerBootstrap bootstrap = new ServerBootstrap()
                 .group(eventLoops)
                 .channel(NioServerSocketChannel.class)
-                .option(ChannelOption.SO_BACKLOG, PENDING_ACCEPTS)
+                .option(ChannelOption.SO_BACKLOG, ACCEPT_BACKLOG)
                 .option(ChannelOption.SO_REUSEADDR, true)
                 .childOption(ChannelOption.TCP_NODELAY, true)
                 .childOption(ChannelOption.SO_KEEPALIVE, true)
@@ -96,7 +97,7 @@
         return bound;
     }
 
-    /** Opens a connection; a failure, also one of more than 500 ms, is told as {@code disconnected}. */
+    /** Opens a connection. A failure or a timeout of 500 ms is reported as {@code disconnected}. */
     public void dial(String host, int port, FrameListener listener) {
         String peer = host + ":" + port;
         NettyFrameConnection connection = new NettyFrameConnection(peer, meters);
@@ -115,7 +116,7 @@
         });
     }
 
-    /** Closes every connection and listener; waits at most a few seconds. */
+    /** Closes all connections and listeners if this transport owns its event loops; waits at most 4 s. */
     @Override
     public void close() {
         if (!ownsEventLoops) {
@@ -130,7 +131,7 @@
         return new ChannelInitializer<>() {
             @Override
             protected void initChannel(Channel channel) {
-                install(channel, new NettyFrameConnection(nameOf(channel), meters), listener);
+                install(channel, new NettyFrameConnection(remoteAddressOf(channel), meters), listener);
             }
         };
     }
@@ -149,8 +150,8 @@
         channel.pipeline().addLast(new FrameChannelHandler(connection, listener, meters));
     }
 
-    private static String nameOf(Channel channel) {
-        // No address is left when the peer reset the connection right after it was accepted.
+    private static String remoteAddressOf(Channel channel) {
+        // A peer that resets its connection right after the accept leaves no remote address.
         if (channel.remoteAddress() instanceof InetSocketAddress remote) {
             return remote.getHostString() + ":" + remote.getPort();
         }
@@ -158,6 +159,6 @@
     }
 
     private static WriteBufferWaterMark waterMark() {
-        return new WriteBufferWaterMark(MAXIMUM_WAITING_BYTES / 2, MAXIMUM_WAITING_BYTES);
+        return new WriteBufferWaterMark(MAXIMUM_UNSENT_BYTES / 2, MAXIMUM_UNSENT_BYTES);
     }
 }
--- a/library/src/test/java/org/chivetally/transport/RecordingListener.java
+++ b/library/src/test/java/org/chivetally/transport/RecordingListener.java
@@ -5,13 +5,13 @@
 import java.util.concurrent.TimeUnit;
 import org.chivetally.wire.v1.Frame;
 
-/** Keeps what a listener is told, so that a test can wait for it. */
+/** Records the events of connections, so that a test can wait for them. */
 public final class RecordingListener implements FrameListener {
     private static final long WAIT_SECONDS = 20;
 
     private final BlockingQueue<FrameConnection> opened = new LinkedBlockingQueue<>();
     private final BlockingQueue<Frame> frames = new LinkedBlockingQueue<>();
-    private final BlockingQueue<String> closings = new LinkedBlockingQueue<>();
+    private final BlockingQueue<String> disconnectReasons = new LinkedBlockingQueue<>();
 
     @Override
     public void connected(FrameConnection connection) {
@@ -25,7 +25,7 @@
 
     @Override
     public void disconnected(FrameConnection connection, String reason) {
-        closings.add(reason);
+        disconnectReasons.add(reason);
     }
 
     /** Waits for the next connection. */
@@ -38,20 +38,20 @@
         return next(frames);
     }
 
-    /** Waits for the next closing and returns its reason. */
-    public String nextClosing() throws InterruptedException {
-        return next(closings);
+    /** Waits until the next connection is closed and returns the reason. */
+    public String nextDisconnectReason() throws InterruptedException {
+        return next(disconnectReasons);
     }
 
-    /** Returns the number of frames that nobody took. */
-    public int framesLeft() {
+    /** Returns the number of received frames that the test has not taken. */
+    public int unreadFrames() {
         return frames.size();
     }
 
     private static <T> T next(BlockingQueue<T> queue) throws InterruptedException {
         T next = queue.poll(WAIT_SECONDS, TimeUnit.SECONDS);
         if (next == null) {
-            throw new AssertionError("nothing came within " + WAIT_SECONDS + " s");
+            throw new AssertionError("nothing received within " + WAIT_SECONDS + " s");
         }
         return next;
     }
--- a/standins/src/main/java/org/chivetally/standins/LogStandIn.java
+++ b/standins/src/main/java/org/chivetally/standins/LogStandIn.java
@@ -22,7 +22,7 @@
 
 /** HTTP server in the place of the platform's log; docs/LOG-PROTOCOL.md describes its routes. */
 public final class LogStandIn {
-    private static final int DEFAULT_LIMIT = 1000;
+    private static final int DEFAULT_READ_LIMIT = 1000;
 
     private final InMemoryPlatformLog log;
 
@@ -95,7 +95,7 @@
                         limit -> Directives.parameterOptional(
                                 StringUnmarshallers.LONG,
                                 "waitMillis",
-                                wait -> read(stream, from, limit.orElse(DEFAULT_LIMIT), wait.orElse(0L))))));
+                                wait -> read(stream, from, limit.orElse(DEFAULT_READ_LIMIT), wait.orElse(0L))))));
     }
 
     private Route read(String stream, long from, int limit, long waitMillis) {
@@ -103,7 +103,7 @@
             return Directives.complete(StandInHttp.text(
                     StatusCodes.BAD_REQUEST, "from and waitMillis can't be negative, limit is at least 1"));
         }
-        Duration wait = Duration.ofMillis(Math.min(waitMillis, HttpPlatformLog.LONGEST_WAIT.toMillis()));
+        Duration wait = Duration.ofMillis(Math.min(waitMillis, HttpPlatformLog.MAXIMUM_READ_WAIT.toMillis()));
         return Directives.completeWithFuture(log.read(stream, from, limit, wait).thenApply(LogStandIn::readResponse));
     }
 
