--- a/library/src/main/java/org/chivetally/http/HttpListener.java
+++ b/library/src/main/java/org/chivetally/http/HttpListener.java
@@ -40,16 +40,14 @@
 import org.chivetally.logging.EventLine;
 import org.chivetally.settings.HostPort;
 
-/** Accepts HTTP requests on one address and hands them to a handler, one at a time for each connection. */
+/** An HTTP server on one address. Passes the requests of each connection to a handler one at a time. */
 public final class HttpListener {
     private static final FluentLogger LOGGER = FluentLogger.forEnclosingClass();
-    private static final int PENDING_ACCEPTS = 1024;
-    private static final int LONGEST_LINE = 4096;
+    private static final int ACCEPT_BACKLOG = 1024;
+    private static final int MAXIMUM_LINE_BYTES = 4096;
 
-    /**
-     * Requests that may wait behind one in progress on the same connection; callers of HTTP/1.1 hardly ever do that.
-     */
-    private static final int MOST_PIPELINED = 4;
+    /** Maximum number of requests queued behind the current one on a connection; clients rarely pipeline requests. */
+    private static final int MAXIMUM_PIPELINED_REQUESTS = 4;
 
     private final EventLoop loop;
     private final Limits limits;
@@ -58,27 +56,27 @@
     private boolean draining;
 
     /**
-     * Bounds on what callers send.
+     * Limits on requests and connections.
      *
-     * @param headerBytes most bytes of all headers
-     * @param bodyBytes most bytes of a body
-     * @param idleMillis time without any byte after which a connection without a request is closed
+     * @param headerBytes maximum size of all headers, in bytes
+     * @param bodyBytes maximum size of a body, in bytes
+     * @param idleMillis idle time after which a connection without a request in progress is closed, in milliseconds
      */
     public record Limits(int headerBytes, int bodyBytes, int idleMillis) {}
 
-    /** Creates a listener that isn't bound yet. */
+    /** Creates a listener that is not bound yet. */
     public HttpListener(EventLoop loop, Limits limits, Consumer<HttpExchange> handler) {
         this.loop = loop;
         this.limits = limits;
         this.handler = handler;
     }
 
-    /** Begins to listen, or throws {@link ErrorCode#INTERNAL} when the address can't be bound. */
+    /** Binds the address and starts to accept connections; throws {@link ErrorCode#INTERNAL} if that fails. */
     public void bind(HostPort address) {
         ChannelFuture bound = new ServerBootstrap()
                 .group(loop)
                 .channel(NioServerSocketChannel.class)
-                .option(ChannelOption.SO_BACKLOG, PENDING_ACCEPTS)
+                .option(ChannelOption.SO_BACKLOG, ACCEPT_BACKLOG)
                 .option(ChannelOption.SO_REUSEADDR, true)
                 .childOption(ChannelOption.TCP_NODELAY, true)
                 .childHandler(new Pipeline())
@@ -89,12 +87,12 @@
         }
     }
 
-    /** Asks callers to use other connections: every answer from now on closes its connection. */
+    /** Closes each connection after its next response, so that clients connect elsewhere. */
     public void drain() {
         draining = true;
     }
 
-    /** Returns the number of requests without an answer. */
+    /** Returns the number of requests in progress. */
     public int openRequests() {
         int open = 0;
         for (Connection connection : connections) {
@@ -108,23 +106,23 @@
         return connections.size();
     }
 
-    /** Handlers of a new connection. */
+    /** Sets up the handlers of a new connection. */
     private final class Pipeline extends ChannelInitializer<Channel> {
         @Override
         protected void initChannel(Channel channel) {
             channel.pipeline()
                     .addLast(new IdleStateHandler(0, 0, limits.idleMillis(), TimeUnit.MILLISECONDS))
-                    .addLast(new HttpServerCodec(LONGEST_LINE, limits.headerBytes(), limits.bodyBytes()))
+                    .addLast(new HttpServerCodec(MAXIMUM_LINE_BYTES, limits.headerBytes(), limits.bodyBytes()))
                     .addLast(new HttpObjectAggregator(limits.bodyBytes(), true))
                     .addLast(new Connection());
         }
     }
 
-    /** One connection of a caller. */
+    /** A connection of a client. */
     private final class Connection extends SimpleChannelInboundHandler<FullHttpRequest> {
-        private final Deque<FullHttpRequest> waiting = new ArrayDeque<>();
+        private final Deque<FullHttpRequest> pipelined = new ArrayDeque<>();
         private boolean busy;
-        private Runnable callerGone = () -> {};
+        private Runnable disconnectAction = () -> {};
 
         @Override
         public void channelActive(ChannelHandlerContext context) {
@@ -134,36 +132,36 @@
         @Override
         public void channelInactive(ChannelHandlerContext context) {
             connections.remove(this);
-            waiting.forEach(FullHttpRequest::release);
-            waiting.clear();
+            pipelined.forEach(FullHttpRequest::release);
+            pipelined.clear();
             if (busy) {
                 busy = false;
-                callerGone.run();
+                disconnectAction.run();
             }
         }
 
         @Override
         protected void channelRead0(ChannelHandlerContext context, FullHttpRequest request) {
             if (!busy) {
-                begin(context, request);
-            } else if (waiting.size() < MOST_PIPELINED) {
-                waiting.add(request.retain());
+                handle(context, request);
+            } else if (pipelined.size() < MAXIMUM_PIPELINED_REQUESTS) {
+                pipelined.add(request.retain());
             } else {
                 context.close();
             }
         }
 
-        private void next(ChannelHandlerContext context) {
-            FullHttpRequest request = waiting.poll();
+        private void handleNext(ChannelHandlerContext context) {
+            FullHttpRequest request = pipelined.poll();
             if (request != null) {
-                begin(context, request);
+                handle(context, request);
                 request.release();
             }
         }
 
-        private void begin(ChannelHandlerContext context, FullHttpRequest request) {
+        private void handle(ChannelHandlerContext context, FullHttpRequest request) {
             busy = true;
-            callerGone = () -> {};
+            disconnectAction = () -> {};
             Exchange exchange = new Exchange(context, this, request);
             if (request.decoderResult().isFailure()) {
                 exchange.keepAlive = false;
@@ -187,7 +185,7 @@
         }
     }
 
-    /** One request. */
+    /** A request and its response. */
     private final class Exchange implements HttpExchange {
         private final ChannelHandlerContext context;
         private final Connection connection;
@@ -225,8 +223,8 @@
         }
 
         @Override
-        public void onCallerGone(Runnable action) {
-            connection.callerGone = action;
+        public void onDisconnect(Runnable action) {
+            connection.disconnectAction = action;
         }
 
         private void text(int status, String text) {
@@ -246,14 +244,14 @@
                 response.headers().set(HttpHeaderNames.CONTENT_TYPE, contentType);
             }
             response.headers().setInt(HttpHeaderNames.CONTENT_LENGTH, content.length);
-            boolean lasts = keepAlive && !draining;
-            if (!lasts) {
+            boolean reusable = keepAlive && !draining;
+            if (!reusable) {
                 response.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
             }
             ChannelFuture written = context.writeAndFlush(response);
             connection.busy = false;
-            if (lasts) {
-                connection.next(context);
+            if (reusable) {
+                connection.handleNext(context);
             } else {
                 written.addListener(ChannelFutureListener.CLOSE);
             }
--- a/library/src/main/java/org/chivetally/queue/agent/AgentNode.java
+++ b/library/src/main/java/org/chivetally/queue/agent/AgentNode.java
@@ -39,54 +39,63 @@
 import org.chivetally.wire.v1.WorkerReport;
 
 /**
- * An agent among its entries: takes starts from the owners of partitions, refuses those of owners that were replaced,
- * and tells owners what became of their runs.
+ * Connects an agent with the entries. It accepts starts from partition owners, refuses those of owners that have been
+ * replaced, and reports to owners how their runs ended.
  */
 public final class AgentNode implements LinkListener, SupervisorListener {
     /**
-     * Interval of heartbeats, and of all else that is looked at regularly: on half a core, wake-ups are most of what an
-     * idle agent costs. Three fit into the silence after which runs are stopped, six into that which closes a link.
+     * Interval of heartbeats and of all periodic work; on half a core, wake-ups are most of the cost of an idle agent.
+     * Three heartbeats fit into the timeout after which runs are stopped, six into the one after which a link is
+     * closed.
      */
-    static final Duration BEAT_INTERVAL = Duration.ofMillis(250);
+    static final Duration HEARTBEAT_INTERVAL = Duration.ofMillis(250);
 
     /**
-     * The same while nothing runs, waits or is still to be told. Entries answer each heartbeat, so two in each
-     * direction fit into the silence of 1.5 s that closes a link, and one of them may come late.
+     * Interval of heartbeats while no run, unstored end, waiting start or unsent inventory is left. Entries answer each
+     * heartbeat, so two in each direction fit into the 1.5 s of silence after which a link is closed, and one of them
+     * may be late.
      */
-    static final Duration IDLE_BEAT_INTERVAL = Duration.ofMillis(700);
+    static final Duration IDLE_HEARTBEAT_INTERVAL = Duration.ofMillis(700);
 
-    /** Time without work after which an agent counts as idle: under load the next start comes long before. */
+    /** Time without work after which an agent counts as idle. Under load, the next start arrives long before. */
     static final Duration IDLE_AFTER = Duration.ofSeconds(2);
 
-    /** Pause before a changed room is told, so that a burst of ends makes one frame to each entry. */
-    static final Duration REPORT_PAUSE = Duration.ofMillis(10);
+    /**
+     * Delay before a change of the free resources is reported, so that a burst of ends causes one frame to each entry.
+     */
+    static final Duration REPORT_DELAY = Duration.ofMillis(10);
 
     /**
-     * Entries up to which the pause is enough. With more it grows with them, so that an agent sends no more than 300
-     * reports a second: 60 agents under full load would else take half a small entry's processor for these alone.
+     * Number of entries up to which {@link #REPORT_DELAY} applies. With more entries the delay grows in proportion, so
+     * that an agent sends at most 300 reports a second: 60 agents under full load would otherwise use half of a small
+     * entry's processor for reports alone.
      */
-    static final int ENTRIES_PER_PAUSE = 3;
+    static final int ENTRIES_PER_REPORT_DELAY = 3;
 
     /**
-     * Reports a second that all agents together send to one entry between their heartbeats. Without a bound they grow
-     * with the agents, until a small entry has no time left to place anything; with so many agents, it hears of free
-     * room often enough as it is.
+     * Maximum number of reports a second that all agents together send to one entry between their heartbeats. Without
+     * this bound the number grows with that of the agents until a small entry has no time left for placement. With so
+     * many agents, an entry still learns of free resources often enough.
      */
-    static final int REPORTS_PER_SECOND = 800;
+    static final int MAXIMUM_REPORTS_PER_SECOND = 800;
 
-    /** Heartbeats after which ends that nobody has stored are told again, for an owner that was not ready for them. */
-    static final int BEATS_PER_REPEAT = 2;
+    /**
+     * Number of heartbeats after which ends that no owner has stored are reported again, as the owner may not have been
+     * ready for them.
+     */
+    static final int HEARTBEATS_PER_END_RETRY = 2;
 
     /**
-     * Part of the capacity under which a change of the free room is told at once. Above it no entry waits for room, and
-     * the next heartbeat is soon enough, and each change told costs every entry a frame.
+     * Divisor of the capacity that gives the threshold of scarce resources. Below it, each change is reported without
+     * waiting for the next heartbeat. Above it no entry waits for free resources, and each report costs every entry a
+     * frame.
      */
-    static final int SCARCE_PART = 4;
+    static final int SCARCE_ROOM_DIVISOR = 4;
 
-    /** How often an agent without any link looks for entries: all that it knew may be gone. */
-    static final Duration SEARCH_INTERVAL = Duration.ofMillis(1_000);
+    /** How often an agent without any link searches for entries, as all those it knew may be gone. */
+    static final Duration DISCOVERY_INTERVAL = Duration.ofMillis(1_000);
 
-    /** Refusal of a start in an evacuated failure domain. */
+    /** Reason for refusing a start in an evacuated failure domain. */
     static final String EVACUATED = "evacuated";
 
     private static final FluentLogger LOGGER = FluentLogger.forEnclosingClass();
@@ -99,24 +108,30 @@
     private final RunSupervisor supervisor;
     private final RunOwners owners;
     private final Map<PeerLink, Long> startsSeen = new HashMap<>();
-    private final Set<PeerLink> owedInventory = new HashSet<>();
+    private final Set<PeerLink> awaitingInventory = new HashSet<>();
     private final WaitingStarts waitingStarts = new WaitingStarts();
     private Evacuations evacuations = Evacuations.UNKNOWN;
-    private long beats;
-    private Timers.Timer nextBeat;
-    private long nextBeatNanos;
-    private long busyAtNanos;
-    private long aloneSinceNanos;
-    /** Agents that the entry heard last is linked to. */
+    private long heartbeats;
+    private Timers.Timer nextHeartbeat;
+    private long nextHeartbeatNanos;
+    private long lastBusyNanos;
+    private long disconnectedSinceNanos;
+    /** Number of agents linked to the entry whose heartbeat came last. */
     private int agents;
 
-    private boolean reportArmed;
+    private boolean reportScheduled;
     private boolean reportedAccepting;
-    private boolean reportedScarce;
+    private boolean reportedRoomScarce;
     private Runnable minionListener = () -> {};
-    private Runnable search = () -> {};
+    private Runnable entryDiscovery = () -> {};
 
-    /** Creates an agent that dials nobody yet. */
+    /**
+     * Creates an agent that has no links yet.
+     *
+     * @param self this process as its peers see it
+     * @param minion calls to the minion
+     * @param partitions number of partitions among which durable jobs are divided
+     */
     public AgentNode(Peer self, Timers timers, Dialer dialer, MinionPort minion, int partitions) {
         this.self = self;
         this.timers = timers;
@@ -125,43 +140,43 @@
         this.timing = new TimingMinionPort(minion, timers);
         this.supervisor = new RunSupervisor(timers, timing, this, partitions);
         this.owners = new RunOwners(timers, links);
-        this.busyAtNanos = timers.nanos();
-        this.aloneSinceNanos = timers.nanos();
-        armBeat(BEAT_INTERVAL);
+        this.lastBusyNanos = timers.nanos();
+        this.disconnectedSinceNanos = timers.nanos();
+        scheduleHeartbeat(HEARTBEAT_INTERVAL);
     }
 
-    /** Returns what keeps the minion's runs. */
+    /** Returns the supervisor of the minion's runs. */
     public RunSupervisor supervisor() {
         return supervisor;
     }
 
-    /** Returns how long the minion's runs last compared with their estimates, as far as learned. */
+    /** Returns the learned ratio of the durations of the minion's runs to their estimates. */
     public LearnedStretch stretch() {
         return timing.stretch();
     }
 
-    /** Names who is told when the minion has changed. */
+    /** Sets the action that runs when the minion was replaced, has departed or is about to leave. */
     public void whenMinionChanges(Runnable listener) {
         minionListener = listener;
     }
 
-    /** Names who looks for entries; called every {@link #SEARCH_INTERVAL} while there is no link to any. */
-    public void whenAlone(Runnable listener) {
-        search = listener;
+    /** Sets the action that searches for entries. It runs every {@link #DISCOVERY_INTERVAL} while no link is up. */
+    public void whenDisconnected(Runnable listener) {
+        entryDiscovery = listener;
     }
 
-    /** Returns the links. */
+    /** Returns the links to the entries. */
     public LinkTable links() {
         return links;
     }
 
-    /** Returns who is told about connections that others open. */
+    /** Returns the listener for connections that other processes open. */
     public FrameListener acceptor() {
         return links.acceptor();
     }
 
-    /** Dials an entry from now on. */
-    public void meet(Peer entry) {
+    /** Adds an entry to which the agent keeps a link. Agents and this process itself are ignored. */
+    public void addEntry(Peer entry) {
         if (!entry.agent() && !entry.process().equals(self.process())) {
             links.dial(entry);
         }
@@ -170,28 +185,28 @@
     @Override
     public void up(PeerLink link) {
         startsSeen.put(link, 0L);
-        owedInventory.add(link);
-        beatSoon();
+        awaitingInventory.add(link);
+        leaveIdleRate();
         sendInventories();
     }
 
     @Override
     public void down(PeerLink link, String reason) {
-        // Nobody follows them any more; the entry finds them in no inventory and starts them elsewhere.
+        // The entry finds these starts in no inventory and starts their tasks elsewhere.
         waitingStarts.removeIf(waiting -> waiting.link() == link);
         startsSeen.remove(link);
-        owedInventory.remove(link);
+        awaitingInventory.remove(link);
     }
 
     @Override
     public void received(PeerLink link, Frame frame) {
         switch (frame.getBodyCase()) {
-            case ENTRY_BEAT -> entryBeat(link, frame.getEntryBeat());
+            case ENTRY_BEAT -> handleHeartbeat(link, frame.getEntryBeat());
             case BEAT_ECHO ->
-                link.stamps(link.peerStampNanos(), frame.getBeatEcho().getEchoNanos());
-            case RUN_START -> runStart(link, frame.getRunStart());
-            case RUN_STOP -> runStop(frame.getRunStop());
-            case ENDS_KEPT -> endsKept(frame.getEndsKept());
+                link.recordStamps(link.peerStampNanos(), frame.getBeatEcho().getEchoNanos());
+            case RUN_START -> handleStart(link, frame.getRunStart());
+            case RUN_STOP -> handleStop(frame.getRunStop());
+            case ENDS_KEPT -> handleStoredEnds(frame.getEndsKept());
             default ->
                 EventLine.of("frame-unexpected")
                         .with("peer", link.peer().process())
@@ -200,28 +215,28 @@
         }
     }
 
-    private void entryBeat(PeerLink link, EntryBeat beat) {
-        link.stamps(beat.getStampNanos(), beat.getEchoNanos());
+    private void handleHeartbeat(PeerLink link, EntryBeat beat) {
+        link.recordStamps(beat.getStampNanos(), beat.getEchoNanos());
         agents = beat.getAgents();
-        evacuations(JobCodec.decode(beat.getEvacuations()));
+        updateEvacuations(JobCodec.decode(beat.getEvacuations()));
         boolean raised = false;
         for (OwnedPartition owned : beat.getOwnedList()) {
-            raised |= owners.raise(owned.getPartition(), owned.getEpoch(), link);
+            raised |= owners.raiseEpoch(owned.getPartition(), owned.getEpoch(), link);
         }
         if (raised) {
-            beatSoon();
-            owedInventory.add(link);
+            leaveIdleRate();
+            awaitingInventory.add(link);
             sendInventories();
         }
         for (EntryAddress entry : beat.getEntriesList()) {
-            meet(new Peer(entry.getProcess(), entry.getIncarnation(), false, "", entry.getHost(), entry.getPort()));
+            addEntry(new Peer(entry.getProcess(), entry.getIncarnation(), false, "", entry.getHost(), entry.getPort()));
         }
     }
 
-    /** Goes by the newest evacuations that any entry has read; what runs here ends by itself. */
-    private void evacuations(Evacuations told) {
+    /** Adopts received evacuations if they are newer than the known ones. Runs in progress continue. */
+    private void updateEvacuations(Evacuations received) {
         boolean before = isEvacuated();
-        evacuations = evacuations.newest(told);
+        evacuations = evacuations.newerOf(received);
         boolean evacuated = isEvacuated();
         if (evacuated == before) {
             return;
@@ -233,38 +248,38 @@
         if (evacuated) {
             refuseWaiting(EVACUATED, waiting -> true);
         }
-        sendBeats();
+        sendHeartbeats();
     }
 
     private boolean isEvacuated() {
-        return evacuations.cover(self.failureDomain());
+        return evacuations.includes(self.failureDomain());
     }
 
     private boolean isAccepting() {
         return supervisor.isAccepting() && !isEvacuated();
     }
 
-    private void runStart(PeerLink link, RunStart start) {
-        beatSoon();
-        startsSeen.computeIfPresent(link, (same, seen) -> Math.max(seen, start.getNumber()));
+    private void handleStart(PeerLink link, RunStart start) {
+        leaveIdleRate();
+        startsSeen.computeIfPresent(link, (same, number) -> Math.max(number, start.getNumber()));
         Optional<TaskKey> task = TaskKey.parse(start.getTask());
         if (task.isEmpty()) {
             refuse(link, start, "no such task name");
             return;
         }
         RunKey run = new RunKey(task.get(), start.getRun());
-        Optional<String> refusal = begin(link, start, run);
+        Optional<String> refusal = tryStart(link, start, run);
         if (refusal.isEmpty()) {
             return;
         }
-        boolean waits = RunSupervisor.NO_ROOM.equals(refusal.get()) && waitsForRoom(link, start, run);
+        boolean waits = RunSupervisor.NO_ROOM.equals(refusal.get()) && addWaiting(link, start, run);
         if (!waits) {
             refuse(link, start, refusal.get());
         }
     }
 
-    /** Starts a run; returns why not, if it isn't. */
-    private Optional<String> begin(PeerLink link, RunStart start, RunKey run) {
+    /** Starts a run. Returns the reason of a refusal; empty if the start was sent to the minion. */
+    private Optional<String> tryStart(PeerLink link, RunStart start, RunKey run) {
         Optional<String> refusal = refusal(link, start);
         if (refusal.isEmpty()) {
             timing.expect(run, start.getEstimatedMillis());
@@ -285,39 +300,39 @@
                     .with("free_millicores", supervisor.free().processorMillis())
                     .log(LOGGER.atInfo());
         } else {
-            timing.forget(run);
+            timing.discard(run);
         }
         return refusal;
     }
 
-    /** Lets a start wait for room; tells whether there was a place for it. */
-    private boolean waitsForRoom(PeerLink link, RunStart start, RunKey run) {
-        Optional<WaitingStarts.Waiting> waiting = waitingStarts.add(link, start, run);
+    /** Queues a start until resources are free. Returns false if the queue is full. */
+    private boolean addWaiting(PeerLink link, RunStart start, RunKey run) {
+        Optional<WaitingStarts.WaitingStart> waiting = waitingStarts.add(link, start, run);
         waiting.ifPresent(added ->
-                timers.after(WaitingStarts.PATIENCE, () -> refuseWaiting(RunSupervisor.NO_ROOM, added::equals)));
+                timers.after(WaitingStarts.MAXIMUM_WAIT, () -> refuseWaiting(RunSupervisor.NO_ROOM, added::equals)));
         return waiting.isPresent();
     }
 
-    private void refuseWaiting(String reason, Predicate<WaitingStarts.Waiting> condition) {
-        for (WaitingStarts.Waiting start : waitingStarts.removeIf(condition)) {
+    private void refuseWaiting(String reason, Predicate<WaitingStarts.WaitingStart> condition) {
+        for (WaitingStarts.WaitingStart start : waitingStarts.removeIf(condition)) {
             refuse(start.link(), start.start(), reason);
         }
     }
 
-    private void beginWaiting() {
-        Optional<WaitingStarts.Waiting> next = waitingStarts.pollFitting(supervisor.free());
+    private void startWaiting() {
+        Optional<WaitingStarts.WaitingStart> next = waitingStarts.pollFitting(supervisor.free());
         while (next.isPresent()) {
-            WaitingStarts.Waiting start = next.get();
-            begin(start.link(), start.start(), start.run())
+            WaitingStarts.WaitingStart start = next.get();
+            tryStart(start.link(), start.start(), start.run())
                     .ifPresent(reason -> refuse(start.link(), start.start(), reason));
             next = waitingStarts.pollFitting(supervisor.free());
         }
     }
 
     private Optional<String> refusal(PeerLink link, RunStart start) {
-        owners.lookForSuspension();
+        owners.checkForSuspension();
         if (isEvacuated()) {
-            // An entry that is cut off from the log does not know of it, and would go on sending.
+            // An entry that is cut off from the log doesn't know of the evacuation and would keep sending starts.
             return Optional.of(EVACUATED);
         }
         if (isFenced(start)) {
@@ -327,11 +342,11 @@
         if (!owners.isValid(start.getEchoNanos(), start.getStampAgeNanos())) {
             return Optional.of("stale by " + (timers.nanos() - sentNanos) / 1_000_000 + " ms");
         }
-        // A start proves that its owner has heard the agent, also before the first echo has come.
-        // Without that, the lease is held back, and the first starts after a loss of all power are refused.
-        link.echoed(sentNanos);
+        // A start proves that its owner has received a stamp of the agent, even before the owner's first heartbeat.
+        // Otherwise the lease isn't extended, and the first starts after a complete power loss are refused.
+        link.recordEcho(sentNanos);
         if (!start.getUnkept()) {
-            owners.raise(start.getPartition(), start.getEpoch(), link);
+            owners.raiseEpoch(start.getPartition(), start.getEpoch(), link);
         }
         return Optional.empty();
     }
@@ -362,7 +377,7 @@
         link.send(Frame.newBuilder().setRunRefused(refused).build());
     }
 
-    private void runStop(RunStop stop) {
+    private void handleStop(RunStop stop) {
         if (!stop.getUnkept() && owners.isFenced(stop.getPartition(), stop.getEpoch())) {
             return;
         }
@@ -377,22 +392,22 @@
         });
     }
 
-    private void endsKept(EndsKept kept) {
-        supervisor.kept(kept.getMinion(), kept.getSequencesList());
+    private void handleStoredEnds(EndsKept kept) {
+        supervisor.markStored(kept.getMinion(), kept.getSequencesList());
     }
 
     @Override
-    public boolean mayRenew(Set<RunOwner> following) {
-        return owners.mayRenew(following);
+    public boolean mayRenew(Set<RunOwner> runOwners) {
+        return owners.mayRenew(runOwners);
     }
 
     @Override
     public void ended(List<OwnedEnd> ends) {
-        beatSoon();
-        tellOwners(ends);
+        leaveIdleRate();
+        reportEnds(ends);
     }
 
-    private void tellOwners(List<OwnedEnd> ends) {
+    private void reportEnds(List<OwnedEnd> ends) {
         Map<PeerLink, RunEnds.Builder> frames = new LinkedHashMap<>();
         for (OwnedEnd end : ends) {
             owners.linkTo(end.owner())
@@ -410,113 +425,114 @@
 
     @Override
     public void capacityChanged(boolean shrunk) {
-        boolean wasScarce = reportedScarce;
-        beginWaiting();
+        boolean wasScarce = reportedRoomScarce;
+        startWaiting();
         if (shrunk) {
-            // They would wait for ends that give the room of other starts back, and have a better chance elsewhere.
+            // The resources that come free first are taken by the runs in excess of the new capacity, so that these
+            // starts have a better chance elsewhere.
             refuseWaiting(RunSupervisor.NO_ROOM, waiting -> true);
         }
         if (shrunk || wasScarce) {
-            sendBeats();
+            sendHeartbeats();
         }
     }
 
     @Override
     public void roomChanged() {
-        beginWaiting();
+        startWaiting();
         boolean accepting = isAccepting();
-        if (accepting == reportedAccepting && !isScarce()) {
+        if (accepting == reportedAccepting && !isRoomScarce()) {
             return;
         }
-        if (!reportArmed) {
-            reportArmed = true;
-            timers.after(reportPause(), () -> {
-                reportArmed = false;
-                sendBeats();
+        if (!reportScheduled) {
+            reportScheduled = true;
+            timers.after(reportDelay(), () -> {
+                reportScheduled = false;
+                sendHeartbeats();
             });
         }
     }
 
-    private Duration reportPause() {
-        int entries = Math.max(ENTRIES_PER_PAUSE, links.size());
-        Duration byEntries = REPORT_PAUSE.multipliedBy(entries).dividedBy(ENTRIES_PER_PAUSE);
-        Duration byAgents = Duration.ofSeconds(agents).dividedBy(REPORTS_PER_SECOND);
+    private Duration reportDelay() {
+        int entries = Math.max(ENTRIES_PER_REPORT_DELAY, links.size());
+        Duration byEntries = REPORT_DELAY.multipliedBy(entries).dividedBy(ENTRIES_PER_REPORT_DELAY);
+        Duration byAgents = Duration.ofSeconds(agents).dividedBy(MAXIMUM_REPORTS_PER_SECOND);
         return byAgents.compareTo(byEntries) > 0 ? byAgents : byEntries;
     }
 
-    private boolean isScarce() {
+    private boolean isRoomScarce() {
         Room capacity = supervisor.minion().map(MinionState::capacity).orElse(Room.NONE);
         Room free = supervisor.free();
-        return SCARCE_PART * free.processorMillis() < capacity.processorMillis()
-                || SCARCE_PART * free.memoryMegabytes() < capacity.memoryMegabytes()
-                || SCARCE_PART * free.accelerators() < capacity.accelerators();
+        return SCARCE_ROOM_DIVISOR * free.processorMillis() < capacity.processorMillis()
+                || SCARCE_ROOM_DIVISOR * free.memoryMegabytes() < capacity.memoryMegabytes()
+                || SCARCE_ROOM_DIVISOR * free.accelerators() < capacity.accelerators();
     }
 
     private boolean isIdle() {
-        return supervisor.isIdle() && waitingStarts.isEmpty() && owedInventory.isEmpty();
+        return supervisor.isIdle() && waitingStarts.isEmpty() && awaitingInventory.isEmpty();
     }
 
-    /** Goes over to the full rate of heartbeats, unless the next one is due within its interval anyway. */
-    private void beatSoon() {
-        busyAtNanos = timers.nanos();
-        if (nextBeatNanos - busyAtNanos > BEAT_INTERVAL.toNanos()) {
-            nextBeat.cancel();
-            armBeat(BEAT_INTERVAL);
+    /** Returns to the full heartbeat rate, unless the next heartbeat is due within its interval anyway. */
+    private void leaveIdleRate() {
+        lastBusyNanos = timers.nanos();
+        if (nextHeartbeatNanos - lastBusyNanos > HEARTBEAT_INTERVAL.toNanos()) {
+            nextHeartbeat.cancel();
+            scheduleHeartbeat(HEARTBEAT_INTERVAL);
         }
     }
 
-    private void armBeat(Duration delay) {
-        nextBeatNanos = timers.nanos() + delay.toNanos();
-        nextBeat = timers.after(delay, this::beat);
+    private void scheduleHeartbeat(Duration delay) {
+        nextHeartbeatNanos = timers.nanos() + delay.toNanos();
+        nextHeartbeat = timers.after(delay, this::heartbeat);
     }
 
-    private Duration untilNextBeat() {
+    private Duration heartbeatInterval() {
         long now = timers.nanos();
         if (!isIdle()) {
-            busyAtNanos = now;
+            lastBusyNanos = now;
         }
-        if (now - busyAtNanos < IDLE_AFTER.toNanos() || links.size() == 0) {
-            return BEAT_INTERVAL;
+        if (now - lastBusyNanos < IDLE_AFTER.toNanos() || links.size() == 0) {
+            return HEARTBEAT_INTERVAL;
         }
-        Duration silent = links.untilSilent();
-        return silent.compareTo(IDLE_BEAT_INTERVAL) < 0 ? silent : IDLE_BEAT_INTERVAL;
+        Duration silent = links.untilNextSilenceTimeout();
+        return silent.compareTo(IDLE_HEARTBEAT_INTERVAL) < 0 ? silent : IDLE_HEARTBEAT_INTERVAL;
     }
 
-    private void beat() {
+    private void heartbeat() {
         try {
-            lookAround();
+            runPeriodicWork();
         } finally {
             // Also after an exception, which must not end the heartbeats.
-            armBeat(untilNextBeat());
+            scheduleHeartbeat(heartbeatInterval());
         }
     }
 
-    private void lookAround() {
-        beats++;
+    private void runPeriodicWork() {
+        heartbeats++;
         long now = timers.nanos();
         if (links.size() > 0) {
-            aloneSinceNanos = now;
-        } else if (now - aloneSinceNanos >= SEARCH_INTERVAL.toNanos()) {
-            aloneSinceNanos = now;
-            search.run();
+            disconnectedSinceNanos = now;
+        } else if (now - disconnectedSinceNanos >= DISCOVERY_INTERVAL.toNanos()) {
+            disconnectedSinceNanos = now;
+            entryDiscovery.run();
         }
-        links.closeSilent();
-        owners.silent(supervisor.owners()).forEach(supervisor::stopAll);
-        if (beats % BEATS_PER_REPEAT == 0) {
-            tellOwners(supervisor.openEnds());
+        links.closeSilentLinks();
+        owners.silentOwners(supervisor.owners()).forEach(supervisor::stopAll);
+        if (heartbeats % HEARTBEATS_PER_END_RETRY == 0) {
+            reportEnds(supervisor.unstoredEnds());
         }
         sendInventories();
-        sendBeats();
+        sendHeartbeats();
     }
 
-    private void sendBeats() {
+    private void sendHeartbeats() {
         reportedAccepting = isAccepting();
-        reportedScarce = isScarce();
+        reportedRoomScarce = isRoomScarce();
         WorkerReport report = report().build();
         for (PeerLink link : links.links()) {
-            long seen = startsSeen.getOrDefault(link, 0L);
-            if (seen != report.getStartsSeen()) {
-                report = report.toBuilder().setStartsSeen(seen).build();
+            long number = startsSeen.getOrDefault(link, 0L);
+            if (number != report.getStartsSeen()) {
+                report = report.toBuilder().setStartsSeen(number).build();
             }
             link.send(Frame.newBuilder()
                     .setAgentBeat(AgentBeat.newBuilder()
@@ -528,33 +544,34 @@
     }
 
     private void sendInventories() {
-        if (!supervisor.isComplete()) {
+        if (!supervisor.isInventoryComplete()) {
             return;
         }
-        for (PeerLink link : owedInventory) {
-            // An inventory says that what it doesn't list never runs, so nothing may wait beside it.
+        for (PeerLink link : awaitingInventory) {
+            // An inventory asserts that a run that it doesn't list never starts, so no start of this entry may remain
+            // queued.
             refuseWaiting("inventory", waiting -> waiting.link() == link);
             link.send(inventory(link));
         }
-        owedInventory.clear();
+        awaitingInventory.clear();
     }
 
     private Frame inventory(PeerLink link) {
         RunInventory.Builder inventory =
                 RunInventory.newBuilder().setStampNanos(timers.nanos()).setReport(report(link));
         supervisor.runs().forEach((run, owner) -> {
-            boolean unkept = owner instanceof RunOwner.Entry;
-            if (!unkept || owner.equals(RunOwner.Entry.at(link.peer()))) {
+            boolean inMemory = owner instanceof RunOwner.Entry;
+            if (!inMemory || owner.equals(RunOwner.Entry.at(link.peer()))) {
                 inventory.addRuns(HeldRun.newBuilder()
                         .setTask(run.task().toString())
                         .setRun(run.run())
-                        .setUnkept(unkept));
+                        .setUnkept(inMemory));
             }
         });
-        for (OwnedEnd end : supervisor.openEnds()) {
+        for (OwnedEnd end : supervisor.unstoredEnds()) {
             inventory.addEnds(EndCodec.encode(end.end()));
         }
-        owners.addFences(inventory);
+        owners.addKnownEpochs(inventory);
         return Frame.newBuilder().setRunInventory(inventory).build();
     }
 
@@ -562,7 +579,7 @@
         return report().setStartsSeen(startsSeen.getOrDefault(link, 0L)).build();
     }
 
-    /** Returns what all entries are told, without what each of them has sent. */
+    /** Returns a report with the part that is the same for all entries. */
     private WorkerReport.Builder report() {
         LearnedStretch stretch = timing.stretch();
         WorkerReport.Builder report = WorkerReport.newBuilder()
@@ -576,12 +593,12 @@
                 .ifPresent(minion -> report.setMinion(minion.incarnation().name())
                         .setService(minion.service())
                         .setCapacity(JobCodec.encode(minion.capacity()))
-                        .setFree(JobCodec.encode(clamped(supervisor.free().minus(waitingStarts.room()))))
+                        .setFree(JobCodec.encode(nonNegative(supervisor.free().minus(waitingStarts.room()))))
                         .addAllLabels(minion.labels()));
         return report;
     }
 
-    private static Room clamped(Room free) {
+    private static Room nonNegative(Room free) {
         return new Room(
                 Math.max(0, free.processorMillis()),
                 Math.max(0, free.memoryMegabytes()),
--- /dev/null
+++ b/library/src/main/java/org/chivetally/queue/agent/RunEndReporter.java
@@ -0,0 +1,71 @@
+package org.chivetally.queue.agent;
+
+import com.google.common.flogger.FluentLogger;
+import java.util.ArrayList;
+import java.util.List;
+import org.chivetally.logging.EventLine;
+import org.chivetally.queue.RunOutcome;
+
+/** Ends runs that the minion doesn't list as ended: releases their resources and reports them to their owners. */
+final class RunEndReporter {
+    private static final FluentLogger LOGGER = FluentLogger.forEnclosingClass();
+
+    private final HeldRuns held;
+    private final SupervisorListener listener;
+    private final UnstoredCrashes unstoredCrashes;
+
+    RunEndReporter(HeldRuns held, SupervisorListener listener, UnstoredCrashes unstoredCrashes) {
+        this.held = held;
+        this.listener = listener;
+        this.unstoredCrashes = unstoredCrashes;
+    }
+
+    /** Ends a run that was not started at an incarnation and never will be. */
+    void reportNeverStarted(Incarnation incarnation, HeldRun run) {
+        report(run, run.unlistedEnd(incarnation.name(), RunOutcome.NEVER_STARTED));
+    }
+
+    /** Ends one run. */
+    void report(HeldRun run, OwnedEnd end) {
+        held.remove(run);
+        listener.ended(List.of(end));
+        listener.roomChanged();
+    }
+
+    /**
+     * Ends all runs that are held.
+     *
+     * @param incarnation name of the incarnation that ran them
+     * @param outcome how they ended
+     * @param reason for logs
+     */
+    void reportAllLost(String incarnation, RunOutcome outcome, String reason) {
+        reportLost(incarnation, held.endAll(incarnation, outcome), reason);
+    }
+
+    /**
+     * Reports ends of runs that were released already.
+     *
+     * @param incarnation name of the minion's incarnation, for logs
+     * @param lost the ends
+     * @param reason for logs
+     */
+    void reportLost(String incarnation, List<OwnedEnd> lost, String reason) {
+        if (lost.isEmpty()) {
+            return;
+        }
+        EventLine.of("runs-lost")
+                .with("minion", incarnation)
+                .with("runs", lost.size())
+                .with("reason", reason)
+                .with("outcome", lost.getFirst().end().outcome())
+                .log(LOGGER.atWarning());
+        List<OwnedEnd> reported = new ArrayList<>();
+        for (OwnedEnd end : lost) {
+            boolean awaitsStorage =
+                    end.end().outcome() == RunOutcome.CRASHED && end.owner() instanceof RunOwner.Partition;
+            reported.add(awaitsStorage ? unstoredCrashes.add(end) : end);
+        }
+        listener.ended(reported);
+    }
+}
--- a/library/src/main/java/org/chivetally/queue/agent/RunSupervisor.java
+++ b/library/src/main/java/org/chivetally/queue/agent/RunSupervisor.java
@@ -11,54 +11,60 @@
 import org.chivetally.queue.Room;
 import org.chivetally.queue.RunKey;
 import org.chivetally.queue.RunOutcome;
-import org.chivetally.queue.agent.MinionPort.LookAnswer;
-import org.chivetally.queue.agent.MinionPort.LookOrder;
-import org.chivetally.queue.agent.MinionPort.StartOrder;
+import org.chivetally.queue.agent.MinionPort.PollRequest;
+import org.chivetally.queue.agent.MinionPort.PollResult;
+import org.chivetally.queue.agent.MinionPort.StartRequest;
 import org.chivetally.time.Timers;
 
 /**
- * Keeps the runs of one minion. The only caller of that minion, so its count of the room is exact: room is taken from
- * before a start is sent until the run's end is listed, or until it is certain that the start will not be carried out.
+ * Supervises the runs of one minion. It is the minion's only caller, so its account of the resources is exact: those of
+ * a run are occupied from before its start is sent until its end is listed or its start is ruled out.
  */
 public final class RunSupervisor {
     /**
-     * Longest wait of one look. Ends are learned by looks alone, so an answer that is lost delays all ends by the wait
-     * and the timeout: with one look in eighteen lost, a wait of 400 ms left a minion unseen for most of the time.
+     * Maximum wait of a poll. Only polls report ends, so a lost answer delays all ends by the wait and the timeout.
+     * With one poll in eighteen lost, a wait of 400 ms left the minion unobserved for most of the time.
      */
-    static final Duration LOOK_WAIT = Duration.ofMillis(120);
+    static final Duration POLL_WAIT = Duration.ofMillis(120);
 
-    /** Pause after a look that told nothing new at once: ends wait to be stored, which takes the log about 10 ms. */
-    static final Duration LOOK_PAUSE = Duration.ofMillis(20);
+    /**
+     * Pause after a poll that returned at once without new ends, as ends wait to be stored; the log takes about 10 ms
+     * for it.
+     */
+    static final Duration EMPTY_POLL_PAUSE = Duration.ofMillis(20);
 
     /**
-     * Pause after a look that told of ends. Each look costs about as much as a start, and without a pause there is one
-     * for each end. It is small beside the 60 ms that callers allow beyond the work.
+     * Pause after a poll with new ends. A poll costs about as much as a start, and without a pause there is one for
+     * each end. The pause is short compared with the 60 ms that callers' objectives allow beyond the work.
      */
-    static final Duration NEWS_PAUSE = Duration.ofMillis(15);
+    static final Duration PAUSE_AFTER_ENDS = Duration.ofMillis(15);
 
-    /** Pause after a look without an answer, so that a minion that is down isn't called in a tight loop. */
-    static final Duration LOOK_RETRY = Duration.ofMillis(100);
+    /** Pause after an unanswered poll, so that an unavailable minion isn't called in a tight loop. */
+    static final Duration POLL_RETRY_PAUSE = Duration.ofMillis(100);
 
-    /** Age of the last answer from which looks no longer renew, so that the lease of a minion in doubt runs out. */
-    static final long UNANSWERED_NANOS = Duration.ofMillis(800).toNanos();
+    /**
+     * Age of the last answer after which polls don't renew the lease, so that it expires if the minion's state is
+     * unknown.
+     */
+    static final long RENEWAL_CUTOFF_NANOS = Duration.ofMillis(800).toNanos();
 
     /**
-     * Age of the last answer from which the minion counts as not answering, and starts are refused. A minion that
-     * leaves one call in eighteen unanswered loses two looks in a row every 300 looks; one that is cut off is found out
-     * within the time in which its first starts are doubted and given up.
+     * Age of the last answer after which the minion counts as unresponsive and refuses starts. With one call in
+     * eighteen unanswered, two polls in a row are lost once in 300 polls; a minion that is cut off is detected before
+     * its first starts have been found unconfirmed and abandoned.
      */
-    static final long NOT_ANSWERING_NANOS = Duration.ofMillis(600).toNanos();
+    static final long UNRESPONSIVE_NANOS = Duration.ofMillis(600).toNanos();
 
     /**
-     * Time from the start of this process after which a minion that has not announced itself is taken for gone, as is
-     * all that an agent before this one started there: two announcements come in it, and four leases end.
+     * Time after the agent's start from which an unannounced minion and its runs are considered gone. Two announcements
+     * are due in it, and four leases end.
      */
-    static final long UNANNOUNCED_NANOS = Duration.ofSeconds(4).toNanos();
+    static final long ANNOUNCEMENT_TIMEOUT_NANOS = Duration.ofSeconds(4).toNanos();
 
-    /** Refusal of a start that doesn't fit; the worker may be tried again as soon as it reports room. */
+    /** Reason for refusing a start that doesn't fit. The worker may be tried again when it reports free resources. */
     public static final String NO_ROOM = "no room";
 
-    /** Refusal of a suspect beside another one; the worker may be tried again as soon as it holds none. */
+    /** Reason for refusing a second suspected task. The worker may be tried again when it holds none. */
     public static final String SUSPECT_HELD = "suspect held";
 
     private static final FluentLogger LOGGER = FluentLogger.forEnclosingClass();
@@ -67,52 +73,48 @@
     private final MinionPort port;
     private final SupervisorListener listener;
     private final HeldRuns held = new HeldRuns();
-    private final EndList ends = new EndList();
-    private final AnnouncedBoots boots;
+    private final UnacknowledgedEnds ends = new UnacknowledgedEnds();
+    private final IncarnationHistory history;
     private final MinionLease lease = new MinionLease();
     private final FencingToken token;
-    private final LeasePermission permission;
-    private final RunCalls calls;
-    private final CrashLedger ledger;
-    private final RunEnds runEnds;
-    private final MinionLists lists;
+    private final LeaseExtensionCheck leaseCheck;
+    private final RunCommands commands;
+    private final UnstoredCrashes unstoredCrashes;
+    private final RunEndReporter endReporter;
+    private final MinionReconciler reconciler;
     private Optional<MinionState> minion = Optional.empty();
     private final long startedAtNanos;
     private boolean reconciled;
-    private boolean recalled;
-    /** The minion has answered for itself and has not announced this incarnation yet. */
-    private boolean unannounced;
+    private boolean restored;
+    /** The current incarnation answered a poll but has not announced itself yet. */
+    private boolean awaitingAnnouncement;
 
     private boolean departing;
-    /** Nobody listened at the minion's address when it was last looked at. */
-    private boolean nobodyListens;
+    /** The minion's address refused the connection of the last poll. */
+    private boolean connectionRefused;
 
-    private boolean answering = true;
+    private boolean responsive = true;
     private boolean leaving;
     private boolean used;
-    private boolean lookInFlight;
-    private boolean lookArmed;
-    private long lookNumber;
-    private long keptSent;
+    private boolean pollInFlight;
+    private boolean pollScheduled;
+    private long pollNumber;
+    private long acknowledgedThrough;
     private long lastAnswerNanos;
 
-    /**
-     * Creates a supervisor that knows of no minion yet.
-     *
-     * @param partitions partitions among which kept jobs are dealt out
-     */
+    /** Creates a supervisor without a minion; durable jobs are divided among a number of partitions. */
     public RunSupervisor(Timers timers, MinionPort port, SupervisorListener listener, int partitions) {
         this.timers = timers;
         this.port = port;
-        this.boots = new AnnouncedBoots(port);
+        this.history = new IncarnationHistory(port);
         this.listener = listener;
         this.startedAtNanos = timers.nanos();
         this.token = new FencingToken(timers);
-        this.permission = new LeasePermission(lease, held, ends, listener);
-        this.calls = new RunCalls(timers, port, token, lease, new Calling());
-        this.ledger = new CrashLedger("crashes@" + token.value());
-        this.runEnds = new RunEnds(held, listener, ledger);
-        this.lists = new MinionLists(timers, held, ends, calls, runEnds, partitions);
+        this.leaseCheck = new LeaseExtensionCheck(lease, held, ends, listener);
+        this.commands = new RunCommands(timers, port, token, lease, new CommandCallbacks());
+        this.unstoredCrashes = new UnstoredCrashes("crashes@" + token.value());
+        this.endReporter = new RunEndReporter(held, listener, unstoredCrashes);
+        this.reconciler = new MinionReconciler(timers, held, ends, commands, endReporter, partitions);
     }
 
     /** Returns the minion, once one has announced itself. */
@@ -120,99 +122,98 @@
         return minion;
     }
 
-    /** Tells whether starts are taken. */
+    /** Tells whether starts are accepted. */
     public boolean isAccepting() {
         return !leaving
-                && answering
+                && responsive
                 && reconciled
-                && !unannounced
+                && !awaitingAnnouncement
                 && !departing
-                && !lists.hasUnknownRuns()
+                && !reconciler.hasUnknownRuns()
                 && minion.isPresent()
                 && !minion.get().leaving();
     }
 
     /**
-     * Tells whether the runs and ends here are all that the minion has. Not so at first after a restart: the agent
-     * before may have left runs behind, and an owner that takes them for gone would start their tasks again beside
-     * them.
+     * Tells whether the known runs and ends are all that the minion has. After a restart of the agent, runs of its
+     * predecessor may be left; an owner that takes them for absent would start their tasks a second time.
      */
-    public boolean isComplete() {
-        return lists.isComplete() || minion.isEmpty() && timers.nanos() - startedAtNanos > UNANNOUNCED_NANOS;
+    public boolean isInventoryComplete() {
+        return reconciler.isComplete()
+                || minion.isEmpty() && timers.nanos() - startedAtNanos > ANNOUNCEMENT_TIMEOUT_NANOS;
     }
 
-    /** Returns the capacity less the room of everything that runs, stops or may still start. */
+    /** Returns the capacity minus the resources of all runs that are in progress, being stopped, or may still start. */
     public Room free() {
         return minion.isEmpty() ? Room.NONE : minion.get().capacity().minus(held.room());
     }
 
-    /** Returns the runs whose room is taken, with their owners. */
+    /** Returns the runs that occupy resources, with their owners. */
     public Map<RunKey, RunOwner> runs() {
         return held.byKey();
     }
 
-    /** Returns the listed ends that nobody has stored yet. */
-    public List<OwnedEnd> openEnds() {
-        List<OwnedEnd> open = ledger.open();
+    /** Returns the listed ends that no owner has stored yet. */
+    public List<OwnedEnd> unstoredEnds() {
+        List<OwnedEnd> open = unstoredCrashes.unstored();
         if (minion.isPresent()) {
-            open.addAll(ends.open(minion.get().incarnation().name()));
+            open.addAll(ends.unstored(minion.get().incarnation().name()));
         }
         return open;
     }
 
-    /** Tells whether nothing runs and no end waits to be stored. */
+    /** Tells whether there are neither runs nor ends that wait to be stored. */
     public boolean isIdle() {
         return held.isEmpty() && ends.isEmpty();
     }
 
-    /** Returns how many of the runs are of tasks that were on a minion that crashed. */
+    /** Returns the number of runs whose tasks were running on a minion when that minion crashed. */
     public int suspected() {
         return held.suspected();
     }
 
-    /** Returns what fences calls of agents that were replaced, as this one sends it now. */
+    /** Returns the fencing token that this agent's calls carry now. */
     public long token() {
         return token.value();
     }
 
-    /** Tells whether nothing was ever started here. */
+    /** Tells whether no start was ever sent. */
     public boolean isUnused() {
         return !used;
     }
 
-    /** Takes no more starts, as the process is about to end. */
+    /** Refuses starts from now on, as the process is about to stop. */
     public void leave() {
         leaving = true;
         listener.roomChanged();
     }
 
     /**
-     * Takes up the minion that the agent before this one had here, without waiting for its next announcement: that
-     * comes up to 1.5 s later, and after a loss of all power no worker would be known until then. Nothing is started
-     * before it has answered a look that names its boot, so another boot is found out. One that does not answer is
-     * forgotten.
+     * Restores the minion of the agent's predecessor without waiting for its next announcement. That takes up to 1.5 s,
+     * and after a complete power loss no worker would be known until then. Starts are refused until it has answered a
+     * poll; the poll contains its id, so a replaced minion is detected. If it doesn't answer in time, it is discarded.
      */
-    public void recall(MinionState state) {
-        if (minion.isPresent() || !boots.isFirst()) {
-            // It has announced itself or taken its leave meanwhile, which is newer.
+    public void restore(MinionState state) {
+        if (minion.isPresent() || !history.isFirstIncarnation()) {
+            // The minion has announced itself or departed in the meantime, which is more recent.
             return;
         }
         EventLine.of("minion-recalled")
                 .with("minion", state.incarnation().name())
                 .log(LOGGER.atInfo());
         announced(state);
-        recalled = true;
-        timers.after(Duration.ofNanos(UNANNOUNCED_NANOS), this::forgetUnlessAnswered);
+        restored = true;
+        timers.after(Duration.ofNanos(ANNOUNCEMENT_TIMEOUT_NANOS), this::discardUnlessAnswered);
     }
 
-    private void forgetUnlessAnswered() {
-        if (!recalled) {
+    private void discardUnlessAnswered() {
+        if (!restored) {
             return;
         }
         EventLine.of("minion-not-found").with("minion", name()).log(LOGGER.atWarning());
-        recalled = false;
-        lookInFlight = false;
-        lookNumber++;
+        restored = false;
+        pollInFlight = false;
+        pollNumber++;
         minion = Optional.empty();
         minionChanged();
     }
@@ -227,44 +228,44 @@
     }
 
     /**
-     * Notes what the minion announced. What an earlier incarnation announced is ignored, as is what this one announced
-     * before something that is known already: both were held up.
+     * Processes an announcement of the minion. One from an earlier incarnation, or one that is older than the current
+     * state, was delayed and is ignored.
      */
     public void announced(MinionState state) {
-        if (boots.isOld(state, minion.orElse(null))) {
+        if (history.isStale(state, minion.orElse(null))) {
             return;
         }
-        boolean another = minion.isPresent() && !minion.get().incarnation().isSame(state.incarnation());
-        if (another && !recalled && answering && reconciled) {
-            boots.confirm(state, token.value(), this::confirmed);
+        boolean isAnother = minion.isPresent() && !minion.get().incarnation().matches(state.incarnation());
+        if (isAnother && !restored && responsive && reconciled) {
+            history.verify(state, token.value(), this::acceptVerified);
         } else {
             accept(state, true);
         }
     }
 
-    private void confirmed(MinionState state) {
-        if (!boots.isOld(state, minion.orElse(null))) {
+    private void acceptVerified(MinionState state) {
+        if (!history.isStale(state, minion.orElse(null))) {
             accept(state, true);
         }
     }
 
     private void accept(MinionState reported, boolean announced) {
-        recalled = false;
+        restored = false;
         Optional<MinionState> before = minion;
-        boolean same = before.isPresent() && before.get().incarnation().isSame(reported.incarnation());
+        boolean same = before.isPresent() && before.get().incarnation().matches(reported.incarnation());
         if (!same) {
-            before.ifPresent(old -> replaced(old, reported.boot(), outcomeAt(old), "reborn"));
-            if (before.isEmpty() && boots.isReused(reported.boot())) {
-                // What was sent to the one that took its leave is refused once this one has been looked at.
-                token.next();
+            before.ifPresent(old -> discardIncarnation(old, reported.minionId(), outcomeOfLostRuns(old), "reborn"));
+            if (before.isEmpty() && history.hasEarlierIncarnation(reported.minionId())) {
+                // A start that was sent to the departed incarnation is refused once this one has been polled.
+                token.increment();
             }
             restartLease(reported.clockMillis());
         }
         minion = Optional.of(same ? update(before.get(), reported) : reported);
         MinionState now = minion.get();
-        boolean news = !same || before.get().leaving() != now.leaving() || unannounced && announced;
-        unannounced = !announced;
-        if (news) {
+        boolean changed = !same || before.get().leaving() != now.leaving() || awaitingAnnouncement && announced;
+        awaitingAnnouncement = !announced;
+        if (changed) {
             EventLine.of("minion-announced")
                     .with("minion", now.incarnation().name())
                     .with("leaving", now.leaving())
@@ -275,22 +276,22 @@
         if (same && !before.get().capacity().equals(now.capacity())) {
             capacityChanged(before.get().capacity(), now.capacity());
         }
-        look();
+        poll();
     }
 
     private static MinionState update(MinionState before, MinionState reported) {
-        boolean bornIsMissing = reported.incarnation().bornAtMillis() == 0;
-        MinionState state = bornIsMissing ? reported.known(before.incarnation()) : reported;
-        // A minion that has said it leaves never stays after all; a late announcement must not undo it.
+        boolean startIsUnknown = reported.incarnation().startedAtMillis() == 0;
+        MinionState state = startIsUnknown ? reported.withIncarnation(before.incarnation()) : reported;
+        // A minion that is about to stop never stays after all; a delayed announcement must not undo it.
         return before.leaving() ? state.asLeaving() : state;
     }
 
-    /** Forgets the clock and the lease of an earlier incarnation. */
+    /** Discards the clock and the lease of an earlier incarnation. */
     private void restartLease(long clockMillis) {
         lastAnswerNanos = timers.nanos();
         lease.reset(clockMillis, lastAnswerNanos);
         if (!held.isEmpty()) {
-            // A start that was sent to the incarnation before may have begun a lease at this one.
+            // A start that was sent to the previous incarnation may have begun a lease at this one.
             lease.extend(lastAnswerNanos);
         }
     }
@@ -306,85 +307,82 @@
         listener.minionChanged();
     }
 
-    /** Notes that the minion has taken its leave; whatever ran on it is gone. */
-    public void departed(String boot) {
-        if (minion.isEmpty() || !minion.get().boot().equals(boot) || departing) {
+    /** Processes the departure of the minion, which ends its runs. */
+    public void departed(String minionId) {
+        if (minion.isEmpty() || !minion.get().minionId().equals(minionId) || departing) {
             return;
         }
-        if (!boots.isReused(boot)) {
-            gone(RunOutcome.LOST, "departed");
+        if (!history.hasEarlierIncarnation(minionId)) {
+            discardMinion(RunOutcome.LOST, "departed");
             return;
         }
         departing = true;
-        Incarnation asked = minion.get().incarnation();
+        Incarnation checked = minion.get().incarnation();
         new DepartureCheck(
                         timers,
                         port,
-                        asked,
+                        checked,
                         token,
-                        () -> departureChecked(asked, true),
-                        () -> departureChecked(asked, false))
-                .look();
+                        () -> departureChecked(checked, true),
+                        () -> departureChecked(checked, false))
+                .poll();
         listener.roomChanged();
     }
 
-    private void departureChecked(Incarnation asked, boolean isGone) {
-        if (!departing || minion.isEmpty() || !minion.get().incarnation().isSame(asked)) {
+    private void departureChecked(Incarnation checked, boolean hasDeparted) {
+        if (!departing || minion.isEmpty() || !minion.get().incarnation().matches(checked)) {
             return;
         }
         departing = false;
-        if (isGone) {
-            gone(RunOutcome.LOST, "departed");
+        if (hasDeparted) {
+            discardMinion(RunOutcome.LOST, "departed");
         } else {
             listener.roomChanged();
         }
     }
 
-    private void gone(RunOutcome outcome, String reason) {
-        replaced(minion.orElseThrow(), "", outcome, reason);
+    private void discardMinion(RunOutcome outcome, String reason) {
+        discardIncarnation(minion.orElseThrow(), "", outcome, reason);
         minion = Optional.empty();
         minionChanged();
     }
 
     /**
-     * Discards what is known of an incarnation.
-     *
-     * @param nextId id of the one that is there instead; empty when there is none
-     * @param outcome how its runs have ended
+     * Discards the state of an incarnation, which is replaced by the minion with the new id; empty if there is none.
      */
-    private void replaced(MinionState old, String nextId, RunOutcome outcome, String reason) {
-        recalled = false;
-        unannounced = false;
+    private void discardIncarnation(MinionState old, String newMinionId, RunOutcome outcome, String reason) {
+        restored = false;
+        awaitingAnnouncement = false;
         departing = false;
-        boots.replaced(old.incarnation());
-        // An answer of the old boot may take long or never come; the new one is looked at without waiting for it.
-        lookInFlight = false;
-        answering = true;
-        lookArmed = false;
-        lookNumber++;
-        if (old.boot().equals(nextId)) {
+        history.markReplaced(old.incarnation());
+        // The answer of the old incarnation may be late or never come; the new one is polled without waiting for it.
+        pollInFlight = false;
+        responsive = true;
+        pollScheduled = false;
+        pollNumber++;
+        if (old.minionId().equals(newMinionId)) {
             carryOver(old, outcome);
         } else {
-            runEnds.allLost(old.incarnation().name(), outcome, reason);
+            endReporter.reportAllLost(old.incarnation().name(), outcome, reason);
         }
         ends.clear();
-        keptSent = 0;
-        lists.clear();
+        acknowledgedThrough = 0;
+        reconciler.clear();
         reconciled = false;
     }
 
-    /** Returns how runs end at a minion that is found gone: it has crashed, unless it had said that it leaves. */
-    private RunOutcome outcomeAt(MinionState gone) {
-        return gone.leaving() || departing ? RunOutcome.LOST : RunOutcome.CRASHED;
+    /** Returns the outcome of runs on a lost minion: it crashed, unless it had announced that it was leaving. */
+    private RunOutcome outcomeOfLostRuns(MinionState lost) {
+        return lost.leaving() || departing ? RunOutcome.LOST : RunOutcome.CRASHED;
     }
 
     /**
-     * Leaves it to the first lists of an incarnation under the same id which runs are gone: calls carry the id only, so
-     * it may have carried out starts that were meant for the one before. The next token keeps it from carrying out more
-     * of them once it has been looked at, so that those lists are the last word.
+     * Lets the first lists of a new incarnation under the same id decide which runs are lost. Calls contain only the
+     * id, so it may have executed starts that were sent to the previous one. Once polled with the new token, it refuses
+     * further ones, so its lists are final.
      */
     private void carryOver(MinionState old, RunOutcome outcome) {
-        token.next();
+        token.increment();
         for (HeldRun run : held.all()) {
             run.carryOver(old.incarnation(), outcome);
         }
@@ -396,7 +394,7 @@
         }
     }
 
-    /** Starts a run of a task that was on no minion that crashed. */
+    /** Starts a run of a task that is not suspected of crashing minions. */
     Optional<String> start(RunKey run, RunOwner owner, Room room, String payload, String checkpoint) {
         return start(run, owner, room, false, payload, checkpoint);
     }
@@ -404,8 +402,8 @@
     /**
      * Starts a run.
      *
-     * @param suspected whether the task was on a minion that crashed
-     * @return why it isn't started and never will be by this call; empty when it was sent to the minion
+     * @param suspected whether the task was running on a minion when that minion crashed
+     * @return the reason why this call didn't start the run and never will; empty if the start was sent to the minion
      */
     public Optional<String> start(
             RunKey run, RunOwner owner, Room room, boolean suspected, String payload, String checkpoint) {
@@ -423,238 +421,245 @@
             return Optional.of(SUSPECT_HELD);
         }
         long now = timers.nanos();
-        if (!permission.isGiven(now)) {
+        if (!leaseCheck.isAllowed(now)) {
             return Optional.of("lease held back");
         }
         used = true;
-        long until = lease.extend(now);
-        HeldRun fresh = new HeldRun(run, owner, room, until, suspected, now);
-        held.add(fresh);
-        StartOrder order = new StartOrder(run, payload, until, token.value(), checkpoint);
-        calls.start(minion.orElseThrow().incarnation(), fresh, order);
-        look();
+        long leaseEndMillis = lease.extend(now);
+        HeldRun newRun = new HeldRun(run, owner, room, leaseEndMillis, suspected, now);
+        held.add(newRun);
+        StartRequest request = new StartRequest(run, payload, leaseEndMillis, token.value(), checkpoint);
+        commands.start(minion.orElseThrow().incarnation(), newRun, request);
+        poll();
         return Optional.empty();
     }
 
     /**
-     * Takes no starts until the minion has answered a look. Its room looks free while it is down, so owners would send
-     * it every task that waits, again and again, and none of them would start elsewhere.
+     * Refuses starts until the minion answers a poll. All resources of an unavailable minion look free, so that owners
+     * would send it every waiting task again and again and start none of them elsewhere.
      */
-    private void stopAnswering() {
-        if (answering) {
-            answering = false;
+    private void markUnresponsive() {
+        if (responsive) {
+            responsive = false;
             EventLine.of("minion-not-answering").with("minion", name()).log(LOGGER.atWarning());
             listener.roomChanged();
         }
     }
 
-    /** Stops a run; nothing happens when it isn't held. */
+    /** Stops a run. Has no effect if the run isn't held. */
     public void stop(RunKey key) {
         HeldRun run = held.of(key.task());
-        if (run == null || run.key().run() != key.run() || run.isStopWanted() || minion.isEmpty()) {
+        if (run == null || run.key().run() != key.run() || run.isStopRequested() || minion.isEmpty()) {
             return;
         }
-        run.wantStop();
-        calls.stop(minion.get().incarnation(), run);
+        run.requestStop();
+        commands.stop(minion.get().incarnation(), run);
     }
 
-    /** Notes that ends of an incarnation are stored, so that the minion may forget them. */
-    public void kept(String incarnation, List<Long> sequences) {
-        if (ledger.kept(incarnation, sequences) || !name().equals(incarnation)) {
+    /** Records that an owner has stored ends of an incarnation, so that the minion may discard them. */
+    public void markStored(String incarnation, List<Long> sequences) {
+        if (unstoredCrashes.markStored(incarnation, sequences) || !name().equals(incarnation)) {
             return;
         }
         for (long sequence : sequences) {
-            ends.keep(sequence);
+            ends.markStored(sequence);
         }
-        if (ends.keptThrough() > keptSent) {
-            look();
+        if (ends.storedThrough() > acknowledgedThrough) {
+            poll();
         }
     }
 
-    private void look() {
-        if (lookInFlight || lookArmed || minion.isEmpty() || !isLookNeeded()) {
+    private void poll() {
+        if (pollInFlight || pollScheduled || minion.isEmpty() || !isPollNeeded()) {
             return;
         }
         long now = timers.nanos();
-        loseAfterLapse(now);
-        if (minion.isEmpty() || !isLookNeeded()) {
+        reportLostAfterLease(now);
+        if (minion.isEmpty() || !isPollNeeded()) {
             return;
         }
-        lookInFlight = true;
-        lookNumber++;
-        long number = lookNumber;
-        Incarnation at = minion.get().incarnation();
-        LookOrder order = lookOrder(now);
-        port.look(at.id(), order, answer -> {
-            lookInFlight = false;
-            if (number == lookNumber
+        pollInFlight = true;
+        pollNumber++;
+        long number = pollNumber;
+        Incarnation incarnation = minion.get().incarnation();
+        PollRequest request = pollRequest(now);
+        port.poll(incarnation.id(), request, result -> {
+            pollInFlight = false;
+            if (number == pollNumber
                     && minion.isPresent()
-                    && minion.get().incarnation().isSame(at)) {
-                looked(at, answer, now, order.keptThrough());
+                    && minion.get().incarnation().matches(incarnation)) {
+                handlePollResult(incarnation, result, now, request.acknowledgedThrough());
             } else {
-                look();
+                poll();
             }
         });
     }
 
-    private LookOrder lookOrder(long now) {
-        boolean another = mayBeAnother();
-        Duration wait = held.isEmpty() || !reconciled || another ? Duration.ZERO : LOOK_WAIT;
-        return new LookOrder(token.value(), another ? 0 : ends.keptThrough(), renewal(now), wait);
+    private PollRequest pollRequest(long now) {
+        boolean uncertain = mayHaveRestarted();
+        Duration wait = held.isEmpty() || !reconciled || uncertain ? Duration.ZERO : POLL_WAIT;
+        return new PollRequest(token.value(), uncertain ? 0 : ends.storedThrough(), renewal(now), wait);
     }
 
     /**
-     * Tells whether the minion may have come back under the same id since it answered last. An acknowledgement would
-     * make the next incarnation forget its own ends, and a lease by the clock before would be as long as it grants.
+     * Tells whether the minion may have been restarted under the same id since its last answer. An acknowledgement
+     * would make the new incarnation discard its own ends, and a lease end by the old clock would be the longest that
+     * it grants.
      */
-    private boolean mayBeAnother() {
-        return !answering && minion.orElseThrow().incarnation().bornAtMillis() != 0;
+    private boolean mayHaveRestarted() {
+        return !responsive && minion.orElseThrow().incarnation().startedAtMillis() != 0;
     }
 
-    private boolean isLookNeeded() {
-        return !reconciled || !answering || lists.hasUnknownRuns() || !held.isEmpty() || ends.keptThrough() > keptSent;
+    private boolean isPollNeeded() {
+        return !reconciled
+                || !responsive
+                || reconciler.hasUnknownRuns()
+                || !held.isEmpty()
+                || ends.storedThrough() > acknowledgedThrough;
     }
 
     private OptionalLong renewal(long now) {
-        boolean another = !reconciled || mayBeAnother();
-        if (held.isEmpty() || another || now - lastAnswerNanos > UNANSWERED_NANOS || !permission.isGiven(now)) {
+        boolean uncertain = !reconciled || mayHaveRestarted();
+        if (held.isEmpty() || uncertain || now - lastAnswerNanos > RENEWAL_CUTOFF_NANOS || !leaseCheck.isAllowed(now)) {
             return OptionalLong.empty();
         }
         return OptionalLong.of(lease.extend(now));
     }
 
     /**
-     * Calls the runs of a minion that doesn't answer lost, once every lease that it may have taken has ended. Until
-     * then a run may go on there, and a second one elsewhere would run beside it. A minion at whose address nobody
-     * listens has not gone silent: its process has ended, and usually it is back only after the lease.
+     * Reports the runs of an unresponsive minion as lost once every lease that it may have accepted has expired; until
+     * then, a second run elsewhere could overlap with the first. If the minion refuses connections, its process has
+     * ended, and it is usually restarted only after the lease.
      */
-    private void loseAfterLapse(long now) {
-        boolean silent = now - lastAnswerNanos > UNANSWERED_NANOS;
-        if (silent && !held.isEmpty() && lease.hasLapsed(now)) {
-            runEnds.allLost(name(), nobodyListens ? outcomeAt(minion.orElseThrow()) : RunOutcome.LOST, "silent");
+    private void reportLostAfterLease(long now) {
+        boolean silent = now - lastAnswerNanos > RENEWAL_CUTOFF_NANOS;
+        if (silent && !held.isEmpty() && lease.hasExpired(now)) {
+            endReporter.reportAllLost(
+                    name(), connectionRefused ? outcomeOfLostRuns(minion.orElseThrow()) : RunOutcome.LOST, "silent");
             reconciled = false;
             listener.roomChanged();
         }
     }
 
-    private void looked(Incarnation at, LookAnswer answer, long sentAtNanos, long keptWithIt) {
-        nobodyListens = answer instanceof LookAnswer.Unreachable;
-        switch (answer) {
-            case LookAnswer.Lists listed -> {
-                if (!at.isBornAs(listed.bornAtMillis())) {
-                    answeredByAnother(at, listed);
+    private void handlePollResult(
+            Incarnation incarnation, PollResult result, long sentAtNanos, long acknowledgedByPoll) {
+        connectionRefused = result instanceof PollResult.Unreachable;
+        switch (result) {
+            case PollResult.Lists listed -> {
+                if (!incarnation.mayHaveStartedAt(listed.startedAtMillis())) {
+                    handleOtherIncarnation(incarnation, listed);
                     return;
                 }
-                learnBorn(listed.bornAtMillis());
+                recordStartTime(listed.startedAtMillis());
                 lastAnswerNanos = timers.nanos();
                 lease.observe(listed.clockMillis(), lastAnswerNanos);
-                recalled = false;
-                if (!lists.isComplete()) {
-                    // The agent before this one may have extended the lease a moment ago.
+                restored = false;
+                if (!reconciler.isComplete()) {
+                    // The agent's predecessor may have extended the lease just now.
                     lease.extend(lastAnswerNanos);
                 }
-                keptSent = Math.max(keptSent, keptWithIt);
-                boolean news = took(listed, sentAtNanos);
-                boolean quick = lastAnswerNanos - sentAtNanos < LOOK_PAUSE.toNanos();
-                if (news) {
-                    lookAfter(NEWS_PAUSE);
+                acknowledgedThrough = Math.max(acknowledgedThrough, acknowledgedByPoll);
+                boolean hasNewEnds = applyLists(listed, sentAtNanos);
+                boolean immediate = lastAnswerNanos - sentAtNanos < EMPTY_POLL_PAUSE.toNanos();
+                if (hasNewEnds) {
+                    pollAfter(PAUSE_AFTER_ENDS);
                 } else {
-                    lookAfter(quick ? LOOK_PAUSE : Duration.ZERO);
+                    pollAfter(immediate ? EMPTY_POLL_PAUSE : Duration.ZERO);
                 }
             }
-            case LookAnswer.Refused refused -> {
+            case PollResult.Refused refused -> {
                 EventLine.of("look-refused")
-                        .with("minion", at.name())
+                        .with("minion", incarnation.name())
                         .with("reason", refused.reason())
                         .log(LOGGER.atWarning());
                 if (refused.fenced()) {
                     token.raise();
-                    lookAfter(Duration.ZERO);
+                    pollAfter(Duration.ZERO);
                 } else {
-                    gone(outcomeAt(minion.orElseThrow()), "another id");
+                    discardMinion(outcomeOfLostRuns(minion.orElseThrow()), "another id");
                 }
             }
-            case LookAnswer.Unreachable unreachable -> {
-                unanswered(at, unreachable.reason());
-                stopAnswering();
-                lookAfter(LOOK_RETRY);
+            case PollResult.Unreachable unreachable -> {
+                logUnanswered(incarnation, unreachable.reason());
+                markUnresponsive();
+                pollAfter(POLL_RETRY_PAUSE);
             }
-            case LookAnswer.Unknown unknown -> {
-                unanswered(at, unknown.reason());
-                if (timers.nanos() - lastAnswerNanos > NOT_ANSWERING_NANOS) {
-                    stopAnswering();
-                    lookAfter(LOOK_RETRY);
+            case PollResult.Unknown unknown -> {
+                logUnanswered(incarnation, unknown.reason());
+                if (timers.nanos() - lastAnswerNanos > UNRESPONSIVE_NANOS) {
+                    markUnresponsive();
+                    pollAfter(POLL_RETRY_PAUSE);
                 } else {
-                    lookAfter(LOOK_PAUSE);
+                    pollAfter(EMPTY_POLL_PAUSE);
                 }
             }
         }
     }
 
-    private static void unanswered(Incarnation at, String reason) {
+    private static void logUnanswered(Incarnation incarnation, String reason) {
         EventLine.of("look-unanswered")
-                .with("minion", at.name())
+                .with("minion", incarnation.name())
                 .with("reason", reason)
                 .log(LOGGER.atInfo());
     }
 
     /**
-     * Takes the word of an incarnation that answers in place of the known one. It has not announced itself, so its
-     * capacity isn't known and it takes no starts yet. One of an earlier start is believed only when the known one has
-     * not been heard for long: its clock was set back, or the known one was never there.
+     * Accepts another incarnation that answered in place of the current one. Its capacity isn't known until it
+     * announces itself, so it accepts no starts. An earlier one is accepted only if the current one has not answered
+     * for long: the minion's clock was set back, or the current one never existed.
      */
-    private void answeredByAnother(Incarnation known, LookAnswer.Lists lists) {
-        boolean earlier = lists.bornAtMillis() < known.bornAtMillis();
-        if (earlier && timers.nanos() - lastAnswerNanos <= UNANNOUNCED_NANOS) {
-            unanswered(known, "an earlier incarnation answers");
-            stopAnswering();
-            lookAfter(LOOK_RETRY);
+    private void handleOtherIncarnation(Incarnation known, PollResult.Lists lists) {
+        boolean earlier = lists.startedAtMillis() < known.startedAtMillis();
+        if (earlier && timers.nanos() - lastAnswerNanos <= ANNOUNCEMENT_TIMEOUT_NANOS) {
+            logUnanswered(known, "an earlier incarnation answered");
+            markUnresponsive();
+            pollAfter(POLL_RETRY_PAUSE);
             return;
         }
-        accept(minion.orElseThrow().reborn(lists.bornAtMillis(), lists.clockMillis()), false);
+        accept(minion.orElseThrow().restarted(lists.startedAtMillis(), lists.clockMillis()), false);
         if (earlier) {
-            boots.forget(known.id());
+            history.remove(known.id());
         }
     }
 
-    private void learnBorn(long bornAtMillis) {
+    private void recordStartTime(long startedAtMillis) {
         MinionState known = minion.orElseThrow();
-        if (bornAtMillis != 0 && known.incarnation().bornAtMillis() == 0) {
-            minion = Optional.of(known.known(Incarnation.of(known.boot(), bornAtMillis)));
+        if (startedAtMillis != 0 && known.incarnation().startedAtMillis() == 0) {
+            minion = Optional.of(known.withIncarnation(Incarnation.of(known.minionId(), startedAtMillis)));
         }
     }
 
-    private void lookAfter(Duration pause) {
+    private void pollAfter(Duration pause) {
         if (pause.isZero()) {
-            look();
+            poll();
             return;
         }
-        if (!lookArmed) {
-            lookArmed = true;
+        if (!pollScheduled) {
+            pollScheduled = true;
             timers.after(pause, () -> {
-                lookArmed = false;
-                look();
+                pollScheduled = false;
+                poll();
             });
         }
     }
 
-    /** Takes the lists over; tells whether they held anything new. */
-    private boolean took(LookAnswer.Lists listed, long sentAtNanos) {
+    /** Applies the minion's lists. Returns whether they contained new ends. */
+    private boolean applyLists(PollResult.Lists listed, long sentAtNanos) {
         Room before = free();
         boolean acceptingBefore = isAccepting();
-        List<OwnedEnd> fresh = lists.take(minion.orElseThrow().incarnation(), listed, sentAtNanos);
-        answering = true;
+        List<OwnedEnd> newEnds = reconciler.reconcile(minion.orElseThrow().incarnation(), listed, sentAtNanos);
+        responsive = true;
         reconciled = true;
-        if (!fresh.isEmpty()) {
-            listener.ended(fresh);
+        if (!newEnds.isEmpty()) {
+            listener.ended(newEnds);
         }
         if (!before.equals(free()) || acceptingBefore != isAccepting()) {
             listener.roomChanged();
         }
-        return !fresh.isEmpty();
+        return !newEnds.isEmpty();
     }
 
-    /** Stops everything that an owner has here. */
+    /** Stops all runs of an owner. */
     public void stopAll(RunOwner owner) {
         for (HeldRun run : held.all()) {
             if (run.owner().equals(owner)) {
@@ -663,33 +668,33 @@
         }
     }
 
-    /** Returns whose runs are here. */
+    /** Returns the owners of all runs. */
     public Set<RunOwner> owners() {
         return held.owners();
     }
 
-    /** What calls about single runs ask of and tell to this. */
-    private final class Calling implements RunCalls.Supervision {
+    /** Gives the commands access to this supervisor. */
+    private final class CommandCallbacks implements RunCommands.Callbacks {
         @Override
-        public boolean isHeld(Incarnation at, HeldRun run) {
+        public boolean isHeld(Incarnation incarnation, HeldRun run) {
             return held.has(run)
                     && minion.isPresent()
-                    && minion.get().incarnation().isSame(at);
+                    && minion.get().incarnation().matches(incarnation);
         }
 
         @Override
-        public void neverStarted(Incarnation at, HeldRun run) {
-            runEnds.neverStarted(at, run);
+        public void reportNeverStarted(Incarnation incarnation, HeldRun run) {
+            endReporter.reportNeverStarted(incarnation, run);
         }
 
         @Override
         public void unreachable() {
-            stopAnswering();
+            markUnresponsive();
         }
 
         @Override
-        public void look() {
-            RunSupervisor.this.look();
+        public void poll() {
+            RunSupervisor.this.poll();
         }
     }
 }
--- a/library/src/main/java/org/chivetally/queue/agent/WaitingStarts.java
+++ b/library/src/main/java/org/chivetally/queue/agent/WaitingStarts.java
@@ -12,41 +12,42 @@
 import org.chivetally.wire.v1.RunStart;
 
 /**
- * Starts that found no room at the worker and wait a moment for it.
+ * Starts that didn't fit into the worker's free resources and wait for a short time.
  *
- * <p>The load it answers: nearly all room is taken, each end is told to all entries, and all of them send a start for
- * the same room. Turned down at once, two in five starts went round again, and the room that the next end frees lay
- * idle until an entry had heard of it.
+ * <p>When nearly all resources are occupied, each end is reported to all entries, and all of them send a start for the
+ * same resources. When starts were refused at once, two in five had to be placed again, and the resources that the next
+ * end released were idle until an entry had learned of them.
  */
 final class WaitingStarts {
     /**
-     * How long a start waits: a worker with a dozen tasks of a third of a second frees room every 30 ms. Longer, and
-     * the start would be better off at another worker.
+     * Maximum time that a start waits. A worker with a dozen tasks of a third of a second releases resources at
+     * intervals of 30 ms; after that, the start has a better chance at another worker.
      */
-    static final Duration PATIENCE = Duration.ofMillis(30);
+    static final Duration MAXIMUM_WAIT = Duration.ofMillis(30);
 
     /**
-     * Starts that may wait: the room of about one end in {@link #PATIENCE} comes free, and ends of a job come together.
+     * Maximum number of waiting starts. About one end releases resources within {@link #MAXIMUM_WAIT}, and ends of one
+     * job occur together.
      */
-    static final int MOST = 2;
+    static final int MAXIMUM_WAITING = 2;
 
-    private final List<Waiting> waiting = new ArrayList<>();
+    private final List<WaitingStart> waiting = new ArrayList<>();
 
-    /** A start, the link that it came on, and what it names. */
-    record Waiting(PeerLink link, RunStart start, RunKey run) {}
+    /** A waiting start, the link on which it was received, and its run. */
+    record WaitingStart(PeerLink link, RunStart start, RunKey run) {}
 
-    /** Lets a start wait if there is a place for it. */
-    Optional<Waiting> add(PeerLink link, RunStart start, RunKey run) {
-        if (waiting.size() >= MOST) {
+    /** Adds a start. Returns empty if there are as many as may wait. */
+    Optional<WaitingStart> add(PeerLink link, RunStart start, RunKey run) {
+        if (waiting.size() >= MAXIMUM_WAITING) {
             return Optional.empty();
         }
-        Waiting added = new Waiting(link, start, run);
+        WaitingStart added = new WaitingStart(link, start, run);
         waiting.add(added);
         return Optional.of(added);
     }
 
-    /** Takes out the start that has waited longest, if it fits into the free room. */
-    Optional<Waiting> pollFitting(Room free) {
+    /** Removes and returns the start that has waited longest if it fits into the free resources. */
+    Optional<WaitingStart> pollFitting(Room free) {
         if (waiting.isEmpty() || !roomOf(waiting.getFirst()).fitsInto(free)) {
             return Optional.empty();
         }
@@ -58,23 +59,23 @@
         return waiting.isEmpty();
     }
 
-    /** Takes out all starts of a kind. */
-    List<Waiting> removeIf(Predicate<Waiting> condition) {
-        List<Waiting> removed = waiting.stream().filter(condition).toList();
+    /** Removes and returns all starts that meet a condition. */
+    List<WaitingStart> removeIf(Predicate<WaitingStart> condition) {
+        List<WaitingStart> removed = waiting.stream().filter(condition).toList();
         waiting.removeAll(removed);
         return removed;
     }
 
-    /** Returns the room that all of them need. */
+    /** Returns the resources that all waiting starts need. */
     Room room() {
         Room room = Room.NONE;
-        for (Waiting start : waiting) {
+        for (WaitingStart start : waiting) {
             room = room.plus(roomOf(start));
         }
         return room;
     }
 
-    private static Room roomOf(Waiting waiting) {
+    private static Room roomOf(WaitingStart waiting) {
         return JobCodec.decode(waiting.start().getRoom());
     }
 }
--- a/library/src/main/java/org/chivetally/queue/crash/CrashWatch.java
+++ b/library/src/main/java/org/chivetally/queue/crash/CrashTracker.java
@@ -7,53 +7,57 @@
 import org.chivetally.queue.Job;
 import org.chivetally.queue.Task;
 
-/** The crashes that an entry has heard of: applies the policy, logs and counts. */
-public final class CrashWatch {
+/** Tracks the crashes that are reported to an entry: applies the policy, writes log lines and keeps counters. */
+public final class CrashTracker {
     private static final FluentLogger LOGGER = FluentLogger.forEnclosingClass();
 
     private final CrashPolicy policy;
     private final Set<Task> suspects = new HashSet<>();
-    /** Suspects whose run in progress has no other suspect beside it. */
-    private final Set<Task> alone = new HashSet<>();
+    /** Suspects whose run in progress shares its worker with no other suspect. */
+    private final Set<Task> suspectsAlone = new HashSet<>();
 
     private long crashedRuns;
     private long givenUpTasks;
 
-    /** Creates a watch that has heard of no crash. */
-    public CrashWatch(CrashPolicy policy) {
+    /** Creates a tracker without any crash. */
+    public CrashTracker(CrashPolicy policy) {
         this.policy = policy;
     }
 
-    /** Returns what decides. */
+    /** Returns the policy that decides about suspects. */
     public CrashPolicy policy() {
         return policy;
     }
 
-    /** Returns the runs under which minions crashed. */
+    /** Returns the number of runs during which a minion crashed. */
     public long crashedRuns() {
         return crashedRuns;
     }
 
-    /** Returns the tasks that were given up. */
+    /** Returns the number of tasks that were given up. */
     public long givenUpTasks() {
         return givenUpTasks;
     }
 
-    /** Returns the suspects whose jobs haven't ended and that aren't done. */
+    /** Returns the number of suspects that still need a run and whose jobs have not ended. */
     public int suspects() {
         return suspects.size();
     }
 
-    /** Tells whether a task may be the cause of a crash. */
+    /** Tells whether a task may have caused a crash. */
     public boolean isSuspect(Task task) {
         return policy.isSuspect(task.crashes().crashes());
     }
 
-    /** Notes a crash that is counted with its task; tells whether the task is given up by it. */
-    public boolean crashed(Task task, long run) {
+    /**
+     * Records a crash that is already counted for its task.
+     *
+     * @return whether the task is given up because of it
+     */
+    public boolean recordCrash(Task task, long run) {
         crashedRuns++;
         int crashes = task.crashes().crashes();
-        boolean wasAlone = alone.remove(task);
+        boolean wasAlone = suspectsAlone.remove(task);
         EventLine.of("run-crashed")
                 .with("task", task.key())
                 .with("run", run)
@@ -66,18 +70,22 @@
         return policy.isGivenUp(crashes, wasAlone);
     }
 
-    /** Notes that a start of a suspect goes out, and whether it goes to a worker without another one. */
-    public void sent(Task task, boolean isAlone) {
+    /**
+     * Records a start, or that a suspect joins the worker of a task that is in progress.
+     *
+     * @param isAlone whether the task is a suspect on a worker without any other suspect
+     */
+    public void recordStart(Task task, boolean isAlone) {
         if (isAlone) {
             suspects.add(task);
-            alone.add(task);
+            suspectsAlone.add(task);
         } else {
-            alone.remove(task);
+            suspectsAlone.remove(task);
         }
     }
 
-    /** Notes that a task is given up. */
-    public void givenUp(Task task) {
+    /** Records that a task is given up. */
+    public void recordGivenUp(Task task) {
         givenUpTasks++;
         EventLine.of("task-given-up")
                 .with("task", task.key())
@@ -87,19 +95,19 @@
                 .log(LOGGER.atWarning());
     }
 
-    /** Notes that a task is done, or needs no more runs. */
-    public void cleared(Task task) {
+    /** Removes a task that is done or needs no further run. */
+    public void removeTask(Task task) {
         if (!suspects.isEmpty()) {
             suspects.remove(task);
-            alone.remove(task);
+            suspectsAlone.remove(task);
         }
     }
 
-    /** Notes that a job has ended. */
-    public void ended(Job job) {
+    /** Removes the tasks of a job that has ended. */
+    public void removeJob(Job job) {
         if (!suspects.isEmpty()) {
             suspects.removeIf(task -> task.job() == job);
-            alone.removeIf(task -> task.job() == job);
+            suspectsAlone.removeIf(task -> task.job() == job);
         }
     }
 }
--- a/library/src/main/java/org/chivetally/queue/entry/Ownership.java
+++ b/library/src/main/java/org/chivetally/queue/entry/Ownership.java
@@ -10,48 +10,49 @@
 import org.chivetally.time.Timers;
 
 /**
- * Keeps this entry in the group and learns which partitions are its own. What it learns is only a hint: safety rests on
- * the epochs that the log and the agents check.
+ * Membership of this entry in the ownership group of the platform, which assigns partitions to entries. The assignment
+ * is only a hint: safety rests on the epochs that the log and the agents check.
  */
 final class Ownership {
     /**
-     * How long a member counts without a call: an entry that dies is replaced after it. The platform takes 1 s or more.
+     * Time after its last join call at which a member is removed, so that the partitions of a failed entry are
+     * reassigned. The platform requires 1 s or more.
      */
     static final Duration TIME_TO_LIVE = Duration.ofMillis(1_500);
 
-    /** Interval of calls: three fit into the time to live, so one lost answer does not cost the membership. */
+    /** Interval of join calls: three fit into the time to live, so that one lost answer does not end the membership. */
     static final Duration JOIN_INTERVAL = Duration.ofMillis(450);
 
-    /** Age of the last confirmation up to which this entry may tell callers that a job does not exist. */
-    static final Duration CONFIRMATION = Duration.ofMillis(1_200);
+    /** Age of the latest confirmation up to which this entry may answer callers that a job does not exist. */
+    static final Duration CONFIRMATION_VALIDITY = Duration.ofMillis(1_200);
 
     private static final FluentLogger LOGGER = FluentLogger.forEnclosingClass();
 
     private final OwnershipGroup group;
     private final Timers timers;
     private final String member;
-    private final Changes changes;
+    private final Listener listener;
     private Set<Integer> owned = Set.of();
     private long generation;
     private long confirmedAtNanos;
     private boolean confirmed;
-    private boolean inFlight;
-    private boolean lost;
+    private boolean joinInFlight;
+    private boolean disconnected;
     private boolean left;
 
-    Ownership(OwnershipGroup group, Timers timers, String member, Changes changes) {
+    Ownership(OwnershipGroup group, Timers timers, String member, Listener listener) {
         this.group = group;
         this.timers = timers;
         this.member = member;
-        this.changes = changes;
+        this.listener = listener;
     }
 
-    /** Told which partitions came and went. */
-    interface Changes {
-        /** A partition is this entry's from a generation on. */
+    /** Receives changes of the assignment. */
+    interface Listener {
+        /** A partition is assigned to this entry as of a generation of the group. */
         void gained(int partition, long generation);
 
-        /** A partition is no longer this entry's. */
+        /** A partition is no longer assigned to this entry. */
         void lost(int partition);
     }
 
@@ -60,15 +61,15 @@
         join();
     }
 
-    /** Asks for the partitions now, as something has probably changed. */
+    /** Requests the current assignment now, as it has probably changed. */
     void join() {
-        if (inFlight || left) {
+        if (joinInFlight || left) {
             return;
         }
-        inFlight = true;
+        joinInFlight = true;
         long sentAt = timers.nanos();
         group.join(member, generation, TIME_TO_LIVE, outcome -> {
-            inFlight = false;
+            joinInFlight = false;
             if (left) {
                 return;
             }
@@ -80,8 +81,8 @@
     }
 
     private void joined(JoinOutcome.Joined joined, long sentAt) {
-        if (lost) {
-            lost = false;
+        if (disconnected) {
+            disconnected = false;
             EventLine.of("group-regained")
                     .with("generation", joined.generation())
                     .log(LOGGER.atInfo());
@@ -94,12 +95,12 @@
         owned = joined.partitions();
         for (int partition : before) {
             if (!owned.contains(partition)) {
-                changes.lost(partition);
+                listener.lost(partition);
             }
         }
         for (int partition : owned) {
             if (!before.contains(partition)) {
-                changes.gained(partition, generation);
+                listener.gained(partition, generation);
             }
         }
         if (changed) {
@@ -107,42 +108,47 @@
                     .with("generation", generation)
                     .with("partitions", owned.size())
                     .log(LOGGER.atInfo());
-            // The platform deals a partition on only when the member that loses it has called with the new generation.
+            // The platform reassigns a partition only after its former member has called with the new generation.
             join();
         }
     }
 
     private void unavailable(String reason) {
-        if (!lost) {
-            lost = true;
+        if (!disconnected) {
+            disconnected = true;
             EventLine.of("group-lost").with("reason", reason).log(LOGGER.atWarning());
         }
     }
 
-    /** Notes that a partition turned out to be somebody else's, so that it is gained anew if it is dealt back. */
-    void forget(int partition) {
-        Set<Integer> rest = new HashSet<>(owned);
-        rest.remove(partition);
-        owned = Set.copyOf(rest);
+    /**
+     * Records that another entry owns a partition, so that the partition is reported as gained if it is assigned to
+     * this entry again.
+     */
+    void markLost(int partition) {
+        Set<Integer> remaining = new HashSet<>(owned);
+        remaining.remove(partition);
+        owned = Set.copyOf(remaining);
     }
 
-    /** Takes the last confirmation back, after the machine stood still. */
-    void distrust() {
+    /** Invalidates the latest confirmation after the machine was suspended, and requests a new one. */
+    void invalidateConfirmation() {
         confirmed = false;
         join();
     }
 
-    /** Tells whether the platform has confirmed the membership lately. */
-    boolean isConfirmed() {
-        return confirmed && timers.nanos() - confirmedAtNanos <= CONFIRMATION.toNanos();
+    /** Returns whether the platform has confirmed the membership within {@link #CONFIRMATION_VALIDITY}. */
+    boolean isRecentlyConfirmed() {
+        return confirmed && timers.nanos() - confirmedAtNanos <= CONFIRMATION_VALIDITY.toNanos();
     }
 
-    /** Tells whether the platform has confirmed the membership at least once since the last doubt. */
-    boolean isTrusted() {
+    /**
+     * Returns whether the platform has confirmed the membership since the last call of {@link #invalidateConfirmation}.
+     */
+    boolean hasConfirmation() {
         return confirmed;
     }
 
-    /** Leaves the group for good. */
+    /** Leaves the group permanently. */
     void leave(Runnable done) {
         left = true;
         group.leave(member, done);
--- a/library/src/main/java/org/chivetally/queue/entry/RunCoordinator.java
+++ b/library/src/main/java/org/chivetally/queue/entry/RunCoordinator.java
@@ -25,14 +25,15 @@
 import org.chivetally.queue.agent.EndCodec;
 import org.chivetally.queue.agent.EndedRun;
 import org.chivetally.queue.agent.RunSupervisor;
-import org.chivetally.queue.crash.CrashWatch;
+import org.chivetally.queue.crash.CrashTracker;
+import org.chivetally.queue.entry.PlacementPasses.RunStarter;
 import org.chivetally.queue.link.PeerLink;
 import org.chivetally.queue.placement.AdmissionPolicy;
+import org.chivetally.queue.placement.EntryCapacityShare;
 import org.chivetally.queue.placement.PlacementPolicy;
-import org.chivetally.queue.placement.SharedProcessors;
 import org.chivetally.queue.placement.WaitingTasks;
 import org.chivetally.queue.placement.Worker;
-import org.chivetally.queue.share.Division;
+import org.chivetally.queue.share.FairShares;
 import org.chivetally.queue.speed.LearnedStretch;
 import org.chivetally.settings.SchedulingSettings;
 import org.chivetally.time.Timers;
@@ -47,33 +48,33 @@
 import org.chivetally.wire.v1.RunStop;
 import org.chivetally.wire.v1.WorkerReport;
 
-/** Places the tasks of the entry's partitions on workers and follows their runs, until their ends are known. */
-final class RunCoordinator implements UnkeptJobs.Admission {
+/** Places the entry's tasks on workers and tracks their runs until these have ended. */
+final class RunCoordinator implements InMemoryJobs.Scheduler {
     /**
-     * Silence after which an agent's runs are given up: the agent stops them when the owner's knowledge of it is 3.7 s
-     * old, and renews no longer than 4.05 s; the lease of 1 s then ends by a clock that may be 2% slow, and timers on a
-     * slowed machine fire late. Any sooner, a task could be started beside its old run.
+     * Silence of an agent after which its runs of durable jobs count as lost. If it were shorter, a task could start
+     * while its old run is running. The agent stops runs when its newest heartbeat echoed by their owner is 3.7 s old,
+     * and renews the lease no longer than 4.05 s. The lease of 1 s then expires by a clock that may be 2% slow, and
+     * timers on a slowed machine fire late.
      */
-    static final Duration ABSENCE = Duration.ofMillis(5_700);
+    static final Duration RUN_LOSS_TIMEOUT = Duration.ofMillis(5_700);
 
     /**
-     * Silence after which the runs of unkept jobs are given up. The agent stops them when this entry's knowledge of it
-     * is 0.8 s old, and renews no longer than 1.15 s; the lease of 1 s then ends by a clock that may be 2% slow.
+     * The {@link #RUN_LOSS_TIMEOUT} for in-memory jobs. The agent stops runs when its newest heartbeat echoed by this
+     * entry is 0.8 s old, and renews the lease no longer than 1.15 s. The lease of 1 s expires by a clock that may be
+     * 2% slow.
      */
-    static final Duration UNKEPT_ABSENCE = Duration.ofMillis(2_350);
+    static final Duration IN_MEMORY_RUN_LOSS_TIMEOUT = Duration.ofMillis(2_350);
 
     /**
-     * Time from the start of an entry in which no job is refused for the backlog. Agents that start with it are linked
-     * and know their minions within 1.5 s; until then it knows few workers and would take the service for overloaded.
+     * Time after an entry's start in which no job is refused for the backlog. Agents that start with it need up to 1.5
+     * s to connect and detect their minions; until then the few workers would look overloaded.
      */
-    static final Duration SETTLING = Duration.ofSeconds(2);
+    static final Duration BACKLOG_GRACE = Duration.ofSeconds(2);
 
-    /** Pause of a worker that refused a start for another reason than room: one interval of heartbeats. */
+    /** Time without starts for a worker that refused one, but not for lack of room: one heartbeat interval. */
     static final Duration REFUSAL_PAUSE = Duration.ofMillis(250);
 
-    /**
-     * When to come back to a service without a failure domain in use: operators work in minutes, but may be done soon.
-     */
+    /** Retry delay while a service has only evacuated workers: operators take minutes, but may be done soon. */
     static final Duration EVACUATION_RETRY = Duration.ofSeconds(5);
 
     private static final FluentLogger LOGGER = FluentLogger.forEnclosingClass();
@@ -81,11 +82,11 @@
     private final Timers timers;
     private final int partitionCount;
     private final Map<Integer, PartitionOwner> partitions;
-    private final UnkeptJobs unkept;
-    private final BooleanSupplier stoodStill;
-    private final LongSupplier keptUpAtNanos;
+    private final InMemoryJobs inMemoryJobs;
+    private final BooleanSupplier mayReadStaleRequests;
+    private final LongSupplier lastResponsiveNanos;
     private final PlacementPolicy placement;
-    private final CrashWatch crashes;
+    private final CrashTracker crashes;
     private final long startedAtNanos;
     private final Map<String, Worker> workers = new LinkedHashMap<>();
     private final Map<String, PeerLink> links = new HashMap<>();
@@ -98,32 +99,33 @@
     /**
      * Creates a coordinator.
      *
-     * @param placement where tasks go
-     * @param crashes what decides about tasks under which minions crashed
-     * @param partitions the entry's partitions by number, kept up by the entry
-     * @param mayStart whether the entry is sure enough of its ownership to start anything
-     * @param stoodStill whether what the entry reads now may be old
-     * @param keptUpAtNanos when the entry last kept up with what it is to read, by the steady clock
-     * @param scheduling parts of scheduling that are switched on
+     * @param placement policy that chooses workers
+     * @param crashes record of the tasks under which minions crashed
+     * @param partitionCount number of partitions of the job stream
+     * @param partitions the partitions that the entry owns, by number; updated by the entry
+     * @param mayStart whether the entry's ownership is certain enough to start tasks
+     * @param mayReadStaleRequests whether requests that the entry reads now may be stale
+     * @param keptUpAtNanos when the entry was last known to be responsive, in nanoseconds of the monotonic clock
+     * @param scheduling optional scheduling features that are enabled
      */
     RunCoordinator(
             Timers timers,
             PlacementPolicy placement,
-            CrashWatch crashes,
+            CrashTracker crashes,
             int partitionCount,
             Map<Integer, PartitionOwner> partitions,
             BooleanSupplier mayStart,
-            BooleanSupplier stoodStill,
-            LongSupplier keptUpAtNanos,
+            BooleanSupplier mayReadStaleRequests,
+            LongSupplier lastResponsiveNanos,
             SchedulingSettings scheduling) {
-        this.stoodStill = stoodStill;
-        this.keptUpAtNanos = keptUpAtNanos;
+        this.mayReadStaleRequests = mayReadStaleRequests;
+        this.lastResponsiveNanos = lastResponsiveNanos;
         this.placement = placement;
         this.crashes = crashes;
         this.timers = timers;
         this.partitionCount = partitionCount;
         this.partitions = partitions;
-        this.unkept = new UnkeptJobs(timers, crashes, this);
+        this.inMemoryJobs = new InMemoryJobs(timers, crashes, this);
         this.startedAtNanos = timers.nanos();
         this.waiting = new WaitingTasks(scheduling.fairShares());
         this.shares = new ServiceShares(timers, waiting, workers.values());
@@ -131,7 +133,7 @@
                 ? Optional.of(new QueueShares(timers, waiting, workers.values()))
                 : Optional.empty();
         this.passes = new PlacementPasses(
-                timers, waiting, workers.values(), placement, crashes, shares, queueShares, new PlacementPasses.Runs() {
+                timers, waiting, workers.values(), placement, crashes, shares, queueShares, new RunStarter() {
                     @Override
                     public boolean mayStart() {
                         return mayStart.getAsBoolean();
@@ -143,25 +145,25 @@
                     }
 
                     @Override
-                    public void outlookChanged(long nowNanos) {
-                        refuseWithoutProspect(nowNanos);
+                    public void forecastsChanged(long nowNanos) {
+                        refuseUnservable(nowNanos);
                     }
                 });
     }
 
-    /** Returns what this entry may use of the workers beside the other entries. */
+    /** Returns the shares of this entry in each service's workers. */
     ServiceShares shares() {
         return shares;
     }
 
-    /** Returns how queues share the workers; empty unless that is switched on. */
+    /** Returns the fair shares of queues; empty unless they are enabled. */
     Optional<QueueShares> queueShares() {
         return queueShares;
     }
 
-    /** Returns the jobs that only this entry knows. */
-    UnkeptJobs unkept() {
-        return unkept;
+    /** Returns the jobs that are held in the memory of this entry only. */
+    InMemoryJobs inMemoryJobs() {
+        return inMemoryJobs;
     }
 
     @Override
@@ -170,9 +172,9 @@
         if (shares.isEvacuated(service)) {
             return Optional.of(new JobAnswer.Refused(RefusalReason.EVACUATED, EVACUATION_RETRY));
         }
-        Optional<Duration> refusal = isSettling() ? Optional.empty() : refuseForBacklog(job);
+        Optional<Duration> refusal = isInBacklogGrace() ? Optional.empty() : refuseForBacklog(job);
         if (refusal.isEmpty()) {
-            shares.arrived(job.specification());
+            shares.recordArrival(job.specification());
         }
         return refusal.map(retry -> new JobAnswer.Refused(RefusalReason.BACKLOG, retry));
     }
@@ -184,60 +186,60 @@
         QueueTerms terms = job.specification().terms();
         long ahead = waiting.workAhead(terms.service(), terms.priority());
         return AdmissionPolicy.refuse(
-                job, timers.nanos(), ahead, shares.of(terms.service()).forBacklog());
+                job, timers.nanos(), ahead, shares.of(terms.service()).backlogMillicores());
     }
 
     @Override
     public Duration retryAfter(Job job) {
-        return queueShares.isPresent() ? queueShares.get().givenBack(job) : UnkeptJobs.RETRY;
+        return queueShares.isPresent() ? queueShares.get().retryAfterRefusal(job) : InMemoryJobs.RETRY_AFTER;
     }
 
     @Override
-    public boolean hasStoodStill() {
-        return stoodStill.getAsBoolean();
+    public boolean mayReadStaleRequests() {
+        return mayReadStaleRequests.getAsBoolean();
     }
 
-    private boolean isSettling() {
-        return timers.nanos() - startedAtNanos < SETTLING.toNanos();
+    private boolean isInBacklogGrace() {
+        return timers.nanos() - startedAtNanos < BACKLOG_GRACE.toNanos();
     }
 
-    private void refuseWithoutProspect(long now) {
-        unkept.refuseHopeless();
-        if (isSettling()) {
+    private void refuseUnservable(long now) {
+        inMemoryJobs.refuseTooLate();
+        if (isInBacklogGrace()) {
             return;
         }
         for (String service : waiting.services()) {
-            SharedProcessors processors = shares.of(service);
-            if (processors.capacityMillis() > 0) {
-                refuseOvertaken(service, waiting.withoutProspect(service, processors.spare(), now));
+            EntryCapacityShare share = shares.of(service);
+            if (share.capacityMillicores() > 0) {
+                refuseDeprioritized(service, waiting.unservableJobs(service, share.spareMillicores(), now));
             }
         }
     }
 
-    /** Refuses jobs that others go before for too long; not those of a queue whose share covers all that it needs. */
-    private void refuseOvertaken(String service, List<Job> overtaken) {
-        if (overtaken.isEmpty()) {
+    /** Refuses jobs that would wait too long behind others, unless their queue's share covers its demand. */
+    private void refuseDeprioritized(String service, List<Job> deprioritized) {
+        if (deprioritized.isEmpty()) {
             return;
         }
-        Optional<Division> division = queueShares.map(all -> all.division(service));
-        for (Job job : overtaken) {
-            boolean hasTurn = division.isPresent()
-                    && division.get().isSatisfied(job.specification().terms().queue());
-            if (!hasTurn) {
-                unkept.refuseOvertaken(job);
+        Optional<FairShares> shares = queueShares.map(all -> all.fairShares(service));
+        for (Job job : deprioritized) {
+            boolean isCoveredByShare = shares.isPresent()
+                    && shares.get().isSatisfied(job.specification().terms().queue());
+            if (!isCoveredByShare) {
+                inMemoryJobs.refuseDeprioritized(job);
             }
         }
     }
 
-    /** Tells whether runs that this entry started, or took over, are in progress at an agent. */
+    /** Returns whether an agent has runs that this entry has started or taken over. */
     boolean hasRunsAt(String agent) {
         Worker worker = workers.get(agent);
         return worker != null && worker.hasRuns();
     }
 
-    /** Tells whether nothing that this entry knows of waits or runs. */
+    /** Returns whether this entry has no waiting task and no run. */
     boolean isIdle() {
-        if (!waiting.isEmpty() || unkept.size() > 0) {
+        if (!waiting.isEmpty() || inMemoryJobs.size() > 0) {
             return false;
         }
         for (Worker worker : workers.values()) {
@@ -248,17 +250,17 @@
         return true;
     }
 
-    /** Returns how many times as long the slowest workers take as the fastest; 1 while speeds aren't learned. */
+    /** Returns the ratio of task durations on the slowest and fastest workers; 1 while speeds aren't learned. */
     double speedSpread() {
         return placement.speedSpread();
     }
 
-    /** Returns how many starts went to a worker that was chosen by its speed. */
+    /** Returns the number of starts for which the worker was chosen by its learned speed. */
     long startsBySpeed() {
         return startsBySpeed;
     }
 
-    /** Returns the names of all agents that are linked. */
+    /** Returns the names of all agents with a link. */
     Set<String> linkedAgents() {
         return new HashSet<>(links.keySet());
     }
@@ -273,23 +275,23 @@
                 waiting.reorder(last, timers.nanos());
             }
         }
-        passes.arm();
+        passes.schedule();
     }
 
-    /** Drops what waits of a job and stops what runs. */
+    /** Removes the waiting tasks of a job and stops its runs. */
     @Override
     public void ended(Job job) {
-        crashes.ended(job);
+        crashes.removeJob(job);
         for (Task task : job.tasks()) {
             waiting.remove(task);
-            task.worker().ifPresent(name -> stop(name, task.key(), task.lastRun(), homeOf(task)));
+            task.worker().ifPresent(name -> stop(name, task.key(), task.lastRun(), jobOwnerOf(task)));
         }
     }
 
-    /** Forgets the tasks of a partition that another process owns now. */
+    /** Removes the tasks of a partition that another process owns now. */
     void partitionLost(PartitionOwner partition) {
         for (Job job : partition.jobs()) {
-            crashes.ended(job);
+            crashes.removeJob(job);
             for (Task task : job.tasks()) {
                 waiting.remove(task);
                 task.worker().map(workers::get).ifPresent(worker -> worker.remove(task.key()));
@@ -297,35 +299,35 @@
         }
     }
 
-    private void stop(String workerName, TaskKey task, long run, Optional<RunHome> home) {
+    private void stop(String workerName, TaskKey task, long run, Optional<JobOwner> owner) {
         PeerLink link = links.get(workerName);
-        if (home.isEmpty() || link == null) {
-            // The agent is told when it is linked again: a run of an ended job in its inventory is stopped.
+        if (owner.isEmpty() || link == null) {
+            // The run is stopped when the agent reconnects and lists it in its inventory, as its job has ended.
             return;
         }
-        RunHome.RunAuthority authority = home.get().authority();
+        JobOwner.FencingToken token = owner.get().fencingToken();
         link.send(Frame.newBuilder()
                 .setRunStop(RunStop.newBuilder()
                         .setTask(task.toString())
                         .setRun(run)
-                        .setPartition(authority.partition())
-                        .setEpoch(authority.epoch())
-                        .setUnkept(authority.unkept()))
+                        .setPartition(token.partition())
+                        .setEpoch(token.epoch())
+                        .setUnkept(token.inMemory()))
                 .build());
     }
 
-    /** Notes a link to an agent. */
+    /** Registers the link to an agent. */
     void up(PeerLink link) {
         String process = link.peer().process();
         links.put(process, link);
-        worker(process).linked(link);
+        worker(process).linkOpened(link);
     }
 
-    /** Notes that the link to an agent is gone. */
+    /** Removes the closed link to an agent. */
     void down(PeerLink link) {
         String process = link.peer().process();
         if (links.remove(process, link)) {
-            worker(process).unlinked();
+            worker(process).linkClosed();
         }
     }
 
@@ -333,11 +335,11 @@
         return workers.computeIfAbsent(process, name -> new Worker(name, timers.nanos()));
     }
 
-    /** Notes what an agent tells about its worker. */
+    /** Applies an agent's report on its worker. */
     void report(PeerLink link, WorkerReport report) {
         Worker worker = worker(link.peer().process());
-        worker.report(
-                new Worker.View(
+        worker.recordReport(
+                new Worker.Report(
                         report.getMinion(),
                         report.getService(),
                         JobCodec.decode(report.getCapacity()),
@@ -347,52 +349,55 @@
                         report.getFailureDomain(),
                         report.getStartsSeen()),
                 timers.nanos());
-        worker.learned(new LearnedStretch(report.getStretchPermille(), report.getStretchRuns()));
-        worker.reportSuspects(report.getSuspectedRuns());
-        passes.arm();
+        worker.learnedStretch(new LearnedStretch(report.getStretchPermille(), report.getStretchRuns()));
+        worker.recordSuspectRuns(report.getSuspectedRuns());
+        passes.schedule();
     }
 
-    /** Brings the own view in line with everything that an agent holds. */
-    void inventory(PeerLink link, RunInventory inventory) {
+    /**
+     * Compares this entry's runs at an agent with those that the agent holds: adopts runs that a former owner started,
+     * stops unneeded ones, and records missing ones as lost.
+     */
+    void reconcile(PeerLink link, RunInventory inventory) {
         report(link, inventory.getReport());
         Worker worker = worker(link.peer().process());
-        giveUpReplaced(inventory.getFencedList());
+        loseSupersededPartitions(inventory.getFencedList());
         Set<TaskKey> listed = new HashSet<>();
         for (HeldRun run : inventory.getRunsList()) {
             TaskKey.parse(run.getTask()).ifPresent(task -> {
                 listed.add(task);
-                held(worker, task, run);
+                reconcileRun(worker, task, run);
             });
         }
         for (RunEnd end : inventory.getEndsList()) {
-            // A crash is told until it is stored, and says nothing of a later run of the task.
+            // A crash is reported until it is stored, and is no evidence about a later run of the task.
             EndCodec.decode(end)
                     .filter(ended -> ended.outcome() != RunOutcome.CRASHED)
                     .ifPresent(ended -> listed.add(ended.run().task()));
         }
         ends(link, inventory.getEndsList());
-        for (Worker.Sent start : worker.sent()) {
-            if (!listed.contains(start.task().key()) && !worker.isUnseen(start)) {
-                finished(worker, start, RunOutcome.LOST, () -> {});
+        for (Worker.SentStart start : worker.inProgress()) {
+            if (!listed.contains(start.task().key()) && !worker.isUnacknowledged(start)) {
+                finishRun(worker, start, RunOutcome.LOST, () -> {});
             }
         }
         for (OwnedPartition fenced : inventory.getFencedList()) {
             PartitionOwner owner = partitions.get(fenced.getPartition());
             if (owner != null && owner.isReady() && owner.epoch() == fenced.getEpoch()) {
-                owner.agentHeard(worker.process());
+                owner.agentReported(worker.process());
             }
         }
     }
 
     /**
-     * Gives up the partitions for which an agent has heard of a later owner. That one may have taken ends there, which
-     * are listed no more: taken for lost, the runs would be started again, at an agent that it has not reached yet.
+     * Ends the ownership of partitions for which an agent reports a later owner. That one may have taken ends that the
+     * agent no longer lists. Counted as lost here, their tasks would start again at an agent that it hasn't reached.
      */
-    private void giveUpReplaced(List<OwnedPartition> fenced) {
+    private void loseSupersededPartitions(List<OwnedPartition> fenced) {
         for (OwnedPartition fence : fenced) {
             PartitionOwner owner = partitions.get(fence.getPartition());
             if (owner != null && owner.epoch() < fence.getEpoch()) {
-                owner.replaced(fence.getEpoch());
+                owner.superseded(fence.getEpoch());
             }
         }
     }
@@ -402,43 +407,45 @@
         return owner != null && owner.isReady() ? Optional.of(owner) : Optional.empty();
     }
 
-    /** Returns where the job of a task is known; empty when its partition isn't this entry's any more. */
-    private Optional<RunHome> homeOf(Task task) {
-        return task.job().isKept() ? ownerOf(task.key()).map(RunHome.class::cast) : Optional.of(unkept);
+    /** Returns the owner of a task's job; empty if the job is durable and this entry no longer owns its partition. */
+    private Optional<JobOwner> jobOwnerOf(Task task) {
+        return task.job().isDurable() ? ownerOf(task.key()).map(JobOwner.class::cast) : Optional.of(inMemoryJobs);
     }
 
     private Optional<Task> task(TaskKey key) {
-        Optional<Task> known = unkept.task(key);
+        Optional<Task> known = inMemoryJobs.task(key);
         return known.isPresent() ? known : ownerOf(key).flatMap(owner -> owner.task(key));
     }
 
-    private void held(Worker worker, TaskKey key, HeldRun run) {
+    private void reconcileRun(Worker worker, TaskKey key, HeldRun run) {
         if (!run.getUnkept() && ownerOf(key).isEmpty()) {
             return;
         }
-        Optional<RunHome> home =
-                run.getUnkept() ? Optional.of(unkept) : ownerOf(key).map(RunHome.class::cast);
-        Optional<Task> known = home.flatMap(place -> place.task(key));
-        boolean wanted = known.isPresent() && !known.get().job().phase().isFinal();
-        if (wanted && known.get().status() == Task.Status.UNCERTAIN) {
+        Optional<JobOwner> owner =
+                run.getUnkept() ? Optional.of(inMemoryJobs) : ownerOf(key).map(JobOwner.class::cast);
+        Optional<Task> known = owner.flatMap(candidate -> candidate.task(key));
+        boolean needed = known.isPresent() && !known.get().job().phase().isFinal();
+        if (needed && known.get().status() == Task.Status.UNCERTAIN) {
             Task task = known.get();
-            task.job().place(task, worker.process(), run.getRun());
+            task.job().recordPlacement(task, worker.process(), run.getRun());
             worker.adopt(task, run.getRun(), timers.nanos());
             return;
         }
-        boolean ours = wanted
-                && worker.sent(key).map(start -> start.run() == run.getRun()).orElse(false);
-        if (!ours) {
+        boolean tracked = needed
+                && worker.inProgress(key)
+                        .map(start -> start.run() == run.getRun())
+                        .orElse(false);
+        if (!tracked) {
             EventLine.of("run-unwanted")
                     .with("task", key)
                     .with("run", run.getRun())
                     .with("worker", worker.process())
                     .log(LOGGER.atInfo());
-            stop(worker.process(), key, run.getRun(), home);
+            stop(worker.process(), key, run.getRun(), owner);
         }
     }
 
-    /** Notes ends of runs. */
+    /** Handles ends of runs that an agent reports. */
     void ends(PeerLink link, List<RunEnd> ends) {
         Worker worker = worker(link.peer().process());
         for (RunEnd encoded : ends) {
@@ -448,77 +455,79 @@
 
     private void end(PeerLink link, Worker worker, EndedRun end) {
         TaskKey key = end.run().task();
-        Runnable kept = () -> keep(link, end);
-        Optional<Worker.Sent> start =
-                worker.sent(key).filter(sent -> sent.run() == end.run().run());
+        Runnable acknowledge = () -> acknowledge(link, end);
+        Optional<Worker.SentStart> start =
+                worker.inProgress(key).filter(sent -> sent.run() == end.run().run());
         if (start.isPresent()) {
             if (end.outcome() == RunOutcome.NEVER_STARTED) {
-                // A worker that can't start has room all the time and would be chosen again at once, for every task.
-                worker.pause(timers.nanos() + REFUSAL_PAUSE.toNanos());
+                // A worker that can't start runs always has room, and would be chosen again at once for every task.
+                worker.pauseStarts(timers.nanos() + REFUSAL_PAUSE.toNanos());
             }
-            finished(worker, start.get(), end.outcome(), kept);
+            finishRun(worker, start.get(), end.outcome(), acknowledge);
             return;
         }
         Optional<Task> known = task(key);
         if (known.isEmpty()) {
-            // Of a job that has ended. An end that is another owner's to store is told to that one.
-            ownerOf(key).ifPresent(owner -> kept.run());
+            // The job has ended. If another entry owns the partition, the end is left for that owner to store.
+            ownerOf(key).ifPresent(owner -> acknowledge.run());
             return;
         }
         Task task = known.get();
         if (end.outcome() == RunOutcome.CRASHED) {
-            homeOf(task).ifPresent(home -> home.crashedBefore(task, end.run().run(), kept));
+            jobOwnerOf(task)
+                    .ifPresent(owner -> owner.earlierRunCrashed(task, end.run().run(), acknowledge));
             return;
         }
-        if (task.status() == Task.Status.UNCERTAIN || isLastWord(task, end)) {
+        if (task.status() == Task.Status.UNCERTAIN || completesTask(task, end)) {
             stopNewerRun(task);
-            endedUnseen(worker, task, end, kept);
+            endUntrackedRun(worker, task, end, acknowledge);
         } else {
-            homeOf(task).ifPresent(home -> home.toldAgain(task, kept));
+            jobOwnerOf(task).ifPresent(owner -> owner.reportedAgain(task, acknowledge));
         }
     }
 
-    /** Tells whether a run that this entry no longer followed has done the task, so that no other run is needed. */
-    private static boolean isLastWord(Task task, EndedRun end) {
+    /** Returns whether a run that is no longer tracked has done its task, so that no other run is needed. */
+    private static boolean completesTask(Task task, EndedRun end) {
         return task.status() != Task.Status.DONE && end.outcome() == RunOutcome.DONE;
     }
 
-    /** Stops the run in progress of a task that an earlier run has done: the work must not be done twice. */
+    /** Stops the current run of a task that an earlier run has completed, so that the work isn't done twice. */
     private void stopNewerRun(Task task) {
-        task.worker().ifPresent(name -> stop(name, task.key(), task.lastRun(), homeOf(task)));
+        task.worker().ifPresent(name -> stop(name, task.key(), task.lastRun(), jobOwnerOf(task)));
     }
 
-    private void endedUnseen(Worker worker, Task task, EndedRun end, Runnable kept) {
+    private void endUntrackedRun(Worker worker, Task task, EndedRun end, Runnable acknowledge) {
         boolean counts = end.outcome() == RunOutcome.DONE || end.outcome() == RunOutcome.FAILED;
         if (!counts) {
-            kept.run();
+            acknowledge.run();
             return;
         }
         waiting.remove(task);
-        task.job().place(task, worker.process(), end.run().run());
-        settle(worker, task, end.run().run(), end.outcome(), kept);
+        task.job().recordPlacement(task, worker.process(), end.run().run());
+        recordEnd(worker, task, end.run().run(), end.outcome(), acknowledge);
     }
 
-    private void keep(PeerLink link, EndedRun end) {
+    private void acknowledge(PeerLink link, EndedRun end) {
         if (end.sequence() == 0) {
             return;
         }
         link.send(Frame.newBuilder()
-                .setEndsKept(EndsKept.newBuilder().setMinion(end.boot()).addSequences(end.sequence()))
+                .setEndsKept(EndsKept.newBuilder().setMinion(end.incarnation()).addSequences(end.sequence()))
                 .build());
     }
 
-    private void finished(Worker worker, Worker.Sent start, RunOutcome outcome, Runnable kept) {
+    private void finishRun(Worker worker, Worker.SentStart start, RunOutcome outcome, Runnable acknowledge) {
         if (outcome == RunOutcome.DONE) {
-            placement.ended(worker, start, timers.nanos());
-            crashes.cleared(start.task());
+            placement.recordEnd(worker, start, timers.nanos());
+            crashes.removeTask(start.task());
         }
         worker.remove(start.task().key());
-        settle(worker, start.task(), start.run(), outcome, kept);
+        recordEnd(worker, start.task(), start.run(), outcome, acknowledge);
     }
 
-    private void settle(Worker worker, Task task, long run, RunOutcome outcome, Runnable kept) {
-        if (outcome == RunOutcome.FAILED && worker.health().failed(task.key().jobId(), timers.nanos())) {
+    private void recordEnd(Worker worker, Task task, long run, RunOutcome outcome, Runnable acknowledge) {
+        if (outcome == RunOutcome.FAILED
+                && worker.health().recordFailedRun(task.key().jobId(), timers.nanos())) {
             EventLine.of("worker-avoided").with("worker", worker.process()).log(LOGGER.atWarning());
         }
         EventLine.of("run-ended")
@@ -528,65 +537,66 @@
                 .with("outcome", outcome)
                 .with("failures", task.failures())
                 .log(LOGGER.atInfo());
-        homeOf(task).ifPresent(home -> home.ended(task, outcome, kept));
-        passes.arm();
+        jobOwnerOf(task).ifPresent(owner -> owner.ended(task, outcome, acknowledge));
+        passes.schedule();
     }
 
-    /** Notes that an agent did not start a run. */
+    /** Handles an agent's refusal to start a run. */
     void refused(PeerLink link, RunRefused refused) {
         report(link, refused.getReport());
         Worker worker = worker(link.peer().process());
         if (refused.getFencedBy() > 0) {
-            // Started elsewhere, at an agent that the later owner has not reached, the task could run twice.
+            // If this entry started the task at another agent, which the new owner has not reached, it could run twice.
             TaskKey.parse(refused.getTask())
                     .flatMap(this::ownerOf)
                     .filter(owner -> owner.epoch() < refused.getFencedBy())
-                    .ifPresent(owner -> owner.replaced(refused.getFencedBy()));
+                    .ifPresent(owner -> owner.superseded(refused.getFencedBy()));
         }
-        Optional<Worker.Sent> start =
-                TaskKey.parse(refused.getTask()).flatMap(worker::sent).filter(sent -> sent.run() == refused.getRun());
+        Optional<Worker.SentStart> start = TaskKey.parse(refused.getTask())
+                .flatMap(worker::inProgress)
+                .filter(sent -> sent.run() == refused.getRun());
         if (start.isEmpty()) {
             return;
         }
         String reason = refused.getReason();
         if (!RunSupervisor.NO_ROOM.equals(reason) && !RunSupervisor.SUSPECT_HELD.equals(reason)) {
-            worker.pause(timers.nanos() + REFUSAL_PAUSE.toNanos());
+            worker.pauseStarts(timers.nanos() + REFUSAL_PAUSE.toNanos());
         }
-        finished(worker, start.get(), RunOutcome.NEVER_STARTED, () -> {});
+        finishRun(worker, start.get(), RunOutcome.NEVER_STARTED, () -> {});
     }
 
-    /** Gives up the runs of agents that have been silent too long, and lets tasks pass on whose turn is over. */
+    /** Ends lost runs, releases tasks whose agents failed to report in time, and refuses jobs that are too late. */
     void sweep() {
         long now = timers.nanos();
         for (Worker worker : List.copyOf(workers.values())) {
             if (!worker.isLinked()) {
-                giveUp(worker, worker.silentNanos(now));
+                expireRuns(worker, worker.nanosSinceContact(now));
             }
         }
         for (PartitionOwner owner : partitions.values()) {
-            boolean over = now - owner.openedAtNanos() > ABSENCE.toNanos();
-            for (String agent : over ? owner.unheardAgents() : Set.<String>of()) {
+            boolean timedOut = now - owner.openedAtNanos() > RUN_LOSS_TIMEOUT.toNanos();
+            for (String agent : timedOut ? owner.unreportedAgents() : Set.<String>of()) {
                 if (!links.containsKey(agent)) {
-                    owner.agentHeard(agent);
+                    owner.agentReported(agent);
                 }
             }
         }
         moveFromSlowWorkers(now);
-        refuseWithoutProspect(now);
-        queueShares.ifPresent(QueueShares::look);
-        passes.arm();
+        refuseUnservable(now);
+        queueShares.ifPresent(QueueShares::updateContention);
+        passes.schedule();
     }
 
     /**
-     * Stops overdue runs of unkept jobs on slow workers, so that they start again elsewhere: tasks that stand still
-     * would hold their callers until the time limit. Not when many workers look slow, as then something else is.
+     * Stops overdue runs of in-memory jobs on slow workers, to start them elsewhere: stalled tasks would hold their
+     * callers until the deadline. Stops nothing while many workers look slow, as something else is the cause.
      */
     private void moveFromSlowWorkers(long now) {
         List<Worker> slow = new ArrayList<>();
-        int open = 0;
+        int accepting = 0;
         for (Worker worker : workers.values()) {
-            open += worker.isOpen(now) ? 1 : 0;
-            boolean late = !worker.newlyOverdue(now).isEmpty();
+            accepting += worker.acceptsStarts(now) ? 1 : 0;
+            boolean late = !worker.markNewlyOverdue(now).isEmpty();
             if (worker.health().isSlow()) {
                 slow.add(worker);
                 if (late) {
@@ -597,24 +607,25 @@
                 }
             }
         }
-        if (PlacementPolicy.AVOIDED_PART * slow.size() > open) {
+        if (PlacementPolicy.MINIMUM_WORKERS_PER_AVOIDED * slow.size() > accepting) {
             return;
         }
         for (Worker worker : slow) {
-            for (Worker.Sent start : worker.overdue()) {
-                if (!start.task().job().isKept() && !start.task().job().phase().isFinal()) {
-                    stop(worker.process(), start.task().key(), start.run(), homeOf(start.task()));
+            for (Worker.SentStart start : worker.overdue()) {
+                if (!start.task().job().isDurable()
+                        && !start.task().job().phase().isFinal()) {
+                    stop(worker.process(), start.task().key(), start.run(), jobOwnerOf(start.task()));
                 }
             }
         }
     }
 
-    private void giveUp(Worker worker, long silentNanos) {
+    private void expireRuns(Worker worker, long silentNanos) {
         int count = 0;
-        for (Worker.Sent start : worker.sent()) {
-            Duration absence = start.task().job().isKept() ? ABSENCE : UNKEPT_ABSENCE;
-            if (silentNanos > absence.toNanos()) {
-                finished(worker, start, RunOutcome.LOST, () -> {});
+        for (Worker.SentStart start : worker.inProgress()) {
+            Duration timeout = start.task().job().isDurable() ? RUN_LOSS_TIMEOUT : IN_MEMORY_RUN_LOSS_TIMEOUT;
+            if (silentNanos > timeout.toNanos()) {
+                finishRun(worker, start, RunOutcome.LOST, () -> {});
                 count++;
             }
         }
@@ -625,57 +636,57 @@
                     .with("silent_ms", silentNanos / 1_000_000)
                     .log(LOGGER.atWarning());
         }
-        if (silentNanos > ABSENCE.toNanos() && worker.sent().isEmpty()) {
+        if (silentNanos > RUN_LOSS_TIMEOUT.toNanos() && worker.inProgress().isEmpty()) {
             workers.remove(worker.process());
         }
     }
 
     private void start(Worker worker, Task task, boolean bySpeed) {
-        Optional<RunHome> home = homeOf(task);
+        Optional<JobOwner> owner = jobOwnerOf(task);
         PeerLink link = links.get(worker.process());
-        if (home.isEmpty() || link == null) {
+        if (owner.isEmpty() || link == null) {
             return;
         }
-        RunHome.RunAuthority authority = home.get().authority();
+        JobOwner.FencingToken token = owner.get().fencingToken();
         waiting.remove(task);
         long run = task.lastRun() + 1;
         long now = timers.nanos();
         double expectedMillis = placement.expectedMillis(task);
-        Worker.Sent sent = worker.send(task, run, now, expectedMillis);
-        task.job().place(task, worker.process(), run);
-        // One that shares the worker with another suspect would be refused, were it sent as one.
+        Worker.SentStart sent = worker.send(task, run, now, expectedMillis);
+        task.job().recordPlacement(task, worker.process(), run);
+        // Agents refuse a second suspect, so a suspect that joins another one is sent as an ordinary task.
         boolean isolated = crashes.isSuspect(task) && !worker.holdsSuspect();
         if (isolated) {
-            worker.sentSuspect(task.key());
+            worker.addSuspect(task.key());
         } else if (crashes.isSuspect(task)) {
-            worker.sent().forEach(beside -> crashes.sent(beside.task(), false));
+            worker.inProgress().forEach(other -> crashes.recordStart(other.task(), false));
         }
-        crashes.sent(task, isolated);
+        crashes.recordStart(task, isolated);
         EventLine placed = EventLine.of("run-placed")
                 .with("task", task.key())
                 .with("run", run)
                 .with("worker", worker.process())
-                .with("free_millicores", worker.free().processorMillis())
+                .with("free_millicores", worker.freeRoom().processorMillis())
                 .with("waited_ms", (now - task.job().acceptedAtNanos()) / 1_000_000)
-                .with("report_age_ms", (now - worker.heardAtNanos()) / 1_000_000)
+                .with("report_age_ms", (now - worker.lastReportAtNanos()) / 1_000_000)
                 .with("waiting", waiting.size());
         if (bySpeed) {
             startsBySpeed++;
             placed = placed.with("stretch", Math.round(100 * worker.stretch()) / 100.0);
         }
         placed.log(LOGGER.atInfo());
-        link.echoSent(now);
+        link.recordEchoSent(now);
         link.send(Frame.newBuilder()
                 .setRunStart(RunStart.newBuilder()
                         .setNumber(sent.number())
                         .setTask(task.key().toString())
                         .setRun(run)
-                        .setPartition(authority.partition())
-                        .setEpoch(authority.epoch())
-                        .setUnkept(authority.unkept())
+                        .setPartition(token.partition())
+                        .setEpoch(token.epoch())
+                        .setUnkept(token.inMemory())
                         .setSuspected(isolated)
                         .setEchoNanos(link.peerStampNanos())
-                        .setStampAgeNanos(link.stampAgeNanos(keptUpAtNanos.getAsLong()))
+                        .setStampAgeNanos(link.stampAgeNanos(lastResponsiveNanos.getAsLong()))
                         .setEstimatedMillis(
                                 placement.learnsSpeeds()
                                         ? Math.max(0, task.step().estimatedMillis())
--- a/library/src/main/java/org/chivetally/queue/link/LinkTable.java
+++ b/library/src/main/java/org/chivetally/queue/link/LinkTable.java
@@ -16,23 +16,26 @@
 import org.chivetally.wire.v1.Frame;
 
 /**
- * The links of one process: at most one to each peer. Dials the peers that it is told to, again and again while there
- * is no link, and closes links that have gone silent, as a connection may hang for good without an error.
+ * The links of a process, at most one to each peer. The table dials configured peers until they are connected, and
+ * redials them when a link is lost. It closes links on which no frame arrives for some time, because a connection can
+ * hang forever without an error.
  */
 public final class LinkTable {
     private static final FluentLogger LOGGER = FluentLogger.forEnclosingClass();
 
     /**
-     * Silence after which a link is closed. Heartbeats come every 250 ms, and every 750 ms at most where there is no
-     * work; a machine that is slowed five times over still gets one through in this time.
+     * Time without a received frame after which a link is closed. Heartbeats arrive every 250 ms, or every 750 ms if
+     * there is no work; even a machine slowed down fivefold sends one within this time.
      */
-    public static final Duration SILENCE = Duration.ofMillis(1_500);
+    public static final Duration SILENCE_TIMEOUT = Duration.ofMillis(1_500);
 
-    /** Pause before the first redial: a process that restarts takes about two seconds, so sooner is in vain. */
-    static final Duration FIRST_PAUSE = Duration.ofMillis(200);
+    /**
+     * Delay before the first redial. A restart of a process takes about two seconds, so shorter delays gain nothing.
+     */
+    static final Duration FIRST_REDIAL_DELAY = Duration.ofMillis(200);
 
-    /** Longest pause between redials: bounds how long a peer that is back stays unseen. */
-    static final Duration LONGEST_PAUSE = Duration.ofMillis(1_000);
+    /** Longest delay between redials, which bounds the time until a recovered peer is connected. */
+    static final Duration LONGEST_REDIAL_DELAY = Duration.ofMillis(1_000);
 
     private final Peer self;
     private final Timers timers;
@@ -42,7 +45,14 @@
     private final Map<FrameConnection, PeerLink> byConnection = new IdentityHashMap<>();
     private final Map<String, Target> targets = new HashMap<>();
 
-    /** Creates a table that dials nobody yet. */
+    /**
+     * Creates a table without links.
+     *
+     * @param self identity of this process, sent to peers
+     * @param timers timers of the event loop
+     * @param dialer opens connections
+     * @param listener receives the events of the links
+     */
     public LinkTable(Peer self, Timers timers, Dialer dialer, LinkListener listener) {
         this.self = self;
         this.timers = timers;
@@ -50,7 +60,7 @@
         this.listener = listener;
     }
 
-    /** Returns who is told about connections that others open. */
+    /** Returns a listener for the connections that peers open. */
     public FrameListener acceptor() {
         return new Handshake(Optional.empty());
     }
@@ -65,15 +75,17 @@
         return links.size();
     }
 
-    /** Returns the link to a process, if it is open. */
+    /** Returns the open link to a process, if there is one. */
     public Optional<PeerLink> link(String process) {
         return Optional.ofNullable(links.get(process));
     }
 
-    /** Dials a peer whenever there is no link to it. A known peer's address is replaced by a newer incarnation's. */
+    /**
+     * Connects to a peer, and redials it whenever the link is lost. A newer incarnation replaces the address of a peer.
+     */
     public void dial(Peer peer) {
-        Target known = targets.get(peer.process());
-        if (known != null && known.peer.incarnation() >= peer.incarnation()) {
+        Target existing = targets.get(peer.process());
+        if (existing != null && existing.peer.incarnation() >= peer.incarnation()) {
             return;
         }
         Target target = new Target(peer);
@@ -81,27 +93,29 @@
         target.dial();
     }
 
-    /** Returns the time after which the next link counts as silent unless it is heard before. */
-    public Duration untilSilent() {
+    /** Returns the time until the next link reaches its silence timeout if no frame arrives on it. */
+    public Duration untilNextSilenceTimeout() {
         long now = timers.nanos();
-        long least = SILENCE.toNanos();
+        long remaining = SILENCE_TIMEOUT.toNanos();
         for (PeerLink link : links.values()) {
-            least = Math.min(least, link.heardAtNanos() + SILENCE.toNanos() - now);
+            remaining = Math.min(remaining, link.lastReceivedNanos() + SILENCE_TIMEOUT.toNanos() - now);
         }
-        return Duration.ofNanos(Math.max(0, least));
+        return Duration.ofNanos(Math.max(0, remaining));
     }
 
-    /** Closes links that have gone silent; to be called with each heartbeat, so that one wake-up serves both. */
-    public void closeSilent() {
+    /**
+     * Closes links that have reached the silence timeout. Called with each heartbeat, so that one wake-up serves both.
+     */
+    public void closeSilentLinks() {
         long now = timers.nanos();
         for (PeerLink link : links()) {
-            if (now - link.heardAtNanos() >= SILENCE.toNanos()) {
-                drop(link, "silent");
+            if (now - link.lastReceivedNanos() >= SILENCE_TIMEOUT.toNanos()) {
+                closeLink(link, "silent");
             }
         }
     }
 
-    private void drop(PeerLink link, String reason) {
+    private void closeLink(PeerLink link, String reason) {
         link.connection().close();
         byConnection.remove(link.connection());
         if (!links.remove(link.peer().process(), link)) {
@@ -110,24 +124,24 @@
         EventLine.of("link-lost")
                 .with("peer", link.peer().process())
                 .with("incarnation", link.peer().incarnation())
-                .with("silent_ms", (timers.nanos() - link.heardAtNanos()) / 1_000_000)
+                .with("silent_ms", (timers.nanos() - link.lastReceivedNanos()) / 1_000_000)
                 .with("reason", reason)
                 .log(LOGGER.atWarning());
         listener.down(link, reason);
         Target target = targets.get(link.peer().process());
         if (target != null) {
-            target.redialLater();
+            target.scheduleRedial();
         }
     }
 
-    private void introduced(FrameConnection connection, Peer peer) {
-        PeerLink known = links.get(peer.process());
-        if (known != null && known.peer().incarnation() > peer.incarnation()) {
+    private void openLink(FrameConnection connection, Peer peer) {
+        PeerLink existing = links.get(peer.process());
+        if (existing != null && existing.peer().incarnation() > peer.incarnation()) {
             connection.close();
             return;
         }
-        if (known != null) {
-            drop(known, "replaced");
+        if (existing != null) {
+            closeLink(existing, "replaced");
         }
         PeerLink link = new PeerLink(peer, connection, timers.nanos());
         links.put(peer.process(), link);
@@ -138,15 +152,15 @@
                 .log(LOGGER.atInfo());
         Target target = targets.get(peer.process());
         if (target != null) {
-            target.pause = FIRST_PAUSE;
+            target.redialDelay = FIRST_REDIAL_DELAY;
         }
         listener.up(link);
     }
 
-    /** A peer that is to be dialled. */
+    /** A peer to which this process keeps a link. */
     private final class Target {
         private final Peer peer;
-        private Duration pause = FIRST_PAUSE;
+        private Duration redialDelay = FIRST_REDIAL_DELAY;
 
         private Target(Peer peer) {
             this.peer = peer;
@@ -157,23 +171,23 @@
                 return;
             }
             Handshake handshake = new Handshake(Optional.of(this));
-            // A connection can open and then stay silent for good, without a hello and without an error.
-            timers.after(SILENCE, handshake::abandonUnlessIntroduced);
+            // A connection can open and then hang forever, without a hello and without an error.
+            timers.after(SILENCE_TIMEOUT, handshake::abandonWithoutHello);
             dialer.dial(peer.host(), peer.port(), handshake);
         }
 
-        private void redialLater() {
-            timers.after(pause, this::dial);
-            Duration longer = pause.multipliedBy(2);
-            pause = longer.compareTo(LONGEST_PAUSE) > 0 ? LONGEST_PAUSE : longer;
+        private void scheduleRedial() {
+            timers.after(redialDelay, this::dial);
+            Duration doubled = redialDelay.multipliedBy(2);
+            redialDelay = doubled.compareTo(LONGEST_REDIAL_DELAY) > 0 ? LONGEST_REDIAL_DELAY : doubled;
         }
     }
 
-    /** One connection, from its opening to its end. */
+    /** Listener of one connection, from its opening to its end. */
     private final class Handshake implements FrameListener {
         private final Optional<Target> target;
         private FrameConnection opened;
-        private boolean introduced;
+        private boolean helloReceived;
         private boolean ended;
 
         private Handshake(Optional<Target> target) {
@@ -190,38 +204,38 @@
         public void received(FrameConnection connection, Frame frame) {
             if (frame.getBodyCase() == Frame.BodyCase.LINK_HELLO) {
                 if (!ended) {
-                    introduced = true;
-                    introduced(connection, Peer.of(frame.getLinkHello()));
+                    helloReceived = true;
+                    openLink(connection, Peer.of(frame.getLinkHello()));
                 }
                 return;
             }
-            linkOf(connection).ifPresent(newest -> {
-                newest.heard(timers.nanos());
-                listener.received(newest, frame);
+            linkOf(connection).ifPresent(link -> {
+                link.recordReceived(timers.nanos());
+                listener.received(link, frame);
             });
         }
 
         @Override
         public void disconnected(FrameConnection connection, String reason) {
-            linkOf(connection).ifPresent(newest -> drop(newest, reason));
-            if (!introduced && !ended) {
+            linkOf(connection).ifPresent(link -> closeLink(link, reason));
+            if (!helloReceived && !ended) {
                 ended = true;
-                target.ifPresent(Target::redialLater);
+                target.ifPresent(Target::scheduleRedial);
             }
         }
 
-        private void abandonUnlessIntroduced() {
-            if (introduced || ended) {
+        private void abandonWithoutHello() {
+            if (helloReceived || ended) {
                 return;
             }
             ended = true;
             if (opened != null) {
                 opened.close();
             }
-            target.ifPresent(Target::redialLater);
+            target.ifPresent(Target::scheduleRedial);
         }
 
-        /** Returns the link of a connection while it is the newest one to its peer. */
+        /** Returns the link of a connection, unless a newer connection to the same peer has replaced it. */
         private Optional<PeerLink> linkOf(FrameConnection connection) {
             return Optional.ofNullable(byConnection.get(connection));
         }
--- a/library/src/main/java/org/chivetally/queue/link/StallDetector.java
+++ b/library/src/main/java/org/chivetally/queue/link/StallDetector.java
@@ -6,115 +6,123 @@
 import org.chivetally.time.Timers;
 
 /**
- * Tells whether the process has stood still so long that requests which it reads now may be old.
+ * Detects that the process has been stalled for so long that requests which it reads now may be stale.
  *
- * <p>While it stands still, requests wait in its sockets, and their callers give up and send them again elsewhere. Read
- * after that, such a request looks new, and its tasks would run beside those of the second one. Nothing tells old ones
- * from new ones, so all that comes is doubtful until the process keeps up again; what waited has been read by then.
+ * <p>During a stall, requests wait in socket buffers until their callers time out and retry elsewhere. Such a request
+ * looks new when it is read after the stall, and its tasks would run in addition to those of the retry. As stale
+ * requests can't be distinguished from new ones, all requests count as possibly stale until the process is responsive
+ * again; by then it has read the buffered ones.
  */
 public final class StallDetector {
     /**
-     * Least time between two looks that counts. Looks come every 250 ms; a caller whose connection broke comes again
-     * after 1.3 s, and a start is refused by its agent 0.6 s after the entry last kept up.
+     * Time between two checks above which the process counts as stalled. Checks run every 250 ms. A caller retries
+     * after 1.3 s if its connection broke, and an agent refuses starts 0.6 s after the entry was last responsive.
      */
-    static final Duration STALL = Duration.ofMillis(700);
+    static final Duration STALL_THRESHOLD = Duration.ofMillis(700);
 
     /**
-     * Interval in which the process shows that it keeps up. While it reads what has waited, its timers fire late: a
-     * request that had waited for three seconds was read 0.4 s after the process went on, and the end of its caller's
-     * connection 0.6 s later still.
+     * Interval of the timers that probe whether the process is responsive. Timers fire late while the process reads
+     * buffered requests: a request that had waited for three seconds was read 0.4 s after the process resumed, and the
+     * end of its caller's connection 0.6 s after that.
      */
-    static final Duration PROBE = Duration.ofMillis(50);
+    static final Duration PROBE_INTERVAL = Duration.ofMillis(50);
 
-    /** Lateness of a timer up to which the process keeps up: a few requests are read in between. */
-    static final Duration PUNCTUAL = Duration.ofMillis(20);
+    /** Lateness of a probe up to which it counts as punctual: the time in which a few requests are read. */
+    static final Duration PROBE_LATENESS_LIMIT = Duration.ofMillis(20);
 
-    /** Timers in a row that must be punctual, so that requests are doubtful for a quarter of a second at least. */
-    static final int PUNCTUAL_PROBES = 5;
+    /** Number of consecutive punctual probes that end a stall, so that requests count as stale for at least 250 ms. */
+    static final int REQUIRED_PUNCTUAL_PROBES = 5;
 
     /**
-     * Time between two looks up to which the process kept up in between: the interval of looks, and some lateness of a
-     * small machine.
+     * Time between two checks up to which the process counts as responsive: the interval of the checks, plus the usual
+     * lateness on a small machine.
      */
-    static final Duration KEPT_UP = Duration.ofMillis(400);
+    static final Duration RESPONSIVE_GAP = Duration.ofMillis(400);
 
-    /** Time from a late look in which what has waited in the sockets is read. */
-    static final Duration CATCHING_UP = Duration.ofMillis(200);
+    /** Time after a late check in which the process reads the requests in its socket buffers. */
+    static final Duration CATCH_UP_TIME = Duration.ofMillis(200);
 
-    /** Longest time for which requests are doubtful: a machine that stays slow must serve again. */
-    static final Duration LONGEST_DOUBT = Duration.ofSeconds(2);
+    /** Longest time for which requests count as stale, because a machine that stays slow has to serve again. */
+    static final Duration LONGEST_STALE_PERIOD = Duration.ofSeconds(2);
 
     private static final FluentLogger LOGGER = FluentLogger.forEnclosingClass();
 
     private final Timers timers;
-    private long lookedAtNanos;
-    private long doubtfulUntilNanos;
-    private long keptUpAtNanos;
+    private long lastCheckNanos;
+    private long staleUntilNanos;
+    private long lastResponsiveNanos;
     private long caughtUpAtNanos;
-    private int punctualProbes = PUNCTUAL_PROBES;
+    private int punctualProbes = REQUIRED_PUNCTUAL_PROBES;
 
-    /** Creates a detector that compares from now on. */
+    /**
+     * Creates a detector that starts to measure now.
+     *
+     * @param timers timers of the event loop
+     */
     public StallDetector(Timers timers) {
         this.timers = timers;
-        this.lookedAtNanos = timers.nanos();
-        this.doubtfulUntilNanos = timers.nanos();
-        this.keptUpAtNanos = timers.nanos();
+        this.lastCheckNanos = timers.nanos();
+        this.staleUntilNanos = timers.nanos();
+        this.lastResponsiveNanos = timers.nanos();
         this.caughtUpAtNanos = timers.nanos();
     }
 
     /**
-     * Notes that callers can reach the process from now on, so that nothing which is read can be older. A small entry
-     * takes more than a second from its start to here, and would refuse everybody for two more.
+     * Records that the process starts to accept connections, so that no request can be older than this call. Without
+     * it, a small entry, whose start takes more than a second, would count as stalled and refuse all callers for two
+     * more seconds.
      */
-    public void opened() {
-        lookedAtNanos = timers.nanos();
+    public void markListening() {
+        lastCheckNanos = timers.nanos();
     }
 
-    /** Tells whether what is read now may be old; to be called regularly, and before anything new is taken on. */
-    public boolean look() {
+    /**
+     * Returns whether requests that are read now may be stale. To be called regularly, and before accepting new work.
+     */
+    public boolean check() {
         long now = timers.nanos();
-        long gap = now - lookedAtNanos;
-        lookedAtNanos = now;
-        if (gap > KEPT_UP.toNanos()) {
-            caughtUpAtNanos = now + CATCHING_UP.toNanos();
+        long gap = now - lastCheckNanos;
+        lastCheckNanos = now;
+        if (gap > RESPONSIVE_GAP.toNanos()) {
+            caughtUpAtNanos = now + CATCH_UP_TIME.toNanos();
         }
         if (now - caughtUpAtNanos >= 0) {
-            keptUpAtNanos = now;
+            lastResponsiveNanos = now;
         }
-        if (gap > STALL.toNanos()) {
+        if (gap > STALL_THRESHOLD.toNanos()) {
             EventLine.of("stood-still").with("gap_ms", gap / 1_000_000).log(LOGGER.atWarning());
-            doubt();
+            markStalled();
         }
-        return punctualProbes < PUNCTUAL_PROBES && now - doubtfulUntilNanos < 0;
+        return punctualProbes < REQUIRED_PUNCTUAL_PROBES && now - staleUntilNanos < 0;
     }
 
     /**
-     * Returns the last look at which the process kept up. What it does now may be due to something that it should have
-     * read soon after that look.
+     * Returns the time of the last check at which the process was responsive, in nanoseconds on the monotonic clock.
+     * The input that it processes now may have arrived shortly after that check.
      */
-    public long keptUpAtNanos() {
-        return keptUpAtNanos;
+    public long lastResponsiveNanos() {
+        return lastResponsiveNanos;
     }
 
-    /** Makes what is read doubtful, as somebody else has noticed that the process stood still. */
-    public void doubt() {
-        boolean watching = punctualProbes < PUNCTUAL_PROBES;
+    /** Makes requests count as stale after a stall of the process was detected by other means. */
+    public void markStalled() {
+        boolean probing = punctualProbes < REQUIRED_PUNCTUAL_PROBES;
         punctualProbes = 0;
-        doubtfulUntilNanos = timers.nanos() + LONGEST_DOUBT.toNanos();
-        if (!watching) {
-            watch();
+        staleUntilNanos = timers.nanos() + LONGEST_STALE_PERIOD.toNanos();
+        if (!probing) {
+            scheduleProbe();
         }
     }
 
-    private void watch() {
-        long due = timers.nanos() + PROBE.toNanos();
-        timers.after(PROBE, () -> {
-            boolean punctual = timers.nanos() - due <= PUNCTUAL.toNanos();
+    private void scheduleProbe() {
+        long due = timers.nanos() + PROBE_INTERVAL.toNanos();
+        timers.after(PROBE_INTERVAL, () -> {
+            boolean punctual = timers.nanos() - due <= PROBE_LATENESS_LIMIT.toNanos();
             punctualProbes = punctual ? punctualProbes + 1 : 0;
-            if (punctualProbes < PUNCTUAL_PROBES && timers.nanos() - doubtfulUntilNanos < 0) {
-                watch();
+            if (punctualProbes < REQUIRED_PUNCTUAL_PROBES && timers.nanos() - staleUntilNanos < 0) {
+                scheduleProbe();
             } else {
-                punctualProbes = PUNCTUAL_PROBES;
+                punctualProbes = REQUIRED_PUNCTUAL_PROBES;
             }
         });
     }
--- a/library/src/main/java/org/chivetally/queue/log/StreamTail.java
+++ b/library/src/main/java/org/chivetally/queue/log/StreamTail.java
@@ -10,113 +10,120 @@
 import org.chivetally.time.Timers;
 
 /**
- * Follows a stream of keyed records: first the newest value of each key, then what is appended.
+ * Follows a stream of keyed records: delivers the newest value of each key first, then each record that is appended.
  *
- * <p>A stream may lose its history at any time; then the newest values are read again, so a change is never missed, and
- * records may be told twice. A key that was dropped in between is not among these values: it is told as dropped after
- * the last one, as a listener that waits for the lost record would keep the old value for ever.
+ * <p>Records of a stream can expire before they are read. The tail then reads the newest values again, so that no
+ * change is missed, although records can be delivered more than once. A key that was deleted in the meantime is not
+ * among these values, so the tail delivers a tombstone for it; otherwise, the listener would keep the old value
+ * forever.
  */
 public final class StreamTail {
     private static final FluentLogger LOGGER = FluentLogger.forEnclosingClass();
 
-    /** Pause after a read that failed. The log gives 2,000 reads a second to all processes. */
-    private static final Duration RETRY_PAUSE = Duration.ofMillis(250);
+    /** Delay before a failed read is retried. All processes together may send 2,000 reads per second to the log. */
+    private static final Duration RETRY_DELAY = Duration.ofMillis(250);
 
     private final KeyedLog log;
     private final Timers timers;
     private final LogStream stream;
-    private final Duration wait;
+    private final Duration maximumWait;
     private final Consumer<KeyedRecord> listener;
-    /** Keys with a value, as told so far. */
-    private final Set<String> keys = new HashSet<>();
+    /** Keys whose last delivered record is a value. */
+    private final Set<String> liveKeys = new HashSet<>();
 
     private long offset;
-    private boolean lost;
+    private boolean readsFailing;
 
     /**
-     * Creates a tail that has yet to be started.
+     * Creates a tail; {@link #start()} starts it.
      *
-     * @param wait longest wait of one read; also how long a silent connection hides changes
-     * @param listener told about each record, oldest first
+     * @param log log to read from
+     * @param timers timers of the event loop
+     * @param stream stream partition to follow
+     * @param maximumWait longest wait of one read; also how long an unresponsive connection can delay changes
+     * @param listener receives each record, oldest first
      */
-    public StreamTail(KeyedLog log, Timers timers, LogStream stream, Duration wait, Consumer<KeyedRecord> listener) {
+    public StreamTail(
+            KeyedLog log, Timers timers, LogStream stream, Duration maximumWait, Consumer<KeyedRecord> listener) {
         this.log = log;
         this.timers = timers;
         this.stream = stream;
-        this.wait = wait;
+        this.maximumWait = maximumWait;
         this.listener = listener;
     }
 
-    /** Begins to read. */
+    /** Starts reading. */
     public void start() {
         readNewest("", Long.MAX_VALUE, new HashSet<>());
     }
 
-    /** Returns the offset up to which records were told, the one being told included; 0 before the first. */
+    /**
+     * Returns the offset after the latest record delivered, including one that is being delivered; 0 before the first.
+     */
     public long offset() {
         return offset;
     }
 
-    private void readNewest(String afterKey, long from, Set<String> listed) {
-        log.newest(stream, afterKey, outcome -> {
+    private void readNewest(String afterKey, long from, Set<String> listedKeys) {
+        log.readNewest(stream, afterKey, outcome -> {
             switch (outcome) {
-                case NewestOutcome.Page page -> took(page, Math.min(from, page.endOffset()), listed);
+                case NewestOutcome.Page page -> deliverPage(page, Math.min(from, page.endOffset()), listedKeys);
                 case NewestOutcome.Unavailable unavailable -> {
-                    lost(unavailable.reason());
-                    timers.after(RETRY_PAUSE, this::start);
+                    recordFailure(unavailable.reason());
+                    timers.after(RETRY_DELAY, this::start);
                 }
             }
         });
     }
 
-    private void took(NewestOutcome.Page page, long from, Set<String> listed) {
-        regained();
-        // Pages are no snapshot: what was appended since the first one is read after the last.
+    private void deliverPage(NewestOutcome.Page page, long from, Set<String> listedKeys) {
+        recordSuccess();
+        // Pages are not a consistent snapshot: records appended since the first page are read after the last one.
         offset = Math.max(offset, from);
-        page.items().forEach(item -> listed.add(item.key()));
-        page.items().forEach(this::tell);
+        page.items().forEach(item -> listedKeys.add(item.key()));
+        page.items().forEach(this::deliver);
         if (page.hasMore() && !page.items().isEmpty()) {
-            readNewest(page.items().getLast().key(), from, listed);
+            readNewest(page.items().getLast().key(), from, listedKeys);
             return;
         }
-        for (String key : List.copyOf(keys)) {
-            if (!listed.contains(key)) {
-                tell(KeyedRecord.dropping(key));
+        for (String key : List.copyOf(liveKeys)) {
+            if (!listedKeys.contains(key)) {
+                deliver(KeyedRecord.tombstone(key));
             }
         }
-        readOn(from);
+        readAppended(from);
     }
 
-    private void tell(KeyedRecord entry) {
-        if (entry.drops()) {
-            keys.remove(entry.key());
+    private void deliver(KeyedRecord record) {
+        if (record.isTombstone()) {
+            liveKeys.remove(record.key());
         } else {
-            keys.add(entry.key());
+            liveKeys.add(record.key());
         }
-        listener.accept(entry);
+        listener.accept(record);
     }
 
-    private void readOn(long from) {
-        log.read(stream, from, wait, outcome -> {
+    private void readAppended(long from) {
+        log.read(stream, from, maximumWait, outcome -> {
             switch (outcome) {
                 case ReadOutcome.Records records -> {
-                    regained();
+                    recordSuccess();
                     offset = Math.max(offset, records.nextOffset());
-                    records.records().forEach(this::tell);
-                    readOn(records.nextOffset());
+                    records.records().forEach(this::deliver);
+                    readAppended(records.nextOffset());
                 }
                 case ReadOutcome.Expired expired -> start();
                 case ReadOutcome.Unavailable unavailable -> {
-                    lost(unavailable.reason());
-                    timers.after(RETRY_PAUSE, () -> readOn(from));
+                    recordFailure(unavailable.reason());
+                    timers.after(RETRY_DELAY, () -> readAppended(from));
                 }
             }
         });
     }
 
-    private void lost(String reason) {
-        if (!lost) {
-            lost = true;
+    private void recordFailure(String reason) {
+        if (!readsFailing) {
+            readsFailing = true;
             EventLine.of("log-reads-lost")
                     .with("stream", stream)
                     .with("reason", reason)
@@ -124,9 +131,9 @@
         }
     }
 
-    private void regained() {
-        if (lost) {
-            lost = false;
+    private void recordSuccess() {
+        if (readsFailing) {
+            readsFailing = false;
             EventLine.of("log-reads-regained").with("stream", stream).log(LOGGER.atInfo());
         }
     }
--- a/library/src/main/java/org/chivetally/queue/placement/ServiceDemand.java
+++ b/library/src/main/java/org/chivetally/queue/placement/ServiceDemand.java
@@ -1,23 +1,23 @@
 package org.chivetally.queue.placement;
 
 /**
- * What one entry asks of a service's workers.
+ * Demand for a service's workers at one entry.
  *
- * @param arrivingMillis processors in thousandths that the jobs coming to it keep busy
- * @param waitingWork processor milliseconds of the tasks that wait at it
+ * @param arrivingMillicores processors that the jobs arriving at the entry keep busy
+ * @param waitingWork core milliseconds of the tasks that wait at the entry
  */
-public record ServiceDemand(long arrivingMillis, long waitingWork) {
-    /** Nothing asked. */
+public record ServiceDemand(long arrivingMillicores, long waitingWork) {
+    /** No demand. */
     public static final ServiceDemand NONE = new ServiceDemand(0, 0);
 
-    /** Refuses negative amounts. */
+    /** Rejects negative values. */
     public ServiceDemand {
-        if (arrivingMillis < 0 || waitingWork < 0) {
-            throw new IllegalArgumentException("negative demand: " + arrivingMillis + ", " + waitingWork);
+        if (arrivingMillicores < 0 || waitingWork < 0) {
+            throw new IllegalArgumentException("negative demand: " + arrivingMillicores + ", " + waitingWork);
         }
     }
 
     ServiceDemand plus(ServiceDemand other) {
-        return new ServiceDemand(arrivingMillis + other.arrivingMillis, waitingWork + other.waitingWork);
+        return new ServiceDemand(arrivingMillicores + other.arrivingMillicores, waitingWork + other.waitingWork);
     }
 }
--- a/library/src/main/java/org/chivetally/queue/placement/SpeedCandidates.java
+++ b/library/src/main/java/org/chivetally/queue/placement/SpeedCandidates.java
@@ -4,105 +4,110 @@
 import org.chivetally.queue.speed.SpeedClasses;
 
 /**
- * Chooses among the classes of speed that have room for a task.
+ * Chooses among the classes of worker speed that have room for a task.
  *
- * <p>The load it answers: workers that differ by 2.4 in speed and all have room. By free room alone 30% of the runs go
- * to the slow ones, and of four tasks of a job that just fits its objective one is late there. Tasks go to the fastest
- * workers that have room to spare, so that slow ones get what is left; and when the fast ones are nearly full, their
- * last room goes to tasks that would be late elsewhere, while those that have time take slow workers.
+ * <p>Workers may differ by a factor of 2.4 in speed while all have free room. Placed by free room alone, 30% of the
+ * runs go to slow workers, where one of the four tasks of a job that just fits its objective is late. Tasks therefore
+ * go to the fastest class with spare room, and slow workers get the remainder. When the fast classes are nearly full,
+ * their last room goes to tasks that would be late elsewhere, and tasks with enough time go to slow workers.
  */
 final class SpeedCandidates {
-    /** Scores that are further apart differ by a penalty, which outweighs speed as it does room. */
+    /** Scores that differ by more than this differ by a penalty, which outweighs both speed and free room. */
     private static final long PENALTY_GAP = 500_000_000L;
 
     private static final int NONE = -1;
 
-    private final Worker[] best;
-    private final long[] scores;
-    private final long[] freeMillis;
-    private final long[] capacityMillis;
-    private int count;
+    private final Worker[] bestWorkers;
+    private final long[] bestScores;
+    private final long[] freeMillicores;
+    private final long[] capacityMillicores;
+    private int classCount;
 
     /**
-     * Creates candidates for one pass.
+     * Creates candidates for one placement pass.
      *
-     * @param most greatest number of classes
+     * @param maximumClasses greatest number of speed classes
      */
-    SpeedCandidates(int most) {
-        this.best = new Worker[most];
-        this.scores = new long[most];
-        this.freeMillis = new long[most];
-        this.capacityMillis = new long[most];
+    SpeedCandidates(int maximumClasses) {
+        this.bestWorkers = new Worker[maximumClasses];
+        this.bestScores = new long[maximumClasses];
+        this.freeMillicores = new long[maximumClasses];
+        this.capacityMillicores = new long[maximumClasses];
     }
 
-    /** Begins with a new task. */
-    void clear(int classes) {
-        count = classes;
-        Arrays.fill(best, 0, classes, null);
-        Arrays.fill(freeMillis, 0, classes, 0);
-        Arrays.fill(capacityMillis, 0, classes, 0);
+    /** Discards the candidates of the previous task. */
+    void reset(int classes) {
+        classCount = classes;
+        Arrays.fill(bestWorkers, 0, classes, null);
+        Arrays.fill(freeMillicores, 0, classes, 0);
+        Arrays.fill(capacityMillicores, 0, classes, 0);
     }
 
-    /** Notes a worker that may run the task, with room or without; what is free there in thousandths of a processor. */
-    void usable(Worker worker, long free) {
+    /**
+     * Adds the capacity of a worker that may run the task, whether it has room or not.
+     *
+     * @param workerFreeMillicores free processors of the worker
+     */
+    void addCapacity(Worker worker, long workerFreeMillicores) {
         int rank = worker.speed().rank();
-        freeMillis[rank] += Math.max(0, free);
-        capacityMillis[rank] += worker.view().capacity().processorMillis();
+        freeMillicores[rank] += Math.max(0, workerFreeMillicores);
+        capacityMillicores[rank] += worker.lastReport().capacity().processorMillis();
     }
 
-    /** Adds a worker that has room. */
-    void add(Worker worker, long score) {
+    /** Adds a worker that has room for the task. */
+    void addCandidate(Worker worker, long score) {
         int rank = worker.speed().rank();
-        if (best[rank] == null || score > scores[rank]) {
-            best[rank] = worker;
-            scores[rank] = score;
+        if (bestWorkers[rank] == null || score > bestScores[rank]) {
+            bestWorkers[rank] = worker;
+            bestScores[rank] = score;
         }
     }
 
     /**
      * Chooses a worker, or decides to wait for a faster one.
      *
-     * @param waits tells how long it takes until a class has room
+     * @param waitEstimator estimates how long the task would wait for room in a class
      */
-    Choice choose(TaskForecast task, SpeedClasses classes, Waits waits) {
+    PlacementDecision choose(TaskForecast task, SpeedClasses classes, WaitEstimator waitEstimator) {
         dropPenalized();
-        int rank = preferred();
+        int rank = preferredRank();
         if (rank == NONE) {
-            return Choice.noRoom();
+            return PlacementDecision.noRoom();
         }
-        if (!task.isInTime(classes.stretch(rank))) {
-            rank = faster(rank, task, classes);
-            if (isWorthWaiting(rank, task, classes, waits)) {
-                return Choice.waitForFaster();
+        if (!task.isOnTime(classes.stretch(rank))) {
+            rank = fasterRank(rank, task, classes);
+            if (isWorthWaiting(rank, task, classes, waitEstimator)) {
+                return PlacementDecision.waitForFaster();
             }
         }
-        return Choice.bySpeed(best[rank]);
+        return PlacementDecision.bySpeed(bestWorkers[rank]);
     }
 
-    /** Leaves out classes with only workers that nothing should go to while others have room. */
+    /** Removes classes that have only penalized workers, if another class has a worker without penalty. */
     private void dropPenalized() {
         long highest = Long.MIN_VALUE;
-        for (int rank = 0; rank < count; rank++) {
-            highest = best[rank] == null ? highest : Math.max(highest, scores[rank]);
+        for (int rank = 0; rank < classCount; rank++) {
+            highest = bestWorkers[rank] == null ? highest : Math.max(highest, bestScores[rank]);
         }
-        for (int rank = 0; rank < count; rank++) {
-            if (best[rank] != null && highest - scores[rank] > PENALTY_GAP) {
-                best[rank] = null;
+        for (int rank = 0; rank < classCount; rank++) {
+            if (bestWorkers[rank] != null && highest - bestScores[rank] > PENALTY_GAP) {
+                bestWorkers[rank] = null;
             }
         }
     }
 
     /**
-     * Returns the fastest class with room to spare; without one the fastest with any room: whoever comes first then has
-     * the right to it, as under overload every queue would lose more on slow workers than the last one gains.
+     * Returns the fastest class with spare room; without one, the fastest class with any room. Under overload the first
+     * task in order gets that room: leaving it to later tasks would cost every queue more on slow workers than the last
+     * queue gains.
      */
-    private int preferred() {
+    private int preferredRank() {
         int fastest = NONE;
-        for (int rank = 0; rank < count; rank++) {
-            if (best[rank] == null) {
+        for (int rank = 0; rank < classCount; rank++) {
+            if (bestWorkers[rank] == null) {
                 continue;
             }
-            if (isRoomy(rank)) {
+            if (hasSpareRoom(rank)) {
                 return rank;
             }
             fastest = fastest == NONE ? rank : fastest;
@@ -111,59 +116,64 @@
     }
 
     /**
-     * Tells whether a class has more room than all entries compete for. By the class, not by the worker: while only one
-     * worker of it had room to spare, all entries would send to that one.
+     * Tells whether a class has more free room than all entries compete for. This is decided for the class and not for
+     * each worker: if only one worker of a class had spare room, all entries would send their tasks to that one.
      */
-    private boolean isRoomy(int rank) {
-        return PlacementPolicy.SCARCE_PART * freeMillis[rank] >= capacityMillis[rank];
+    private boolean hasSpareRoom(int rank) {
+        return PlacementPolicy.SCARCE_ROOM_DIVISOR * freeMillicores[rank] >= capacityMillicores[rank];
     }
 
-    /** Returns the slowest of the faster classes with room where the task is in time; without one the fastest. */
-    private int faster(int rank, TaskForecast task, SpeedClasses classes) {
+    /**
+     * Returns the slowest of the faster classes with room on which the task is on time; without one, the fastest class
+     * with room.
+     */
+    private int fasterRank(int rank, TaskForecast task, SpeedClasses classes) {
         int fastest = rank;
-        for (int other = rank - 1; other >= 0; other--) {
-            if (best[other] == null) {
+        for (int fasterRank = rank - 1; fasterRank >= 0; fasterRank--) {
+            if (bestWorkers[fasterRank] == null) {
                 continue;
             }
-            if (task.isInTime(classes.stretch(other))) {
-                return other;
+            if (task.isOnTime(classes.stretch(fasterRank))) {
+                return fasterRank;
             }
-            fastest = other;
+            fastest = fasterRank;
         }
         return fastest;
     }
 
     /**
-     * Tells whether a faster class will have room early enough for a task that is late on the given one. Late even
-     * without the margin, and early enough with it: others may take the room that comes free, and under overload most
-     * of the tasks that waited at the mere risk of being late were later for it.
+     * Tells whether waiting for a faster class is better than starting on the given one. Here the task must miss its
+     * objective even by its expected duration. There, with the margin on the duration, it must meet the objective, or
+     * at least end while that is worth something where it would not here. The conditions are this strict because other
+     * tasks may take the room that becomes free: under overload, most tasks that waited at a mere risk of being late
+     * ended later for it.
      */
-    private boolean isWorthWaiting(int rank, TaskForecast task, SpeedClasses classes, Waits waits) {
-        long endHere = task.expectedEndNanos(classes.stretch(rank));
-        if (endHere <= task.objectiveNanos()) {
+    private boolean isWorthWaiting(int rank, TaskForecast task, SpeedClasses classes, WaitEstimator waitEstimator) {
+        long endWithoutWaitNanos = task.expectedEndNanos(classes.stretch(rank));
+        if (endWithoutWaitNanos <= task.objectiveNanos()) {
             return false;
         }
-        for (int other = 0; other < rank; other++) {
-            if (capacityMillis[other] == 0) {
+        for (int fasterRank = 0; fasterRank < rank; fasterRank++) {
+            if (capacityMillicores[fasterRank] == 0) {
                 continue;
             }
-            long endThere = task.endNanos(classes.stretch(other), waits.millis(other));
-            boolean saves =
-                    endThere <= task.objectiveNanos() || endHere > task.limitNanos() && endThere <= task.limitNanos();
-            if (endThere < endHere && saves) {
-                waits.hold(other);
+            long endAfterWaitNanos = task.endNanos(classes.stretch(fasterRank), waitEstimator.waitMillis(fasterRank));
+            boolean meetsMore = endAfterWaitNanos <= task.objectiveNanos()
+                    || endWithoutWaitNanos > task.usefulUntilNanos() && endAfterWaitNanos <= task.usefulUntilNanos();
+            if (endAfterWaitNanos < endWithoutWaitNanos && meetsMore) {
+                waitEstimator.reserve(fasterRank);
                 return true;
             }
         }
         return false;
     }
 
-    /** Tells how long a task waits for room in a class. */
-    interface Waits {
+    /** Estimates how long a task waits for room in a speed class. */
+    interface WaitEstimator {
         /** Returns the expected wait in milliseconds. */
-        double millis(int rank);
+        double waitMillis(int rank);
 
-        /** Notes that the task waits for that class, before those that come after it. */
-        void hold(int rank);
+        /** Records that the current task waits for room in the class, ahead of later tasks. */
+        void reserve(int rank);
     }
 }
