--- a/library/src/main/java/org/chivetally/queue/placement/WaitingTasks.java
+++ b/library/src/main/java/org/chivetally/queue/placement/WaitingTasks.java
@@ -11,38 +11,39 @@
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.TreeSet;
+import org.chivetally.queue.CompletionForecast;
 import org.chivetally.queue.Job;
 import org.chivetally.queue.JobPhase;
-import org.chivetally.queue.Outlook;
 import org.chivetally.queue.QueueTerms;
 import org.chivetally.queue.Task;
-import org.chivetally.queue.share.Division;
+import org.chivetally.queue.share.FairShares;
 import org.chivetally.queue.share.QueueLoads;
 
 /**
- * Tasks that wait for room, by service, in the order in which they are placed: first those of jobs that can still end
- * within their objective, then those that will be late, then the hopeless; among these by the queue's priority, then
- * the oldest job first, and tasks of one job together, as a job is worth nothing until its last task ends.
+ * Tasks that wait for room, by service, in the order in which they are placed: tasks of jobs that can end within their
+ * objective, then of jobs that will be late, then of jobs that would end too late. Within each group, tasks are ordered
+ * by the priority of the queue and then by the age of the job. Tasks of one job stay together, as a job is worth
+ * nothing until its last task has ended.
  *
- * <p>The load it answers is a backlog that stays, as after an outage with little room to spare. Oldest first, every job
- * waits as long as the backlog is deep and all are a little late: half of the jobs for 14 s after a loss of power at
- * 95% load. Jobs that have missed their objective already give way instead, and the rest are served in time.
+ * <p>Jobs that will miss their objective come later because of persistent backlogs, as after an outage with little
+ * spare capacity. Served strictly by age, every job waits as long as the backlog is deep, and all are a little late:
+ * after a loss of power at 95% load, half of the jobs were late for 14 s.
  *
- * <p>Where queues share room by weight, each queue has an ordered set of its own, so that a pass can take tasks of the
- * queues below their shares first without sorting anything, and jobs of which a part runs go before those not begun.
+ * <p>With fair shares each queue has an ordered backlog of its own, so that a pass can take tasks of the queues below
+ * their shares first without sorting, and tasks of started jobs come before those of jobs that have not started.
  */
 public final class WaitingTasks {
-    private static final WaitingLine EMPTY = new WaitingLine();
+    private static final TaskBacklog EMPTY = new TaskBacklog();
 
-    /** Name of the only line of a service whose queues share nothing. */
+    /** Key of the only backlog of a service without fair shares. */
     private static final String ALL_QUEUES = "";
 
-    private final boolean byQueue;
-    private final Map<String, Map<String, WaitingLine>> lines = new HashMap<>();
-    private final NavigableSet<WaitingTask> byEndOfOutlook = new TreeSet<>(WaitingTask.BY_END_OF_OUTLOOK);
-    private final Map<Task, WaitingTask> entries = new HashMap<>();
+    private final boolean fairShares;
+    private final Map<String, Map<String, TaskBacklog>> backlogs = new HashMap<>();
+    private final NavigableSet<WaitingTask> byTimelinessExpiry = new TreeSet<>(WaitingTask.BY_TIMELINESS_EXPIRY);
+    private final Map<Task, WaitingTask> waitingTasks = new HashMap<>();
 
-    /** Creates an empty set of tasks whose queues have no shares. */
+    /** Creates an empty set for queues without fair shares. */
     public WaitingTasks() {
         this(false);
     }
@@ -50,97 +51,107 @@
     /**
      * Creates an empty set.
      *
-     * @param byQueue whether queues share room by weight
+     * @param fairShares whether queues share the processors by weight
      */
-    public WaitingTasks(boolean byQueue) {
-        this.byQueue = byQueue;
+    public WaitingTasks(boolean fairShares) {
+        this.fairShares = fairShares;
     }
 
-    /** Adds a task that may be placed. */
+    /**
+     * Adds a task that may be placed, or updates its place in the order.
+     *
+     * @param nowNanos the time, by the steady clock
+     */
     public void add(Task task, long nowNanos) {
         remove(task);
-        Outlook outlook = task.job().outlook(nowNanos);
+        CompletionForecast forecast = task.job().completionForecast(nowNanos);
         QueueTerms terms = task.job().specification().terms();
-        WaitingTask entry =
-                new WaitingTask(task, terms.priority(), outlook.reach(), outlook.untilNanos(), hasBegun(task.job()));
-        entries.put(task, entry);
-        byEndOfOutlook.add(entry);
-        lines.computeIfAbsent(terms.service(), name -> new TreeMap<>())
-                .computeIfAbsent(lineOf(terms), name -> new WaitingLine())
+        WaitingTask entry = new WaitingTask(
+                task, terms.priority(), forecast.timeliness(), forecast.validUntilNanos(), hasStarted(task.job()));
+        waitingTasks.put(task, entry);
+        byTimelinessExpiry.add(entry);
+        backlogs.computeIfAbsent(terms.service(), name -> new TreeMap<>())
+                .computeIfAbsent(backlogName(terms), name -> new TaskBacklog())
                 .add(entry);
     }
 
-    private String lineOf(QueueTerms terms) {
-        return byQueue ? terms.queue() : ALL_QUEUES;
+    private String backlogName(QueueTerms terms) {
+        return fairShares ? terms.queue() : ALL_QUEUES;
     }
 
-    /** Removes a task; nothing happens when it doesn't wait. */
+    /** Removes a task; has no effect on a task that doesn't wait. */
     public void remove(Task task) {
-        WaitingTask entry = entries.remove(task);
+        WaitingTask entry = waitingTasks.remove(task);
         if (entry == null) {
             return;
         }
-        byEndOfOutlook.remove(entry);
+        byTimelinessExpiry.remove(entry);
         QueueTerms terms = task.job().specification().terms();
-        Map<String, WaitingLine> ofService = lines.get(terms.service());
-        WaitingLine line = ofService.get(lineOf(terms));
-        line.remove(entry);
-        if (line.isEmpty()) {
-            ofService.remove(lineOf(terms));
+        Map<String, TaskBacklog> ofService = backlogs.get(terms.service());
+        TaskBacklog backlog = ofService.get(backlogName(terms));
+        backlog.remove(entry);
+        if (backlog.isEmpty()) {
+            ofService.remove(backlogName(terms));
             if (ofService.isEmpty()) {
-                lines.remove(terms.service());
+                backlogs.remove(terms.service());
             }
         }
     }
 
     /**
-     * Puts the waiting tasks of a job where its phase says: before those of jobs that have not begun, or among them
-     * again when all its starts were turned down.
+     * Updates the place of a job's waiting tasks after a change of its phase: before those of jobs that have not
+     * started, or among them again when all starts of the job were refused.
      */
     public void reorder(Job job, long nowNanos) {
-        if (!byQueue) {
+        if (!fairShares) {
             return;
         }
         for (Task task : job.tasksIn(Task.Status.WAITING)) {
-            WaitingTask entry = entries.get(task);
-            if (entry != null && entry.begun() != hasBegun(job)) {
+            WaitingTask entry = waitingTasks.get(task);
+            if (entry != null && entry.jobStarted() != hasStarted(job)) {
                 add(task, nowNanos);
             }
         }
     }
 
-    private boolean hasBegun(Job job) {
-        return byQueue && job.phase() == JobPhase.RUNNING;
+    private boolean hasStarted(Job job) {
+        return fairShares && job.phase() == JobPhase.RUNNING;
     }
 
-    /** Moves the tasks whose jobs can reach less than when they were added; tells whether there were any. */
+    /**
+     * Updates the place of the tasks whose jobs can no longer end as early as when they were added.
+     *
+     * @return whether there were any
+     */
     public boolean refresh(long nowNanos) {
         boolean moved = false;
-        while (!byEndOfOutlook.isEmpty() && byEndOfOutlook.first().untilNanos() < nowNanos) {
-            add(byEndOfOutlook.first().task(), nowNanos);
+        while (!byTimelinessExpiry.isEmpty() && byTimelinessExpiry.first().timelinessUntilNanos() < nowNanos) {
+            add(byTimelinessExpiry.first().task(), nowNanos);
             moved = true;
         }
         return moved;
     }
 
     /**
-     * Returns the jobs that have missed their objective without a start and won't get their turn while they are worth
-     * anything: all room goes to what comes after them. Told so at once, their callers don't wait in vain.
+     * Returns the jobs to refuse: none of their tasks has started, they will miss their objective, and all processors
+     * will go to tasks ahead of them until their end is worth nothing. Refused at once, their callers don't wait in
+     * vain.
      *
-     * @param spareMillis processors in thousandths that what comes leaves over
+     * @param spareMillicores processors that newly arriving jobs leave to the backlog
      */
-    public List<Job> withoutProspect(String service, long spareMillis, long nowNanos) {
-        return withoutProspect(inOrder(service), spareMillis, nowNanos);
+    public List<Job> unservableJobs(String service, long spareMillicores, long nowNanos) {
+        return unservableJobs(inOrder(service), spareMillicores, nowNanos);
     }
 
-    private static List<Job> withoutProspect(Collection<WaitingTask> inOrder, long spareMillis, long nowNanos) {
+    private static List<Job> unservableJobs(Collection<WaitingTask> inOrder, long spareMillicores, long nowNanos) {
         Set<Job> jobs = new LinkedHashSet<>();
         long work = 0;
         for (WaitingTask entry : inOrder) {
             Job job = entry.task().job();
-            long waitNanos = spareMillis <= 0 ? Long.MAX_VALUE : 1_000_000_000L * work / spareMillis;
-            boolean overtaken = entry.reach() == Outlook.Reach.LATE && entry.untilNanos() - nowNanos < waitNanos;
-            if (overtaken && job.phase() == JobPhase.QUEUED) {
+            long waitNanos = spareMillicores <= 0 ? Long.MAX_VALUE : 1_000_000_000L * work / spareMillicores;
+            boolean unservable = entry.timeliness() == CompletionForecast.Timeliness.LATE
+                    && entry.timelinessUntilNanos() - nowNanos < waitNanos;
+            if (unservable && job.phase() == JobPhase.QUEUED) {
                 jobs.add(job);
             } else {
                 work += entry.work();
@@ -151,14 +162,14 @@
 
     /** Returns the services that have waiting tasks. */
     public Collection<String> services() {
-        return List.copyOf(lines.keySet());
+        return List.copyOf(backlogs.keySet());
     }
 
     /** Returns the first tasks of a service, in order. */
-    public List<Task> first(String service, int most) {
+    public List<Task> first(String service, int maximumTasks) {
         List<Task> tasks = new ArrayList<>();
         for (WaitingTask entry : inOrder(service)) {
-            if (tasks.size() == most) {
+            if (tasks.size() == maximumTasks) {
                 break;
             }
             tasks.add(entry.task());
@@ -167,30 +178,31 @@
     }
 
     /**
-     * Returns the order of one pass in which tasks of queues below their shares come first.
+     * Returns the order of one pass that takes tasks of queues below their shares first.
      *
-     * @param own what the entry's runs of each queue hold
-     * @param most tasks that the pass looks at
+     * @param shares the shares of the service's queues
+     * @param ownLoads loads of the queues at this entry
+     * @param maximumTasks number of tasks after which the pass ends
      */
-    public Turns turns(String service, Division division, QueueLoads own, int most) {
-        return new Turns(lines(service), division, own, most);
+    public FairShareOrder fairShareOrder(String service, FairShares shares, QueueLoads ownLoads, int maximumTasks) {
+        return new FairShareOrder(backlogs(service), shares, ownLoads, maximumTasks);
     }
 
-    /** Adds what the waiting tasks need to a tally for each service. */
-    public void addTo(Map<String, QueueLoads> byService) {
-        for (Map.Entry<String, Map<String, WaitingLine>> service : lines.entrySet()) {
+    /** Adds the millicores that the waiting tasks need to the loads of each service. */
+    public void addWaitingTo(Map<String, QueueLoads> byService) {
+        for (Map.Entry<String, Map<String, TaskBacklog>> service : backlogs.entrySet()) {
             QueueLoads loads = byService.computeIfAbsent(service.getKey(), name -> new QueueLoads());
-            for (Map.Entry<String, WaitingLine> line : service.getValue().entrySet()) {
-                loads.add(line.getKey(), 0, line.getValue().processorMillis());
+            for (Map.Entry<String, TaskBacklog> backlog : service.getValue().entrySet()) {
+                loads.add(backlog.getKey(), 0, backlog.getValue().waitingMillicores());
             }
         }
     }
 
-    /** Returns the mean processors, in thousandths, of the waiting tasks of the queue with the smallest; 0 for none. */
-    public long smallestRoom(String service) {
+    /** Returns the smallest mean of millicores per waiting task of any queue of the service; 0 when nothing waits. */
+    public long smallestMeanMillicores(String service) {
         long smallest = 0;
-        for (WaitingLine line : lines(service).values()) {
-            long mean = line.processorMillis() / line.size();
+        for (TaskBacklog backlog : backlogs(service).values()) {
+            long mean = backlog.waitingMillicores() / backlog.size();
             smallest = smallest == 0 ? mean : Math.min(smallest, mean);
         }
         return smallest;
@@ -198,90 +210,92 @@
 
     /** Returns the number of waiting tasks. */
     public int size() {
-        return entries.size();
+        return waitingTasks.size();
     }
 
-    /** Tells whether nothing waits. */
+    /** Tells whether there are no waiting tasks. */
     public boolean isEmpty() {
-        return entries.isEmpty();
+        return waitingTasks.isEmpty();
     }
 
-    /** Returns the estimated processor milliseconds that are placed before a new job of the given priority. */
+    /**
+     * Returns the estimated core milliseconds of the service that are placed before a new job of the given priority.
+     */
     public long workAhead(String service, int priority) {
         long work = 0;
-        for (WaitingLine line : lines(service).values()) {
-            work += line.inTimeWork(priority);
+        for (TaskBacklog backlog : backlogs(service).values()) {
+            work += backlog.onTimeWork(priority);
         }
         return work;
     }
 
-    /** Returns the processors, in thousandths, that all waiting tasks of a service need. */
-    public long processorMillis(String service) {
-        long millis = 0;
-        for (WaitingLine line : lines(service).values()) {
-            millis += line.processorMillis();
+    /** Returns the millicores that all waiting tasks of a service need. */
+    public long waitingMillicores(String service) {
+        long sum = 0;
+        for (TaskBacklog backlog : backlogs(service).values()) {
+            sum += backlog.waitingMillicores();
         }
-        return millis;
+        return sum;
     }
 
-    /** Returns the estimated processor milliseconds of all waiting tasks of a service. */
+    /** Returns the estimated core milliseconds of all waiting tasks of a service. */
     public long work(String service) {
         long work = 0;
-        for (WaitingLine line : lines(service).values()) {
-            work += line.work();
+        for (TaskBacklog backlog : backlogs(service).values()) {
+            work += backlog.work();
         }
         return work;
     }
 
-    /** Returns the estimated processor milliseconds of a queue that are placed before a new job of it. */
+    /** Returns the estimated core milliseconds of a queue that are placed before a new job of that queue. */
     public long workAhead(String service, String queue, int priority) {
-        return line(service, queue).inTimeWork(priority);
+        return backlog(service, queue).onTimeWork(priority);
     }
 
-    /** Returns the estimated processor milliseconds of all waiting tasks of a queue. */
+    /** Returns the estimated core milliseconds of all waiting tasks of a queue. */
     public long work(String service, String queue) {
-        return line(service, queue).work();
+        return backlog(service, queue).work();
     }
 
-    private WaitingLine line(String service, String queue) {
-        return lines(service).getOrDefault(queue, EMPTY);
+    private TaskBacklog backlog(String service, String queue) {
+        return backlogs(service).getOrDefault(queue, EMPTY);
     }
 
-    private Map<String, WaitingLine> lines(String service) {
-        return lines.getOrDefault(service, Map.of());
+    private Map<String, TaskBacklog> backlogs(String service) {
+        return backlogs.getOrDefault(service, Map.of());
     }
 
     private Collection<WaitingTask> inOrder(String service) {
-        Map<String, WaitingLine> ofService = lines(service);
+        Map<String, TaskBacklog> ofService = backlogs(service);
         if (ofService.size() <= 1) {
             return ofService.isEmpty()
                     ? EMPTY.inOrder()
                     : ofService.values().iterator().next().inOrder();
         }
-        return merged(ofService.values());
+        return merge(ofService.values());
     }
 
-    /** Merges lines that are each in order, which costs less than to sort them anew. */
-    private static List<WaitingTask> merged(Collection<WaitingLine> lines) {
+    /** Merges ordered backlogs, which takes less time than sorting all their tasks. */
+    private static List<WaitingTask> merge(Collection<TaskBacklog> backlogs) {
         List<WaitingTask> merged = new ArrayList<>();
-        List<Iterator<WaitingTask>> rests = new ArrayList<>();
+        List<Iterator<WaitingTask>> remaining = new ArrayList<>();
         List<WaitingTask> heads = new ArrayList<>();
-        for (WaitingLine line : lines) {
-            Iterator<WaitingTask> rest = line.inOrder().iterator();
-            rests.add(rest);
-            heads.add(rest.next());
+        for (TaskBacklog backlog : backlogs) {
+            Iterator<WaitingTask> iterator = backlog.inOrder().iterator();
+            remaining.add(iterator);
+            heads.add(iterator.next());
         }
         while (!heads.isEmpty()) {
             int first = 0;
-            for (int place = 1; place < heads.size(); place++) {
-                first = WaitingTask.ORDER.compare(heads.get(place), heads.get(first)) < 0 ? place : first;
+            for (int index = 1; index < heads.size(); index++) {
+                first = WaitingTask.ORDER.compare(heads.get(index), heads.get(first)) < 0 ? index : first;
             }
             merged.add(heads.get(first));
-            if (rests.get(first).hasNext()) {
-                heads.set(first, rests.get(first).next());
+            if (remaining.get(first).hasNext()) {
+                heads.set(first, remaining.get(first).next());
             } else {
                 heads.remove(first);
-                rests.remove(first);
+                remaining.remove(first);
             }
         }
         return merged;
--- a/library/src/main/java/org/chivetally/queue/placement/Worker.java
+++ b/library/src/main/java/org/chivetally/queue/placement/Worker.java
@@ -15,45 +15,50 @@
 import org.chivetally.queue.share.QueueLoads;
 import org.chivetally.queue.speed.LearnedStretch;
 
-/** A worker as one owner sees it: what its agent last told, and the owner's own starts on top. */
+/** The state of a worker as known to one owner: the last report of its agent, and the owner's own starts since then. */
 public final class Worker {
     private final String process;
-    private final Map<TaskKey, Sent> sent = new LinkedHashMap<>();
-    private final Set<TaskKey> suspects = new LinkedHashSet<>();
-    private final Set<TaskKey> overdue = new LinkedHashSet<>();
+    private final Map<TaskKey, SentStart> startsInProgress = new LinkedHashMap<>();
+    private final Set<TaskKey> sentSuspects = new LinkedHashSet<>();
+    private final Set<TaskKey> overdueTasks = new LinkedHashSet<>();
     private final WorkerHealth health = new WorkerHealth();
-    private View view = View.NONE;
-    private LearnedStretch learned = LearnedStretch.UNKNOWN;
+    private Report lastReport = Report.NONE;
+    private LearnedStretch learnedStretch = LearnedStretch.UNKNOWN;
     private WorkerSpeed speed = WorkerSpeed.UNKNOWN;
     private Object link;
-    private Room pending = Room.NONE;
-    private long numbers;
-    private long heardAtNanos;
-    private long startedAtNanos;
+    private Room unacknowledgedRoom = Room.NONE;
+    private long lastStartNumber;
+    private long lastReportAtNanos;
+    private long lastStartAtNanos;
     private long pausedUntilNanos;
-    private int suspectedRuns;
+    private int reportedSuspectRuns;
 
-    /** Creates a worker of which nothing is known yet. */
+    /**
+     * Creates a worker without a report or a link.
+     *
+     * @param process name of the agent's process
+     * @param nowNanos the time, by the steady clock
+     */
     public Worker(String process, long nowNanos) {
         this.process = process;
-        this.heardAtNanos = nowNanos;
-        this.startedAtNanos = nowNanos;
+        this.lastReportAtNanos = nowNanos;
+        this.lastStartAtNanos = nowNanos;
         this.pausedUntilNanos = nowNanos;
     }
 
     /**
-     * What an agent tells about its worker.
+     * Report of an agent about its worker.
      *
-     * @param minion start of its minion; empty while there is none
+     * @param minion boot identifier of the worker's minion; empty while there is none
      * @param service service of the minion
-     * @param capacity room of the worker
-     * @param free capacity less all that is held
-     * @param accepting whether it takes starts
-     * @param labels kind and rack
-     * @param failureDomain failure domain
-     * @param startsSeen number of the newest start that this reflects
+     * @param capacity total room of the worker
+     * @param free capacity less the room of all runs
+     * @param accepting whether the worker accepts starts
+     * @param labels kind and rack of the worker
+     * @param failureDomain failure domain of the worker
+     * @param startsSeen number of the owner's latest start that the report takes into account
      */
-    public record View(
+    public record Report(
             String minion,
             String service,
             Room capacity,
@@ -62,41 +67,45 @@
             List<String> labels,
             String failureDomain,
             long startsSeen) {
-        /** Nothing known. */
-        public static final View NONE = new View("", "", Room.NONE, Room.NONE, false, List.of(), "", 0);
+        /** No report yet. */
+        public static final Report NONE = new Report("", "", Room.NONE, Room.NONE, false, List.of(), "", 0);
 
         /** Copies the labels. */
-        public View {
+        public Report {
             labels = List.copyOf(labels);
         }
     }
 
     /**
-     * A start that was sent.
+     * A start that was sent to the agent.
      *
      * @param task the task
      * @param run number of the run
-     * @param link the link it went out on
-     * @param number its number on that link
-     * @param atNanos when, by the steady clock
-     * @param expectedMillis duration to expect in milliseconds, where runs last as estimated; 0 without an estimate
+     * @param link the link on which the start was sent
+     * @param number number of the start on that link, from 1; 0 for an adopted run
+     * @param atNanos when it was sent, by the steady clock
+     * @param expectedMillis expected duration in milliseconds on a worker of stretch 1; 0 without an estimate
      */
-    public record Sent(Task task, long run, Object link, long number, long atNanos, double expectedMillis) {
-        /** Lasting this many times the estimate is no chance: estimates are off by 40% (standard deviation). */
-        private static final int OVERDUE_ESTIMATES = 3;
+    public record SentStart(Task task, long run, Object link, long number, long atNanos, double expectedMillis) {
+        /**
+         * A run is overdue after this multiple of its expected duration. Estimates are off by 40% (standard deviation),
+         * so a run hardly ever lasts this long by chance.
+         */
+        private static final int OVERDUE_FACTOR = 3;
 
-        /** What start and end may take on top, in milliseconds. */
+        /** Allowance for the transmission of start and end, in milliseconds. */
         private static final int OVERDUE_MARGIN_MILLIS = 80;
 
         /**
-         * Tells whether the run lasts far longer than expected; never so without an estimate.
+         * Tells whether the run lasts far longer than expected; always false without an estimate.
          *
-         * @param stretch duration over estimate that is usual for the kind of worker
+         * @param nowNanos the time, by the steady clock
+         * @param stretch ratio of actual to estimated durations that is usual for the worker's kind
          */
         public boolean isOverdue(long nowNanos, double stretch) {
             double expected = expectedMillis * stretch;
             long ageMillis = (nowNanos - atNanos) / 1_000_000;
-            return expected > 0 && ageMillis > OVERDUE_ESTIMATES * expected + OVERDUE_MARGIN_MILLIS;
+            return expected > 0 && ageMillis > OVERDUE_FACTOR * expected + OVERDUE_MARGIN_MILLIS;
         }
     }
 
@@ -105,76 +114,77 @@
         return process;
     }
 
-    /** Returns what the agent last told. */
-    public View view() {
-        return view;
+    /** Returns the last report of the agent. */
+    public Report lastReport() {
+        return lastReport;
     }
 
     /** Returns the kind of the worker; empty when it has none. */
     String kind() {
-        return view.labels().isEmpty() ? "" : view.labels().getFirst();
+        return lastReport.labels().isEmpty() ? "" : lastReport.labels().getFirst();
     }
 
-    /** Notes what the agent tells about its worker's speed. */
-    public void learned(LearnedStretch told) {
-        learned = told;
+    /** Records the stretch that the agent reports for its worker. */
+    public void learnedStretch(LearnedStretch reported) {
+        learnedStretch = reported;
     }
 
-    /** Returns what the agent last told about its worker's speed. */
-    LearnedStretch learned() {
-        return learned;
+    /** Returns the stretch that the agent last reported for its worker. */
+    LearnedStretch learnedStretch() {
+        return learnedStretch;
     }
 
-    /** Returns how fast the worker is among the others. */
+    /** Returns the speed of the worker relative to the others. */
     WorkerSpeed speed() {
         return speed;
     }
 
-    /** Notes how fast the worker is among the others. */
+    /** Sets the speed of the worker relative to the others. */
     void speed(WorkerSpeed next) {
         speed = next;
     }
 
-    /** Returns the duration of its runs over their estimates, as far as learned. */
+    /** Returns the ratio of actual to estimated durations of the worker's runs; 1 while it is unknown. */
     public double stretch() {
         return speed.stretch();
     }
 
-    /** Returns the processors, in thousandths, of this owner's runs here that have an estimate. */
-    double sentRoomMillis() {
-        double room = 0;
-        for (Sent start : sent.values()) {
-            room += start.expectedMillis() > 0 ? start.task().room().processorMillis() : 0;
+    /** Returns the millicores used here by this owner's runs that have an estimate. */
+    double estimatedRunMillicores() {
+        double millicores = 0;
+        for (SentStart start : startsInProgress.values()) {
+            millicores += start.expectedMillis() > 0 ? start.task().room().processorMillis() : 0;
         }
-        return room;
+        return millicores;
     }
 
-    /** Returns the processors, in thousandths, that these runs free in a millisecond. */
-    double sentReleaseRate() {
+    /** Returns the millicores that these runs free per millisecond. */
+    double releaseRate() {
         double rate = 0;
-        for (Sent start : sent.values()) {
+        for (SentStart start : startsInProgress.values()) {
             double millis = start.expectedMillis() * speed.stretch();
             rate += millis > 0 ? start.task().room().processorMillis() / millis : 0;
         }
         return rate;
     }
 
-    /** Returns how its runs end. */
+    /** Returns the health of the worker, as determined from the ends of its runs. */
     public WorkerHealth health() {
         return health;
     }
 
-    /** Returns when the agent was last heard, by the steady clock. */
-    public long heardAtNanos() {
-        return heardAtNanos;
+    /** Returns when the agent last reported, by the steady clock. */
+    public long lastReportAtNanos() {
+        return lastReportAtNanos;
     }
 
     /**
-     * Returns the time since the agent was last heard or last sent a start. A start tells the agent that this owner
-     * relied on it when the start was sent, and the agent keeps all of this owner's runs going from then on.
+     * Returns the time since the agent last reported or was last sent a start, in nanoseconds. A start counts because
+     * it confirms to the agent that this owner was active when it was sent: from then on the agent keeps all runs of
+     * this owner.
      */
-    public long silentNanos(long nowNanos) {
-        return nowNanos - Math.max(heardAtNanos, startedAtNanos);
+    public long nanosSinceContact(long nowNanos) {
+        return nowNanos - Math.max(lastReportAtNanos, lastStartAtNanos);
     }
 
     /** Tells whether there is a link to the agent. */
@@ -182,122 +192,144 @@
         return link != null;
     }
 
-    /** Notes a new link; starts on it are numbered from 1. */
-    public void linked(Object newLink) {
+    /** Records a new link. Starts on it are numbered from 1. */
+    public void linkOpened(Object newLink) {
         link = newLink;
-        numbers = 0;
-        pending = Room.NONE;
-        suspectedRuns = 0;
-        view = View.NONE;
+        lastStartNumber = 0;
+        unacknowledgedRoom = Room.NONE;
+        reportedSuspectRuns = 0;
+        lastReport = Report.NONE;
     }
 
-    /** Notes that the link is gone. */
-    public void unlinked() {
+    /** Records that the link was closed. */
+    public void linkClosed() {
         link = null;
-        pending = Room.NONE;
-        suspectedRuns = 0;
-        view = View.NONE;
-    }
-
-    /** Notes a report. */
-    public void report(View report, long nowNanos) {
-        heardAtNanos = nowNanos;
-        view = report;
-        pending = Room.NONE;
-        for (Sent start : sent.values()) {
-            if (isUnseen(start)) {
-                pending = pending.plus(start.task().room());
+        unacknowledgedRoom = Room.NONE;
+        reportedSuspectRuns = 0;
+        lastReport = Report.NONE;
+    }
+
+    /**
+     * Records a report of the agent.
+     *
+     * @param nowNanos the time, by the steady clock
+     */
+    public void recordReport(Report report, long nowNanos) {
+        lastReportAtNanos = nowNanos;
+        lastReport = report;
+        unacknowledgedRoom = Room.NONE;
+        for (SentStart start : startsInProgress.values()) {
+            if (isUnacknowledged(start)) {
+                unacknowledgedRoom = unacknowledgedRoom.plus(start.task().room());
             }
         }
     }
 
-    /** Notes how many runs of suspects the agent holds, for whichever entry. */
-    public void reportSuspects(int runs) {
-        suspectedRuns = runs;
+    /** Records how many runs of suspects the agent holds, for all owners together. */
+    public void recordSuspectRuns(int runs) {
+        reportedSuspectRuns = runs;
     }
 
-    /** Notes that a start that was sent is one of a suspect. */
-    public void sentSuspect(TaskKey task) {
-        suspects.add(task);
+    /** Records that a start that was sent belongs to a suspect. */
+    public void addSuspect(TaskKey task) {
+        sentSuspects.add(task);
     }
 
-    /** Tells whether a suspect runs here or is on its way. */
+    /** Tells whether a suspect runs here or has been sent here. */
     public boolean holdsSuspect() {
-        return suspectedRuns > 0 || !suspects.isEmpty();
+        return reportedSuspectRuns > 0 || !sentSuspects.isEmpty();
     }
 
-    /** Tells whether the agent may not have had a start yet when it last reported. */
-    public boolean isUnseen(Sent start) {
-        return start.link() == link && start.number() > view.startsSeen();
+    /** Tells whether the agent's last report may not take the start into account yet. */
+    public boolean isUnacknowledged(SentStart start) {
+        return start.link() == link && start.number() > lastReport.startsSeen();
     }
 
-    /** Returns the room that is free as far as known, with the owner's starts on their way taken off. */
-    public Room free() {
-        return view.free().minus(pending);
+    /** Returns the free room of the last report less the room of this owner's unacknowledged starts. */
+    public Room freeRoom() {
+        return lastReport.free().minus(unacknowledgedRoom);
     }
 
     /**
-     * Tells whether this owner's starts on their way and one more would take over a part of the room that the agent
-     * last told. One start is never over it.
+     * Tells whether this owner's unacknowledged starts and one more would exceed a share of the free room of the last
+     * report. A single start never does.
      */
-    boolean isOverPart(Room next, double part) {
-        long onTheirWay = pending.processorMillis();
-        return onTheirWay > 0
-                && onTheirWay + next.processorMillis() > part * view.free().processorMillis();
+    boolean exceedsShare(Room next, double share) {
+        long unacknowledgedMillicores = unacknowledgedRoom.processorMillis();
+        return unacknowledgedMillicores > 0
+                && unacknowledgedMillicores + next.processorMillis()
+                        > share * lastReport.free().processorMillis();
     }
 
-    /** Takes no starts until a moment, after the agent has refused one for a reason that takes time to go. */
-    public void pause(long untilNanos) {
+    /**
+     * Sends no starts until the given time, because the agent has refused one for a reason that persists for a while.
+     *
+     * @param untilNanos end of the pause, by the steady clock
+     */
+    public void pauseStarts(long untilNanos) {
         pausedUntilNanos = untilNanos;
     }
 
-    /** Tells whether a start may be sent now. */
-    public boolean isOpen(long nowNanos) {
-        return link != null && view.accepting() && nowNanos - pausedUntilNanos >= 0;
+    /** Tells whether a start may be sent to the worker now. */
+    public boolean acceptsStarts(long nowNanos) {
+        return link != null && lastReport.accepting() && nowNanos - pausedUntilNanos >= 0;
     }
 
-    /** Notes that a start goes out; returns it with its number. */
-    public Sent send(Task task, long run, long nowNanos) {
+    /**
+     * Records a start that is being sent, with the caller's estimate as its expected duration.
+     *
+     * @param nowNanos the time, by the steady clock
+     * @return the start with its number
+     */
+    public SentStart send(Task task, long run, long nowNanos) {
         return send(task, run, nowNanos, task.step().estimatedMillis());
     }
 
     /**
-     * Notes that a start goes out; returns it with its number.
+     * Records a start that is being sent.
      *
-     * @param expectedMillis duration to expect in milliseconds, where runs last as estimated; 0 without an estimate
+     * @param nowNanos the time, by the steady clock
+     * @param expectedMillis expected duration in milliseconds on a worker of stretch 1; 0 without an estimate
+     * @return the start with its number
      */
-    public Sent send(Task task, long run, long nowNanos, double expectedMillis) {
-        numbers++;
-        startedAtNanos = nowNanos;
-        Sent start = new Sent(task, run, link, numbers, nowNanos, expectedMillis);
-        sent.put(task.key(), start);
-        pending = pending.plus(task.room());
+    public SentStart send(Task task, long run, long nowNanos, double expectedMillis) {
+        lastStartNumber++;
+        lastStartAtNanos = nowNanos;
+        SentStart start = new SentStart(task, run, link, lastStartNumber, nowNanos, expectedMillis);
+        startsInProgress.put(task.key(), start);
+        unacknowledgedRoom = unacknowledgedRoom.plus(task.room());
         return start;
     }
 
-    /** Notes a run that the agent holds and that somebody else sent. */
+    /**
+     * Records a run that the agent holds and that another owner has started.
+     *
+     * @param nowNanos the time, by the steady clock
+     */
     public void adopt(Task task, long run, long nowNanos) {
-        sent.put(task.key(), new Sent(task, run, link, 0, nowNanos, task.step().estimatedMillis()));
+        startsInProgress.put(
+                task.key(),
+                new SentStart(task, run, link, 0, nowNanos, task.step().estimatedMillis()));
     }
 
-    /** Returns the start of a task that is in progress here. */
-    public Optional<Sent> sent(TaskKey task) {
-        return Optional.ofNullable(sent.get(task));
+    /** Returns the start of the given task if it is in progress here. */
+    public Optional<SentStart> inProgress(TaskKey task) {
+        return Optional.ofNullable(startsInProgress.get(task));
     }
 
-    /** Tells whether any start is in progress here. */
+    /** Tells whether any run is in progress here. */
     public boolean hasRuns() {
-        return !sent.isEmpty();
+        return !startsInProgress.isEmpty();
     }
 
     /** Returns all starts in progress here. */
-    public Collection<Sent> sent() {
-        return List.copyOf(sent.values());
+    public Collection<SentStart> inProgress() {
+        return List.copyOf(startsInProgress.values());
     }
 
-    /** Adds what this owner's runs here hold to a tally for each service. */
+    /** Adds the processors that this owner's runs use here to the loads of each service. */
     public void addRunsTo(Map<String, QueueLoads> byService) {
-        for (Sent start : sent.values()) {
+        for (SentStart start : startsInProgress.values()) {
             QueueTerms terms = start.task().job().specification().terms();
             QueueLoads loads = byService.get(terms.service());
             if (loads == null) {
@@ -308,55 +340,64 @@
         }
     }
 
-    /** Tells whether a run is in progress here that may still end in time. */
-    public boolean isBusy() {
-        return sent.size() > overdue.size();
+    /** Tells whether a run is in progress here that is not overdue. */
+    public boolean hasRunsNotOverdue() {
+        return startsInProgress.size() > overdueTasks.size();
     }
 
-    /** Returns the runs that have become overdue since the last look, and notes them. */
-    public List<Sent> newlyOverdue(long nowNanos) {
-        List<Sent> late = new ArrayList<>();
-        for (Sent start : sent.values()) {
-            if (isOverdue(start, nowNanos) && overdue.add(start.task().key())) {
-                health.isOverdue(nowNanos);
-                late.add(start);
+    /**
+     * Finds and marks the runs that have become overdue since the last call.
+     *
+     * @param nowNanos the time, by the steady clock
+     * @return the newly overdue runs
+     */
+    public List<SentStart> markNewlyOverdue(long nowNanos) {
+        List<SentStart> newlyOverdue = new ArrayList<>();
+        for (SentStart start : startsInProgress.values()) {
+            if (isOverdue(start, nowNanos) && overdueTasks.add(start.task().key())) {
+                health.recordOverdueRun(nowNanos);
+                newlyOverdue.add(start);
             }
         }
-        return late;
+        return newlyOverdue;
     }
 
-    private boolean isOverdue(Sent start, long nowNanos) {
-        // By its kind, not by the worker itself: one that has become slow is to be found out.
+    private boolean isOverdue(SentStart start, long nowNanos) {
+        // By the stretch of the worker's kind: its own stretch would hide that it has become slow.
         return start.isOverdue(nowNanos, speed.kindStretch());
     }
 
-    /** Returns all runs that are overdue. */
-    public List<Sent> overdue() {
-        List<Sent> late = new ArrayList<>();
-        for (TaskKey key : overdue) {
-            late.add(sent.get(key));
+    /** Returns all runs that are marked overdue. */
+    public List<SentStart> overdue() {
+        List<SentStart> overdue = new ArrayList<>();
+        for (TaskKey key : overdueTasks) {
+            overdue.add(startsInProgress.get(key));
         }
-        return late;
+        return overdue;
     }
 
-    /** Notes that a run ended by itself. */
-    public void ended(Sent start, long nowNanos) {
+    /**
+     * Records that a run has completed, in time or overdue.
+     *
+     * @param nowNanos the time, by the steady clock
+     */
+    public void recordEnd(SentStart start, long nowNanos) {
         if (isOverdue(start, nowNanos)) {
-            if (overdue.add(start.task().key())) {
-                health.isOverdue(nowNanos);
+            if (overdueTasks.add(start.task().key())) {
+                health.recordOverdueRun(nowNanos);
             }
         } else {
-            health.endedInTime(nowNanos);
+            health.recordInTimeRun(nowNanos);
         }
     }
 
-    /** Notes that a start is no longer in progress here. */
+    /** Records that the run of a task is no longer in progress here. */
     public void remove(TaskKey task) {
-        overdue.remove(task);
-        suspects.remove(task);
-        Sent start = sent.remove(task);
-        if (start != null && isUnseen(start)) {
-            pending = pending.minus(start.task().room());
+        overdueTasks.remove(task);
+        sentSuspects.remove(task);
+        SentStart start = startsInProgress.remove(task);
+        if (start != null && isUnacknowledged(start)) {
+            unacknowledgedRoom = unacknowledgedRoom.minus(start.task().room());
         }
     }
 }
--- a/library/src/main/java/org/chivetally/queue/speed/SpeedClasses.java
+++ b/library/src/main/java/org/chivetally/queue/speed/SpeedClasses.java
@@ -3,21 +3,27 @@
 import java.util.Arrays;
 
 /**
- * Workers sorted into classes of similar speed, the fastest class first. Within a class other things decide than the
- * speed, as differences of some percent are within the error of what is learned.
+ * Classes of workers with similar speed, the fastest class first. Within a class, workers are chosen by other criteria,
+ * as differences of some percent are within the error of learned speeds.
  */
 public final class SpeedClasses {
-    /** Stretches that lie closer together than this factor are of one class. */
-    static final double SIMILAR = 1.15;
+    /** Greatest ratio of the stretches of neighboring workers of one class. */
+    static final double MAXIMUM_NEIGHBOR_RATIO = 1.15;
 
-    /** Greatest factor within a class: many workers of slightly different speed must not chain all into one. */
-    static final double WIDEST = SIMILAR * SIMILAR;
+    /**
+     * Greatest ratio of stretches within a class, so that many workers of slightly different speed don't form a single
+     * class.
+     */
+    static final double MAXIMUM_CLASS_RATIO = MAXIMUM_NEIGHBOR_RATIO * MAXIMUM_NEIGHBOR_RATIO;
 
-    /** Factor by which the spread has to exceed a bound, as it is learned with an error of some percent itself. */
-    static final double CERTAIN = 1.1;
+    /** Factor by which the spread must exceed a bound, as the spread is learned with an error of some percent. */
+    static final double SPREAD_ERROR_MARGIN = 1.1;
 
-    /** Low bits of a stretch that make room for the place of its worker; its other 36 bits are precise enough. */
-    private static final long PLACE_BITS = 0xFFFF;
+    /**
+     * Low bits of a stretch that are replaced by the index of its worker; the other 36 bits of the mantissa are precise
+     * enough.
+     */
+    private static final long INDEX_MASK = 0xFFFF;
 
     private final int[] ranks;
     private final double[] means;
@@ -28,39 +34,41 @@
     }
 
     /**
-     * Sorts workers into classes.
+     * Groups workers into classes.
      *
      * @param stretches stretch of each worker, positive; fewer than 65,536 workers
      */
     public static SpeedClasses of(double[] stretches) {
         int count = stretches.length;
         long[] order = new long[count];
-        for (int place = 0; place < count; place++) {
-            // Positive numbers are ordered as their bits are.
-            order[place] = Double.doubleToLongBits(stretches[place]) & ~PLACE_BITS | place;
+        for (int index = 0; index < count; index++) {
+            // Positive floating-point numbers have the order of their bit patterns.
+            order[index] = Double.doubleToLongBits(stretches[index]) & ~INDEX_MASK | index;
         }
         Arrays.sort(order);
         int[] ranks = new int[count];
         double[] sums = new double[count];
         int[] members = new int[count];
         int rank = -1;
-        double first = 0;
+        double fastestInClass = 0;
         double previous = 0;
-        for (long entry : order) {
-            int place = (int) (entry & PLACE_BITS);
-            double stretch = stretches[place];
-            if (rank < 0 || stretch > SIMILAR * previous || stretch > WIDEST * first) {
+        for (long stretchAndIndex : order) {
+            int index = (int) (stretchAndIndex & INDEX_MASK);
+            double stretch = stretches[index];
+            if (rank < 0
+                    || stretch > MAXIMUM_NEIGHBOR_RATIO * previous
+                    || stretch > MAXIMUM_CLASS_RATIO * fastestInClass) {
                 rank++;
-                first = stretch;
+                fastestInClass = stretch;
             }
             previous = stretch;
-            ranks[place] = rank;
+            ranks[index] = rank;
             sums[rank] += stretch;
             members[rank]++;
         }
         double[] means = new double[rank + 1];
-        for (int place = 0; place <= rank; place++) {
-            means[place] = sums[place] / members[place];
+        for (int index = 0; index <= rank; index++) {
+            means[index] = sums[index] / members[index];
         }
         return new SpeedClasses(ranks, means);
     }
@@ -70,9 +78,9 @@
         return means.length;
     }
 
-    /** Returns the class of a worker, by its place; 0 is the fastest. */
-    public int rank(int place) {
-        return ranks[place];
+    /** Returns the class of a worker by its index; 0 is the fastest. */
+    public int rank(int index) {
+        return ranks[index];
     }
 
     /** Returns the mean stretch of a class. */
@@ -81,15 +89,17 @@
     }
 
     /**
-     * Returns how many times as long the slowest class takes as the fastest. By the means of classes, as the extremes
-     * of many equal workers differ by chance.
+     * Returns the ratio of run durations between the slowest and the fastest class. It is taken from the means of the
+     * classes, as the extremes of many equal workers differ by chance.
      */
     public double spread() {
         return means.length == 0 ? 1 : means[means.length - 1] / means[0];
     }
 
-    /** Tells whether the slowest class takes certainly more than so many times as long as the fastest. */
-    public boolean isSpreadOver(double factor) {
-        return spread() > CERTAIN * factor;
+    /**
+     * Tells whether the ratio of run durations between the slowest and the fastest class certainly exceeds a factor.
+     */
+    public boolean spreadExceeds(double factor) {
+        return spread() > SPREAD_ERROR_MARGIN * factor;
     }
 }
--- a/library/src/main/java/org/chivetally/queue/warmup/ModelConnection.java
+++ b/library/src/main/java/org/chivetally/queue/warmup/InMemoryConnection.java
@@ -11,40 +11,46 @@
 import org.chivetally.transport.FrameListener;
 import org.chivetally.wire.v1.Frame;
 
-/** One end of a connection in memory. Frames are written and read as over a socket, in a buffer outside the heap. */
-final class ModelConnection implements FrameConnection {
-    private static final Duration ONE_WAY = Duration.ofMillis(1);
+/**
+ * One end of a connection in memory. Frames are encoded and decoded in a direct buffer, as on a socket, to warm up the
+ * same code.
+ */
+final class InMemoryConnection implements FrameConnection {
+    private static final Duration ONE_WAY_DELAY = Duration.ofMillis(1);
 
-    /** More than any frame of an exercise takes; a buffer for each frame costs more than the frame. */
+    /**
+     * Size of the reused buffer: more than any warm-up frame takes. A new buffer per frame would cost more than the
+     * frame.
+     */
     private static final int BUFFER_BYTES = 8 * 1024;
 
     private final Timers timers;
     private final FrameListener listener;
-    private ModelConnection far;
+    private InMemoryConnection remote;
     private ByteBuffer buffer = ByteBuffer.allocateDirect(BUFFER_BYTES);
 
-    private ModelConnection(Timers timers, FrameListener listener) {
+    private InMemoryConnection(Timers timers, FrameListener listener) {
         this.timers = timers;
         this.listener = listener;
     }
 
-    /** Connects two processes. */
+    /** Connects the listeners of two processes. */
     static void connect(Timers timers, FrameListener dialling, FrameListener accepting) {
-        ModelConnection near = new ModelConnection(timers, dialling);
-        ModelConnection far = new ModelConnection(timers, accepting);
-        near.far = far;
-        far.far = near;
-        accepting.connected(far);
-        dialling.connected(near);
+        InMemoryConnection dialler = new InMemoryConnection(timers, dialling);
+        InMemoryConnection acceptor = new InMemoryConnection(timers, accepting);
+        dialler.remote = acceptor;
+        acceptor.remote = dialler;
+        accepting.connected(acceptor);
+        dialling.connected(dialler);
     }
 
     @Override
     public void send(Frame frame) {
-        Frame read = read(written(frame));
-        timers.after(ONE_WAY, () -> far.listener.received(far, read));
+        Frame received = decode(encode(frame));
+        timers.after(ONE_WAY_DELAY, () -> remote.listener.received(remote, received));
     }
 
-    private ByteBuffer written(Frame frame) {
+    private ByteBuffer encode(Frame frame) {
         if (frame.getSerializedSize() > buffer.capacity()) {
             buffer = ByteBuffer.allocateDirect(frame.getSerializedSize());
         }
@@ -54,22 +60,22 @@
             frame.writeTo(out);
             out.flush();
         } catch (IOException e) {
-            throw new UncheckedIOException("a frame did not fit its own size", e);
+            throw new UncheckedIOException("a frame exceeded its serialized size", e);
         }
         return buffer.flip();
     }
 
-    private static Frame read(ByteBuffer buffer) {
+    private static Frame decode(ByteBuffer buffer) {
         try {
             return Frame.parseFrom(CodedInputStream.newInstance(buffer));
         } catch (IOException e) {
-            throw new UncheckedIOException("a frame can't be read back", e);
+            throw new UncheckedIOException("an encoded frame can't be decoded", e);
         }
     }
 
     @Override
     public void close() {
-        // Both ends are forgotten together with the exercise.
+        // Nothing to release: both ends are garbage collected with the warm-up load.
     }
 
     @Override
--- a/library/src/main/java/org/chivetally/queue/warmup/ModelMinion.java
+++ b/library/src/main/java/org/chivetally/queue/warmup/SimulatedMinion.java
@@ -11,17 +11,17 @@
 import org.chivetally.queue.agent.MinionPort;
 import org.chivetally.time.Timers;
 
-/** A minion that does every run in the same short time. */
-final class ModelMinion implements MinionPort {
-    private static final Duration ANSWER = Duration.ofMillis(1);
-    private static final Duration WORK = Duration.ofMillis(5);
+/** Minion on which every run takes the same short time. */
+final class SimulatedMinion implements MinionPort {
+    private static final Duration RESPONSE_DELAY = Duration.ofMillis(1);
+    private static final Duration RUN_DURATION = Duration.ofMillis(5);
 
     private final Timers timers;
     private final Set<RunKey> running = new LinkedHashSet<>();
     private final TreeMap<Long, ListedEnd> ends = new TreeMap<>();
     private long sequence;
 
-    ModelMinion(Timers timers) {
+    SimulatedMinion(Timers timers) {
         this.timers = timers;
     }
 
@@ -30,13 +30,13 @@
     }
 
     @Override
-    public void start(String boot, StartOrder order, Consumer<StartAnswer> answer) {
-        running.add(order.run());
-        timers.after(WORK, () -> end(order.run()));
-        timers.after(ANSWER, () -> answer.accept(new StartAnswer.Started(clockMillis())));
+    public void start(String boot, StartRequest request, Consumer<StartResult> callback) {
+        running.add(request.run());
+        timers.after(RUN_DURATION, () -> finishRun(request.run()));
+        timers.after(RESPONSE_DELAY, () -> callback.accept(new StartResult.Started(clockMillis())));
     }
 
-    private void end(RunKey run) {
+    private void finishRun(RunKey run) {
         if (running.remove(run)) {
             sequence++;
             ends.put(sequence, new ListedEnd(sequence, run, RunOutcome.DONE, ""));
@@ -44,18 +44,18 @@
     }
 
     @Override
-    public void stop(String boot, RunKey run, long token, Consumer<Boolean> answer) {
+    public void stop(String boot, RunKey run, long token, Consumer<Boolean> callback) {
         running.remove(run);
-        timers.after(ANSWER, () -> answer.accept(true));
+        timers.after(RESPONSE_DELAY, () -> callback.accept(true));
     }
 
     @Override
-    public void look(String boot, LookOrder order, Consumer<LookAnswer> answer) {
-        ends.headMap(order.keptThrough(), true).clear();
-        Duration wait = order.longestWait().isZero() ? ANSWER : WORK;
+    public void poll(String boot, PollRequest request, Consumer<PollResult> callback) {
+        ends.headMap(request.acknowledgedThrough(), true).clear();
+        Duration wait = request.maximumWait().isZero() ? RESPONSE_DELAY : RUN_DURATION;
         timers.after(
                 wait,
-                () -> answer.accept(
-                        new LookAnswer.Lists(clockMillis(), List.copyOf(running), List.copyOf(ends.values()))));
+                () -> callback.accept(
+                        new PollResult.Lists(clockMillis(), List.copyOf(running), List.copyOf(ends.values()))));
     }
 }
--- a/library/src/test/java/org/chivetally/queue/agent/IncarnationTest.java
+++ b/library/src/test/java/org/chivetally/queue/agent/IncarnationTest.java
@@ -19,81 +19,90 @@
 import org.chivetally.queue.TaskKey;
 import org.junit.jupiter.api.Test;
 
-/** A minion that comes back under the same id, with nothing, and all of whose counters begin anew. */
+/** Tests a minion that is restarted under the same id, without runs and with all counters reset. */
 class IncarnationTest {
     private static final Room CAPACITY = new Room(12_000, 1_000, 0);
-    private static final Room HALF = new Room(6_000, 64, 0);
+    private static final Room HALF_CAPACITY = new Room(6_000, 64, 0);
     private static final RunOwner OWNER = new RunOwner.Partition(3);
-    private static final long BORN = 1_800_000_000_000L;
-    private static final long BORN_AGAIN = BORN + 60_000;
+    private static final long STARTED_AT_MILLIS = 1_800_000_000_000L;
+    private static final long RESTARTED_AT_MILLIS = STARTED_AT_MILLIS + 60_000;
 
     private final ManualTimers timers = new ManualTimers();
-    private final ModelMinion minion = new ModelMinion(timers);
+    private final FakeMinion minion = new FakeMinion(timers);
     private final ScriptedListener listener = new ScriptedListener();
-    private final List<OwnedEnd> told = listener.told;
+    private final List<OwnedEnd> reportedEnds = listener.reportedEnds;
     private final RunSupervisor supervisor = new RunSupervisor(timers, minion, listener, 16);
 
     private static RunKey run(String job, long number) {
         return new RunKey(new TaskKey(job, 0, 0, 0), number);
     }
 
-    private static MinionState state(long born, long sequence, Room capacity, long clock) {
+    private static MinionState state(long startedAtMillis, long sequence, Room capacity, long clockMillis) {
         return new MinionState(
-                Incarnation.of("minion", born), "reports", capacity, List.of("a"), false, clock, sequence);
+                Incarnation.of("minion", startedAtMillis),
+                "reports",
+                capacity,
+                List.of("a"),
+                false,
+                clockMillis,
+                sequence);
     }
 
-    private void announce(long born, long sequence, Room capacity) {
-        supervisor.announced(state(born, sequence, capacity, minion.clock()));
+    private void announce(long startedAtMillis, long sequence, Room capacity) {
+        supervisor.announced(state(startedAtMillis, sequence, capacity, minion.clock()));
         timers.advance(Duration.ofMillis(5));
     }
 
-    private void announce(long born) {
-        announce(born, 1, CAPACITY);
+    private void announce(long startedAtMillis) {
+        announce(startedAtMillis, 1, CAPACITY);
     }
 
-    /** Starts a minion long enough ago that its clock is far from zero. */
-    private void begin() {
-        minion.reborn(BORN);
+    /** Starts the minion and advances its clock far from zero. */
+    private void startMinion() {
+        minion.restart(STARTED_AT_MILLIS);
         timers.advance(Duration.ofSeconds(600));
-        announce(BORN);
+        announce(STARTED_AT_MILLIS);
     }
 
     private Optional<String> start(RunKey run) {
-        return supervisor.start(run, OWNER, HALF, "payload", "");
+        return supervisor.start(run, OWNER, HALF_CAPACITY, "payload", "");
     }
 
     private List<RunOutcome> outcomes() {
-        return told.stream().map(end -> end.end().outcome()).toList();
+        return reportedEnds.stream().map(end -> end.end().outcome()).toList();
     }
 
     /**
-     * The minion crashes with a run, and comes back before any look has gone unanswered. Its heartbeat ends the run of
-     * the incarnation before, and the whole room is free.
+     * The minion crashes with a run and restarts before a poll goes unanswered. Its announcement must end the run of
+     * the previous incarnation and release all resources.
      */
     @Test
-    void aHeartbeatOfAnotherStartEndsEverythingOfTheOneBefore() {
-        begin();
+    void endsRunsOfThePreviousIncarnationOnAnAnnouncement() {
+        startMinion();
         start(run("a", 1));
         timers.advance(Duration.ofMillis(50));
-        minion.reborn(BORN_AGAIN);
-        announce(BORN_AGAIN);
-        assertThat(told, hasSize(1));
+        minion.restart(RESTARTED_AT_MILLIS);
+        announce(RESTARTED_AT_MILLIS);
+        assertThat(reportedEnds, hasSize(1));
         assertThat(supervisor.free(), is(CAPACITY));
         assertThat(supervisor.isAccepting(), is(true));
-        assertThat(supervisor.minion().orElseThrow().incarnation(), is(Incarnation.of("minion", BORN_AGAIN)));
+        assertThat(supervisor.minion().orElseThrow().incarnation(), is(Incarnation.of("minion", RESTARTED_AT_MILLIS)));
     }
 
-    /** Ends are numbered from 1 again. Taken for ends that are stored already, every run would be called lost. */
+    /**
+     * Ends are numbered from 1 again. If they were taken for ends that are stored already, every run would count as
+     * lost.
+     */
     @Test
-    void endsOfTheNextIncarnationCountFromOneAgain() {
-        begin();
+    void acceptsEndsThatAreNumberedFromOneAgain() {
+        startMinion();
         start(run("a", 1));
         minion.end(run("a", 1), RunOutcome.DONE);
         timers.advance(Duration.ofMillis(100));
-        supervisor.kept("minion@" + BORN, List.of(1L));
+        supervisor.markStored("minion@" + STARTED_AT_MILLIS, List.of(1L));
         timers.advance(Duration.ofMillis(100));
-        minion.reborn(BORN_AGAIN);
-        announce(BORN_AGAIN);
+        minion.restart(RESTARTED_AT_MILLIS);
+        announce(RESTARTED_AT_MILLIS);
         start(run("b", 1));
         minion.end(run("b", 1), RunOutcome.DONE);
         timers.advance(Duration.ofMillis(100));
@@ -101,117 +110,122 @@
     }
 
     /**
-     * An owner has stored the first end of the earlier incarnation; the first one of the next is not stored by that.
+     * An owner has stored the first end of the previous incarnation, which must not acknowledge the first end of the
+     * new one.
      */
     @Test
-    void whatIsStoredOfTheEarlierIncarnationSaysNothingOfTheNext() {
-        begin();
-        minion.reborn(BORN_AGAIN);
-        announce(BORN_AGAIN);
+    void keepsEndsApartFromThoseOfThePreviousIncarnation() {
+        startMinion();
+        minion.restart(RESTARTED_AT_MILLIS);
+        announce(RESTARTED_AT_MILLIS);
         start(run("b", 1));
         minion.end(run("b", 1), RunOutcome.DONE);
         timers.advance(Duration.ofMillis(100));
-        supervisor.kept("minion@" + BORN, List.of(1L));
+        supervisor.markStored("minion@" + STARTED_AT_MILLIS, List.of(1L));
         timers.advance(Duration.ofMillis(100));
         assertThat(minion.ends.keySet(), contains(1L));
-        supervisor.kept("minion@" + BORN_AGAIN, List.of(1L));
+        supervisor.markStored("minion@" + RESTARTED_AT_MILLIS, List.of(1L));
         timers.advance(Duration.ofMillis(100));
         assertThat(minion.ends.keySet(), is(empty()));
     }
 
-    /** Leases are times of the minion's clock, which begins anew: by the old one a lease would last ten minutes. */
+    /**
+     * Leases are times on the minion's clock, which restarts from zero. By the old clock, a lease would last ten
+     * minutes.
+     */
     @Test
-    void leasesGoByTheClockOfTheNextIncarnation() {
-        begin();
-        minion.reborn(BORN_AGAIN);
-        announce(BORN_AGAIN);
+    void calculatesLeasesByTheClockOfTheNewIncarnation() {
+        startMinion();
+        minion.restart(RESTARTED_AT_MILLIS);
+        announce(RESTARTED_AT_MILLIS);
         start(run("a", 1));
-        assertThat(minion.starts.getLast().leaseUntilMillis(), lessThanOrEqualTo(minion.clock() + 1_000));
+        assertThat(minion.starts.getLast().leaseEndMillis(), lessThanOrEqualTo(minion.clock() + 1_000));
         timers.advance(Duration.ofMillis(500));
-        minion.silent = true;
-        while (told.isEmpty()) {
+        minion.unresponsive = true;
+        while (reportedEnds.isEmpty()) {
             timers.advance(Duration.ofMillis(10));
         }
-        assertThat(minion.isLapsed(), is(true));
+        assertThat(minion.isLeaseExpired(), is(true));
     }
 
-    /** A heartbeat is held up by a partition and arrives after those of the next incarnation. */
+    /** An announcement is delayed by a network partition and arrives after those of the next incarnation. */
     @Test
-    void aHeartbeatOfAnEarlierStartIsIgnored() {
-        begin();
-        minion.reborn(BORN_AGAIN);
-        announce(BORN_AGAIN);
+    void ignoresAnAnnouncementOfAnEarlierIncarnation() {
+        startMinion();
+        minion.restart(RESTARTED_AT_MILLIS);
+        announce(RESTARTED_AT_MILLIS);
         start(run("a", 1));
-        supervisor.announced(state(BORN, 900, new Room(1, 1, 0), 600_000));
-        supervisor.announced(state(BORN - 1, 901, new Room(1, 1, 0), 600_000));
+        supervisor.announced(state(STARTED_AT_MILLIS, 900, new Room(1, 1, 0), 600_000));
+        supervisor.announced(state(STARTED_AT_MILLIS - 1, 901, new Room(1, 1, 0), 600_000));
         timers.advance(Duration.ofMillis(100));
-        assertThat(told, is(empty()));
+        assertThat(reportedEnds, is(empty()));
         assertThat(supervisor.minion().orElseThrow().capacity(), is(CAPACITY));
         assertThat(supervisor.isAccepting(), is(true));
     }
 
-    /** Two heartbeats overtake each other; the capacity of the newer one is the one in force. */
+    /** Two announcements arrive in the wrong order. The capacity of the later one remains in force. */
     @Test
-    void aHeartbeatWithALowerSequenceIsIgnored() {
-        begin();
-        announce(BORN, 7, HALF);
-        announce(BORN, 6, CAPACITY);
-        assertThat(supervisor.free(), is(HALF));
-        announce(BORN, 8, CAPACITY);
+    void ignoresAnAnnouncementWithALowerSequence() {
+        startMinion();
+        announce(STARTED_AT_MILLIS, 7, HALF_CAPACITY);
+        announce(STARTED_AT_MILLIS, 6, CAPACITY);
+        assertThat(supervisor.free(), is(HALF_CAPACITY));
+        announce(STARTED_AT_MILLIS, 8, CAPACITY);
         assertThat(supervisor.free(), is(CAPACITY));
     }
 
     /**
-     * The next incarnation answers a look before its first heartbeat. Its empty list isn't that of the one before,
-     * whose runs are gone; its capacity isn't known, so nothing starts until the heartbeat comes.
+     * The new incarnation answers a poll before its first announcement. Its empty list must end the runs of the
+     * previous one; its capacity isn't known, so nothing starts before the announcement.
      */
     @Test
-    void listsOfAnotherStartAreNotThoseOfTheExpectedOne() {
-        begin();
+    void detectsANewIncarnationByItsLists() {
+        startMinion();
         start(run("a", 1));
         timers.advance(Duration.ofMillis(50));
-        minion.reborn(BORN_AGAIN);
+        minion.restart(RESTARTED_AT_MILLIS);
         timers.advance(Duration.ofMillis(200));
-        assertThat(told, hasSize(1));
+        assertThat(reportedEnds, hasSize(1));
         assertThat(supervisor.isAccepting(), is(false));
-        announce(BORN_AGAIN, 1, HALF);
+        announce(RESTARTED_AT_MILLIS, 1, HALF_CAPACITY);
         assertThat(supervisor.isAccepting(), is(true));
-        assertThat(supervisor.free(), is(HALF));
+        assertThat(supervisor.free(), is(HALF_CAPACITY));
     }
 
-    /** The next incarnation lists an end as number 1 that the one before has never had. */
+    /** The new incarnation lists an end as number 1, which the previous one never had. */
     @Test
-    void anEndThatAnotherStartListsIsItsOwn() {
-        long crashesFrom = supervisor.token();
-        begin();
+    void attributesEndsToTheIncarnationThatListsThem() {
+        long agentToken = supervisor.token();
+        startMinion();
         start(run("a", 1));
         timers.advance(Duration.ofMillis(50));
-        minion.reborn(BORN_AGAIN);
+        minion.restart(RESTARTED_AT_MILLIS);
         minion.end(run("z", 4), RunOutcome.DONE);
         timers.advance(Duration.ofMillis(200));
         assertThat(
-                told.stream()
-                        .map(end -> end.end().run() + " " + end.end().boot())
+                reportedEnds.stream()
+                        .map(end -> end.end().run() + " " + end.end().incarnation())
                         .toList(),
-                containsInAnyOrder(run("z", 4) + " minion@" + BORN_AGAIN, run("a", 1) + " crashes@" + crashesFrom));
+                containsInAnyOrder(
+                        run("z", 4) + " minion@" + RESTARTED_AT_MILLIS, run("a", 1) + " crashes@" + agentToken));
     }
 
     /**
-     * A start gets no answer, and the next incarnation carries it out: the call names the id only. Told as lost, the
-     * task would be started elsewhere beside it.
+     * A start isn't answered, and the new incarnation executes it, as calls contain only the id. If the run were
+     * reported as lost, the task would be started elsewhere beside it.
      */
     @Test
-    void aStartThatTheNextIncarnationCarriesOutGoesOnThere() {
-        begin();
-        minion.startsHeldUp = true;
+    void keepsARunThatTheNewIncarnationHasStarted() {
+        startMinion();
+        minion.startsDelayed = true;
         start(run("a", 1));
         timers.advance(Duration.ofMillis(10));
-        minion.startsHeldUp = false;
-        minion.reborn(BORN_AGAIN);
-        minion.carryOut(minion.starts.getFirst());
-        announce(BORN_AGAIN);
+        minion.startsDelayed = false;
+        minion.restart(RESTARTED_AT_MILLIS);
+        minion.execute(minion.starts.getFirst());
+        announce(RESTARTED_AT_MILLIS);
         timers.advance(Duration.ofMillis(500));
-        assertThat(told, is(empty()));
+        assertThat(reportedEnds, is(empty()));
         assertThat(supervisor.runs().keySet(), contains(run("a", 1)));
         assertThat(minion.running.keySet(), contains(run("a", 1)));
         minion.end(run("a", 1), RunOutcome.DONE);
@@ -219,37 +233,40 @@
         assertThat(outcomes(), contains(RunOutcome.DONE));
     }
 
-    /** The same start is still on its way when its owner has been told that it is lost: it must be refused for good. */
+    /**
+     * The same start is still in transit when its run is reported as lost to the owner. The minion must refuse it
+     * forever.
+     */
     @Test
-    void aStartToTheEarlierIncarnationIsNotCarriedOutOnceItsRunIsCalledLost() {
-        begin();
-        minion.startsHeldUp = true;
+    void preventsAStartWhoseRunWasReportedAsLost() {
+        startMinion();
+        minion.startsDelayed = true;
         start(run("a", 1));
         timers.advance(Duration.ofMillis(10));
-        minion.startsHeldUp = false;
-        minion.reborn(BORN_AGAIN);
-        announce(BORN_AGAIN);
+        minion.startsDelayed = false;
+        minion.restart(RESTARTED_AT_MILLIS);
+        announce(RESTARTED_AT_MILLIS);
         timers.advance(Duration.ofMillis(100));
-        assertThat(told, hasSize(1));
-        minion.carryOut(minion.starts.getFirst());
+        assertThat(reportedEnds, hasSize(1));
+        minion.execute(minion.starts.getFirst());
         assertThat(minion.running.keySet(), is(empty()));
     }
 
     /**
-     * The minion is away for seconds, its runs are called lost, and the next incarnation carries out a start that was
-     * on its way all the time. Nobody knows that run; it is stopped, and nothing starts before.
+     * The minion is down for seconds, its runs are reported as lost, and the new incarnation executes a start that was
+     * in transit all the time. The unknown run must be stopped before anything else starts.
      */
     @Test
-    void aRunOfTheNextIncarnationThatNobodyKnowsIsStoppedBeforeAnythingStarts() {
-        begin();
+    void stopsAnUnknownRunOfTheNewIncarnationBeforeOtherStarts() {
+        startMinion();
         start(run("a", 1));
         timers.advance(Duration.ofMillis(50));
         minion.down = true;
         timers.advance(Duration.ofSeconds(3));
         assertThat(outcomes(), hasSize(1));
-        minion.reborn(BORN_AGAIN);
-        minion.carryOut(minion.starts.getFirst());
-        supervisor.announced(state(BORN_AGAIN, 1, CAPACITY, minion.clock()));
+        minion.restart(RESTARTED_AT_MILLIS);
+        minion.execute(minion.starts.getFirst());
+        supervisor.announced(state(RESTARTED_AT_MILLIS, 1, CAPACITY, minion.clock()));
         assertThat(start(run("b", 1)), is(Optional.of("not accepting")));
         timers.advance(Duration.ofMillis(60));
         assertThat(minion.running.keySet(), is(empty()));
@@ -257,44 +274,47 @@
     }
 
     /**
-     * The minion was down: who answers next may be another incarnation, and would forget ends and take a long lease.
+     * After an outage, another incarnation may answer. An acknowledgement would make it discard its own ends, and a
+     * lease end by the old clock would give it a long lease.
      */
     @Test
-    void theFirstLookAfterTheMinionWasDownAcknowledgesNothing() {
-        begin();
+    void acknowledgesNothingInTheFirstPollAfterAnOutage() {
+        startMinion();
         start(run("a", 1));
         start(run("b", 1));
         minion.end(run("a", 1), RunOutcome.DONE);
         timers.advance(Duration.ofMillis(100));
-        supervisor.kept("minion@" + BORN, List.of(1L));
+        supervisor.markStored("minion@" + STARTED_AT_MILLIS, List.of(1L));
         timers.advance(Duration.ofMillis(100));
         minion.down = true;
         timers.advance(Duration.ofMillis(400));
-        MinionPort.LookOrder look = minion.looks.getLast();
-        assertThat(look.keptThrough(), is(0L));
-        assertThat(look.leaseUntilMillis(), is(OptionalLong.empty()));
+        MinionPort.PollRequest poll = minion.polls.getLast();
+        assertThat(poll.acknowledgedThrough(), is(0L));
+        assertThat(poll.leaseEndMillis(), is(OptionalLong.empty()));
     }
 
-    /** The departure of the earlier incarnation arrives late. It names the id, and the next one's runs go on. */
+    /**
+     * A delayed departure of the previous incarnation contains only the id. The new incarnation's runs must continue.
+     */
     @Test
-    void aDepartureThatWasHeldUpEndsNothingOfTheNextIncarnation() {
-        begin();
-        minion.reborn(BORN_AGAIN);
-        announce(BORN_AGAIN);
+    void ignoresADelayedDepartureOfAnEarlierIncarnation() {
+        startMinion();
+        minion.restart(RESTARTED_AT_MILLIS);
+        announce(RESTARTED_AT_MILLIS);
         start(run("a", 1));
         timers.advance(Duration.ofMillis(50));
         supervisor.departed("minion");
         timers.advance(Duration.ofSeconds(2));
-        assertThat(told, is(empty()));
+        assertThat(reportedEnds, is(empty()));
         assertThat(supervisor.isAccepting(), is(true));
     }
 
-    /** The next incarnation really leaves: nobody listens, so its runs are gone, and a third one is taken as new. */
+    /** The new incarnation departs and refuses connections. Its runs are lost, and a third incarnation is accepted. */
     @Test
-    void aDepartureOfTheNextIncarnationIsBelievedOnceNobodyListens() {
-        begin();
-        minion.reborn(BORN_AGAIN);
-        announce(BORN_AGAIN);
+    void acceptsADepartureOnceTheMinionRefusesConnections() {
+        startMinion();
+        minion.restart(RESTARTED_AT_MILLIS);
+        announce(RESTARTED_AT_MILLIS);
         start(run("a", 1));
         timers.advance(Duration.ofMillis(50));
         minion.down = true;
@@ -302,86 +322,86 @@
         timers.advance(Duration.ofMillis(300));
         assertThat(outcomes(), contains(RunOutcome.LOST));
         assertThat(supervisor.minion(), is(Optional.empty()));
-        supervisor.announced(state(BORN_AGAIN, 5, CAPACITY, 0));
+        supervisor.announced(state(RESTARTED_AT_MILLIS, 5, CAPACITY, 0));
         assertThat(supervisor.minion(), is(Optional.empty()));
-        minion.reborn(BORN_AGAIN + 1);
-        announce(BORN_AGAIN + 1);
+        minion.restart(RESTARTED_AT_MILLIS + 1);
+        announce(RESTARTED_AT_MILLIS + 1);
         assertThat(supervisor.isAccepting(), is(true));
     }
 
-    /** A start to an incarnation that took its leave is held up, and arrives when the next one is there. */
+    /** A start that was sent to a departed incarnation is delayed and arrives at the next one. */
     @Test
-    void aStartToAnIncarnationThatTookItsLeaveIsNotCarriedOutByTheNext() {
-        begin();
-        minion.startsHeldUp = true;
+    void preventsAStartThatWasSentToADepartedIncarnation() {
+        startMinion();
+        minion.startsDelayed = true;
         start(run("a", 1));
         timers.advance(Duration.ofMillis(10));
         supervisor.departed("minion");
-        minion.startsHeldUp = false;
-        minion.reborn(BORN_AGAIN);
-        announce(BORN_AGAIN);
+        minion.startsDelayed = false;
+        minion.restart(RESTARTED_AT_MILLIS);
+        announce(RESTARTED_AT_MILLIS);
         timers.advance(Duration.ofMillis(50));
-        minion.carryOut(minion.starts.getFirst());
+        minion.execute(minion.starts.getFirst());
         assertThat(minion.running.keySet(), is(empty()));
         assertThat(supervisor.isAccepting(), is(true));
     }
 
-    /** The agent remembers an incarnation that has been replaced while it was away itself. */
+    /** The agent restores an incarnation that was replaced while the agent itself was down. */
     @Test
-    void aRememberedIncarnationIsNotTakenForTheOneThatAnswers() {
-        minion.reborn(BORN_AGAIN);
-        supervisor.recall(state(BORN, 0, CAPACITY, 5));
+    void distinguishesARestoredIncarnationFromTheOneThatAnswers() {
+        minion.restart(RESTARTED_AT_MILLIS);
+        supervisor.restore(state(STARTED_AT_MILLIS, 0, CAPACITY, 5));
         timers.advance(Duration.ofMillis(200));
         assertThat(supervisor.isAccepting(), is(false));
-        announce(BORN_AGAIN);
+        announce(RESTARTED_AT_MILLIS);
         assertThat(supervisor.isAccepting(), is(true));
     }
 
-    /** Somebody announces a start that isn't there, under the id of the minion that works. */
+    /** Another sender announces an incarnation that doesn't exist, under the id of the working minion. */
     @Test
-    void anAnnouncedStartThatNobodyAnswersForReplacesNothing() {
-        begin();
+    void ignoresAnAnnouncedIncarnationThatDoesNotAnswer() {
+        startMinion();
         start(run("a", 1));
-        announce(BORN_AGAIN);
+        announce(RESTARTED_AT_MILLIS);
         timers.advance(Duration.ofMillis(200));
-        assertThat(told, is(empty()));
+        assertThat(reportedEnds, is(empty()));
         assertThat(supervisor.isAccepting(), is(true));
     }
 
     /**
-     * A start later than the real one is believed while the minion doesn't answer. What answers then is believed after
-     * some seconds, or the worker would be lost for good.
+     * An announced incarnation with a later start than the real one is accepted while the minion doesn't answer. After
+     * some seconds of answers, the real one has to be accepted, or the worker would stay unusable.
      */
     @Test
-    void anEarlierStartThatKeepsAnsweringIsBelievedInTheEnd() {
-        minion.reborn(BORN);
-        announce(BORN_AGAIN);
+    void acceptsAnEarlierIncarnationThatKeepsAnswering() {
+        minion.restart(STARTED_AT_MILLIS);
+        announce(RESTARTED_AT_MILLIS);
         timers.advance(Duration.ofSeconds(5));
-        announce(BORN);
+        announce(STARTED_AT_MILLIS);
         assertThat(supervisor.isAccepting(), is(true));
-        assertThat(supervisor.minion().orElseThrow().incarnation(), is(Incarnation.of("minion", BORN)));
+        assertThat(supervisor.minion().orElseThrow().incarnation(), is(Incarnation.of("minion", STARTED_AT_MILLIS)));
     }
 
-    /** Where no start is told, the id alone counts, whatever the lists say. */
+    /** If no start time is announced, only the id is compared, whatever start time the lists contain. */
     @Test
-    void withoutAStartTheIdAloneCounts() {
-        minion.reborn(BORN);
+    void comparesOnlyIdsWithoutAStartTime() {
+        minion.restart(STARTED_AT_MILLIS);
         announce(0);
         start(run("a", 1));
         timers.advance(Duration.ofMillis(200));
         announce(0, 2, CAPACITY);
-        assertThat(told, is(empty()));
+        assertThat(reportedEnds, is(empty()));
         assertThat(supervisor.isAccepting(), is(true));
     }
 
-    /** A capacity counts from the heartbeat that tells it; what runs goes on, and nothing starts until it fits. */
+    /** A capacity applies from its announcement. Runs in progress continue, and nothing starts until it fits. */
     @Test
-    void aCapacityThatShrinksStopsNothingAndStartsNothing() {
-        begin();
+    void keepsRunsAndRefusesStartsWhenTheCapacityShrinks() {
+        startMinion();
         start(run("a", 1));
         start(run("b", 1));
-        announce(BORN, 2, HALF);
-        assertThat(listener.shrunkTold, contains(true));
+        announce(STARTED_AT_MILLIS, 2, HALF_CAPACITY);
+        assertThat(listener.capacityShrunk, contains(true));
         timers.advance(Duration.ofSeconds(1));
         assertThat(minion.stops, is(empty()));
         minion.end(run("a", 1), RunOutcome.DONE);
@@ -390,7 +410,7 @@
         minion.end(run("b", 1), RunOutcome.DONE);
         timers.advance(Duration.ofMillis(150));
         assertThat(start(run("c", 1)), is(Optional.empty()));
-        announce(BORN, 3, CAPACITY);
+        announce(STARTED_AT_MILLIS, 3, CAPACITY);
         assertThat(start(run("d", 1)), is(Optional.empty()));
     }
 }
--- a/library/src/test/java/org/chivetally/queue/agent/RunSupervisorTest.java
+++ b/library/src/test/java/org/chivetally/queue/agent/RunSupervisorTest.java
@@ -19,40 +19,40 @@
 
 class RunSupervisorTest {
     private static final Room CAPACITY = new Room(12_000, 1_000, 0);
-    private static final Room HALF = new Room(6_000, 64, 0);
+    private static final Room HALF_CAPACITY = new Room(6_000, 64, 0);
     private static final RunOwner OWNER = new RunOwner.Partition(3);
 
     private final ManualTimers timers = new ManualTimers();
-    private final ModelMinion minion = new ModelMinion(timers);
+    private final FakeMinion minion = new FakeMinion(timers);
     private final ScriptedListener listener = new ScriptedListener();
-    private final List<OwnedEnd> told = listener.told;
+    private final List<OwnedEnd> reportedEnds = listener.reportedEnds;
     private final RunSupervisor supervisor = new RunSupervisor(timers, minion, listener, 16);
 
     private static RunKey run(String job, long number) {
         return new RunKey(new TaskKey(job, 0, 0, 0), number);
     }
 
-    private void announce(String boot, boolean leaving) {
-        supervisor.announced(new MinionState(boot, "reports", CAPACITY, List.of("a"), leaving, minion.clock()));
+    private void announce(String minionId, boolean leaving) {
+        supervisor.announced(new MinionState(minionId, "reports", CAPACITY, List.of("a"), leaving, minion.clock()));
         timers.advance(Duration.ofMillis(5));
     }
 
     private Optional<String> start(RunKey run) {
-        return supervisor.start(run, OWNER, HALF, "payload", "");
+        return supervisor.start(run, OWNER, HALF_CAPACITY, "payload", "");
     }
 
     private List<RunOutcome> outcomes() {
-        return told.stream().map(end -> end.end().outcome()).toList();
+        return reportedEnds.stream().map(end -> end.end().outcome()).toList();
     }
 
     /**
-     * Many short runs end one after the other. Each look costs the agent about as much as a start, and there was one
-     * for each end; an end that waits some milliseconds for the next look costs its caller nothing.
+     * Many short runs end one after another. A poll costs the agent about as much as a start, and there was one for
+     * each end; an end that waits some milliseconds for the next poll doesn't delay its caller noticeably.
      */
     @Test
-    void learnsSeveralEndsWithOneLook() {
+    void receivesSeveralEndsWithOnePoll() {
         announce("boot", false);
-        minion.looks.clear();
+        minion.polls.clear();
         for (int number = 0; number < 80; number++) {
             RunKey run = run("job-" + number, 1);
             assertThat(supervisor.start(run, OWNER, new Room(1, 1, 0), "payload", ""), is(Optional.empty()));
@@ -60,12 +60,12 @@
             minion.end(run, RunOutcome.DONE);
         }
         timers.advance(Duration.ofMillis(100));
-        assertThat(told, hasSize(80));
-        assertThat(minion.looks.size(), is(lessThan(27)));
+        assertThat(reportedEnds, hasSize(80));
+        assertThat(minion.polls.size(), is(lessThan(27)));
     }
 
     @Test
-    void startsUpToTheCapacityAndNoFurther() {
+    void refusesStartsBeyondTheCapacity() {
         announce("boot", false);
         assertThat(start(run("a", 1)), is(Optional.empty()));
         assertThat(start(run("b", 1)), is(Optional.empty()));
@@ -74,7 +74,7 @@
     }
 
     @Test
-    void givesTheRoomBackWhenTheEndIsListed() {
+    void releasesResourcesWhenTheEndIsListed() {
         announce("boot", false);
         start(run("a", 1));
         start(run("b", 1));
@@ -86,49 +86,49 @@
     }
 
     /**
-     * A start gets no answer, and the minion carries it out seconds later. Were its room given away at once, the worker
-     * would hold more than its capacity. The room stays taken until a stop has ruled the start out.
+     * A start is not answered, and the minion executes it seconds later. If its resources were released at once, the
+     * worker would be overcommitted. They stay occupied until a stop has ruled the start out.
      */
     @Test
-    void holdsTheRoomOfADoubtfulStartUntilItIsRuledOut() {
+    void keepsResourcesOfAnUnconfirmedStartUntilItIsRuledOut() {
         announce("boot", false);
-        minion.startsHeldUp = true;
+        minion.startsDelayed = true;
         start(run("a", 1));
         while (minion.stops.isEmpty()) {
-            assertThat(supervisor.free(), is(CAPACITY.minus(HALF)));
+            assertThat(supervisor.free(), is(CAPACITY.minus(HALF_CAPACITY)));
             timers.advance(Duration.ofMillis(1));
         }
         timers.advance(Duration.ofMillis(500));
         assertThat(minion.stops, contains(run("a", 1)));
         assertThat(outcomes(), contains(RunOutcome.NEVER_STARTED));
         assertThat(supervisor.free(), is(CAPACITY));
-        minion.carryOut(minion.starts.getFirst());
+        minion.execute(minion.starts.getFirst());
         assertThat(minion.running.keySet(), is(empty()));
     }
 
     /**
-     * A start gets no answer and is not carried out. The caller's objective is a few hundred milliseconds away, so the
-     * task has to be given back in time for a start elsewhere.
+     * A start is neither answered nor executed. The caller's objective is a few hundred milliseconds away, so the end
+     * has to be reported in time for a start elsewhere.
      */
     @Test
-    void givesADoubtfulStartBackWithinAThirdOfASecond() {
+    void reportsAnUnexecutedStartWithinAThirdOfASecond() {
         announce("boot", false);
-        minion.startsHeldUp = true;
+        minion.startsDelayed = true;
         start(run("a", 1));
         timers.advance(Duration.ofMillis(320));
         assertThat(outcomes(), contains(RunOutcome.NEVER_STARTED));
     }
 
     /**
-     * The minion leaves a look unanswered while a run ends. Its owner learns of the end with the next look, and the
-     * worker takes starts all the while: it is not down, and its room would lie idle.
+     * The minion leaves a poll unanswered while a run ends. The next poll must report the end, and the worker must
+     * accept starts all the time: it is not down, and its resources would be idle.
      */
     @Test
-    void oneLookWithoutAnAnswerNeitherHidesAnEndNorClosesTheWorker() {
+    void toleratesAnUnansweredPoll() {
         announce("boot", false);
         start(run("a", 1));
         timers.advance(Duration.ofMillis(50));
-        minion.looksUnanswered = 1;
+        minion.pollsUnanswered = 1;
         timers.advance(Duration.ofMillis(150));
         minion.end(run("a", 1), RunOutcome.DONE);
         for (int step = 0; step < 30; step++) {
@@ -139,89 +139,90 @@
     }
 
     /**
-     * The minion starts a run and its answer is lost. The run shows up in the next look, so it goes on: stopping it
-     * would throw its work away.
+     * The minion executes a start, and its answer is lost. The next poll lists the run, which must continue: a stop
+     * would discard its work.
      */
     @Test
-    void keepsARunWhoseStartWasCarriedOutWithoutAnAnswer() {
+    void keepsARunWhoseStartWasExecutedWithoutAnAnswer() {
         announce("boot", false);
         minion.startsUnanswered = true;
         start(run("a", 1));
         timers.advance(Duration.ofSeconds(2));
         assertThat(minion.stops, is(empty()));
-        assertThat(told, is(empty()));
+        assertThat(reportedEnds, is(empty()));
         assertThat(minion.running.keySet(), contains(run("a", 1)));
     }
 
     /**
-     * The minion goes silent while a run is in progress. Only when its lease has certainly ended is the run called
-     * lost; any sooner, the owner would start the task elsewhere beside it.
+     * The minion becomes unresponsive during a run. The run may be reported as lost only when its lease has certainly
+     * expired; otherwise its owner would start the task elsewhere beside it.
      */
     @Test
-    void callsRunsOfASilentMinionLostOnlyAfterTheirLease() {
+    void reportsRunsOfAnUnresponsiveMinionAsLostAfterTheirLease() {
         announce("boot", false);
         start(run("a", 1));
         timers.advance(Duration.ofMillis(500));
-        minion.silent = true;
-        while (told.isEmpty()) {
+        minion.unresponsive = true;
+        while (reportedEnds.isEmpty()) {
             timers.advance(Duration.ofMillis(10));
         }
         assertThat(outcomes(), contains(RunOutcome.LOST));
-        assertThat(minion.isLapsed(), is(true));
+        assertThat(minion.isLeaseExpired(), is(true));
         assertThat(supervisor.isAccepting(), is(false));
     }
 
-    /** The owner isn't heard any more. The lease is left to end, so whoever replaces the owner can rely on it. */
+    /** The owner is no longer in contact. The lease expires, and the owner's successor relies on it. */
     @Test
-    void doesNotRenewWithoutTheOwnersLeave() {
+    void letsTheLeaseExpireWithoutContactToTheOwner() {
         announce("boot", false);
         start(run("a", 1));
         timers.advance(Duration.ofMillis(900));
-        assertThat(minion.isLapsed(), is(false));
+        assertThat(minion.isLeaseExpired(), is(false));
         listener.mayRenew = false;
         timers.advance(Duration.ofMillis(1_100));
-        assertThat(minion.isLapsed(), is(true));
+        assertThat(minion.isLeaseExpired(), is(true));
     }
 
     /**
-     * An agent is killed and starts again while its minion runs on. The new one does not know the room of what runs, so
-     * it starts nothing and says nothing about it until that has ended: its owner would take silence for absence.
+     * An agent is killed and restarted while its minion keeps running. The new agent doesn't know the resources of the
+     * runs, so it starts nothing until they have ended. Until then it doesn't report its inventory as complete, as an
+     * owner would take missing runs for absent.
      */
     @Test
-    void startsNothingBesideRunsOfAnAgentBefore() {
-        minion.running.put(run("old", 7), new MinionPort.StartOrder(run("old", 7), "", 0, 1, ""));
+    void startsNothingBesideRunsOfThePredecessor() {
+        minion.running.put(run("old", 7), new MinionPort.StartRequest(run("old", 7), "", 0, 1, ""));
         announce("boot", false);
         assertThat(supervisor.isAccepting(), is(false));
-        assertThat(supervisor.isComplete(), is(false));
+        assertThat(supervisor.isInventoryComplete(), is(false));
         assertThat(start(run("a", 1)), is(Optional.of("not accepting")));
         minion.end(run("old", 7), RunOutcome.LAPSED);
         timers.advance(Duration.ofMillis(100));
         assertThat(supervisor.isAccepting(), is(true));
-        assertThat(supervisor.isComplete(), is(true));
+        assertThat(supervisor.isInventoryComplete(), is(true));
         assertThat(outcomes(), contains(RunOutcome.LAPSED));
     }
 
     @Test
-    void letsTheMinionForgetEndsInOrderOnceTheyAreStored() {
+    void acknowledgesStoredEndsInOrder() {
         announce("boot", false);
         start(run("a", 1));
         start(run("b", 1));
         minion.end(run("a", 1), RunOutcome.DONE);
         minion.end(run("b", 1), RunOutcome.DONE);
         timers.advance(Duration.ofMillis(100));
-        supervisor.kept("boot", List.of(2L));
+        supervisor.markStored("boot", List.of(2L));
         timers.advance(Duration.ofMillis(100));
         assertThat(minion.ends.keySet(), contains(1L, 2L));
-        supervisor.kept("boot", List.of(1L));
+        supervisor.markStored("boot", List.of(1L));
         timers.advance(Duration.ofMillis(100));
         assertThat(minion.ends.keySet(), is(empty()));
         assertThat(supervisor.isIdle(), is(true));
     }
 
     @Test
-    void letsTheMinionForgetEndsOfUnkeptJobsAtOnce() {
+    void acknowledgesEndsOfInMemoryJobsAtOnce() {
         announce("boot", false);
-        supervisor.start(run("a", 1), new RunOwner.Entry("entry", 1), HALF, "payload", "");
+        supervisor.start(run("a", 1), new RunOwner.Entry("entry", 1), HALF_CAPACITY, "payload", "");
         minion.end(run("a", 1), RunOutcome.DONE);
         timers.advance(Duration.ofMillis(100));
         assertThat(outcomes(), contains(RunOutcome.DONE));
@@ -229,23 +230,23 @@
     }
 
     /**
-     * A minion crashes and a new boot announces itself at the same address; then an announcement of the old boot comes
-     * that was held up. It must not replace the new one, whose room is the one in force.
+     * A minion crashes, and another one announces itself at the same address. A delayed announcement of the old one
+     * must not replace the new one, whose capacity is in force.
      */
     @Test
-    void ignoresAnnouncementsOfABootThatWasReplaced() {
+    void ignoresAnnouncementsOfAReplacedIncarnation() {
         announce("old", false);
         start(run("a", 1));
         minion.running.clear();
         announce("new", false);
         assertThat(outcomes(), contains(RunOutcome.CRASHED));
         announce("old", true);
-        assertThat(supervisor.minion().orElseThrow().boot(), is("new"));
+        assertThat(supervisor.minion().orElseThrow().minionId(), is("new"));
         assertThat(supervisor.isAccepting(), is(true));
     }
 
     @Test
-    void takesNoStartsOnceTheMinionLeaves() {
+    void refusesStartsOnceTheMinionLeaves() {
         announce("boot", false);
         announce("boot", true);
         assertThat(start(run("a", 1)), is(Optional.of("not accepting")));
@@ -265,11 +266,11 @@
     }
 
     /**
-     * The minion crashes. Its worker has all its room free and would draw every waiting task to itself, each refused
-     * within a millisecond and sent again. After the first one nothing is taken until the minion answers again.
+     * The minion is down. All resources of its worker look free, so it would attract every waiting task, only to refuse
+     * it within a millisecond. After the first refusal, nothing is accepted until the minion answers again.
      */
     @Test
-    void takesNoStartsWhileTheMinionIsDown() {
+    void refusesStartsWhileTheMinionIsDown() {
         announce("boot", false);
         minion.down = true;
         start(run("a", 1));
@@ -281,18 +282,19 @@
         assertThat(start(run("b", 1)), is(Optional.empty()));
     }
 
-    private static MinionState remembered(long clockMillis) {
+    private static MinionState restoredState(long clockMillis) {
         return new MinionState("boot", "reports", CAPACITY, List.of("a"), false, clockMillis);
     }
 
     /**
-     * All power was lost, and the minion's next announcement is a second away. Its agent remembers it, finds it alive
-     * with one look, and takes starts at once; its clock is read from the answer, not from what was remembered.
+     * After a complete power loss, the minion's next announcement is a second away. The agent restores the minion,
+     * confirms it with one poll and accepts starts at once; the clock is taken from the answer, not from the restored
+     * state.
      */
     @Test
-    void takesStartsAsSoonAsARememberedMinionHasAnswered() {
+    void acceptsStartsOnceARestoredMinionHasAnswered() {
         timers.advance(Duration.ofSeconds(20));
-        supervisor.recall(remembered(5));
+        supervisor.restore(restoredState(5));
         assertThat(supervisor.isAccepting(), is(false));
         timers.advance(Duration.ofMillis(5));
         assertThat(supervisor.isAccepting(), is(true));
@@ -302,48 +304,48 @@
     }
 
     /**
-     * The remembered minion is gone for good. Were it looked for without end, every look would be a wasted message; it
-     * is forgotten, and an announcement of the same boot after all is still taken.
+     * The restored minion no longer exists. Endless polls would waste messages, so it is discarded. A later
+     * announcement of the same incarnation is still accepted.
      */
     @Test
-    void forgetsARememberedMinionThatDoesNotAnswer() {
+    void discardsARestoredMinionThatDoesNotAnswer() {
         minion.down = true;
-        supervisor.recall(remembered(5));
+        supervisor.restore(restoredState(5));
         timers.advance(Duration.ofSeconds(5));
         assertThat(supervisor.minion(), is(Optional.empty()));
-        assertThat(supervisor.isComplete(), is(true));
-        int looks = minion.looks.size();
+        assertThat(supervisor.isInventoryComplete(), is(true));
+        int pollsBefore = minion.polls.size();
         timers.advance(Duration.ofSeconds(2));
-        assertThat(minion.looks, hasSize(looks));
+        assertThat(minion.polls, hasSize(pollsBefore));
         minion.down = false;
         announce("boot", false);
         assertThat(supervisor.isAccepting(), is(true));
     }
 
-    /** What the minion has said itself is newer than what was remembered, also when it has gone. */
+    /** What the minion has announced itself, including its departure, is more recent than the restored state. */
     @Test
-    void remembersNothingOverAnAnnouncement() {
+    void restoresNothingAfterAnAnnouncement() {
         announce("newer", false);
-        supervisor.recall(remembered(5));
-        assertThat(supervisor.minion().map(MinionState::boot), is(Optional.of("newer")));
+        supervisor.restore(restoredState(5));
+        assertThat(supervisor.minion().map(MinionState::minionId), is(Optional.of("newer")));
         supervisor.departed("newer");
-        supervisor.recall(remembered(5));
+        supervisor.restore(restoredState(5));
         assertThat(supervisor.minion(), is(Optional.empty()));
     }
 
     /**
-     * Somebody announces a minion that isn't there, beside one that works. Taken at its word, the caller's run would be
-     * called lost and begun elsewhere beside the old one; the minion that answers stays instead.
+     * Another sender announces a minion that doesn't exist, beside one that works. If it were accepted, the run would
+     * be reported as lost and started elsewhere beside the old one; the minion that answers stays instead.
      */
     @Test
-    void anAnnouncedBootThatNobodyAnswersForReplacesNothing() {
+    void ignoresAnAnnouncedMinionThatDoesNotAnswer() {
         announce("boot", false);
         start(run("a", 1));
-        minion.absentBoots.add("nobody");
+        minion.absentIds.add("nobody");
         announce("nobody", false);
         timers.advance(Duration.ofMillis(200));
-        assertThat(told, is(empty()));
-        assertThat(supervisor.minion().orElseThrow().boot(), is("boot"));
+        assertThat(reportedEnds, is(empty()));
+        assertThat(supervisor.minion().orElseThrow().minionId(), is("boot"));
         assertThat(supervisor.isAccepting(), is(true));
     }
 }
--- a/library/src/test/java/org/chivetally/queue/entry/Cluster.java
+++ b/library/src/test/java/org/chivetally/queue/entry/Cluster.java
@@ -14,8 +14,8 @@
 import org.chivetally.queue.RunKey;
 import org.chivetally.queue.RunOutcome;
 import org.chivetally.queue.agent.AgentNode;
+import org.chivetally.queue.agent.FakeMinion;
 import org.chivetally.queue.agent.MinionState;
-import org.chivetally.queue.agent.ModelMinion;
 import org.chivetally.queue.link.MemoryNetwork;
 import org.chivetally.queue.link.Peer;
 import org.chivetally.queue.log.LogStream;
@@ -23,11 +23,11 @@
 import org.chivetally.settings.SchedulingSettings;
 import org.chivetally.time.Timers;
 
-/** Entries and agents in one test: a network and a log in memory, and clocks that the test advances. */
+/** Entries and agents of one test, with a network and a log in memory and a clock that the test advances. */
 final class Cluster {
     static final int PARTITIONS = 4;
 
-    /** Fair shares and nothing else. */
+    /** Settings with only fair shares enabled. */
     static final SchedulingSettings FAIR_SHARES = new SchedulingSettings(false, true, 0);
 
     final ManualTimers timers = new ManualTimers();
@@ -35,11 +35,11 @@
     final ScriptedKeyedLog log = new ScriptedKeyedLog(timers, PARTITIONS);
     final Map<String, EntryNode> entries = new LinkedHashMap<>();
     final Map<String, AgentNode> agents = new LinkedHashMap<>();
-    final Map<String, ModelMinion> minions = new LinkedHashMap<>();
+    final Map<String, FakeMinion> minions = new LinkedHashMap<>();
     Room capacity = new Room(12_000, 1_000, 0);
     List<String> labels = List.of("a");
     SchedulingSettings scheduling;
-    /** Wraps the timers of each process, for tests that count what wakes it up. */
+    /** Wraps the timers of each process, for tests that count wake-ups. */
     BiFunction<String, Timers, Timers> timersOf = (name, shared) -> shared;
 
     private long incarnations;
@@ -70,7 +70,7 @@
     }
 
     AgentNode agentIn(String failureDomain, String name) {
-        AgentNode agent = silentAgent(failureDomain, name);
+        AgentNode agent = agentWithoutMinion(failureDomain, name);
         agent.supervisor()
                 .announced(new MinionState(
                         "boot-" + name,
@@ -83,39 +83,42 @@
     }
 
     /** Starts an agent whose minion has not announced itself to it yet. */
-    AgentNode silentAgent(String name) {
-        return silentAgent("north", name);
+    AgentNode agentWithoutMinion(String name) {
+        return agentWithoutMinion("north", name);
     }
 
-    private AgentNode silentAgent(String failureDomain, String name) {
+    private AgentNode agentWithoutMinion(String failureDomain, String name) {
         incarnations++;
         Peer self = new Peer(name, incarnations, true, failureDomain, name, 1);
-        ModelMinion minion = minions.computeIfAbsent(name, key -> new ModelMinion(timers));
+        FakeMinion minion = minions.computeIfAbsent(name, key -> new FakeMinion(timers));
         Timers own = timersOf.apply(name, timers);
         AgentNode agent = new AgentNode(self, own, network.dialer(name), minion, PARTITIONS);
         network.listen(name, agent.acceptor());
         MemberDirectory directory = new MemberDirectory(log.access(name), own, "members");
-        new AgentAnnouncement(directory, self, agent).start(agent::meet);
-        agent.whenAlone(() -> directory.readOnce(agent::meet));
+        new AgentAnnouncement(directory, self, agent).start(agent::addEntry);
+        agent.whenDisconnected(() -> directory.readOnce(agent::addEntry));
         agents.put(name, agent);
         return agent;
     }
 
-    /** Lets everybody find everybody. */
-    Cluster settled() {
+    /** Advances the clock until all processes have discovered and linked each other. */
+    Cluster awaitLinks() {
         timers.advance(Duration.ofSeconds(3));
         return this;
     }
 
-    /** Kills an entry: its timers go on in the test's clock, but it neither hears nor reaches anybody. */
+    /**
+     * Kills an entry. Its timers still fire, as the clock is shared, but it is cut off from the log and all other
+     * processes.
+     */
     void kill(String name) {
         network.kill(name);
-        log.cut(name, true);
+        log.setDisconnected(name, true);
         for (String other : entries.keySet()) {
-            network.cut(name, other, true);
+            network.setCut(name, other, true);
         }
         for (String other : agents.keySet()) {
-            network.cut(name, other, true);
+            network.setCut(name, other, true);
         }
         entries.remove(name);
     }
@@ -126,37 +129,37 @@
 
     List<JobAnswer> submit(EntryNode entry, JobSpecification job) {
         List<JobAnswer> answers = new ArrayList<>();
-        entry.desk().submit(job, timers.nanos() + Duration.ofSeconds(2).toNanos(), answers::add);
+        entry.jobRouter().submit(job, timers.nanos() + Duration.ofSeconds(2).toNanos(), answers::add);
         return answers;
     }
 
-    List<JobAnswer> submitUnkept(EntryNode entry, JobSpecification job, long limitMillis) {
+    List<JobAnswer> submitInMemory(EntryNode entry, JobSpecification job, long limitMillis) {
         List<JobAnswer> answers = new ArrayList<>();
-        entry.unkept()
+        entry.inMemoryJobs()
                 .submit(job, timers.nanos() + Duration.ofMillis(limitMillis).toNanos(), answers::add);
         return answers;
     }
 
     List<JobAnswer> query(EntryNode entry, String id) {
         List<JobAnswer> answers = new ArrayList<>();
-        entry.desk().query(id, timers.nanos() + Duration.ofSeconds(1).toNanos(), answers::add);
+        entry.jobRouter().query(id, timers.nanos() + Duration.ofSeconds(1).toNanos(), answers::add);
         advance(50);
         return answers;
     }
 
-    /** Returns the minion that runs anything of a job. */
-    Optional<ModelMinion> runner(String jobId) {
+    /** Returns the minion that runs a task of a job. */
+    Optional<FakeMinion> minionRunning(String jobId) {
         return minions.values().stream()
                 .filter(minion -> minion.running.keySet().stream()
                         .anyMatch(run -> run.task().jobId().equals(jobId)))
                 .findFirst();
     }
 
-    /** Returns the runs of a job that are in progress under a lease. */
+    /** Returns the runs of a job that are in progress under a valid lease. */
     List<RunKey> running(String jobId) {
         List<RunKey> runs = new ArrayList<>();
-        for (ModelMinion minion : minions.values()) {
-            if (!minion.isLapsed()) {
+        for (FakeMinion minion : minions.values()) {
+            if (!minion.isLeaseExpired()) {
                 minion.running.keySet().stream()
                         .filter(run -> run.task().jobId().equals(jobId))
                         .forEach(runs::add);
@@ -166,7 +169,7 @@
     }
 
     void finish(String jobId, RunOutcome outcome) {
-        for (ModelMinion minion : minions.values()) {
+        for (FakeMinion minion : minions.values()) {
             for (RunKey run : List.copyOf(minion.running.keySet())) {
                 if (run.task().jobId().equals(jobId)) {
                     minion.end(run, outcome);
--- a/library/src/test/java/org/chivetally/queue/entry/KeptJobsTest.java
+++ b/library/src/test/java/org/chivetally/queue/entry/DurableJobsTest.java
@@ -18,12 +18,16 @@
 import org.chivetally.queue.Jobs;
 import org.chivetally.queue.Partitions;
 import org.chivetally.queue.RunOutcome;
-import org.chivetally.queue.agent.ModelMinion;
+import org.chivetally.queue.agent.FakeMinion;
 import org.chivetally.queue.log.LogStream;
 import org.chivetally.queue.log.ScriptedKeyedLog;
 import org.junit.jupiter.api.Test;
 
-class KeptJobsTest {
+/**
+ * Jobs that are stored in the log: none is lost and no task runs twice when owners, agents, minions, links or the log
+ * fail.
+ */
+class DurableJobsTest {
     private static final String ID = "00000000000000a1";
 
     private final Cluster cluster = new Cluster();
@@ -31,7 +35,7 @@
     private EntryNode ownerOf(String id) {
         int partition = Partitions.of(id, Cluster.PARTITIONS);
         return cluster.entries.values().stream()
-                .filter(entry -> entry.local(partition).isPresent())
+                .filter(entry -> entry.localOwner(partition).isPresent())
                 .findFirst()
                 .orElseThrow();
     }
@@ -45,25 +49,26 @@
     }
 
     private int starts() {
-        return total(minion -> minion.starts.size());
+        return sumOverMinions(minion -> minion.starts.size());
     }
 
-    private int total(ToIntFunction<ModelMinion> figure) {
+    private int sumOverMinions(ToIntFunction<FakeMinion> figure) {
         return cluster.minions.values().stream().mapToInt(figure).sum();
     }
 
-    private void three() {
+    private void startCluster() {
         for (String name : List.of("entry-1", "entry-2", "entry-3")) {
             cluster.entry(name);
         }
         cluster.agent("agent-1");
         cluster.agent("agent-2");
-        cluster.settled();
+        cluster.awaitLinks();
     }
 
+    /** Callers may use any entry: all accept the same job, and all return its final phase. */
     @Test
     void servesAJobThroughAnyEntryAndShowsItsEnd() {
-        three();
+        startCluster();
         for (EntryNode entry : cluster.entries.values()) {
             List<JobAnswer> answers = cluster.submit(entry, Jobs.of(ID, 2));
             cluster.advance(50);
@@ -80,12 +85,12 @@
     }
 
     /**
-     * The owner of a job dies while its tasks run. The next owner finds the job in the log and its runs at the agents,
-     * lets them go on, and shows the job completed: no task starts twice, and none is forgotten.
+     * The owner of a job dies while its tasks run. The next owner loads the job from the log, takes its runs over from
+     * the agents' reports and completes the job, without starting a task twice or losing one.
      */
     @Test
     void runsNoTaskTwiceWhenTheOwnerDies() {
-        three();
+        startCluster();
         EntryNode owner = ownerOf(ID);
         cluster.submit(owner, Jobs.of(ID, 3));
         cluster.advance(100);
@@ -101,34 +106,34 @@
     }
 
     /**
-     * A task ends while the log takes no writes, and its agent tells the end again and again. Were one of these taken
-     * for stored, the minion would forget the end, and the next owner would find it nowhere and start the task once
-     * more.
+     * A task ends while the log takes no writes, and its agent reports the end repeatedly. If one of these reports were
+     * acknowledged, the minion would discard the end, and the next owner would find it nowhere and start the task
+     * again.
      */
     @Test
-    void forgetsNoEndThatIsNotStoredYet() {
-        three();
+    void acknowledgesNoEndBeforeItIsStored() {
+        startCluster();
         EntryNode owner = ownerOf(ID);
         cluster.submit(owner, Jobs.of(ID, 1));
         cluster.advance(100);
-        cluster.log.mood = ScriptedKeyedLog.Mood.SILENT;
+        cluster.log.appendBehavior = ScriptedKeyedLog.AppendBehavior.SILENT;
         cluster.finish(ID, RunOutcome.DONE);
         cluster.advance(1_200);
-        assertThat(total(minion -> minion.ends.size()), is(1));
+        assertThat(sumOverMinions(minion -> minion.ends.size()), is(1));
         cluster.kill(nameOf(owner));
-        cluster.log.mood = ScriptedKeyedLog.Mood.WELL;
+        cluster.log.appendBehavior = ScriptedKeyedLog.AppendBehavior.ACCEPTING;
         cluster.advance(9_000);
         assertThat(cluster.running(ID), is(empty()));
         assertThat(cluster.query(ownerOf(ID), ID), contains(new JobAnswer.State(JobPhase.COMPLETED)));
     }
 
     /**
-     * The owner and an agent that runs its tasks are lost together. The next owner waits until the agent's lease must
-     * have ended, then starts the tasks again elsewhere under higher run numbers.
+     * An agent that runs the job's tasks is cut off from all entries. The owner waits until the agent's lease must have
+     * expired, then starts the tasks again elsewhere, with higher run numbers.
      */
     @Test
     void startsTasksOfALostAgentAgainOnlyAfterItsLease() {
-        three();
+        startCluster();
         EntryNode owner = ownerOf(ID);
         cluster.submit(owner, Jobs.of(ID, 1));
         cluster.advance(100);
@@ -138,7 +143,7 @@
                 .orElseThrow()
                 .getKey();
         for (String entry : List.of("entry-1", "entry-2", "entry-3")) {
-            cluster.network.cut(agent, entry, true);
+            cluster.network.setCut(agent, entry, true);
         }
         for (int step = 0; step < 1_000; step++) {
             cluster.advance(10);
@@ -148,10 +153,13 @@
         assertThat(cluster.running(ID).getFirst().run() > 1, is(true));
     }
 
-    /** Cuts the owner of a job off from the agent that runs it; that agent goes on with jobs of the other owners. */
+    /**
+     * Cuts the owner of a job off from the agent that runs it. Other owners still use that agent. Returns the agent's
+     * name.
+     */
     private String cutOwnerFromRunner(EntryNode owner) {
         String agent = runnerOf(ID);
-        cluster.network.cut(agent, nameOf(owner), true);
+        cluster.network.setCut(agent, nameOf(owner), true);
         return agent;
     }
 
@@ -164,7 +172,7 @@
                 .getKey();
     }
 
-    /** Hands in jobs of other owners, which end after 200 ms, so that every worker is busy all the time. */
+    /** Submits jobs of other owners that end after 200 ms, so that every worker is always busy. */
     private void keepBusy(EntryNode owner, int steps, Runnable check) {
         for (int step = 0; step < steps; step++) {
             String id = String.format("%016x", 0xb000 + step);
@@ -181,13 +189,13 @@
     }
 
     /**
-     * The owner of a job and the agent that runs it lose each other for good, while other owners keep the agent's
-     * worker busy. Each of their starts renews the lease of all that runs there. The owner gives the run up after its
-     * time and starts the task elsewhere: by then the old run must have ended, or the task runs twice.
+     * The owner of a job and the agent that runs it permanently lose their link, while the starts of other owners renew
+     * the lease of everything that runs there. The owner starts the task elsewhere after the run loss timeout. By then
+     * the old run must have ended, or the task runs twice.
      */
     @Test
-    void endsARunWhoseOwnerIsCutOffThoughOthersKeepTheWorkerBusy() {
-        three();
+    void stopsARunWhoseOwnerIsCutOffWhileOtherOwnersUseItsWorker() {
+        startCluster();
         EntryNode owner = ownerOf(ID);
         cluster.submit(owner, Jobs.of(ID, 1));
         cluster.advance(100);
@@ -198,13 +206,13 @@
     }
 
     /**
-     * A task ends while its owner is cut off from the agent, whose worker others keep busy. The owner starts the task
-     * again after its time, and hears of the end later. Had the minion's lease been renewed all the while, the first
-     * end would count as well as the second start. The end must not count, or the task must not start again.
+     * A task ends while its owner is cut off from the agent, whose worker other owners keep busy. The owner starts the
+     * task again after the run loss timeout, and receives the end later. If the minion's lease had been renewed all the
+     * while, both the first end and the second start would count.
      */
     @Test
     void noEndCountsAfterItsTaskWasStartedAgain() {
-        three();
+        startCluster();
         EntryNode owner = ownerOf(ID);
         cluster.submit(owner, Jobs.of(ID, 1));
         cluster.advance(100);
@@ -212,22 +220,22 @@
         cluster.finish(ID, RunOutcome.DONE);
         keepBusy(owner, 70, () -> {});
         assertThat(cluster.running(ID), hasSize(1));
-        cluster.network.cut(agent, nameOf(owner), false);
+        cluster.network.setCut(agent, nameOf(owner), false);
         keepBusy(owner, 30, () -> {});
         assertThat(
-                cluster.minions.get(agent).noted.stream()
+                cluster.minions.get(agent).acknowledgedUnderLease.stream()
                         .filter(end -> end.run().task().jobId().equals(ID))
                         .toList(),
                 is(empty()));
     }
 
     /**
-     * A task is started again after its first run was given up, and then the first run's success is heard of. The job
-     * is done with that: the second run is stopped, since a caller must not have the work done twice.
+     * A task is started again after its first run counted as lost, and then the success of the first run is reported.
+     * This completes the job, and the second run is stopped so that the work isn't done twice.
      */
     @Test
-    void stopsTheSecondRunWhenTheFirstTurnsOutToBeDone() {
-        three();
+    void stopsTheSecondRunWhenTheFirstHasSucceeded() {
+        startCluster();
         EntryNode owner = ownerOf(ID);
         cluster.submit(owner, Jobs.of(ID, 1));
         cluster.advance(100);
@@ -235,36 +243,38 @@
         cluster.finish(ID, RunOutcome.DONE);
         cluster.advance(7_000);
         assertThat(cluster.running(ID), hasSize(1));
-        cluster.network.cut(agent, nameOf(owner), false);
+        cluster.network.setCut(agent, nameOf(owner), false);
         cluster.advance(3_000);
         assertThat(cluster.running(ID), is(empty()));
         assertThat(cluster.query(owner, ID), contains(new JobAnswer.State(JobPhase.COMPLETED)));
     }
 
-    /** Returns the entry that owns the partition of a job now, other than one that thinks so still. */
-    private EntryNode ownerBeside(EntryNode old) {
+    /**
+     * Returns the entry that owns the job's partition now, other than a former owner that has not detected this yet.
+     */
+    private EntryNode otherOwnerThan(EntryNode old) {
         int partition = Partitions.of(ID, Cluster.PARTITIONS);
         return cluster.entries.values().stream()
-                .filter(entry -> entry != old && entry.local(partition).isPresent())
+                .filter(entry -> entry != old && entry.localOwner(partition).isPresent())
                 .findFirst()
                 .orElseThrow();
     }
 
     /**
      * The owner of a job is cut off from the log and the other entries, and the next owner reaches only the agent that
-     * runs the first step. The step ends. The second step must wait until the other agent has been heard as well: the
-     * old owner may have started it there, as that agent takes its starts still.
+     * runs the first step. This step ends. The second step must wait until the other agent has reported too: the old
+     * owner may have started the step there, as that agent still accepts its starts.
      */
     @Test
-    void startsNoNextStepBeforeAllAgentsAreHeard() {
-        three();
+    void startsNoNextStepBeforeAllAgentsHaveReported() {
+        startCluster();
         EntryNode old = ownerOf(ID);
         cluster.submit(old, Jobs.chain(ID, 1, 1));
         cluster.advance(100);
         String runner = runnerOf(ID);
         String other = "agent-1".equals(runner) ? "agent-2" : "agent-1";
         for (String entry : cluster.entries.keySet()) {
-            cluster.network.cut(other, entry, true);
+            cluster.network.setCut(other, entry, true);
         }
         cluster.kill(nameOf(old));
         cluster.advance(3_500);
@@ -276,82 +286,80 @@
     }
 
     /**
-     * An owner that was replaced is linked to both agents still; the next one has reached only the agent that runs the
-     * task, and has taken its end. The old owner's link to that agent breaks and comes back, and it finds neither the
-     * run nor its end there. It must not take the run for lost and start the task at the other agent.
+     * A superseded owner still has links to both agents. The new owner has reached only the agent that runs the task,
+     * and has received its end. The old owner reconnects to that agent and finds neither the run nor its end. It must
+     * not count the run as lost and start the task at the other agent.
      */
     @Test
-    void anOwnerThatWasReplacedStartsNothingAgain() {
-        three();
+    void aSupersededOwnerRestartsNothing() {
+        startCluster();
         EntryNode old = ownerOf(ID);
         String oldName = nameOf(old);
         cluster.submit(old, Jobs.of(ID, 1));
         cluster.advance(100);
         String runner = runnerOf(ID);
         String other = "agent-1".equals(runner) ? "agent-2" : "agent-1";
-        cluster.log.cut(oldName, true);
+        cluster.log.setDisconnected(oldName, true);
         for (String entry : cluster.entries.keySet()) {
-            cluster.network.cut(oldName, entry, true);
-            cluster.network.cut(other, entry, !entry.equals(oldName));
+            cluster.network.setCut(oldName, entry, true);
+            cluster.network.setCut(other, entry, !entry.equals(oldName));
         }
-        cluster.network.cut(runner, oldName, true);
+        cluster.network.setCut(runner, oldName, true);
         cluster.advance(3_500);
         cluster.finish(ID, RunOutcome.DONE);
         cluster.advance(300);
-        assertThat(cluster.query(ownerBeside(old), ID), contains(new JobAnswer.State(JobPhase.COMPLETED)));
-        cluster.network.cut(runner, oldName, false);
+        assertThat(cluster.query(otherOwnerThan(old), ID), contains(new JobAnswer.State(JobPhase.COMPLETED)));
+        cluster.network.setCut(runner, oldName, false);
         cluster.advance(1_500);
         assertThat(starts(), is(1));
-        assertThat(old.local(Partitions.of(ID, Cluster.PARTITIONS)).isPresent(), is(false));
+        assertThat(old.localOwner(Partitions.of(ID, Cluster.PARTITIONS)).isPresent(), is(false));
     }
 
     /**
-     * A minion leaves all looks unanswered while a task ends there, until its lease must have ended; the task is
-     * started elsewhere. When the minion answers again it lists the first end, just after the second start was sent.
-     * The job is done with the first end, which doesn't count at the minion since its lease ended, and the second run
-     * is stopped.
+     * A minion doesn't answer while a task ends there and its lease expires, so that the task is started elsewhere.
+     * Just after that start the minion answers again and lists the first end. This end completes the job, although it
+     * doesn't count at the minion as the lease has expired, and the second run is stopped.
      */
     @Test
-    void takesAnEndThatAMinionTellsAfterItsLeaseHasEnded() {
-        three();
+    void acceptsAnEndReportedAfterTheLeaseHasExpired() {
+        startCluster();
         EntryNode owner = ownerOf(ID);
         cluster.submit(owner, Jobs.of(ID, 1));
         cluster.advance(100);
-        ModelMinion minion = cluster.minions.get(runnerOf(ID));
-        minion.silent = true;
+        FakeMinion minion = cluster.minions.get(runnerOf(ID));
+        minion.unresponsive = true;
         cluster.advance(200);
         cluster.finish(ID, RunOutcome.DONE);
         for (int step = 0; step < 4_000 && starts() < 2; step++) {
             cluster.advance(1);
         }
         assertThat(starts(), is(2));
-        minion.silent = false;
+        minion.unresponsive = false;
         cluster.advance(1_000);
-        assertThat(minion.noted, is(empty()));
+        assertThat(minion.acknowledgedUnderLease, is(empty()));
         assertThat(minion.ends.values(), is(empty()));
         assertThat(cluster.running(ID), is(empty()));
         assertThat(cluster.query(owner, ID), contains(new JobAnswer.State(JobPhase.COMPLETED)));
     }
 
-    /**
-     * The log takes nothing: the caller is refused at once with a time to come back, and the job is truly not there.
-     */
+    /** The log rejects writes. The caller is refused with a retry delay, and the job doesn't exist afterwards. */
     @Test
-    void refusesAJobThatTheLogDoesNotTake() {
-        three();
-        cluster.log.mood = ScriptedKeyedLog.Mood.REFUSING;
+    void refusesAJobWhenTheLogRejectsWrites() {
+        startCluster();
+        cluster.log.appendBehavior = ScriptedKeyedLog.AppendBehavior.REFUSING;
         List<JobAnswer> answers = cluster.submit(ownerOf(ID), Jobs.of(ID, 1));
         cluster.advance(600);
         assertThat(answers, contains(instanceOf(JobAnswer.Refused.class)));
-        cluster.log.mood = ScriptedKeyedLog.Mood.WELL;
+        cluster.log.appendBehavior = ScriptedKeyedLog.AppendBehavior.ACCEPTING;
         cluster.advance(2_000);
         assertThat(cluster.running(ID), is(empty()));
         assertThat(cluster.query(ownerOf(ID), ID), contains(new JobAnswer.UnknownJob()));
     }
 
+    /** A cancellation through another entry than the owner stops the job's runs. */
     @Test
     void cancelsAJobAndStopsItsRuns() {
-        three();
+        startCluster();
         EntryNode owner = ownerOf(ID);
         cluster.submit(owner, Jobs.of(ID, 2));
         cluster.advance(100);
@@ -360,7 +368,7 @@
                 .filter(entry -> entry != owner)
                 .findFirst()
                 .orElseThrow();
-        other.desk().cancel(ID, cluster.timers.nanos() + 1_000_000_000L, answers::add);
+        other.jobRouter().cancel(ID, cluster.timers.nanos() + 1_000_000_000L, answers::add);
         cluster.advance(100);
         assertThat(answers, contains(new JobAnswer.Cancelled()));
         assertThat(cluster.running(ID), is(empty()));
@@ -368,23 +376,26 @@
     }
 
     /**
-     * All power was lost, and the first entry that is back gets all partitions and gives most to the others at once.
-     * Each opening costs cold code two calls to the log, in the moment in which callers wait for the links to the
-     * agents.
+     * After a power loss, the first entry that is back is assigned all partitions and returns most of them at once.
+     * Opening a partition costs a freshly started entry two calls to the log, while callers wait for the links to the
+     * agents. So only partitions that stay with the entry may be opened.
      */
     @Test
-    void opensOnlyThePartitionsThatStayWithItWhenAllStartTogether() {
-        three();
+    void opensEachPartitionOnceWhenAllEntriesStartTogether() {
+        startCluster();
         List<LogStream> opened = cluster.log.appends().stream()
                 .filter(stream -> "jobs".equals(stream.name()))
                 .toList();
         assertThat(opened, hasSize(Cluster.PARTITIONS));
     }
 
-    /** All power is lost, and the minions live on. The new agents know them from the log and run what was accepted. */
+    /**
+     * All entries and agents lose power while the minions stay alive. The new agents restore them from the log at once
+     * and can start accepted jobs.
+     */
     @Test
-    void findsTheMinionsAgainBeforeTheyAnnounceThemselves() {
-        three();
+    void restoresMinionsFromTheLogBeforeTheirAnnouncement() {
+        startCluster();
         for (String name : List.copyOf(cluster.entries.keySet())) {
             cluster.kill(name);
         }
@@ -393,19 +404,22 @@
         }
         cluster.advance(1_000);
         cluster.entry("entry-8");
-        cluster.silentAgent("agent-1");
+        cluster.agentWithoutMinion("agent-1");
         cluster.advance(100);
         assertThat(cluster.agents.get("agent-1").supervisor().isAccepting(), is(true));
     }
 
-    /** An agent starts again and finds its minion in the log: its announcement costs one call, not one for each. */
+    /**
+     * An agent restarts and restores its minion from the log. Its announcement must cost one write, not one for the
+     * agent and one for the minion.
+     */
     @Test
-    void announcesAnAgentOnceThatFindsItsMinionAgain() {
-        three();
+    void announcesARestartedAgentOnce() {
+        startCluster();
         cluster.network.kill("agent-1");
         cluster.advance(1_000);
         long before = announcements();
-        cluster.silentAgent("agent-1");
+        cluster.agentWithoutMinion("agent-1");
         cluster.advance(500);
         assertThat(announcements() - before, is(1L));
     }
@@ -416,10 +430,10 @@
                 .count();
     }
 
-    /** All power is lost right after a job was accepted. A fresh fleet finds it in the log and runs it. */
+    /** All processes lose power right after a job was accepted. New ones load it from the log and run it. */
     @Test
-    void findsAcceptedJobsAgainAfterEverythingWasLost() {
-        three();
+    void runsAcceptedJobsAfterATotalPowerLoss() {
+        startCluster();
         List<JobAnswer> answers = cluster.submit(ownerOf(ID), Jobs.of(ID, 1));
         cluster.advance(10);
         assertThat(answers, hasItem(new JobAnswer.Accepted()));
--- a/library/src/test/java/org/chivetally/queue/entry/EvacuationTest.java
+++ b/library/src/test/java/org/chivetally/queue/entry/EvacuationTest.java
@@ -15,6 +15,7 @@
 import org.chivetally.queue.RefusalReason;
 import org.junit.jupiter.api.Test;
 
+/** Evacuations of failure domains: jobs are refused or placed elsewhere, also by an entry that can't read the log. */
 class EvacuationTest {
     private static final Evacuations NORTH = new Evacuations(5, Set.of("north"));
     private static final Evacuations NONE = new Evacuations(9, Set.of());
@@ -22,44 +23,45 @@
     private final Cluster cluster = new Cluster();
 
     /**
-     * The only failure domain with workers is evacuated. A caller who comes then is told so at once, and that its job
-     * has not run; after the domain was taken back, the next one is served.
+     * The only failure domain with workers is evacuated. A job that arrives then is refused at once as not run; after
+     * the evacuation is withdrawn, the next one is served.
      */
     @Test
     void refusesJobsAtOnceWhileNoFailureDomainIsLeft() {
         EntryNode entry = cluster.entry("entry-1");
         cluster.agent("agent-1");
-        cluster.settled();
-        entry.evacuations(NORTH);
+        cluster.awaitLinks();
+        entry.updateEvacuations(NORTH);
         cluster.advance(50);
-        List<JobAnswer> early = cluster.submitUnkept(entry, Jobs.of("1111111111111111", 1), 2_000);
+        List<JobAnswer> early = cluster.submitInMemory(entry, Jobs.of("1111111111111111", 1), 2_000);
         assertThat(early, hasSize(1));
         assertThat(early.getFirst(), instanceOf(JobAnswer.Refused.class));
         assertThat(((JobAnswer.Refused) early.getFirst()).reason(), is(RefusalReason.EVACUATED));
-        entry.evacuations(NONE);
+        entry.updateEvacuations(NONE);
         cluster.advance(50);
-        List<JobAnswer> late = cluster.submitUnkept(entry, Jobs.of("2222222222222222", 1), 2_000);
+        List<JobAnswer> late = cluster.submitInMemory(entry, Jobs.of("2222222222222222", 1), 2_000);
         cluster.advance(50);
         assertThat(late, is(empty()));
         assertThat(cluster.minions.get("agent-1").running.keySet(), hasSize(1));
     }
 
     /**
-     * One entry reads of the evacuation, the other is cut off from the log. Both go on with the workers of the domain
-     * that is left: the agents tell the second one that they take nothing, so none of its starts has to be refused.
+     * One entry reads the evacuation, the other is cut off from the log. Both continue with the workers of the
+     * remaining failure domain. The agents report to the second entry that they accept no starts, so that none of its
+     * starts has to be refused.
      */
     @Test
-    void anEntryWithoutTheLogLearnsFromTheAgentsWhatIsEvacuated() {
-        EntryNode reader = cluster.entry("entry-1");
+    void appliesAnEvacuationReportedByAgentsWithoutTheLog() {
+        EntryNode connected = cluster.entry("entry-1");
         EntryNode cutOff = cluster.entry("entry-2");
         cluster.agent("agent-1");
         cluster.agentIn("south", "agent-2");
-        cluster.settled();
-        cluster.log.cut("entry-2", true);
-        reader.evacuations(NORTH);
+        cluster.awaitLinks();
+        cluster.log.setDisconnected("entry-2", true);
+        connected.updateEvacuations(NORTH);
         cluster.advance(20);
         for (int number = 0; number < 2; number++) {
-            cluster.submitUnkept(cutOff, Jobs.of("%016x".formatted(number), 1), 2_000);
+            cluster.submitInMemory(cutOff, Jobs.of("%016x".formatted(number), 1), 2_000);
         }
         cluster.advance(50);
         assertThat(cluster.minions.get("agent-1").running.keySet(), is(empty()));
--- a/library/src/test/java/org/chivetally/queue/entry/FleetCostTest.java
+++ b/library/src/test/java/org/chivetally/queue/entry/FleetCostTest.java
@@ -18,37 +18,37 @@
 import org.chivetally.queue.RunOutcome;
 import org.chivetally.queue.Task;
 import org.chivetally.queue.crash.CrashPolicy;
-import org.chivetally.queue.crash.CrashWatch;
+import org.chivetally.queue.crash.CrashTracker;
 import org.chivetally.queue.placement.PlacementPolicy;
 import org.chivetally.settings.SchedulingSettings;
 import org.chivetally.wire.v1.Frame;
 import org.junit.jupiter.api.Test;
 
-/** What a fleet costs its entries and agents in frames and passes, where these grow with its size. */
+/** Frames and placement passes whose number grows with the size of a deployment. */
 class FleetCostTest {
     private static final String ID = "00000000000000c1";
 
     private final Cluster cluster = new Cluster();
 
-    private void fleet(int entries, int agents) {
+    private void startFleet(int entries, int agents) {
         for (int number = 1; number <= entries; number++) {
             cluster.entry("entry-" + number);
         }
         for (int number = 1; number <= agents; number++) {
             cluster.agent("agent-" + number);
         }
-        cluster.settled();
+        cluster.awaitLinks();
         cluster.advance(5_000);
         cluster.network.sent.clear();
     }
 
     /**
-     * Nothing runs. Each heartbeat of an agent was answered by an echo from each entry, so with fifteen entries an idle
-     * agent woke up sixty times a second for nothing: no lease depends on what an entry without runs has heard.
+     * Nothing runs. When each entry echoed each heartbeat of an agent, an idle agent among fifteen entries woke up
+     * sixty times a second needlessly: no lease depends on the echoes of an entry without runs at the agent.
      */
     @Test
-    void agentsWithoutRunsAreRarelyToldThatTheyWereHeard() {
-        fleet(3, 4);
+    void agentsWithoutRunsRarelyReceiveEchoes() {
+        startFleet(3, 4);
 
         cluster.advance(10_000);
 
@@ -56,12 +56,12 @@
         assertThat(cluster.network.sent.get(Frame.BodyCase.BEAT_ECHO) / links, is(lessThanOrEqualTo(20)));
     }
 
-    /** The same agents with a run: they are told often enough that no run is stopped, however long it lasts. */
+    /** The same agents with runs. They receive echoes often enough that no run is stopped, however long it lasts. */
     @Test
-    void runsGoOnWhileTheirAgentIsHeard() {
-        fleet(3, 4);
+    void runsContinueWhileTheirAgentSendsHeartbeats() {
+        startFleet(3, 4);
         EntryNode entry = cluster.entries.get("entry-1");
-        List<JobAnswer> answers = cluster.submitUnkept(entry, Jobs.of(ID, 4, 0, 8_000), 12_000);
+        List<JobAnswer> answers = cluster.submitInMemory(entry, Jobs.of(ID, 4, 0, 8_000), 12_000);
 
         cluster.advance(8_000);
 
@@ -72,17 +72,17 @@
     }
 
     /**
-     * All room is taken and a job comes every tenth of a millisecond. A pass over all workers for each of them finds no
-     * room again and again, and takes the processor from what would free some.
+     * No worker has room, and a job arrives every 0.1 ms. If each job started a pass over all workers, the passes would
+     * find no room again and again, and take processor time from the work that frees room.
      */
     @Test
-    void passesThatFindNoRoomAreFarApart() {
+    void limitsPassesWhileNoWorkerHasRoom() {
         ManualTimers timers = new ManualTimers();
         List<Long> passes = new ArrayList<>();
         RunCoordinator runs = new RunCoordinator(
                 timers,
                 new PlacementPolicy("north", new SplittableRandom(1)),
-                new CrashWatch(CrashPolicy.NONE),
+                new CrashTracker(CrashPolicy.NONE),
                 Cluster.PARTITIONS,
                 Map.of(),
                 () -> passes.add(timers.nanos()),
--- a/library/src/test/java/org/chivetally/queue/entry/IdleFleetTest.java
+++ b/library/src/test/java/org/chivetally/queue/entry/IdleFleetTest.java
@@ -13,14 +13,14 @@
 import org.chivetally.wire.v1.Frame;
 import org.junit.jupiter.api.Test;
 
-/** A fleet that had nothing to do for a while: what comes first is served as fast, and failures are noticed as soon. */
+/** A deployment that has been idle serves the first jobs as fast as others, and detects failures as soon. */
 class IdleFleetTest {
     private static final String ID = "00000000000000d1";
     private static final long IDLE_MILLIS = 19_000;
 
     private final Cluster cluster = new Cluster();
 
-    private EntryNode idle(int entries, int agents) {
+    private EntryNode startIdleFleet(int entries, int agents) {
         for (int number = 1; number <= entries; number++) {
             cluster.entry("entry-" + number);
             cluster.advance(61);
@@ -35,15 +35,16 @@
     }
 
     /**
-     * The heartbeats of idle agents are further apart than the time for which a start is valid. A start on an old stamp
-     * would be refused, and its task would wait for a quarter of a second; at any time between two heartbeats it isn't.
+     * The heartbeats of idle agents are further apart than the time for which a start is valid. A start with an
+     * outdated stamp would be refused, and its task would wait for 0.25 s. This must not happen at any time between two
+     * heartbeats.
      */
     @Test
-    void theFirstJobsStartAtOnce() {
-        EntryNode entry = idle(2, 4);
+    void firstJobsStartAtOnce() {
+        EntryNode entry = startIdleFleet(2, 4);
         for (int round = 0; round < 16; round++) {
             String id = String.format("%016x", 100 + round);
-            List<JobAnswer> answers = cluster.submitUnkept(entry, Jobs.of(id, 4, 0, 1_000), 3_000);
+            List<JobAnswer> answers = cluster.submitInMemory(entry, Jobs.of(id, 4, 0, 1_000), 3_000);
             cluster.advance(3);
             assertThat(cluster.running(id).size(), is(4));
             cluster.advance(100);
@@ -54,13 +55,16 @@
         assertThat(cluster.network.sent.getOrDefault(Frame.BodyCase.RUN_REFUSED, 0), is(0));
     }
 
-    /** The first runs after idleness last long; no agent may stop them because its owner heard it long ago. */
+    /**
+     * The first runs after an idle time last long. No agent may stop them because its owner echoed its last heartbeat
+     * long ago.
+     */
     @Test
-    void theFirstRunsGoOn() {
-        EntryNode entry = idle(2, 4);
+    void firstRunsContinue() {
+        EntryNode entry = startIdleFleet(2, 4);
         for (int round = 0; round < 8; round++) {
             String id = String.format("%016x", 100 + round);
-            List<JobAnswer> answers = cluster.submitUnkept(entry, Jobs.of(id, 4, 0, 8_000), 12_000);
+            List<JobAnswer> answers = cluster.submitInMemory(entry, Jobs.of(id, 4, 0, 8_000), 12_000);
             cluster.advance(6_000);
             assertThat(answers, is(empty()));
             assertThat(cluster.running(id).size(), is(4));
@@ -69,12 +73,12 @@
         }
     }
 
-    /** An entry vanishes without an error: agents close their links to it after the time that always holds. */
+    /** An idle entry vanishes without an error. Agents close their links to it after the usual time of silence. */
     @Test
-    void agentsNoticeTheDeathOfAnIdleEntry() {
-        idle(2, 4);
+    void agentsDetectAFailedIdleEntry() {
+        startIdleFleet(2, 4);
         for (String agent : cluster.agents.keySet()) {
-            cluster.network.cut("entry-1", agent, true);
+            cluster.network.setCut("entry-1", agent, true);
         }
 
         cluster.advance(1_501);
@@ -87,16 +91,16 @@
                 .forEach(agent -> assertThat(agent.links().link("entry-2").isPresent(), is(true)));
     }
 
-    /** An idle agent is cut off: its entries send it nothing once the silence and one look are over. */
+    /** An idle agent is cut off. Its entries send it no starts after the time of silence and one interval of checks. */
     @Test
-    void entriesNoticeAnIdleAgentThatIsCutOff() {
-        EntryNode entry = idle(2, 4);
+    void entriesDetectAnUnreachableIdleAgent() {
+        EntryNode entry = startIdleFleet(2, 4);
         for (String name : cluster.entries.keySet()) {
-            cluster.network.cut(name, "agent-1", true);
+            cluster.network.setCut(name, "agent-1", true);
         }
         cluster.advance(1_750);
 
-        cluster.submitUnkept(entry, Jobs.of(ID, 4, 0, 1_000), 3_000);
+        cluster.submitInMemory(entry, Jobs.of(ID, 4, 0, 1_000), 3_000);
         cluster.advance(3);
 
         assertThat(cluster.running(ID).size(), is(4));
@@ -104,23 +108,23 @@
     }
 
     /**
-     * The link breaks right after the first start to an idle agent, so the entry has last heard that agent long before
-     * it relied on it, and the agent's stops are lost too, so the run ends by its lease alone. The task is started
-     * again, and never beside its first run.
+     * The link breaks right after the first start to an idle agent, whose last heartbeat came long before. The agent's
+     * stops are lost too, so that the run ends only when its lease expires. The task is started again, and never while
+     * its first run is in progress.
      */
     @Test
     void noTaskRunsTwiceWhenAnAgentIsCutOffAfterItsFirstStart() {
-        EntryNode entry = idle(1, 2);
+        EntryNode entry = startIdleFleet(1, 2);
         cluster.minions.values().forEach(minion -> minion.stopsLost = true);
         for (int round = 0; round < 8; round++) {
             String id = String.format("%016x", 100 + round);
-            cluster.submitUnkept(entry, Jobs.of(id, 1, 0, 9_000), 12_000);
+            cluster.submitInMemory(entry, Jobs.of(id, 1, 0, 9_000), 12_000);
             cluster.advance(3);
             String agent = cluster.agents.keySet().stream()
                     .filter(name -> !cluster.minions.get(name).running.isEmpty())
                     .findFirst()
                     .orElseThrow();
-            cluster.network.cut("entry-1", agent, true);
+            cluster.network.setCut("entry-1", agent, true);
             int most = 0;
             for (int step = 0; step < 500; step++) {
                 cluster.advance(10);
@@ -130,15 +134,15 @@
             assertThat("started again", cluster.running(id).size(), is(1));
             cluster.finish(id, RunOutcome.DONE);
             cluster.minions.get(agent).running.clear();
-            cluster.network.cut("entry-1", agent, false);
+            cluster.network.setCut("entry-1", agent, false);
             cluster.advance(IDLE_MILLIS + 90L * round);
         }
     }
 
-    /** Idle processes keep all their links, and tell each other hardly anything. */
+    /** Idle processes keep all their links open although they exchange few frames. */
     @Test
-    void linksOutlastIdleness() {
-        idle(3, 4);
+    void linksStayOpenWhileIdle() {
+        startIdleFleet(3, 4);
         cluster.advance(60_000);
 
         assertThat(cluster.network.sent.getOrDefault(Frame.BodyCase.LINK_HELLO, 0), is(0));
--- a/library/src/test/java/org/chivetally/queue/entry/UnkeptJobsTest.java
+++ b/library/src/test/java/org/chivetally/queue/entry/InMemoryJobsTest.java
@@ -19,7 +19,11 @@
 import org.chivetally.queue.log.ScriptedKeyedLog;
 import org.junit.jupiter.api.Test;
 
-class UnkeptJobsTest {
+/**
+ * Jobs that are held in memory: callers get a true answer in time and no task runs twice when the log, processes or
+ * links fail.
+ */
+class InMemoryJobsTest {
     private static final String ID = "00000000000000b1";
     private static final String OTHER = "00000000000000b2";
 
@@ -30,13 +34,14 @@
         for (int number = 1; number <= count; number++) {
             cluster.agent("agent-" + number);
         }
-        cluster.settled();
+        cluster.awaitLinks();
     }
 
+    /** The caller gets the final phase, and the log is not used. */
     @Test
-    void answersTheCallerWithTheEndAndStoresNothing() {
+    void answersTheCallerWithTheOutcomeAndStoresNothing() {
         agents(1);
-        List<JobAnswer> answers = cluster.submitUnkept(entry, Jobs.of(ID, 2), 2_000);
+        List<JobAnswer> answers = cluster.submitInMemory(entry, Jobs.of(ID, 2), 2_000);
         cluster.advance(50);
         assertThat(answers, is(empty()));
         cluster.finish(ID, RunOutcome.DONE);
@@ -46,23 +51,24 @@
         }
     }
 
-    /** The log is down: unkept jobs don't need it, so their callers notice nothing. */
+    /** The log is down. In-memory jobs don't need it, so their callers are served as usual. */
     @Test
     void servesWhileTheLogIsDown() {
         agents(1);
-        cluster.log.mood = ScriptedKeyedLog.Mood.SILENT;
+        cluster.log.appendBehavior = ScriptedKeyedLog.AppendBehavior.SILENT;
         cluster.advance(5_000);
-        List<JobAnswer> answers = cluster.submitUnkept(entry, Jobs.of(ID, 1), 2_000);
+        List<JobAnswer> answers = cluster.submitInMemory(entry, Jobs.of(ID, 1), 2_000);
         cluster.advance(50);
         cluster.finish(ID, RunOutcome.DONE);
         assertThat(answers, contains(new JobAnswer.State(JobPhase.COMPLETED)));
     }
 
+    /** A caller submits a job that is already running. The tasks run once, and both callers get the outcome. */
     @Test
     void runsTheSameIdOnceWhileItIsInProgress() {
         agents(1);
-        List<JobAnswer> first = cluster.submitUnkept(entry, Jobs.of(ID, 1), 2_000);
-        List<JobAnswer> again = cluster.submitUnkept(entry, Jobs.of(ID, 1), 2_000);
+        List<JobAnswer> first = cluster.submitInMemory(entry, Jobs.of(ID, 1), 2_000);
+        List<JobAnswer> again = cluster.submitInMemory(entry, Jobs.of(ID, 1), 2_000);
         cluster.advance(50);
         assertThat(cluster.running(ID), hasSize(1));
         cluster.finish(ID, RunOutcome.DONE);
@@ -70,30 +76,30 @@
         assertThat(again, contains(new JobAnswer.State(JobPhase.COMPLETED)));
     }
 
-    /** The caller hangs up. Its work would go on for nobody, and keep others from the room; it is stopped at once. */
+    /** The caller disconnects. Its runs would take room from others for no purpose, and are stopped at once. */
     @Test
-    void stopsTheWorkOfACallerThatHasGone() {
+    void stopsTheRunsOfADisconnectedCaller() {
         agents(1);
         List<JobAnswer> answers = new ArrayList<>();
         Consumer<JobAnswer> caller = answers::add;
-        entry.unkept().submit(Jobs.of(ID, 1), cluster.timers.nanos() + 2_000_000_000L, caller);
+        entry.inMemoryJobs().submit(Jobs.of(ID, 1), cluster.timers.nanos() + 2_000_000_000L, caller);
         cluster.advance(50);
-        entry.unkept().callerLeft(ID, caller);
+        entry.inMemoryJobs().callerDisconnected(ID, caller);
         cluster.advance(50);
         assertThat(cluster.running(ID), is(empty()));
-        assertThat(entry.unkept().size(), is(0));
+        assertThat(entry.inMemoryJobs().size(), is(0));
     }
 
     /**
-     * The worker is full until after the caller's time. The job is refused as not run as soon as it can't make it any
-     * more, which is true, and the caller doesn't wait for the rest of its time in vain.
+     * The worker has no room until after the caller's deadline. The job is refused as not run as soon as it can no
+     * longer meet the deadline, so that its caller doesn't wait longer in vain.
      */
     @Test
-    void refusesAWaitingJobAsSoonAsItCanNotMakeIt() {
+    void refusesAWaitingJobOnceItCannotMeetItsDeadline() {
         agents(1);
-        cluster.submitUnkept(entry, Jobs.of(OTHER, 2, 0, 5_000), 9_000);
+        cluster.submitInMemory(entry, Jobs.of(OTHER, 2, 0, 5_000), 9_000);
         cluster.advance(50);
-        List<JobAnswer> answers = cluster.submitUnkept(entry, Jobs.of(ID, 1, 0, 400), 1_000);
+        List<JobAnswer> answers = cluster.submitInMemory(entry, Jobs.of(ID, 1, 0, 400), 1_000);
         cluster.advance(550);
         assertThat(answers, is(empty()));
         cluster.advance(400);
@@ -102,32 +108,30 @@
     }
 
     /**
-     * A caller sends a job while the entry stands still for three seconds, gives up and sends it to another entry,
-     * which runs it. The entry wakes up and reads the first request, which looks new. Its tasks must not start beside
-     * those.
+     * A caller submits a job while the entry is suspended for three seconds, times out and submits it to another entry,
+     * which runs it. The entry resumes and reads the first request, which looks new. Its tasks must not start.
      */
     @Test
-    void startsNothingThatItReadsJustAfterItStoodStill() {
+    void startsNothingReadJustAfterASuspension() {
         agents(1);
         cluster.advance(2_000);
         cluster.timers.stall(Duration.ofSeconds(3));
-        List<JobAnswer> answers = cluster.submitUnkept(entry, Jobs.of(ID, 1), 2_000);
+        List<JobAnswer> answers = cluster.submitInMemory(entry, Jobs.of(ID, 1), 2_000);
         assertThat(answers, contains(instanceOf(JobAnswer.Refused.class)));
         cluster.advance(200);
         assertThat(cluster.running(ID), is(empty()));
         cluster.advance(800);
-        cluster.submitUnkept(entry, Jobs.of(OTHER, 1), 2_000);
+        cluster.submitInMemory(entry, Jobs.of(OTHER, 1), 2_000);
         cluster.advance(50);
         assertThat(cluster.running(OTHER), hasSize(1));
     }
 
     /**
-     * An entry goes on after it stood still, and reads what has waited for half a second: its timers fire late. A
-     * request that it reads at the end of that is as old as the first one, and its caller has sent it elsewhere. Once
-     * the entry keeps up, it serves again.
+     * After a suspension the entry needs 0.5 s to read the queued requests, and its timers fire late. A request read at
+     * the end of this time is as stale as the first one. The entry serves again once its timers are punctual.
      */
     @Test
-    void startsNothingWhileItStillReadsWhatWaited() {
+    void startsNothingWhileReadingQueuedRequests() {
         agents(1);
         cluster.advance(2_000);
         cluster.timers.stall(Duration.ofSeconds(3));
@@ -136,17 +140,17 @@
             cluster.timers.stall(Duration.ofMillis(90));
             cluster.advance(1);
         }
-        List<JobAnswer> answers = cluster.submitUnkept(entry, Jobs.of(ID, 1), 2_000);
+        List<JobAnswer> answers = cluster.submitInMemory(entry, Jobs.of(ID, 1), 2_000);
         assertThat(answers, contains(instanceOf(JobAnswer.Refused.class)));
         cluster.advance(400);
-        cluster.submitUnkept(entry, Jobs.of(OTHER, 1), 2_000);
+        cluster.submitInMemory(entry, Jobs.of(OTHER, 1), 2_000);
         cluster.advance(50);
         assertThat(cluster.running(OTHER), hasSize(1));
     }
 
     /**
-     * A machine stays slow after its process stood still, and no timer fires in time. It serves again all the same when
-     * what waited must have been read.
+     * A machine stays slow after a suspension, and no timer is punctual. The entry must serve again nevertheless, after
+     * the time in which it has read all queued requests.
      */
     @Test
     void servesAgainOnAMachineThatStaysSlow() {
@@ -158,72 +162,75 @@
             cluster.timers.stall(Duration.ofMillis(90));
             cluster.advance(1);
         }
-        List<JobAnswer> answers = cluster.submitUnkept(entry, Jobs.of(ID, 1), 2_000);
+        List<JobAnswer> answers = cluster.submitInMemory(entry, Jobs.of(ID, 1), 2_000);
         assertThat(answers, is(empty()));
     }
 
     /**
-     * A job waits for room when its entry stands still. Its caller's connection breaks meanwhile and the job comes
-     * again elsewhere; the entry hears of that only once it has read its sockets, and starts nothing before.
+     * A job waits for room when its entry is suspended. Meanwhile the caller's connection breaks, and the job is
+     * submitted elsewhere. The entry detects this only when it has read its sockets, and must not start the job before.
      */
     @Test
-    void startsNothingThatWaitedUntilItHasReadItsSockets() {
+    void startsNoWaitingJobBeforeItsSocketsAreRead() {
         agents(1);
-        cluster.submitUnkept(entry, Jobs.of(OTHER, 2, 0, 5_000), 9_000);
+        cluster.submitInMemory(entry, Jobs.of(OTHER, 2, 0, 5_000), 9_000);
         cluster.advance(50);
         List<JobAnswer> answers = new ArrayList<>();
         Consumer<JobAnswer> caller = answers::add;
-        entry.unkept().submit(Jobs.of(ID, 1, 0, 1_000), cluster.timers.nanos() + 9_000_000_000L, caller);
+        entry.inMemoryJobs().submit(Jobs.of(ID, 1, 0, 1_000), cluster.timers.nanos() + 9_000_000_000L, caller);
         cluster.advance(50);
         cluster.finish(OTHER, RunOutcome.DONE);
         cluster.timers.stall(Duration.ofSeconds(1));
         cluster.advance(100);
         assertThat(cluster.running(ID), is(empty()));
-        entry.unkept().callerLeft(ID, caller);
+        entry.inMemoryJobs().callerDisconnected(ID, caller);
         cluster.advance(1_000);
         assertThat(cluster.running(ID), is(empty()));
     }
 
     /**
-     * All power was lost and callers are back at once. One agent of many is linked so far, so what waits would take it
-     * seconds; refused for that, callers would be turned away though the other agents come a moment later.
+     * After a power loss callers are back at once, but only one of many agents is connected. With this agent alone the
+     * backlog would take seconds. No job may be refused for it, as the other agents connect a moment later.
      */
     @Test
-    void refusesNothingWhileTheAgentsAreStillComing() {
+    void refusesNothingWhileAgentsAreConnecting() {
         cluster.agent("agent-1");
         cluster.advance(700);
         List<JobAnswer> answers = new ArrayList<>();
         for (int number = 0; number < 40; number++) {
-            answers.addAll(cluster.submitUnkept(entry, Jobs.of("00000000000001" + (10 + number), 4), 2_000));
+            answers.addAll(cluster.submitInMemory(entry, Jobs.of("00000000000001" + (10 + number), 4), 2_000));
         }
         assertThat(answers, is(empty()));
     }
 
-    /** The caller's time ends while its job runs: that it has not run can't be said, and its runs are stopped. */
+    /**
+     * The caller's deadline passes while its job runs. The answer must not be that the job has not run, and the runs
+     * are stopped.
+     */
     @Test
-    void doesNotSayThatAStartedJobHasNotRun() {
+    void reportsAStartedJobAsUndecidedAtItsDeadline() {
         agents(1);
-        List<JobAnswer> answers = cluster.submitUnkept(entry, Jobs.of(ID, 1), 1_000);
+        List<JobAnswer> answers = cluster.submitInMemory(entry, Jobs.of(ID, 1), 1_000);
         cluster.advance(1_100);
         assertThat(answers, contains(instanceOf(JobAnswer.Undecided.class)));
         assertThat(cluster.running(ID), is(empty()));
     }
 
     /**
-     * An agent is cut off with a run in progress. The run is started elsewhere, but never while the first one can still
-     * be at work.
+     * An agent with a run in progress is cut off. The run is started elsewhere, but not while the first one may be
+     * running.
      */
     @Test
     void movesTheRunsOfALostAgentWithoutRunningThemTwice() {
         agents(2);
-        List<JobAnswer> answers = cluster.submitUnkept(entry, Jobs.of(ID, 1), 9_000);
+        List<JobAnswer> answers = cluster.submitInMemory(entry, Jobs.of(ID, 1), 9_000);
         cluster.advance(50);
         String agent = cluster.minions.entrySet().stream()
                 .filter(known -> !known.getValue().running.isEmpty())
                 .findFirst()
                 .orElseThrow()
                 .getKey();
-        cluster.network.cut("entry-1", agent, true);
+        cluster.network.setCut("entry-1", agent, true);
         for (int step = 0; step < 350; step++) {
             cluster.advance(10);
             assertThat(cluster.running(ID).size() <= 1, is(true));
@@ -233,68 +240,69 @@
         assertThat(answers, contains(new JobAnswer.State(JobPhase.COMPLETED)));
     }
 
+    /** A task fails. It is tried once more on another worker, and its second failure fails the job. */
     @Test
-    void triesAFailedTaskOnceMoreOnAnotherWorker() {
+    void retriesAFailedTaskOnAnotherWorker() {
         agents(2);
-        List<JobAnswer> answers = cluster.submitUnkept(entry, Jobs.of(ID, 1), 9_000);
+        List<JobAnswer> answers = cluster.submitInMemory(entry, Jobs.of(ID, 1), 9_000);
         cluster.advance(50);
-        var first = cluster.runner(ID).orElseThrow();
+        var first = cluster.minionRunning(ID).orElseThrow();
         cluster.finish(ID, RunOutcome.FAILED);
-        assertThat(cluster.runner(ID).orElseThrow() != first, is(true));
+        assertThat(cluster.minionRunning(ID).orElseThrow() != first, is(true));
         cluster.finish(ID, RunOutcome.FAILED);
         assertThat(answers, contains(new JobAnswer.State(JobPhase.FAILED)));
     }
 
     /**
-     * The entry gets SIGTERM, and a caller still sends it a job on an open connection. A job that would be cut off at
-     * the end is refused at once as not run; a short one is served.
+     * The entry has received SIGTERM, and a caller submits jobs on an open connection. A job that would be cut off by
+     * the shutdown is refused as not run; a short one is served.
      */
     @Test
-    void takesOnlyJobsOnThatEndBeforeItStops() {
+    void acceptsOnlyJobsThatEndBeforeShutdown() {
         agents(1);
-        entry.unkept().stopAt(cluster.timers.nanos() + 1_000_000_000L);
-        List<JobAnswer> longer = cluster.submitUnkept(entry, Jobs.of(ID, 1, 0, 700), 5_000);
-        List<JobAnswer> shorter = cluster.submitUnkept(entry, Jobs.of(OTHER, 1, 0, 100), 5_000);
+        entry.inMemoryJobs().stopAt(cluster.timers.nanos() + 1_000_000_000L);
+        List<JobAnswer> longer = cluster.submitInMemory(entry, Jobs.of(ID, 1, 0, 700), 5_000);
+        List<JobAnswer> shorter = cluster.submitInMemory(entry, Jobs.of(OTHER, 1, 0, 100), 5_000);
         assertThat(longer, contains(instanceOf(JobAnswer.Refused.class)));
         cluster.advance(50);
         cluster.finish(OTHER, RunOutcome.DONE);
         assertThat(shorter, contains(new JobAnswer.State(JobPhase.COMPLETED)));
     }
 
-    /** The entry's time is over while a job runs: its caller is told so, instead of a connection that breaks. */
+    /** The entry stops while a job runs. Its caller gets an answer instead of a broken connection. */
     @Test
-    void answersWhoeverStillWaitsWhenTheProcessEnds() {
+    void answersWaitingCallersAtShutdown() {
         agents(1);
-        List<JobAnswer> answers = cluster.submitUnkept(entry, Jobs.of(ID, 1), 5_000);
+        List<JobAnswer> answers = cluster.submitInMemory(entry, Jobs.of(ID, 1), 5_000);
         cluster.advance(50);
-        entry.unkept().endAll();
+        entry.inMemoryJobs().expireAll();
         assertThat(answers, contains(instanceOf(JobAnswer.Undecided.class)));
     }
 
     /**
-     * Tasks on one worker stand still. Their runs are stopped once they are far over their estimates, and started again
-     * on another worker, so that their callers still get an answer.
+     * The tasks on one worker stall. Their runs are stopped when they exceed their estimates by far, and are started
+     * again on another worker, so that their callers get an answer.
      */
     @Test
-    void movesRunsFromAWorkerWhereTasksStandStill() {
+    void movesRunsFromAStalledWorker() {
         cluster.capacity = new Room(36_000, 10_000, 0);
         agents(3);
         List<String> ids = new ArrayList<>();
         List<List<JobAnswer>> answers = new ArrayList<>();
         for (int job = 0; job < 12; job++) {
             ids.add("00000000000000%02x".formatted(job));
-            answers.add(cluster.submitUnkept(entry, Jobs.of(ids.getLast(), 1, 0, 100), 9_000));
+            answers.add(cluster.submitInMemory(entry, Jobs.of(ids.getLast(), 1, 0, 100), 9_000));
         }
         cluster.advance(50);
-        var still = cluster.minions.get("agent-1");
-        assertThat(still.running.keySet(), hasSize(4));
+        var stalled = cluster.minions.get("agent-1");
+        assertThat(stalled.running.keySet(), hasSize(4));
         for (var minion : cluster.minions.values()) {
-            if (minion != still) {
+            if (minion != stalled) {
                 List.copyOf(minion.running.keySet()).forEach(run -> minion.end(run, RunOutcome.DONE));
             }
         }
         cluster.advance(900);
-        assertThat(still.running.keySet(), is(empty()));
+        assertThat(stalled.running.keySet(), is(empty()));
         ids.forEach(id -> cluster.finish(id, RunOutcome.DONE));
         for (List<JobAnswer> answer : answers) {
             assertThat(answer, contains(new JobAnswer.State(JobPhase.COMPLETED)));
@@ -302,15 +310,15 @@
     }
 
     /**
-     * One of two minions is down while jobs come. They run on the other one at once, instead of going back and forth
-     * between this entry and the agent whose worker looks empty.
+     * One of two minions is down. Jobs must run on the other one at once. The worker of the failed minion looks empty,
+     * so that starts could be sent to its agent again and again.
      */
     @Test
     void runsJobsElsewhereWhileAMinionIsDown() {
         agents(2);
         cluster.minions.get("agent-1").down = true;
-        List<JobAnswer> first = cluster.submitUnkept(entry, Jobs.of(ID, 1), 2_000);
-        List<JobAnswer> second = cluster.submitUnkept(entry, Jobs.of(OTHER, 1), 2_000);
+        List<JobAnswer> first = cluster.submitInMemory(entry, Jobs.of(ID, 1), 2_000);
+        List<JobAnswer> second = cluster.submitInMemory(entry, Jobs.of(OTHER, 1), 2_000);
         cluster.advance(30);
         assertThat(cluster.minions.get("agent-1").starts.size() <= 2, is(true));
         cluster.finish(ID, RunOutcome.DONE);
--- a/library/src/test/java/org/chivetally/queue/entry/UnevenLoadTest.java
+++ b/library/src/test/java/org/chivetally/queue/entry/UnevenLoadTest.java
@@ -12,10 +12,11 @@
 import org.chivetally.queue.Jobs;
 import org.chivetally.queue.Room;
 import org.chivetally.queue.RunOutcome;
+import org.chivetally.queue.agent.FakeMinion;
 import org.chivetally.queue.agent.MinionPort;
-import org.chivetally.queue.agent.ModelMinion;
 import org.junit.jupiter.api.Test;
 
+/** Jobs that arrive unevenly at the entries, or before the workers do. */
 class UnevenLoadTest {
     private static final int TASK_MILLIS = 100;
     private static final int ARRIVAL_MILLIS = 40;
@@ -27,27 +28,27 @@
     private long nowMillis;
 
     /**
-     * All callers come to one of three entries, with three fifths of what the workers can do. For a quarter of a second
-     * no task ends, so some jobs have to wait, and miss their objective. By equal parts the entry would take the
-     * workers for overloaded and turn these callers away, though the room for them comes free at once.
+     * All jobs, at three fifths of the workers' capacity, arrive at one of three entries. For 0.25 s no task ends, so
+     * that some jobs wait and miss their objective. If capacity were divided equally among the entries, this one would
+     * consider the workers overloaded and refuse these jobs, although room for them becomes free at once.
      */
     @Test
-    void oneEntryWithAllTheCallersTurnsNobodyAwayBesideRoom() {
+    void refusesNothingWhenOneEntryReceivesAllJobsAndWorkersHaveRoom() {
         EntryNode busy = cluster.entry("entry-1");
         cluster.entry("entry-2");
         cluster.entry("entry-3");
         cluster.agent("agent-1");
         cluster.agent("agent-2");
-        cluster.settled();
+        cluster.awaitLinks();
         for (int number = 0; number < 100; number++) {
             String id = "%016x".formatted(number);
-            List<JobAnswer> answers = cluster.submitUnkept(busy, Jobs.of(id, 1), 2_000);
+            List<JobAnswer> answers = cluster.submitInMemory(busy, Jobs.of(id, 1), 2_000);
             boolean stalled = number >= 50 && number < 56;
-            work(stalled ? Integer.MAX_VALUE : TASK_MILLIS);
+            advanceOneArrival(stalled ? Integer.MAX_VALUE : TASK_MILLIS);
             answersOf.add(answers);
         }
         for (int round = 0; round < 30; round++) {
-            work(TASK_MILLIS);
+            advanceOneArrival(TASK_MILLIS);
         }
         for (List<JobAnswer> answers : answersOf) {
             answers.stream()
@@ -57,8 +58,8 @@
         assertThat(refused, is(List.of()));
     }
 
-    /** Lets the time of one arrival pass, and ends the tasks that have run long enough. */
-    private void work(int taskMillis) {
+    /** Advances the clock by one arrival interval, and ends the tasks that have run long enough. */
+    private void advanceOneArrival(int taskMillis) {
         for (int step = 0; step < ARRIVAL_MILLIS / 10; step++) {
             cluster.advance(10);
             nowMillis += 10;
@@ -81,24 +82,24 @@
     }
 
     /**
-     * After a loss of power six entries have a backlog and see the first worker at the same moment. Each sends it all
-     * that it has room for; most of these starts come back, later than their callers can wait, and the agent is busy
-     * with refusing them.
+     * After a power loss six entries have a backlog and detect the first worker at the same time. If each sent it as
+     * many tasks as fit, most of these starts would be refused, too late for their callers, and the agent would be busy
+     * refusing them.
      */
     @Test
-    void entriesWithABacklogDoNotAllSendTheirsToTheFirstWorker() {
+    void entriesWithABacklogDoNotAllFillTheFirstWorker() {
         List<EntryNode> entries = new ArrayList<>();
         for (int number = 1; number <= 6; number++) {
             entries.add(cluster.entry("entry-" + number));
         }
-        cluster.settled();
+        cluster.awaitLinks();
         cluster.capacity = new Room(60_000, 10_000, 0);
         for (int number = 0; number < 60; number++) {
-            cluster.submitUnkept(entries.get(number % 6), Jobs.of("%016x".formatted(number), 1, 0, 10_000), 60_000);
+            cluster.submitInMemory(entries.get(number % 6), Jobs.of("%016x".formatted(number), 1, 0, 10_000), 60_000);
         }
         cluster.advance(300);
         cluster.agent("agent-1");
-        ModelMinion minion = cluster.minions.get("agent-1");
+        FakeMinion minion = cluster.minions.get("agent-1");
         cluster.advance(1_500);
         assertThat(minion.running.size(), is(10));
         for (int round = 0; round < 30; round++) {
@@ -106,7 +107,7 @@
             cluster.advance(100);
         }
         long refused = 0;
-        for (MinionPort.StartOrder start : minion.starts) {
+        for (MinionPort.StartRequest start : minion.starts) {
             refused += start.run().run() - 1;
         }
         assertThat(minion.starts.size(), is(60));
--- a/library/src/test/java/org/chivetally/queue/entry/WakeUps.java
+++ b/library/src/test/java/org/chivetally/queue/entry/WakeUpCounter.java
@@ -9,20 +9,20 @@
 import org.chivetally.queue.link.MemoryNetwork;
 import org.chivetally.time.Timers;
 
-/** Counts what wakes each process of a {@link Cluster} up: its timers, and the frames that reach it. */
-final class WakeUps {
+/** Counts the wake-ups of each process of a {@link Cluster}, by its timers and the frames that it receives. */
+final class WakeUpCounter {
     private final Timers shared;
     private final Map<String, Map<String, Integer>> causes = new HashMap<>();
     private final Map<String, Set<Long>> instants = new HashMap<>();
 
-    WakeUps(Timers shared, MemoryNetwork network) {
+    WakeUpCounter(Timers shared, MemoryNetwork network) {
         this.shared = shared;
-        network.whenArrived(this::count);
+        network.onArrival(this::count);
     }
 
-    /** Returns timers of a process that are counted by their delay. */
+    /** Returns the timers of a process, whose wake-ups are counted by the delay of the timer. */
     Timers of(String process) {
-        return new Counted(process);
+        return new CountingTimers(process);
     }
 
     void clear() {
@@ -30,12 +30,12 @@
         instants.clear();
     }
 
-    /** Returns how often each cause woke a process up. */
+    /** Returns the number of wake-ups of a process by cause. */
     Map<String, Integer> causes(String process) {
         return new TreeMap<>(causes.getOrDefault(process, Map.of()));
     }
 
-    /** Returns the number of distinct times at which a process had anything to do. */
+    /** Returns the number of distinct times at which a process woke up. */
     int instants(String process) {
         return instants.getOrDefault(process, Set.of()).size();
     }
@@ -45,10 +45,10 @@
         instants.computeIfAbsent(process, name -> new HashSet<>()).add(shared.nanos());
     }
 
-    private final class Counted implements Timers {
+    private final class CountingTimers implements Timers {
         private final String process;
 
-        private Counted(String process) {
+        private CountingTimers(String process) {
             this.process = process;
         }
 
--- a/library/src/test/java/org/chivetally/queue/share/QueueAdmissionTest.java
+++ b/library/src/test/java/org/chivetally/queue/share/QueueAdmissionTest.java
@@ -18,72 +18,83 @@
 import org.chivetally.queue.Jobs;
 import org.junit.jupiter.api.Test;
 
+/** Guards that jobs are refused by the backlog of their own queue, and that retries after a refusal succeed. */
 class QueueAdmissionTest {
-    private static final long SECOND = Duration.ofSeconds(1).toNanos();
-    private static final long CORES = 64_000;
+    private static final long SECOND_NANOS = Duration.ofSeconds(1).toNanos();
+    private static final long CAPACITY_MILLICORES = 64_000;
 
     private static Job job(String id) {
-        return new Job(Jobs.of(id, 2, 0, 200), 0, SECOND);
+        return new Job(Jobs.of(id, 2, 0, 200), 0, SECOND_NANOS);
     }
 
+    /** A backlog that drains in time is no reason to refuse a job. */
     @Test
-    void takesAJobOnWhoseTurnComesInTime() {
-        assertThat(QueueAdmission.refuse(job("j"), 0, 500 * 64, CORES, false), is(Optional.empty()));
+    void admitsAJobThatWillStartInTime() {
+        assertThat(QueueAdmission.refuse(job("j"), 0, 500 * 64, CAPACITY_MILLICORES, false), is(Optional.empty()));
     }
 
-    /** The caller is told at once, not at the end of its time. */
+    /** The caller gets the refusal and retry delay at once, and not at the end of its deadline. */
     @Test
-    void refusesAJobWhoseTurnComesTooLate() {
-        Duration retry =
-                QueueAdmission.refuse(job("j"), 0, 3_000 * 64, CORES, false).orElseThrow();
+    void refusesAJobThatWouldStartTooLate() {
+        Duration retry = QueueAdmission.refuse(job("j"), 0, 3_000 * 64, CAPACITY_MILLICORES, false)
+                .orElseThrow();
         assertThat(retry.toSeconds(), greaterThan(2L));
         assertThat(retry.toSeconds(), lessThanOrEqualTo(4L));
     }
 
+    /** An entry that has just started must not refuse all jobs until the first reports arrive. */
     @Test
-    void refusesNobodyWhileNoWorkerIsKnown() {
+    void admitsAllJobsWhileNoWorkerIsKnown() {
         assertThat(QueueAdmission.refuse(job("j"), 0, 3_000 * 64, 0, false), is(Optional.empty()));
     }
 
-    /** Refused again in favour of a new caller, one that does as it was told would never get a turn in a long burst. */
+    /**
+     * If retries were refused in favor of new jobs, a caller that retries as told would never be served during a long
+     * burst.
+     */
     @Property
-    void aCallerThatReturnsIsNotRefusedWhileANewOneIsTaken(
+    void retriedJobIsNotRefusedWhileANewOneIsAdmitted(
             @ForAll @LongRange(min = 0, max = 1_000_000) long workAhead,
-            @ForAll @LongRange(min = 1, max = 1_000_000) long reachMillis,
-            @ForAll @IntRange(min = 0, max = 999) int sinceMillis) {
-        long now = Duration.ofMillis(sinceMillis).toNanos();
-        boolean newRefused = QueueAdmission.refuse(job("new"), now, workAhead, reachMillis, false)
+            @ForAll @LongRange(min = 1, max = 1_000_000) long availableMillicores,
+            @ForAll @IntRange(min = 0, max = 999) int elapsedMillis) {
+        long now = Duration.ofMillis(elapsedMillis).toNanos();
+        boolean newRefused = QueueAdmission.refuse(job("new"), now, workAhead, availableMillicores, false)
                 .isPresent();
-        boolean returningRefused = QueueAdmission.refuse(job("returning"), now, workAhead, reachMillis, true)
+        boolean retryRefused = QueueAdmission.refuse(job("returning"), now, workAhead, availableMillicores, true)
                 .isPresent();
-        assertThat(returningRefused && !newRefused, is(false));
+        assertThat(retryRefused && !newRefused, is(false));
     }
 
-    /** The forecast is near the limit: estimates are off, so a new job is refused, but not one that comes back. */
+    /**
+     * The forecast is close to the limit. As estimates are inaccurate, a new job is refused, but a retry is admitted.
+     */
     @Test
-    void takesAJobThatReturnsOnWithTheNarrowestProspect() {
+    void admitsARetriedJobWithAForecastCloseToTheLimit() {
         long nearTheLimit = 700 * 64;
         assertThat(
-                QueueAdmission.refuse(job("j"), 0, nearTheLimit, CORES, false).isPresent(), is(true));
-        assertThat(QueueAdmission.refuse(job("j"), 0, nearTheLimit, CORES, true), is(Optional.empty()));
+                QueueAdmission.refuse(job("j"), 0, nearTheLimit, CAPACITY_MILLICORES, false)
+                        .isPresent(),
+                is(true));
+        assertThat(QueueAdmission.refuse(job("j"), 0, nearTheLimit, CAPACITY_MILLICORES, true), is(Optional.empty()));
     }
 
-    /** A hundred callers refused in one second would come back in one second, and most be refused again. */
+    /** A hundred jobs refused within one second would be retried within one second, and most of them refused again. */
     @Test
-    void callersThatAreRefusedTogetherAreToldDifferentTimes() {
-        Map<Long, Integer> told = new TreeMap<>();
+    void jobsRefusedTogetherGetDifferentRetryDelays() {
+        Map<Long, Integer> jobsByDelayMillis = new TreeMap<>();
         for (int number = 0; number < 100; number++) {
-            Duration retry = QueueAdmission.retryAfter(String.format("%016x", 0xbeef00 + number), 300 * 64, CORES);
-            told.merge(retry.toMillis(), 1, Integer::sum);
+            Duration retry =
+                    QueueAdmission.retryAfter(String.format("%016x", 0xbeef00 + number), 300 * 64, CAPACITY_MILLICORES);
+            jobsByDelayMillis.merge(retry.toMillis(), 1, Integer::sum);
         }
-        assertThat(told.keySet(), is(Set.of(1_000L, 2_000L)));
-        assertThat(told.get(1_000L), greaterThan(30));
-        assertThat(told.get(2_000L), greaterThan(30));
+        assertThat(jobsByDelayMillis.keySet(), is(Set.of(1_000L, 2_000L)));
+        assertThat(jobsByDelayMillis.get(1_000L), greaterThan(30));
+        assertThat(jobsByDelayMillis.get(2_000L), greaterThan(30));
     }
 
-    /** A backlog that no worker is known for must not tell a caller to come back next year. */
+    /** A backlog without any known worker must not result in a retry delay of a year. */
     @Test
-    void theLongestTimeIsBounded() {
+    void retryDelayIsBounded() {
         assertThat(QueueAdmission.retryAfter("j", Long.MAX_VALUE / 2, 1).toSeconds(), lessThanOrEqualTo(45L));
         assertThat(QueueAdmission.retryAfter("j", 5, 0).toSeconds(), lessThanOrEqualTo(2L));
     }
--- a/linkage/src/main/java/org/chivetally/linkage/ClassLinker.java
+++ b/linkage/src/main/java/org/chivetally/linkage/ClassLinker.java
@@ -17,77 +17,83 @@
 import java.util.Optional;
 
 /**
- * Replaces call sites of {@code SwitchBootstraps} and {@code ObjectMethods} in one class by calls of static methods
- * that it adds to the class. The JVM would generate a hidden class for each of them at its first call.
+ * Replaces the call sites of {@code SwitchBootstraps} and {@code ObjectMethods} in a class by calls of static methods
+ * that it adds to the class. The JVM would generate a hidden class for each of these call sites at its first call.
  */
 final class ClassLinker {
-    private static final int FLAGS = ClassFile.ACC_PRIVATE | ClassFile.ACC_STATIC | ClassFile.ACC_SYNTHETIC;
+    private static final int METHOD_FLAGS = ClassFile.ACC_PRIVATE | ClassFile.ACC_STATIC | ClassFile.ACC_SYNTHETIC;
 
     private final ClassFile classFile;
 
     /**
      * Creates a linker.
      *
-     * @param classes finds the classes that the linked ones refer to, for their stack maps
+     * @param classLoader loads the classes that linked classes refer to; they are needed to compute stack maps
      */
-    ClassLinker(ClassLoader classes) {
-        // A class file that was read once may be asked for again, so the answers are kept.
-        ClassHierarchyResolver hierarchy = ClassHierarchyResolver.ofResourceParsing(classes)
+    ClassLinker(ClassLoader classLoader) {
+        // The same classes are looked up again and again, so results are cached.
+        ClassHierarchyResolver hierarchy = ClassHierarchyResolver.ofResourceParsing(classLoader)
                 .orElse(ClassHierarchyResolver.defaultResolver())
                 .cached();
         this.classFile = ClassFile.of(ClassFile.ClassHierarchyResolverOption.of(hierarchy));
     }
 
-    /** A class after the step; the number of call sites that were replaced in it. */
-    record Linked(byte[] bytes, int replaced) {}
+    /**
+     * A linked class.
+     *
+     * @param bytes class file
+     * @param replacedCallSites number of call sites that were replaced
+     */
+    record LinkedClass(byte[] bytes, int replacedCallSites) {}
 
     /**
-     * Returns the class without such call sites.
+     * Replaces the call sites of a class. Returns the same array when there are none.
      *
-     * @throws IllegalArgumentException when the result would not be a valid class
-     * @throws UnsupportedCallSiteException when a call site has a form that isn't known
+     * @param bytes class file
+     * @throws IllegalArgumentException when the result doesn't pass verification
+     * @throws UnsupportedCallSiteException when a call site isn't supported
      */
-    Linked link(byte[] bytes) {
+    LinkedClass link(byte[] bytes) {
         ClassModel model = classFile.parse(bytes);
         List<CallSite> sites = new ArrayList<>();
         String simpleName = simpleName(model);
-        CodeTransform calls = (code, element) -> {
-            Optional<CallSite> site = siteOf(element, simpleName);
+        CodeTransform replaceCalls = (code, element) -> {
+            Optional<CallSite> site = callSiteOf(element, simpleName);
             if (site.isEmpty()) {
                 code.with(element);
                 return;
             }
-            CallSite found = site.get();
+            CallSite callSite = site.get();
             code.invokestatic(
                     model.thisClass().asSymbol(),
-                    methodName(found, sites.size()),
-                    found.type(),
+                    methodName(callSite, sites.size()),
+                    callSite.type(),
                     model.flags().has(AccessFlag.INTERFACE));
-            sites.add(found);
+            sites.add(callSite);
         };
-        if (!containsSites(model, simpleName)) {
-            return new Linked(bytes, 0);
+        if (!containsCallSites(model, simpleName)) {
+            return new LinkedClass(bytes, 0);
         }
-        ClassTransform methods = ClassTransform.transformingMethodBodies(calls)
-                .andThen(ClassTransform.endHandler(added -> {
+        ClassTransform transform = ClassTransform.transformingMethodBodies(replaceCalls)
+                .andThen(ClassTransform.endHandler(builder -> {
                     for (int number = 0; number < sites.size(); number++) {
                         CallSite site = sites.get(number);
-                        added.withMethodBody(methodName(site, number), site.type(), FLAGS, site::write);
+                        builder.withMethodBody(methodName(site, number), site.type(), METHOD_FLAGS, site::write);
                     }
                 }));
-        byte[] linked = classFile.transformClass(model, methods);
+        byte[] linked = classFile.transformClass(model, transform);
         List<VerifyError> errors = classFile.verify(linked);
         if (!errors.isEmpty()) {
             throw new IllegalArgumentException(errors.getFirst().getMessage());
         }
-        return new Linked(linked, sites.size());
+        return new LinkedClass(linked, sites.size());
     }
 
-    private static boolean containsSites(ClassModel model, String simpleName) {
+    private static boolean containsCallSites(ClassModel model, String simpleName) {
         for (MethodModel method : model.methods()) {
             if (method.code().isPresent()) {
                 for (CodeElement element : method.code().get()) {
-                    if (siteOf(element, simpleName).isPresent()) {
+                    if (callSiteOf(element, simpleName).isPresent()) {
                         return true;
                     }
                 }
@@ -96,23 +102,23 @@
         return false;
     }
 
-    private static Optional<CallSite> siteOf(CodeElement element, String simpleName) {
+    private static Optional<CallSite> callSiteOf(CodeElement element, String simpleName) {
         return element instanceof InvokeDynamicInstruction call ? CallSite.of(call, simpleName) : Optional.empty();
     }
 
     private static String methodName(CallSite site, int number) {
-        return "linked$" + site.stem() + '$' + number;
+        return "linked$" + site.operation() + '$' + number;
     }
 
-    /** Returns the name as {@link Class#getSimpleName} gives it. */
+    /** Returns the simple name of a class as {@link Class#getSimpleName} does. */
     private static String simpleName(ClassModel model) {
-        ClassDesc self = model.thisClass().asSymbol();
+        ClassDesc thisClass = model.thisClass().asSymbol();
         return model.findAttribute(Attributes.innerClasses()).stream()
                 .flatMap(attribute -> attribute.classes().stream())
-                .filter(inner -> inner.innerClass().asSymbol().equals(self))
+                .filter(inner -> inner.innerClass().asSymbol().equals(thisClass))
                 .findFirst()
                 .map(ClassLinker::innerName)
-                .orElseGet(self::displayName);
+                .orElseGet(thisClass::displayName);
     }
 
     private static String innerName(InnerClassInfo inner) {
--- a/linkage/src/main/java/org/chivetally/linkage/LinkageStep.java
+++ b/linkage/src/main/java/org/chivetally/linkage/LinkageStep.java
@@ -16,46 +16,50 @@
 import java.util.zip.ZipOutputStream;
 
 /**
- * Links the classes of jars and of class directories in place. A class on which it fails stays as it is, and is
- * reported.
+ * Replaces call sites in the classes of jars and class directories, in place. A class that can't be linked stays
+ * unchanged and is reported as a failure.
  */
 public final class LinkageStep {
-    private static final String CLASS = ".class";
+    private static final String CLASS_SUFFIX = ".class";
 
     private final ClassLinker linker;
     private final List<String> failures = new ArrayList<>();
-    private int classes;
-    private int replaced;
+    private int linkedClasses;
+    private int replacedCallSites;
 
     /**
      * Creates a step.
      *
-     * @param classes finds the classes that the linked ones refer to
+     * @param classLoader loads the classes that linked classes refer to
      */
-    public LinkageStep(ClassLoader classes) {
-        linker = new ClassLinker(classes);
+    public LinkageStep(ClassLoader classLoader) {
+        linker = new ClassLinker(classLoader);
     }
 
-    /** Links the jars and class directories that are named; their classes have to be on the class path too. */
+    /**
+     * Links jars and class directories, and prints the failures and a summary.
+     *
+     * @param arguments paths of the jars and directories; their classes have to be on the class path, too
+     */
     public static void main(String[] arguments) {
         LinkageStep step = new LinkageStep(ClassLoader.getSystemClassLoader());
         Arrays.stream(arguments).map(Path::of).forEach(step::link);
         step.failures.forEach(System.err::println);
-        System.out.println("event=linked classes=" + step.classes + " call_sites=" + step.replaced + " failures="
-                + step.failures.size());
+        System.out.println("event=linked classes=" + step.linkedClasses + " call_sites=" + step.replacedCallSites
+                + " failures=" + step.failures.size());
     }
 
-    /** Returns a line for each class that could not be linked. */
+    /** Returns a log line for each class that could not be linked. */
     public List<String> failures() {
         return List.copyOf(failures);
     }
 
-    /** Returns the number of call sites that were replaced. */
-    public int replaced() {
-        return replaced;
+    /** Returns the number of call sites replaced so far. */
+    public int replacedCallSites() {
+        return replacedCallSites;
     }
 
-    /** Links the classes of a jar or of a directory. */
+    /** Links the classes of a jar or a class directory. */
     public void link(Path target) {
         try {
             if (Files.isDirectory(target)) {
@@ -64,18 +68,18 @@
                 linkJar(target);
             }
         } catch (IOException e) {
-            throw new UncheckedIOException("linking " + target, e);
+            throw new UncheckedIOException("cannot link " + target, e);
         }
     }
 
     private void linkDirectory(Path directory) throws IOException {
         List<Path> files;
-        try (Stream<Path> all = Files.walk(directory)) {
-            files = all.filter(file -> file.toString().endsWith(CLASS)).toList();
+        try (Stream<Path> paths = Files.walk(directory)) {
+            files = paths.filter(file -> file.toString().endsWith(CLASS_SUFFIX)).toList();
         }
         for (Path file : files) {
             byte[] bytes = Files.readAllBytes(file);
-            byte[] linked = linked(directory.relativize(file).toString(), bytes);
+            byte[] linked = linkClass(directory.relativize(file).toString(), bytes);
             if (linked != bytes) {
                 Files.write(file, linked);
             }
@@ -83,7 +87,7 @@
     }
 
     private void linkJar(Path jar) throws IOException {
-        // Not a temporary file of the library, which nobody but its owner may read.
+        // Files.createTempFile would create a file that only its owner may read, and the jar would stay like that.
         Path result = jar.resolveSibling(jar.getFileName() + ".linked");
         try (ZipFile source = new ZipFile(jar.toFile());
                 ZipOutputStream target = new ZipOutputStream(Files.newOutputStream(result))) {
@@ -93,25 +97,25 @@
                 ZipEntry copy = new ZipEntry(entry.getName());
                 copy.setLastModifiedTime(entry.getLastModifiedTime());
                 target.putNextEntry(copy);
-                target.write(content(source, entry));
+                target.write(linkedContent(source, entry));
                 target.closeEntry();
             }
         }
         Files.move(result, jar, StandardCopyOption.REPLACE_EXISTING);
     }
 
-    private byte[] content(ZipFile source, ZipEntry entry) throws IOException {
+    private byte[] linkedContent(ZipFile source, ZipEntry entry) throws IOException {
         try (InputStream stream = source.getInputStream(entry)) {
             byte[] bytes = stream.readAllBytes();
-            return entry.getName().endsWith(CLASS) ? linked(entry.getName(), bytes) : bytes;
+            return entry.getName().endsWith(CLASS_SUFFIX) ? linkClass(entry.getName(), bytes) : bytes;
         }
     }
 
-    private byte[] linked(String name, byte[] bytes) {
+    private byte[] linkClass(String name, byte[] bytes) {
         try {
-            ClassLinker.Linked linked = linker.link(bytes);
-            classes += linked.replaced() > 0 ? 1 : 0;
-            replaced += linked.replaced();
+            ClassLinker.LinkedClass linked = linker.link(bytes);
+            linkedClasses += linked.replacedCallSites() > 0 ? 1 : 0;
+            replacedCallSites += linked.replacedCallSites();
             return linked.bytes();
         } catch (IllegalArgumentException | UnsupportedCallSiteException e) {
             failures.add("event=class-not-linked class=" + name + " reason=\"" + e.getMessage() + '"');
