--- a/library/src/main/java/org/chivetally/claim/ClaimRecordCodec.java
+++ b/library/src/main/java/org/chivetally/claim/ClaimRecordCodec.java
@@ -32,7 +32,7 @@
      *
      * @param written wall-clock time of writing, for operators only
      */
-    static byte[] encode(ClaimEntry entry, Instant written) {
+    static byte[] encode(TimestampedRecord entry, Instant written) {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream(USUAL_SIZE);
         try (JsonGenerator json = JSON.createGenerator(ObjectWriteContext.empty(), bytes)) {
             json.writeStartObject();
@@ -47,11 +47,11 @@
     }
 
     /** Reads a record; whatever can't be understood is a value, so that one bad record stops no reader. */
-    static DecodedEntry decode(byte[] payload) {
+    static DecodedRecord decode(byte[] payload) {
         try {
             return decodeFields(readFields(payload));
         } catch (JacksonException | IllegalArgumentException | NullPointerException exception) {
-            return new DecodedEntry.Skipped("malformed: " + exception.getClass().getSimpleName());
+            return new DecodedRecord.Skipped("malformed: " + exception.getClass().getSimpleName());
         }
     }
 
@@ -129,13 +129,13 @@
         }
     }
 
-    private static DecodedEntry decodeFields(Fields fields) {
+    private static DecodedRecord decodeFields(Fields fields) {
         if (fields.type == null) {
-            return new DecodedEntry.Skipped("no type");
+            return new DecodedRecord.Skipped("no type");
         }
         boolean naming = fields.type.equals(TAKEOVER) && fields.format == NAMING_FORMAT;
         if (fields.format != FORMAT && !naming) {
-            return new DecodedEntry.Skipped("format " + fields.format);
+            return new DecodedRecord.Skipped("format " + fields.format);
         }
         return switch (fields.type) {
             case "claim" ->
@@ -159,7 +159,7 @@
             case "released" ->
                 fields.known(new ClaimRecord.Released(
                         fields.submissionKey(), fields.jobId(), fields.coordinator(), fields.generation));
-            default -> new DecodedEntry.Skipped("type " + fields.type);
+            default -> new DecodedRecord.Skipped("type " + fields.type);
         };
     }
 
@@ -218,8 +218,8 @@
             return new Coordinator(process, incarnation, host, port);
         }
 
-        private DecodedEntry known(ClaimRecord content) {
-            return new DecodedEntry.Known(new ClaimEntry(content, time));
+        private DecodedRecord known(ClaimRecord content) {
+            return new DecodedRecord.Valid(new TimestampedRecord(content, time));
         }
     }
 }
--- a/library/src/main/java/org/chivetally/claim/Claimant.java
+++ b/library/src/main/java/org/chivetally/claim/ClaimStateMachine.java
@@ -23,18 +23,18 @@
  * <p>Free of threads, timers and the log itself; its shell hands in what happens with the reading of the clock, then
  * takes the effects and the next append.
  */
-final class Claimant {
+final class ClaimStateMachine {
     private final ClaimSettings settings;
     private final Coordinator self;
     private final String writer;
     private final LeaseTable leases;
-    private final LeaseKeeper lease;
+    private final LeaseManager lease;
     private final GroupCommit commit;
     private final StreamTime streamTime;
     private final ReadTimeline timeline = new ReadTimeline();
-    private final LateClaims late;
+    private final PendingMemoryClaims late;
     private final LogHealth health = new LogHealth();
-    private final Map<ClaimRecord, WaitingClaim> waiting = new LinkedHashMap<>();
+    private final Map<ClaimRecord, PendingClaim> waiting = new LinkedHashMap<>();
     private final Map<ClaimRecord, Long> abandoned = new LinkedHashMap<>();
     private final Set<JobId> releasing = new HashSet<>();
     private List<ClaimEffect> effects = new ArrayList<>();
@@ -47,16 +47,16 @@
      *
      * @param clock read only by claims that are made in memory
      */
-    Claimant(ClaimSettings settings, Coordinator self, LeaseTable leases, OwnLease lease, NanoClock clock) {
+    ClaimStateMachine(ClaimSettings settings, Coordinator self, LeaseTable leases, OwnLease lease, NanoClock clock) {
         long nanos = clock.nanos();
         this.settings = settings;
         this.self = self;
         this.writer = RecordId.writerOf(self);
         this.leases = leases;
-        this.lease = new LeaseKeeper(settings, self, lease);
+        this.lease = new LeaseManager(settings, self, lease);
         this.commit = new GroupCommit(settings.commit(), nanos);
         this.streamTime = new StreamTime(nanos);
-        this.late = new LateClaims(self, settings.window(), clock);
+        this.late = new PendingMemoryClaims(self, settings.window(), clock);
     }
 
     /** Claims a key; the reply comes as an effect, now or later. */
@@ -75,7 +75,7 @@
             decide(claimed.key(), reply, unavailable(obstacle.get()));
             return;
         }
-        offer(new WaitingClaim(claimed, mode, reply, nanos));
+        offer(new PendingClaim(claimed, mode, reply, nanos));
     }
 
     /** Takes a job over from a coordinator whose lease has lapsed; the reply comes as an effect, now or later. */
@@ -99,7 +99,7 @@
         long lastRenewal = table.lastRenewalOf(claim.coordinator());
         ClaimRecord.TakenOver taken =
                 new ClaimRecord.TakenOver(claim.key(), claim.job(), self, claim.generation() + 1, lastRenewal);
-        offer(new WaitingClaim(taken, ClaimMode.LOG, reply, nanos));
+        offer(new PendingClaim(taken, ClaimMode.LOG, reply, nanos));
     }
 
     /** Notes that a job has its final outcome. */
@@ -276,8 +276,8 @@
                 : new ClaimDecision.KeyReused(inForce);
     }
 
-    private void offer(WaitingClaim claim) {
-        Optional<WaitingClaim> same = findSame(claim.content());
+    private void offer(PendingClaim claim) {
+        Optional<PendingClaim> same = findSame(claim.content());
         if (same.isPresent()) {
             same.get().follow(claim.reply());
             return;
@@ -290,7 +290,7 @@
     }
 
     /** Returns what waits for the same; takeovers to one generation are, though they name other renewals. */
-    private Optional<WaitingClaim> findSame(ClaimRecord content) {
+    private Optional<PendingClaim> findSame(ClaimRecord content) {
         if (!(content instanceof ClaimRecord.TakenOver taken)) {
             return Optional.ofNullable(waiting.get(content));
         }
@@ -314,12 +314,12 @@
 
     private void fold(LogRecord logRecord, long nanos) {
         Optional<RecordId> id = RecordId.parse(logRecord.id());
-        DecodedEntry decoded = id.isPresent()
+        DecodedRecord decoded = id.isPresent()
                 ? ClaimRecordCodec.decode(logRecord.payload())
-                : new DecodedEntry.Skipped("id of another kind");
+                : new DecodedRecord.Skipped("id of another kind");
         switch (decoded) {
-            case DecodedEntry.Known known -> apply(table.fold(logRecord.offset(), id.get(), known.entry()), nanos);
-            case DecodedEntry.Skipped skipped -> skip(logRecord, skipped.reason());
+            case DecodedRecord.Valid known -> apply(table.fold(logRecord.offset(), id.get(), known.entry()), nanos);
+            case DecodedRecord.Skipped skipped -> skip(logRecord, skipped.reason());
         }
     }
 
@@ -331,37 +331,37 @@
                 .with("reason", reason));
     }
 
-    private void apply(Folded folded, long nanos) {
+    private void apply(FoldResult folded, long nanos) {
         switch (folded) {
-            case Folded.Won won -> leases.needed(won.claim().coordinator(), nanos);
-            case Folded.TakenOver taken -> applyTakenOver(taken, nanos);
-            case Folded.Renewed renewed -> applyRenewed(renewed, nanos);
-            case Folded.Departed departed -> applyDeparted(departed, nanos);
-            case Folded.Released released -> releasing.remove(released.claim().job());
-            case Folded.Finished ignored -> {}
-            case Folded.Unchanged ignored -> {}
+            case FoldResult.Won won -> leases.needed(won.claim().coordinator(), nanos);
+            case FoldResult.TakenOver taken -> applyTakenOver(taken, nanos);
+            case FoldResult.Renewed renewed -> applyRenewed(renewed, nanos);
+            case FoldResult.Departed departed -> applyDeparted(departed, nanos);
+            case FoldResult.Released released -> releasing.remove(released.claim().job());
+            case FoldResult.Finished ignored -> {}
+            case FoldResult.Unchanged ignored -> {}
         }
     }
 
-    private void applyTakenOver(Folded.TakenOver taken, long nanos) {
+    private void applyTakenOver(FoldResult.TakenOver taken, long nanos) {
         Claim claim = taken.claim();
         leases.needed(claim.coordinator(), nanos);
         if (!taken.previous().equals(self)) {
             return;
         }
         releasing.remove(claim.job());
-        effects.add(new ClaimEffect.TellReplaced(claim));
+        effects.add(new ClaimEffect.NotifyReplaced(claim));
         write(ClaimLines.of("claim-replaced", claim.key(), claim.job())
                 .with("by", claim.coordinator().processId())
                 .with("generation", claim.generation()));
     }
 
-    private void applyRenewed(Folded.Renewed renewed, long nanos) {
+    private void applyRenewed(FoldResult.Renewed renewed, long nanos) {
         leases.renewed(renewed.coordinator(), renewed.lease(), nanos);
-        lease.read(renewed).ifPresent(end -> effects.add(new ClaimEffect.TellLeaseExtended(end)));
+        lease.read(renewed).ifPresent(end -> effects.add(new ClaimEffect.NotifyLeaseExtended(end)));
     }
 
-    private void applyDeparted(Folded.Departed departed, long nanos) {
+    private void applyDeparted(FoldResult.Departed departed, long nanos) {
         leases.departed(departed.coordinator(), nanos);
         if (departed.coordinator().equals(self)) {
             confirmDeparture();
@@ -435,13 +435,13 @@
     }
 
     private void settleWaiting(long sequence, long nanos) {
-        List<WaitingClaim> read = waiting.values().stream()
+        List<PendingClaim> read = waiting.values().stream()
                 .filter(claim -> claim.wasSent() && claim.sequence() <= sequence)
                 .toList();
         read.forEach(claim -> settleOne(claim, nanos));
     }
 
-    private void settleOne(WaitingClaim claim, long nanos) {
+    private void settleOne(PendingClaim claim, long nanos) {
         Optional<Claim> inForce = table.find(claim.key());
         if (claim.isFirst() && inForce.filter(this::isStaying).isEmpty()) {
             // Lost to a claim that was given up, and is released by now or soon: after that the next one wins.
@@ -483,9 +483,9 @@
 
     private void giveUpOld(long nanos) {
         long timeout = settings.claimTimeout().toNanos();
-        Iterator<WaitingClaim> oldest = waiting.values().iterator();
+        Iterator<PendingClaim> oldest = waiting.values().iterator();
         while (oldest.hasNext()) {
-            WaitingClaim claim = oldest.next();
+            PendingClaim claim = oldest.next();
             if (nanos - claim.startedNanos() < timeout) {
                 return;
             }
@@ -494,7 +494,7 @@
         }
     }
 
-    private void giveUp(WaitingClaim claim, long nanos) {
+    private void giveUp(PendingClaim claim, long nanos) {
         commit.withdraw(claim.content());
         ClaimDecision decision = claim.memoryContent()
                 .map(this::claimInMemory)
@@ -522,7 +522,7 @@
         if (content instanceof ClaimRecord.Claimed claimed) {
             late.sentAs(claimed, outgoing.sequence());
         }
-        WaitingClaim claim = waiting.get(content);
+        PendingClaim claim = waiting.get(content);
         if (claim != null) {
             claim.sentAs(outgoing.sequence());
         }
@@ -530,7 +530,7 @@
 
     private void noticeLease(long nanos) {
         lease.takeChange(nanos).ifPresent(held -> {
-            effects.add(new ClaimEffect.TellLease(held));
+            effects.add(new ClaimEffect.NotifyLeaseChanged(held));
             write(EventLine.of(held ? "lease-gained" : "lease-lost")
                     .with("process", self.processId())
                     .with("incarnation", self.incarnation()));
@@ -543,7 +543,7 @@
         }
     }
 
-    private void decide(WaitingClaim claim, ClaimDecision decision, long nanos) {
+    private void decide(PendingClaim claim, ClaimDecision decision, long nanos) {
         long waitedNanos = nanos - claim.startedNanos();
         decide(claim.key(), claim.reply(), decision, waitedNanos);
         ClaimDecision followed =
--- a/library/src/main/java/org/chivetally/claim/ClaimTable.java
+++ b/library/src/main/java/org/chivetally/claim/ClaimTable.java
@@ -15,14 +15,14 @@
 /**
  * The claims in force after a prefix of the claims stream; a pure function of that prefix.
  *
- * <p>Several 100,000 claims stand in it, so one claim is kept as one {@link HeldClaim} that both indexes share.
+ * <p>Several 100,000 claims stand in it, so one claim is kept as one {@link CompactClaim} that both indexes share.
  */
 final class ClaimTable {
     /** How long a silent writer's count is kept, in the stream's time; far longer than any late repeat takes. */
     private static final long WRITER_MILLIS = TimeUnit.HOURS.toMillis(24);
 
-    private final Map<SubmissionKey, HeldClaim> byKey = new LinkedHashMap<>();
-    private final Map<JobId, HeldClaim> byJob = new HashMap<>();
+    private final Map<SubmissionKey, CompactClaim> byKey = new LinkedHashMap<>();
+    private final Map<JobId, CompactClaim> byJob = new HashMap<>();
     private final Map<String, TableImage.Writer> writers = new HashMap<>();
     private final Interner<Coordinator> coordinators = new Interner<>();
     private final Interner<String> teams = new Interner<>();
@@ -35,7 +35,7 @@
         table.nextOffset = image.nextOffset();
         table.streamMillis = image.streamMillis();
         image.writers().forEach(writer -> table.writers.put(writer.name(), writer));
-        for (HeldClaim held : image.held()) {
+        for (CompactClaim held : image.held()) {
             table.put(table.lean(held));
         }
         return table;
@@ -45,18 +45,18 @@
     TableImage image() {
         List<TableImage.Writer> sortedWriters = new ArrayList<>(writers.values());
         sortedWriters.sort(Comparator.comparing(TableImage.Writer::name));
-        List<HeldClaim> held = byKey.values().stream().filter(this::isInForce).toList();
+        List<CompactClaim> held = byKey.values().stream().filter(this::isInForce).toList();
         return new TableImage(nextOffset, streamMillis, sortedWriters, held);
     }
 
     /** Takes the stream's next record in; one before {@link #nextOffset} was taken in already and changes nothing. */
-    Folded fold(long offset, RecordId id, ClaimEntry entry) {
+    FoldResult fold(long offset, RecordId id, TimestampedRecord entry) {
         if (offset < nextOffset) {
-            return new Folded.Unchanged();
+            return new FoldResult.Unchanged();
         }
         nextOffset = offset + 1;
         if (!isFirst(id)) {
-            return new Folded.Unchanged();
+            return new FoldResult.Unchanged();
         }
         streamMillis = Math.max(streamMillis, entry.streamMillis());
         noteWriter(id, offset, entry.content());
@@ -65,8 +65,8 @@
             case ClaimRecord.Claimed claimed -> foldClaimed(claimed, offset);
             case ClaimRecord.TakenOver taken -> foldTakenOver(taken);
             case ClaimRecord.Renewed renewed ->
-                new Folded.Renewed(renewed.coordinator(), renewed.lease(), id.sequence());
-            case ClaimRecord.Departed departed -> new Folded.Departed(departed.coordinator());
+                new FoldResult.Renewed(renewed.coordinator(), renewed.lease(), id.sequence());
+            case ClaimRecord.Departed departed -> new FoldResult.Departed(departed.coordinator());
             case ClaimRecord.Finished finished -> foldFinished(finished, id.writer());
             case ClaimRecord.Released released -> foldReleased(released);
         };
@@ -79,17 +79,17 @@
 
     /** Returns the claim in force for a key. */
     Optional<Claim> find(SubmissionKey key) {
-        return Optional.ofNullable(inForce(key)).map(HeldClaim::claim);
+        return Optional.ofNullable(inForce(key)).map(CompactClaim::claim);
     }
 
     /** Returns the claim in force for a job. */
     Optional<Claim> find(JobId job) {
-        return Optional.ofNullable(byJob.get(job)).filter(this::isInForce).map(HeldClaim::claim);
+        return Optional.ofNullable(byJob.get(job)).filter(this::isInForce).map(CompactClaim::claim);
     }
 
     /** Returns the offset of the record that claimed a job's key; empty when no claim of the job is in force. */
     OptionalLong offsetOf(JobId job) {
-        HeldClaim held = byJob.get(job);
+        CompactClaim held = byJob.get(job);
         return held == null || !isInForce(held) ? OptionalLong.empty() : OptionalLong.of(held.offset());
     }
 
@@ -147,9 +147,9 @@
         return known == null ? ClaimRecord.TakenOver.NO_RENEWAL : known.lastRenewal();
     }
 
-    private Folded foldClaimed(ClaimRecord.Claimed claimed, long offset) {
+    private FoldResult foldClaimed(ClaimRecord.Claimed claimed, long offset) {
         if (inForce(claimed.key()) != null) {
-            return new Folded.Unchanged();
+            return new FoldResult.Unchanged();
         }
         Claim claim = new Claim(
                 claimed.key(),
@@ -159,72 +159,72 @@
                 Claim.FIRST_GENERATION,
                 false);
         remove(byKey.get(claimed.key()));
-        put(lean(HeldClaim.of(claim, streamMillis + claimed.window().toMillis(), offset)));
-        return new Folded.Won(claim);
+        put(lean(CompactClaim.of(claim, streamMillis + claimed.window().toMillis(), offset)));
+        return new FoldResult.Won(claim);
     }
 
-    private Folded foldTakenOver(ClaimRecord.TakenOver taken) {
-        HeldClaim held = inForce(taken.key());
+    private FoldResult foldTakenOver(ClaimRecord.TakenOver taken) {
+        CompactClaim held = inForce(taken.key());
         if (held == null || !held.job().equals(taken.job()) || held.generation() + 1 != taken.generation()) {
-            return new Folded.Unchanged();
+            return new FoldResult.Unchanged();
         }
         if (lastRenewalOf(held.coordinator()) > taken.lastRenewal()) {
-            return new Folded.Unchanged();
+            return new FoldResult.Unchanged();
         }
-        HeldClaim successor = held.withCoordinator(coordinators.shared(taken.coordinator()), taken.generation());
+        CompactClaim successor = held.withCoordinator(coordinators.shared(taken.coordinator()), taken.generation());
         put(successor);
-        return new Folded.TakenOver(successor.claim(), held.coordinator());
+        return new FoldResult.TakenOver(successor.claim(), held.coordinator());
     }
 
     /** A coordinator that lost its job has an outcome of its own for it; the job's is that of its successor. */
-    private Folded foldFinished(ClaimRecord.Finished finished, String writer) {
-        HeldClaim held = inForce(finished.key());
+    private FoldResult foldFinished(ClaimRecord.Finished finished, String writer) {
+        CompactClaim held = inForce(finished.key());
         if (held == null
                 || !held.job().equals(finished.job())
                 || !RecordId.writerOf(held.coordinator()).equals(writer)
                 || held.finished()) {
-            return new Folded.Unchanged();
+            return new FoldResult.Unchanged();
         }
-        HeldClaim marked = held.asFinished();
+        CompactClaim marked = held.asFinished();
         put(marked);
-        return new Folded.Finished(marked.claim());
+        return new FoldResult.Finished(marked.claim());
     }
 
-    private Folded foldReleased(ClaimRecord.Released released) {
-        HeldClaim held = inForce(released.key());
+    private FoldResult foldReleased(ClaimRecord.Released released) {
+        CompactClaim held = inForce(released.key());
         if (held == null
                 || !held.job().equals(released.job())
                 || !held.coordinator().equals(released.coordinator())
                 || held.generation() != released.generation()) {
-            return new Folded.Unchanged();
+            return new FoldResult.Unchanged();
         }
         if (held.generation() == Claim.FIRST_GENERATION) {
             remove(held);
         } else {
             put(held.withCoordinator(Coordinator.NOBODY, held.generation()));
         }
-        return new Folded.Released(held.claim());
+        return new FoldResult.Released(held.claim());
     }
 
-    private HeldClaim inForce(SubmissionKey key) {
-        HeldClaim held = byKey.get(key);
+    private CompactClaim inForce(SubmissionKey key) {
+        CompactClaim held = byKey.get(key);
         return held != null && isInForce(held) ? held : null;
     }
 
-    private boolean isInForce(HeldClaim held) {
+    private boolean isInForce(CompactClaim held) {
         return held.endMillis() > streamMillis;
     }
 
-    private void put(HeldClaim held) {
+    private void put(CompactClaim held) {
         byKey.put(held.key(), held);
         byJob.put(held.job(), held);
     }
 
-    private HeldClaim lean(HeldClaim held) {
+    private CompactClaim lean(CompactClaim held) {
         return held.sharing(teams.shared(held.key().team()), coordinators.shared(held.coordinator()));
     }
 
-    private void remove(HeldClaim held) {
+    private void remove(CompactClaim held) {
         if (held == null) {
             return;
         }
@@ -234,9 +234,9 @@
 
     /** Frees the memory of ended claims; oldest first, so that each is looked at once. */
     private void forgetEnded() {
-        Iterator<HeldClaim> oldest = byKey.values().iterator();
+        Iterator<CompactClaim> oldest = byKey.values().iterator();
         while (oldest.hasNext()) {
-            HeldClaim held = oldest.next();
+            CompactClaim held = oldest.next();
             if (isInForce(held)) {
                 return;
             }
--- a/library/src/main/java/org/chivetally/claim/ClaimsActor.java
+++ b/library/src/main/java/org/chivetally/claim/ClaimsActor.java
@@ -22,7 +22,7 @@
 import org.chivetally.log.ReadOutcome;
 import org.chivetally.time.NanoClock;
 
-/** Connects a {@link Claimant} with the log, the clock and its callers. */
+/** Connects a {@link ClaimStateMachine} with the log, the clock and its callers. */
 final class ClaimsActor extends AbstractBehavior<ClaimsCommand> {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
     private static final Duration TICK = Duration.ofMillis(10);
@@ -30,14 +30,14 @@
 
     private final ActorRef<ClaimsCommand> me;
     private final TimerScheduler<ClaimsCommand> timers;
-    private final Claimant claimant;
+    private final ClaimStateMachine claimant;
     private final PlatformLog log;
     private final ClaimSettings settings;
     private final String writer;
     private final NanoClock clock;
     private final ClaimMeters meters;
     private final AtomicBoolean caughtUp;
-    private final SnapshotDuty snapshots;
+    private final SnapshotManager snapshots;
     private final List<Consumer<Boolean>> leaseListeners = new ArrayList<>();
     private final List<Consumer<Claim>> replacedListeners = new ArrayList<>();
     private final List<CompletableFuture<Void>> departures = new ArrayList<>();
@@ -60,7 +60,7 @@
     private ClaimsActor(
             ActorContext<ClaimsCommand> context,
             TimerScheduler<ClaimsCommand> timers,
-            Claimant claimant,
+            ClaimStateMachine claimant,
             PlatformLog log,
             ClaimSettings settings,
             Coordinator self,
@@ -78,12 +78,12 @@
         this.meters = meters;
         this.caughtUp = caughtUp;
         this.readNotBeforeNanos = clock.nanos();
-        this.snapshots = new SnapshotDuty(context, log, settings, self, readNotBeforeNanos);
+        this.snapshots = new SnapshotManager(context, log, settings, self, readNotBeforeNanos);
     }
 
     /** Returns the behaviour; the first tick sets it going. */
     static Behavior<ClaimsCommand> create(
-            Claimant claimant,
+            ClaimStateMachine claimant,
             PlatformLog log,
             ClaimSettings settings,
             Coordinator self,
@@ -124,9 +124,9 @@
             case ClaimsCommand.Finish finish -> claimant.finished(finish.claim());
             case ClaimsCommand.Release release -> claimant.release(release.claim());
             case ClaimsCommand.Depart depart -> depart(depart.reply(), nanos);
-            case ClaimsCommand.ListenToLease listen -> listenToLease(listen.listener());
-            case ClaimsCommand.ListenToLeaseExtended listen -> listenToLeaseExtended(listen.listener());
-            case ClaimsCommand.ListenToReplaced listen -> replacedListeners.add(listen.listener());
+            case ClaimsCommand.AddLeaseListener listen -> listenToLease(listen.listener());
+            case ClaimsCommand.AddLeaseExtendedListener listen -> listenToLeaseExtended(listen.listener());
+            case ClaimsCommand.AddReplacedListener listen -> replacedListeners.add(listen.listener());
             case ClaimsCommand.ReadAnswered answered -> readAnswered(answered, nanos);
             case ClaimsCommand.AppendAnswered answered -> appendAnswered(answered.number(), answered.outcome(), nanos);
             case ClaimsCommand.SnapshotLoaded loaded -> snapshotLoaded(loaded, nanos);
@@ -195,13 +195,13 @@
             return;
         }
         switch (loaded.load()) {
-            case SnapshotLoad.Found found -> {
+            case SnapshotLoadResult.Found found -> {
                 snapshots.covered(found.image().nextOffset(), found.image().streamMillis());
                 claimant.restore(found.image(), nanos);
                 endLoading();
             }
-            case SnapshotLoad.None ignored -> endLoading();
-            case SnapshotLoad.Unavailable unavailable -> loadLater(unavailable.reason(), nanos);
+            case SnapshotLoadResult.None ignored -> endLoading();
+            case SnapshotLoadResult.Unavailable unavailable -> loadLater(unavailable.reason(), nanos);
         }
     }
 
@@ -308,15 +308,15 @@
                 meters.decided(decide.waitedNanos());
                 decide.reply().complete(decide.decision());
             }
-            case ClaimEffect.TellLease tell -> {
+            case ClaimEffect.NotifyLeaseChanged tell -> {
                 leaseHeld = tell.held();
                 leaseListeners.forEach(listener -> listener.accept(tell.held()));
             }
-            case ClaimEffect.TellLeaseExtended tell -> {
+            case ClaimEffect.NotifyLeaseExtended tell -> {
                 leaseEndNanos = tell.untilNanos();
                 extendedListeners.forEach(listener -> listener.accept(tell.untilNanos()));
             }
-            case ClaimEffect.TellReplaced tell ->
+            case ClaimEffect.NotifyReplaced tell ->
                 replacedListeners.forEach(listener -> listener.accept(tell.successor()));
             case ClaimEffect.ConfirmDeparture ignored -> {
                 departed = true;
--- a/library/src/main/java/org/chivetally/claim/ClaimsCommand.java
+++ b/library/src/main/java/org/chivetally/claim/ClaimsCommand.java
@@ -38,13 +38,13 @@
     record Depart(CompletableFuture<Void> reply) implements ClaimsCommand {}
 
     /** Tell this listener of changes of the lease. */
-    record ListenToLease(Consumer<Boolean> listener) implements ClaimsCommand {}
+    record AddLeaseListener(Consumer<Boolean> listener) implements ClaimsCommand {}
 
     /** Tell this listener until when the lease is held. */
-    record ListenToLeaseExtended(LongConsumer listener) implements ClaimsCommand {}
+    record AddLeaseExtendedListener(LongConsumer listener) implements ClaimsCommand {}
 
     /** Tell this listener of jobs that others took over. */
-    record ListenToReplaced(Consumer<Claim> listener) implements ClaimsCommand {}
+    record AddReplacedListener(Consumer<Claim> listener) implements ClaimsCommand {}
 
     /** A read was answered. */
     record ReadAnswered(long number, ReadOutcome outcome) implements ClaimsCommand {}
@@ -53,7 +53,7 @@
     record AppendAnswered(long number, AppendOutcome outcome) implements ClaimsCommand {}
 
     /** The newest snapshot was looked for. */
-    record SnapshotLoaded(long number, SnapshotLoad load) implements ClaimsCommand {}
+    record SnapshotLoaded(long number, SnapshotLoadResult load) implements ClaimsCommand {}
 
     /** The end of the snapshot stream was looked at; nothing when the log can't be reached. */
     record SnapshotTailRead(Optional<SnapshotTail> tail) implements ClaimsCommand {}
--- a/library/src/main/java/org/chivetally/claim/HeldClaim.java
+++ b/library/src/main/java/org/chivetally/claim/CompactClaim.java
@@ -9,7 +9,7 @@
  * @param endMillis the stream's time at which its window ends
  * @param offset offset of the record that claimed the key
  */
-record HeldClaim(
+record CompactClaim(
         SubmissionKey key,
         long digest1,
         long digest2,
@@ -24,8 +24,8 @@
     private static final int DIGITS = 16;
 
     /** Packs a claim. */
-    static HeldClaim of(Claim claim, long endMillis, long offset) {
-        return new HeldClaim(
+    static CompactClaim of(Claim claim, long endMillis, long offset) {
+        return new CompactClaim(
                 claim.key(),
                 part(claim.bodyDigest(), 0),
                 part(claim.bodyDigest(), 1),
@@ -45,15 +45,15 @@
     }
 
     /** Returns the same claim of another coordinator. */
-    HeldClaim withCoordinator(Coordinator successor, int newGeneration) {
-        return new HeldClaim(
+    CompactClaim withCoordinator(Coordinator successor, int newGeneration) {
+        return new CompactClaim(
                 key, digest1, digest2, digest3, digest4, job, successor, newGeneration, finished, endMillis, offset);
     }
 
     /** Returns the same claim with shared instances of its parts. */
-    HeldClaim sharing(String team, Coordinator sharedCoordinator) {
+    CompactClaim sharing(String team, Coordinator sharedCoordinator) {
         SubmissionKey sharedKey = new SubmissionKey(team, key.key());
-        return new HeldClaim(
+        return new CompactClaim(
                 sharedKey,
                 digest1,
                 digest2,
@@ -68,8 +68,8 @@
     }
 
     /** Returns the same claim, marked as finished. */
-    HeldClaim asFinished() {
-        return new HeldClaim(
+    CompactClaim asFinished() {
+        return new CompactClaim(
                 key, digest1, digest2, digest3, digest4, job, coordinator, generation, true, endMillis, offset);
     }
 
--- a/library/src/main/java/org/chivetally/claim/DecodedChunk.java
+++ b/library/src/main/java/org/chivetally/claim/DecodedChunk.java
@@ -3,7 +3,7 @@
 /** What a record of the snapshot stream turned out to be. */
 sealed interface DecodedChunk {
     /** A valid chunk. */
-    record Known(SnapshotChunk chunk) implements DecodedChunk {}
+    record Valid(SnapshotChunk chunk) implements DecodedChunk {}
 
     /** A whole chunk of a format version that this program does not read. */
     record OtherFormat(int format) implements DecodedChunk {}
--- a/library/src/main/java/org/chivetally/claim/GroupCommit.java
+++ b/library/src/main/java/org/chivetally/claim/GroupCommit.java
@@ -153,7 +153,7 @@
         Iterator<ClaimRecord> waiting = lane.iterator();
         while (taken < room && waiting.hasNext()) {
             lastSequence++;
-            batch.add(new Outgoing(lastSequence, new ClaimEntry(waiting.next(), streamMillis)));
+            batch.add(new Outgoing(lastSequence, new TimestampedRecord(waiting.next(), streamMillis)));
             waiting.remove();
             taken++;
         }
@@ -164,7 +164,7 @@
     record Batch(long number, List<Outgoing> records) {}
 
     /** A record with the count that it was given. */
-    record Outgoing(long sequence, ClaimEntry entry) {
+    record Outgoing(long sequence, TimestampedRecord entry) {
         /** Returns the record itself. */
         ClaimRecord content() {
             return entry.content();
--- a/library/src/main/java/org/chivetally/claim/LeaseKeeper.java
+++ b/library/src/main/java/org/chivetally/claim/LeaseManager.java
@@ -3,7 +3,7 @@
 import java.util.Optional;
 
 /** Decides when this process renews its lease, and notices when it is gained, lost or given up. */
-final class LeaseKeeper {
+final class LeaseManager {
     private final ClaimSettings settings;
     private final Coordinator self;
     private final OwnLease lease;
@@ -15,7 +15,7 @@
     private long departedNanos;
 
     /** Creates the keeper of a lease. */
-    LeaseKeeper(ClaimSettings settings, Coordinator self, OwnLease lease) {
+    LeaseManager(ClaimSettings settings, Coordinator self, OwnLease lease) {
         this.settings = settings;
         this.self = self;
         this.lease = lease;
@@ -39,7 +39,7 @@
     }
 
     /** Learns of a renewal that was read; returns the end of this process's lease if it is later now. */
-    Optional<Long> read(Folded.Renewed renewed) {
+    Optional<Long> read(FoldResult.Renewed renewed) {
         return renewed.coordinator().equals(self) ? lease.readBack(renewed.sequence()) : Optional.empty();
     }
 
--- a/library/src/main/java/org/chivetally/claim/LogClaims.java
+++ b/library/src/main/java/org/chivetally/claim/LogClaims.java
@@ -72,7 +72,7 @@
         LeaseTable leases = new LeaseTable(settings.lease(), settings.longestTicketAge());
         OwnLease lease = new OwnLease(settings.lease());
         AtomicBoolean caughtUp = new AtomicBoolean();
-        Claimant claimant = new Claimant(settings, self, leases, lease, clock);
+        ClaimStateMachine claimant = new ClaimStateMachine(settings, self, leases, lease, clock);
         ClaimMeters claimMeters = new ClaimMeters(meters, lease, clock);
         ActorRef<ClaimsCommand> actor = system.systemActorOf(
                 ClaimsActor.create(claimant, log, settings, self, clock, claimMeters, caughtUp),
@@ -162,17 +162,17 @@
 
     @Override
     public void onLeaseChange(Consumer<Boolean> listener) {
-        actor.tell(new ClaimsCommand.ListenToLease(listener));
+        actor.tell(new ClaimsCommand.AddLeaseListener(listener));
     }
 
     @Override
     public void onReplaced(Consumer<Claim> listener) {
-        actor.tell(new ClaimsCommand.ListenToReplaced(listener));
+        actor.tell(new ClaimsCommand.AddReplacedListener(listener));
     }
 
     @Override
     public void onLeaseExtended(LongConsumer listener) {
-        actor.tell(new ClaimsCommand.ListenToLeaseExtended(listener));
+        actor.tell(new ClaimsCommand.AddLeaseExtendedListener(listener));
     }
 
     /** Ends the work on the log; what waits is refused as not run, and the lease is given up without a record. */
--- a/library/src/main/java/org/chivetally/claim/MemoryClaims.java
+++ b/library/src/main/java/org/chivetally/claim/MemoryClaims.java
@@ -25,7 +25,7 @@
     private final Coordinator self;
     private final long windowNanos;
     private final NanoClock clock;
-    private final Map<SubmissionKey, Held> byKey = new LinkedHashMap<>();
+    private final Map<SubmissionKey, StoredClaim> byKey = new LinkedHashMap<>();
     private final Map<JobId, SubmissionKey> keys = new HashMap<>();
     private boolean departed;
 
@@ -43,7 +43,7 @@
 
     @Override
     public synchronized CompletionStage<ClaimDecision> takeOver(Claim current) {
-        Held held = inForce(current.key());
+        StoredClaim held = inForce(current.key());
         if (held == null || !held.claim().equals(current)) {
             ClaimDecision decision = held == null
                     ? new ClaimDecision.LogUnavailable("the claim is no longer in force")
@@ -52,7 +52,7 @@
         }
         Claim successor =
                 new Claim(current.key(), current.bodyDigest(), current.job(), self, current.generation() + 1, false);
-        byKey.put(current.key(), new Held(successor, held.endNanos()));
+        byKey.put(current.key(), new StoredClaim(successor, held.endNanos()));
         return CompletableFuture.completedFuture(new ClaimDecision.Won(successor));
     }
 
@@ -68,14 +68,14 @@
 
     @Override
     public synchronized void finished(Claim claim) {
-        Held held = inForce(claim.key());
+        StoredClaim held = inForce(claim.key());
         if (held == null || !held.claim().job().equals(claim.job())) {
             return;
         }
         Claim known = held.claim();
         Claim marked =
                 new Claim(known.key(), known.bodyDigest(), known.job(), known.coordinator(), known.generation(), true);
-        byKey.put(claim.key(), new Held(marked, held.endNanos()));
+        byKey.put(claim.key(), new StoredClaim(marked, held.endNanos()));
     }
 
     @Override
@@ -120,10 +120,10 @@
             return new ClaimDecision.LogUnavailable("this process departs");
         }
         forgetEnded();
-        Held held = inForce(key);
+        StoredClaim held = inForce(key);
         if (held == null) {
             Claim claim = new Claim(key, bodyDigest, job, self, Claim.FIRST_GENERATION, false);
-            byKey.put(key, new Held(claim, clock.nanos() + windowNanos));
+            byKey.put(key, new StoredClaim(claim, clock.nanos() + windowNanos));
             keys.put(job, key);
             return new ClaimDecision.Won(claim);
         }
@@ -134,7 +134,7 @@
 
     /** Returns the claim in force for a key. */
     synchronized Optional<Claim> lookUp(SubmissionKey key) {
-        return Optional.ofNullable(inForce(key)).map(Held::claim);
+        return Optional.ofNullable(inForce(key)).map(StoredClaim::claim);
     }
 
     /** Returns the claim in force for a job. */
@@ -150,15 +150,15 @@
         }
     }
 
-    private Held inForce(SubmissionKey key) {
-        Held held = byKey.get(key);
+    private StoredClaim inForce(SubmissionKey key) {
+        StoredClaim held = byKey.get(key);
         return held != null && held.endNanos() - clock.nanos() > 0 ? held : null;
     }
 
     private void forgetEnded() {
-        Iterator<Held> oldest = byKey.values().iterator();
+        Iterator<StoredClaim> oldest = byKey.values().iterator();
         while (oldest.hasNext()) {
-            Held held = oldest.next();
+            StoredClaim held = oldest.next();
             if (held.endNanos() - clock.nanos() > 0) {
                 return;
             }
@@ -168,5 +168,5 @@
     }
 
     /** A claim and the reading of the clock at which its window ends. */
-    private record Held(Claim claim, long endNanos) {}
+    private record StoredClaim(Claim claim, long endNanos) {}
 }
--- a/library/src/main/java/org/chivetally/claim/WaitingClaim.java
+++ b/library/src/main/java/org/chivetally/claim/PendingClaim.java
@@ -7,7 +7,7 @@
 import org.chivetally.job.ServicePolicy.ClaimMode;
 
 /** A claim or takeover whose caller waits. */
-final class WaitingClaim {
+final class PendingClaim {
     private final ClaimRecord content;
     private final ClaimMode mode;
     private final CompletableFuture<ClaimDecision> reply;
@@ -16,7 +16,7 @@
     private long sequence;
 
     /** Creates one that is not sent yet; {@code startedNanos} is the reading of the clock when the caller asked. */
-    WaitingClaim(ClaimRecord content, ClaimMode mode, CompletableFuture<ClaimDecision> reply, long startedNanos) {
+    PendingClaim(ClaimRecord content, ClaimMode mode, CompletableFuture<ClaimDecision> reply, long startedNanos) {
         this.content = content;
         this.mode = mode;
         this.reply = reply;
--- a/library/src/main/java/org/chivetally/claim/LateClaims.java
+++ b/library/src/main/java/org/chivetally/claim/PendingMemoryClaims.java
@@ -13,7 +13,7 @@
 import org.chivetally.time.NanoClock;
 
 /** Claims that this process made in its memory while the log was down, until they stand in the log. */
-final class LateClaims {
+final class PendingMemoryClaims {
     private static final int MAXIMUM = 100_000;
     private static final long UNSENT = 0;
 
@@ -22,7 +22,7 @@
     private final Set<JobId> released = new HashSet<>();
 
     /** Creates an empty set; claims count for the window, by the clock. */
-    LateClaims(Coordinator self, Duration window, NanoClock clock) {
+    PendingMemoryClaims(Coordinator self, Duration window, NanoClock clock) {
         this.memory = new MemoryClaims(self, window, clock);
     }
 
--- a/library/src/main/java/org/chivetally/claim/SnapshotAssembler.java
+++ b/library/src/main/java/org/chivetally/claim/SnapshotAssembler.java
@@ -25,7 +25,7 @@
     /** Takes a record of the snapshot stream in. */
     void add(LogRecord logRecord) {
         switch (SnapshotChunk.decode(logRecord.payload())) {
-            case DecodedChunk.Known known -> add(known.chunk());
+            case DecodedChunk.Valid known -> add(known.chunk());
             case DecodedChunk.OtherFormat other -> otherFormats.add(other.format());
             case DecodedChunk.Damaged ignored -> {}
         }
--- a/library/src/main/java/org/chivetally/claim/SnapshotChunk.java
+++ b/library/src/main/java/org/chivetally/claim/SnapshotChunk.java
@@ -118,6 +118,6 @@
         if (format != FORMAT) {
             return new DecodedChunk.OtherFormat(format);
         }
-        return new DecodedChunk.Known(new SnapshotChunk(new SnapshotHeader(snapshot, part, parts, covers, time), body));
+        return new DecodedChunk.Valid(new SnapshotChunk(new SnapshotHeader(snapshot, part, parts, covers, time), body));
     }
 }
--- a/library/src/main/java/org/chivetally/claim/SnapshotCodec.java
+++ b/library/src/main/java/org/chivetally/claim/SnapshotCodec.java
@@ -39,7 +39,7 @@
      * @param chunkBytes most bytes of one record
      */
     static List<NewRecord> encode(TableImage image, String writer, int chunkBytes) {
-        List<byte[]> bodies = new Bodies(chunkBytes - HEADER_BYTES).write(image);
+        List<byte[]> bodies = new BodyWriter(chunkBytes - HEADER_BYTES).write(image);
         String snapshot = writer + '@' + image.nextOffset();
         List<NewRecord> records = new ArrayList<>(bodies.size());
         for (int part = 0; part < bodies.size(); part++) {
@@ -54,7 +54,7 @@
     /** Returns the content of a whole snapshot, or nothing when its rows can't be understood. */
     static Optional<TableImage> decode(SnapshotHeader header, List<byte[]> bodies) {
         try {
-            Rows rows = new Rows(header.streamMillis());
+            RowReader rows = new RowReader(header.streamMillis());
             bodies.forEach(rows::read);
             return Optional.of(new TableImage(header.covers(), header.streamMillis(), rows.writers, rows.held));
         } catch (JacksonException | IllegalArgumentException | IndexOutOfBoundsException | NullPointerException e) {
@@ -63,19 +63,19 @@
     }
 
     /** Writes rows into bodies of bounded size. */
-    private static final class Bodies {
+    private static final class BodyWriter {
         private final int limit;
         private final List<byte[]> full = new ArrayList<>();
         private final ByteArrayOutputStream open = new ByteArrayOutputStream();
         private final Map<Coordinator, Integer> numbers = new LinkedHashMap<>();
 
-        private Bodies(int limit) {
+        private BodyWriter(int limit) {
             this.limit = limit;
         }
 
         private List<byte[]> write(TableImage image) {
             image.writers().forEach(writer -> add(json -> writeWriter(json, writer)));
-            for (HeldClaim held : image.held()) {
+            for (CompactClaim held : image.held()) {
                 int number = numberOf(held.coordinator());
                 add(json -> writeClaim(json, held, number, held.endMillis() - image.streamMillis()));
             }
@@ -124,7 +124,7 @@
             json.writeNumber(coordinator.port());
         }
 
-        private static void writeClaim(JsonGenerator json, HeldClaim held, int coordinator, long millisLeft) {
+        private static void writeClaim(JsonGenerator json, CompactClaim held, int coordinator, long millisLeft) {
             json.writeString(CLAIM);
             json.writeString(held.key().team());
             json.writeString(held.key().key());
@@ -139,13 +139,13 @@
     }
 
     /** Reads rows. */
-    private static final class Rows {
+    private static final class RowReader {
         private final long streamMillis;
         private final List<TableImage.Writer> writers = new ArrayList<>();
         private final List<Coordinator> coordinators = new ArrayList<>();
-        private final List<HeldClaim> held = new ArrayList<>();
+        private final List<CompactClaim> held = new ArrayList<>();
 
-        private Rows(long streamMillis) {
+        private RowReader(long streamMillis) {
             this.streamMillis = streamMillis;
         }
 
@@ -174,7 +174,7 @@
             return new TableImage.Writer(text(json), number(json), number(json), number(json));
         }
 
-        private HeldClaim readClaim(JsonParser json) {
+        private CompactClaim readClaim(JsonParser json) {
             SubmissionKey key = new SubmissionKey(text(json), text(json));
             String digest = text(json);
             JobId job = new JobId(text(json));
@@ -183,7 +183,7 @@
             json.nextToken();
             boolean finished = json.getBooleanValue();
             Claim claim = new Claim(key, digest, job, coordinator, generation, finished);
-            return HeldClaim.of(claim, streamMillis + number(json), number(json));
+            return CompactClaim.of(claim, streamMillis + number(json), number(json));
         }
 
         private static String text(JsonParser json) {
--- a/library/src/main/java/org/chivetally/claim/SnapshotDuty.java
+++ b/library/src/main/java/org/chivetally/claim/SnapshotManager.java
@@ -10,7 +10,7 @@
 import org.chivetally.log.PlatformLog;
 
 /** What an actor of claims does about snapshots: reads the newest one when it has to, and writes one when it is due. */
-final class SnapshotDuty {
+final class SnapshotManager {
     private static final Duration LOAD_LIMIT = Duration.ofSeconds(60);
     private static final int LOOKS_IN_INTERVAL = 8;
 
@@ -28,7 +28,7 @@
     private long notBeforeNanos;
 
     /** Creates the duty of a process; chunks are made and read on the blocking dispatcher. */
-    SnapshotDuty(
+    SnapshotManager(
             ActorContext<ClaimsCommand> context,
             PlatformLog log,
             ClaimSettings settings,
@@ -50,11 +50,11 @@
         loadNumber++;
         loadSentNanos = nanos;
         long number = loadNumber;
-        CompletionStage<SnapshotLoad> load = reader.load();
+        CompletionStage<SnapshotLoadResult> load = reader.load();
         context.pipeToSelf(
                 load,
                 (found, failure) -> new ClaimsCommand.SnapshotLoaded(
-                        number, failure == null ? found : new SnapshotLoad.Unavailable(failure.toString())));
+                        number, failure == null ? found : new SnapshotLoadResult.Unavailable(failure.toString())));
     }
 
     /** Tells whether a snapshot is looked for. */
@@ -87,7 +87,7 @@
     }
 
     /** Looks at the snapshot stream when one is due; the actor gets {@link ClaimsCommand.SnapshotTailRead}. */
-    void tick(Claimant claimant, long nanos) {
+    void tick(ClaimStateMachine claimant, long nanos) {
         if (busy || loading || !claimant.caughtUp() || nanos - notBeforeNanos < 0) {
             return;
         }
@@ -101,7 +101,7 @@
     }
 
     /** Writes a snapshot unless another process does; the actor gets {@link ClaimsCommand.SnapshotDone}. */
-    void write(Optional<SnapshotTail> tail, Claimant claimant, long nanos) {
+    void write(Optional<SnapshotTail> tail, ClaimStateMachine claimant, long nanos) {
         boolean write =
                 tail.isPresent() && schedule.shallWrite(tail.get(), claimant.nextOffset(), claimant.streamMillis());
         if (!write) {
--- a/library/src/main/java/org/chivetally/claim/SnapshotReader.java
+++ b/library/src/main/java/org/chivetally/claim/SnapshotReader.java
@@ -27,10 +27,10 @@
     }
 
     /** Returns the newest whole, valid snapshot. */
-    CompletionStage<SnapshotLoad> load() {
+    CompletionStage<SnapshotLoadResult> load() {
         return bounds().thenCompose(bounds -> switch (bounds) {
             case Bounds.Known known -> load(known, FIRST_STRETCH);
-            case Bounds.Unknown unknown -> completed(new SnapshotLoad.Unavailable(unknown.reason()));
+            case Bounds.Unknown unknown -> completed(new SnapshotLoadResult.Unavailable(unknown.reason()));
         });
     }
 
@@ -58,26 +58,26 @@
         if (found.records().isEmpty()) {
             return Optional.empty();
         }
-        return SnapshotChunk.decode(found.records().getLast().payload()) instanceof DecodedChunk.Known known
+        return SnapshotChunk.decode(found.records().getLast().payload()) instanceof DecodedChunk.Valid known
                 ? Optional.of(known.chunk().header())
                 : Optional.empty();
     }
 
-    private CompletionStage<SnapshotLoad> load(Bounds.Known bounds, long stretch) {
+    private CompletionStage<SnapshotLoadResult> load(Bounds.Known bounds, long stretch) {
         long from = Math.max(bounds.earliest(), bounds.end() - stretch);
         return collect(from, bounds.end(), new SnapshotAssembler()).thenCompose(load -> {
-            boolean goesOn = load instanceof SnapshotLoad.None && from > bounds.earliest();
+            boolean goesOn = load instanceof SnapshotLoadResult.None && from > bounds.earliest();
             return goesOn ? load(bounds, stretch * GROWTH) : completed(load);
         });
     }
 
-    private CompletionStage<SnapshotLoad> collect(long from, long end, SnapshotAssembler assembler) {
+    private CompletionStage<SnapshotLoadResult> collect(long from, long end, SnapshotAssembler assembler) {
         if (from >= end) {
             tellRefused(assembler);
             return completed(assembler
                     .newest()
-                    .<SnapshotLoad>map(SnapshotLoad.Found::new)
-                    .orElseGet(SnapshotLoad.None::new));
+                    .<SnapshotLoadResult>map(SnapshotLoadResult.Found::new)
+                    .orElseGet(SnapshotLoadResult.None::new));
         }
         return log.read(LogClaims.SNAPSHOT_STREAM, from, RECORDS_OF_A_READ, Duration.ZERO)
                 .thenComposeAsync(
@@ -91,7 +91,7 @@
                             }
                             case ReadOutcome.Expired expired -> collect(expired.earliestOffset(), end, assembler);
                             case ReadOutcome.Unavailable unavailable ->
-                                completed(new SnapshotLoad.Unavailable(unavailable.reason()));
+                                completed(new SnapshotLoadResult.Unavailable(unavailable.reason()));
                         },
                         executor);
     }
--- a/library/src/main/java/org/chivetally/claim/TableImage.java
+++ b/library/src/main/java/org/chivetally/claim/TableImage.java
@@ -11,7 +11,7 @@
  * @param writers how far each writer has got, by name
  * @param held the claims in force, oldest first
  */
-record TableImage(long nextOffset, long streamMillis, List<Writer> writers, List<HeldClaim> held) {
+record TableImage(long nextOffset, long streamMillis, List<Writer> writers, List<CompactClaim> held) {
     TableImage {
         writers = List.copyOf(writers);
         held = List.copyOf(held);
--- a/library/src/main/java/org/chivetally/claim/ClaimEntry.java
+++ b/library/src/main/java/org/chivetally/claim/TimestampedRecord.java
@@ -7,8 +7,8 @@
  *
  * @param streamMillis the stream's time by the writer's estimate, in milliseconds; see {@link StreamTime}
  */
-record ClaimEntry(ClaimRecord content, long streamMillis) {
-    ClaimEntry {
+record TimestampedRecord(ClaimRecord content, long streamMillis) {
+    TimestampedRecord {
         Objects.requireNonNull(content, "content");
         if (streamMillis < 0) {
             throw new IllegalArgumentException("the stream's time begins at 0");
--- a/library/src/test/java/org/chivetally/claim/ClaimRecordCodecTest.java
+++ b/library/src/test/java/org/chivetally/claim/ClaimRecordCodecTest.java
@@ -31,7 +31,7 @@
     @Test
     void recordsAreWrittenAsRecorded() throws IOException {
         List<String> lines = RECORDS.stream()
-                .map(content -> ClaimRecordCodec.encode(new ClaimEntry(content, 1234), WRITTEN))
+                .map(content -> ClaimRecordCodec.encode(new TimestampedRecord(content, 1234), WRITTEN))
                 .map(payload -> new String(payload, StandardCharsets.UTF_8))
                 .toList();
         assertThat(lines, is(recordedLines()));
@@ -39,11 +39,11 @@
 
     @Test
     void recordsAreReadAsWritten() throws IOException {
-        List<DecodedEntry> decoded = recordedLines().stream()
+        List<DecodedRecord> decoded = recordedLines().stream()
                 .map(line -> ClaimRecordCodec.decode(line.getBytes(StandardCharsets.UTF_8)))
                 .toList();
-        List<DecodedEntry> expected = RECORDS.stream()
-                .<DecodedEntry>map(content -> new DecodedEntry.Known(new ClaimEntry(content, 1234)))
+        List<DecodedRecord> expected = RECORDS.stream()
+                .<DecodedRecord>map(content -> new DecodedRecord.Valid(new TimestampedRecord(content, 1234)))
                 .toList();
         assertThat(decoded, is(expected));
     }
@@ -53,8 +53,8 @@
         String line =
                 "{\"format\":1,\"type\":\"finished\",\"new\":{\"a\":[1]},\"team\":\"t\",\"key\":\"k\",\"job\":\"j\"}";
         ClaimRecord content = new ClaimRecord.Finished(new SubmissionKey("t", "k"), new JobId("j"));
-        DecodedEntry decoded = ClaimRecordCodec.decode(line.getBytes(StandardCharsets.UTF_8));
-        assertThat(decoded, is(new DecodedEntry.Known(new ClaimEntry(content, 0))));
+        DecodedRecord decoded = ClaimRecordCodec.decode(line.getBytes(StandardCharsets.UTF_8));
+        assertThat(decoded, is(new DecodedRecord.Valid(new TimestampedRecord(content, 0))));
     }
 
     @ParameterizedTest
@@ -74,8 +74,8 @@
                 "{\"format\":1,\"type\":\"finished\",\"team\":\"t\",\"key\":\"k\",\"job\":\"j\""
             })
     void whatCannotBeReadIsSkipped(String line) {
-        DecodedEntry decoded = ClaimRecordCodec.decode(line.getBytes(StandardCharsets.UTF_8));
-        assertThat(decoded, instanceOf(DecodedEntry.Skipped.class));
+        DecodedRecord decoded = ClaimRecordCodec.decode(line.getBytes(StandardCharsets.UTF_8));
+        assertThat(decoded, instanceOf(DecodedRecord.Skipped.class));
     }
 
     private static List<String> recordedLines() throws IOException {
--- a/library/src/test/java/org/chivetally/claim/ClaimSamples.java
+++ b/library/src/test/java/org/chivetally/claim/ClaimSamples.java
@@ -42,7 +42,7 @@
     static NewRecord written(String process, long sequence, ClaimRecord content, long streamMillis) {
         return new NewRecord(
                 id(process, sequence).text(),
-                ClaimRecordCodec.encode(new ClaimEntry(content, streamMillis), Instant.EPOCH));
+                ClaimRecordCodec.encode(new TimestampedRecord(content, streamMillis), Instant.EPOCH));
     }
 
     static RecordId id(String process, long sequence) {
--- a/library/src/test/java/org/chivetally/claim/ClaimantPropertiesTest.java
+++ b/library/src/test/java/org/chivetally/claim/ClaimStateMachinePropertiesTest.java
@@ -25,7 +25,7 @@
 import org.chivetally.log.LogRecord;
 import org.chivetally.log.NewRecord;
 
-class ClaimantPropertiesTest {
+class ClaimStateMachinePropertiesTest {
     /**
      * Whatever the log does to appends and answers, and however long processes stand still: a key and generation is won
      * once, each caller gets a decision, all processes agree in the end, no key belongs to a process that told its
@@ -34,16 +34,16 @@
      */
     @Property(tries = 2_000)
     void oneWinnerAndNoOrphans(@ForAll("schedules") List<Step> schedule) {
-        World world = new World();
+        Simulation world = new Simulation();
         schedule.forEach(world::play);
         world.quiesce();
         assertThat(world.winners.values(), everyItem(hasSize(1)));
         world.replies.forEach(reply -> assertThat(reply.isDone(), is(true)));
         TableImage image = world.processes.getFirst().claimant.image();
         world.processes.forEach(process -> assertThat(process.claimant.image(), is(image)));
-        for (HeldClaim held : image.held()) {
+        for (CompactClaim held : image.held()) {
             boolean nobody = held.coordinator().equals(Coordinator.NOBODY);
-            List<Coordinator> winners = world.winners.getOrDefault(World.placeOf(held.claim()), List.of());
+            List<Coordinator> winners = world.winners.getOrDefault(Simulation.placeOf(held.claim()), List.of());
             assertThat(nobody ? winners.isEmpty() : winners.contains(held.coordinator()), is(true));
         }
     }
@@ -51,11 +51,11 @@
     /** A snapshot that covers less than was read changes nothing: claims known once are never forgotten early. */
     @Example
     void tableNeverGoesBackwards() {
-        World world = new World();
+        Simulation world = new Simulation();
         TableImage older = world.processes.getFirst().claimant().image();
-        world.play(new Step(Kind.CLAIM, 0, 0));
+        world.play(new Step(StepKind.CLAIM, 0, 0));
         world.deliverAll();
-        Claimant claimant = world.processes.getFirst().claimant();
+        ClaimStateMachine claimant = world.processes.getFirst().claimant();
         TableImage newer = claimant.image();
         claimant.restore(older, world.clock.nanos());
         assertThat(claimant.image(), is(newer));
@@ -65,14 +65,14 @@
     @Provide
     Arbitrary<List<Step>> schedules() {
         Arbitrary<Step> step = Combinators.combine(
-                        Arbitraries.of(Kind.class),
-                        Arbitraries.integers().between(0, World.PROCESSES - 1),
+                        Arbitraries.of(StepKind.class),
+                        Arbitraries.integers().between(0, Simulation.PROCESSES - 1),
                         Arbitraries.integers().between(0, 4_000))
                 .as(Step::new);
         return step.list().ofMinSize(20).ofMaxSize(150);
     }
 
-    private enum Kind {
+    private enum StepKind {
         PASS,
         SEND,
         READ,
@@ -84,42 +84,42 @@
         DELIVER_ALL
     }
 
-    private record Step(Kind kind, int process, int number) {}
+    private record Step(StepKind kind, int process, int number) {}
 
-    private static final class Flight {
-        private final Claimant sender;
+    private static final class InFlightAppend {
+        private final ClaimStateMachine sender;
         private final long number;
         private final List<NewRecord> records;
         private boolean landed;
         private boolean refused;
 
-        private Flight(Claimant sender, long number, List<NewRecord> records) {
+        private InFlightAppend(ClaimStateMachine sender, long number, List<NewRecord> records) {
             this.sender = sender;
             this.number = number;
             this.records = records;
         }
     }
 
-    private record Process(Coordinator self, Claimant claimant) {}
+    private record Process(Coordinator self, ClaimStateMachine claimant) {}
 
-    private static final class World {
+    private static final class Simulation {
         private static final int PROCESSES = 3;
         private static final ClaimSettings SETTINGS = ClaimSettings.defaults(Duration.ofHours(5), Duration.ofHours(6));
 
         private final ManualClock clock = new ManualClock();
         private final List<Process> processes = new ArrayList<>();
         private final List<LogRecord> stream = new ArrayList<>();
-        private final List<Flight> flights = new ArrayList<>();
+        private final List<InFlightAppend> flights = new ArrayList<>();
         private final List<CompletableFuture<ClaimDecision>> replies = new ArrayList<>();
         private final Map<List<Object>, List<Coordinator>> winners = new HashMap<>();
         private int jobs;
 
-        private World() {
+        private Simulation() {
             for (int number = 0; number < PROCESSES; number++) {
                 Coordinator self = ClaimSamples.process("p" + number);
                 LeaseTable leases = new LeaseTable(SETTINGS.lease(), SETTINGS.longestTicketAge());
                 OwnLease lease = new OwnLease(SETTINGS.lease());
-                processes.add(new Process(self, new Claimant(SETTINGS, self, leases, lease, clock)));
+                processes.add(new Process(self, new ClaimStateMachine(SETTINGS, self, leases, lease, clock)));
                 read(processes.getLast());
             }
         }
@@ -143,7 +143,7 @@
             }
         }
 
-        private Optional<Flight> flight(int number) {
+        private Optional<InFlightAppend> flight(int number) {
             return flights.isEmpty()
                     ? Optional.empty()
                     : Optional.of(flights.get(flights.size() - 1 - number % Math.min(4, flights.size())));
@@ -197,11 +197,11 @@
                                 outgoing.content(),
                                 outgoing.entry().streamMillis()))
                         .toList();
-                flights.add(new Flight(process.claimant(), batch.number(), records));
+                flights.add(new InFlightAppend(process.claimant(), batch.number(), records));
             });
         }
 
-        private void land(Flight flight) {
+        private void land(InFlightAppend flight) {
             if (flight.refused) {
                 return;
             }
@@ -209,7 +209,7 @@
             flight.records.forEach(record -> stream.add(new LogRecord(stream.size(), record.id(), record.payload())));
         }
 
-        private void answer(Flight flight, int number) {
+        private void answer(InFlightAppend flight, int number) {
             boolean refuse = number % 3 == 0 && !flight.landed;
             flight.refused = flight.refused || refuse;
             AppendOutcome known = flight.landed ? new AppendOutcome.Appended(0) : new AppendOutcome.Unknown("late");
--- a/library/src/test/java/org/chivetally/claim/ClaimantTest.java
+++ b/library/src/test/java/org/chivetally/claim/ClaimStateMachineTest.java
@@ -11,13 +11,13 @@
 import org.chivetally.log.NewRecord;
 import org.junit.jupiter.api.Test;
 
-class ClaimantTest {
+class ClaimStateMachineTest {
     private static final Duration LAPSE = Duration.ofSeconds(1);
     private static final ClaimSettings SETTINGS = patient();
 
     private final ManualClock clock = new ManualClock();
     private final List<LogRecord> stream = new ArrayList<>();
-    private final Claimant claimant = new Claimant(
+    private final ClaimStateMachine claimant = new ClaimStateMachine(
             SETTINGS,
             ClaimSamples.process("b"),
             new LeaseTable(SETTINGS.lease(), SETTINGS.longestTicketAge()),
--- a/library/src/test/java/org/chivetally/claim/ClaimTablePropertiesTest.java
+++ b/library/src/test/java/org/chivetally/claim/ClaimTablePropertiesTest.java
@@ -51,19 +51,19 @@
         Map<SubmissionKey, Integer> generations = new HashMap<>();
         Map<SubmissionKey, Long> wonMillis = new HashMap<>();
         for (Written written : stream) {
-            Folded folded = written.fold(table);
-            if (folded instanceof Folded.Won won) {
+            FoldResult folded = written.fold(table);
+            if (folded instanceof FoldResult.Won won) {
                 SubmissionKey key = won.claim().key();
                 long since = table.streamMillis() - wonMillis.getOrDefault(key, -WINDOW);
                 assertThat(!generations.containsKey(key) || since >= WINDOW, is(true));
                 generations.put(key, 1);
                 wonMillis.put(key, table.streamMillis());
             }
-            if (folded instanceof Folded.TakenOver taken) {
+            if (folded instanceof FoldResult.TakenOver taken) {
                 int before = generations.put(taken.claim().key(), taken.claim().generation());
                 assertThat(taken.claim().generation(), is(before + 1));
             }
-            if (folded instanceof Folded.Released released && released.claim().generation() == 1) {
+            if (folded instanceof FoldResult.Released released && released.claim().generation() == 1) {
                 generations.remove(released.claim().key());
             }
         }
@@ -94,7 +94,7 @@
             millis += step.passed();
             sequences[step.process()]++;
             RecordId id = ClaimSamples.id("p" + step.process(), sequences[step.process()]);
-            stream.add(new Written(stream.size(), id, new ClaimEntry(contentOf(step), millis)));
+            stream.add(new Written(stream.size(), id, new TimestampedRecord(contentOf(step), millis)));
         }
         return stream;
     }
@@ -137,8 +137,8 @@
 
     private record Step(int process, int kind, int number, int generation, long passed) {}
 
-    private record Written(long offset, RecordId id, ClaimEntry entry) {
-        private Folded fold(ClaimTable table) {
+    private record Written(long offset, RecordId id, TimestampedRecord entry) {
+        private FoldResult fold(ClaimTable table) {
             return table.fold(offset, id, entry);
         }
     }
--- a/library/src/test/java/org/chivetally/claim/ClaimTableTest.java
+++ b/library/src/test/java/org/chivetally/claim/ClaimTableTest.java
@@ -16,8 +16,8 @@
 
     @Test
     void firstClaimOfKeyWins() {
-        assertThat(fold(claimed("job-1", "a")), is(new Folded.Won(ClaimSamples.claim("job-1", "a", 1))));
-        assertThat(fold(claimed("job-2", "b")), is(new Folded.Unchanged()));
+        assertThat(fold(claimed("job-1", "a")), is(new FoldResult.Won(ClaimSamples.claim("job-1", "a", 1))));
+        assertThat(fold(claimed("job-2", "b")), is(new FoldResult.Unchanged()));
         assertThat(inForce(), is(Optional.of(ClaimSamples.claim("job-1", "a", 1))));
         assertThat(table.find(new JobId("job-1")), is(inForce()));
         assertThat(table.find(new JobId("job-2")), is(Optional.empty()));
@@ -27,20 +27,20 @@
     void keysOfTeamsAreApart() {
         fold(claimed("job-1", "a"));
         SubmissionKey sameKey = new SubmissionKey("other team", ClaimSamples.KEY.key());
-        Folded folded = fold(ClaimSamples.claimed(sameKey, ClaimSamples.OTHER_BODY, "job-2", "b"));
-        assertThat(folded, instanceOf(Folded.Won.class));
+        FoldResult folded = fold(ClaimSamples.claimed(sameKey, ClaimSamples.OTHER_BODY, "job-2", "b"));
+        assertThat(folded, instanceOf(FoldResult.Won.class));
     }
 
     @Test
     void onlyTakeoverByTheNextGenerationWins() {
         fold(claimed("job-1", "a"));
-        assertThat(fold(ClaimSamples.takenOver("job-1", "b", 3)), is(new Folded.Unchanged()));
-        assertThat(fold(ClaimSamples.takenOver("job-2", "b", 2)), is(new Folded.Unchanged()));
+        assertThat(fold(ClaimSamples.takenOver("job-1", "b", 3)), is(new FoldResult.Unchanged()));
+        assertThat(fold(ClaimSamples.takenOver("job-2", "b", 2)), is(new FoldResult.Unchanged()));
         Claim second = ClaimSamples.claim("job-1", "b", 2);
         assertThat(
                 fold(ClaimSamples.takenOver("job-1", "b", 2)),
-                is(new Folded.TakenOver(second, ClaimSamples.process("a"))));
-        assertThat(fold(ClaimSamples.takenOver("job-1", "c", 2)), is(new Folded.Unchanged()));
+                is(new FoldResult.TakenOver(second, ClaimSamples.process("a"))));
+        assertThat(fold(ClaimSamples.takenOver("job-1", "c", 2)), is(new FoldResult.Unchanged()));
         assertThat(inForce(), is(Optional.of(second)));
     }
 
@@ -56,10 +56,10 @@
         long second = table.nextOffset();
         renew("a", 101);
         renew("c", 100);
-        assertThat(fold(ClaimSamples.takenOver("job-1", "b", 2)), is(new Folded.Unchanged()));
-        assertThat(fold(ClaimSamples.takenOver("job-1", "b", 2, first)), is(new Folded.Unchanged()));
+        assertThat(fold(ClaimSamples.takenOver("job-1", "b", 2)), is(new FoldResult.Unchanged()));
+        assertThat(fold(ClaimSamples.takenOver("job-1", "b", 2, first)), is(new FoldResult.Unchanged()));
         assertThat(table.lastRenewalOf(ClaimSamples.process("a")), is(second));
-        assertThat(fold(ClaimSamples.takenOver("job-1", "b", 2, second)), instanceOf(Folded.TakenOver.class));
+        assertThat(fold(ClaimSamples.takenOver("job-1", "b", 2, second)), instanceOf(FoldResult.TakenOver.class));
     }
 
     @Test
@@ -67,18 +67,18 @@
         fold(claimed("job-1", "a"));
         renew("a", 100);
         ClaimRecord takenOver = ClaimSamples.takenOver("job-1", "b", 2, ClaimRecord.TakenOver.UNNAMED);
-        assertThat(fold(takenOver), instanceOf(Folded.TakenOver.class));
+        assertThat(fold(takenOver), instanceOf(FoldResult.TakenOver.class));
     }
 
     @Test
     void releaseFreesOnlyTheClaimItNames() {
         fold(claimed("job-1", "a"));
-        assertThat(fold(ClaimSamples.released("job-1", "b", 1)), is(new Folded.Unchanged()));
-        assertThat(fold(ClaimSamples.released("job-2", "a", 1)), is(new Folded.Unchanged()));
+        assertThat(fold(ClaimSamples.released("job-1", "b", 1)), is(new FoldResult.Unchanged()));
+        assertThat(fold(ClaimSamples.released("job-2", "a", 1)), is(new FoldResult.Unchanged()));
         fold(ClaimSamples.takenOver("job-1", "b", 2));
-        assertThat(fold(ClaimSamples.released("job-1", "a", 1)), is(new Folded.Unchanged()));
+        assertThat(fold(ClaimSamples.released("job-1", "a", 1)), is(new FoldResult.Unchanged()));
         fold(ClaimSamples.takenOver("job-1", "a", 3));
-        assertThat(fold(ClaimSamples.released("job-1", "a", 1)), is(new Folded.Unchanged()));
+        assertThat(fold(ClaimSamples.released("job-1", "a", 1)), is(new FoldResult.Unchanged()));
         assertThat(inForce(), is(Optional.of(ClaimSamples.claim("job-1", "a", 3))));
     }
 
@@ -89,19 +89,19 @@
     @Test
     void repeatOfReleasedClaimIsDropped() {
         RecordId id = ClaimSamples.id("a", 7);
-        table.fold(0, id, new ClaimEntry(claimed("job-1", "a"), 0));
-        table.fold(1, ClaimSamples.id("a", 8), new ClaimEntry(ClaimSamples.released("job-1", "a", 1), 0));
+        table.fold(0, id, new TimestampedRecord(claimed("job-1", "a"), 0));
+        table.fold(1, ClaimSamples.id("a", 8), new TimestampedRecord(ClaimSamples.released("job-1", "a", 1), 0));
         assertThat(inForce(), is(Optional.empty()));
-        assertThat(table.fold(2, id, new ClaimEntry(claimed("job-1", "a"), 0)), is(new Folded.Unchanged()));
+        assertThat(table.fold(2, id, new TimestampedRecord(claimed("job-1", "a"), 0)), is(new FoldResult.Unchanged()));
         assertThat(inForce(), is(Optional.empty()));
     }
 
     @Test
     void keyIsFreeWhenItsWindowHasPassedInTheStreamsTime() {
         fold(claimed("job-1", "a"), 1_000);
-        assertThat(fold(claimed("job-2", "b"), 1_000 + END - 1), is(new Folded.Unchanged()));
-        Folded folded = fold(claimed("job-3", "b"), 1_000 + END);
-        assertThat(folded, is(new Folded.Won(ClaimSamples.claim("job-3", "b", 1))));
+        assertThat(fold(claimed("job-2", "b"), 1_000 + END - 1), is(new FoldResult.Unchanged()));
+        FoldResult folded = fold(claimed("job-3", "b"), 1_000 + END);
+        assertThat(folded, is(new FoldResult.Won(ClaimSamples.claim("job-3", "b", 1))));
         assertThat(table.find(new JobId("job-1")), is(Optional.empty()));
         assertThat(table.size(), is(1));
     }
@@ -122,7 +122,7 @@
         assertThat(inForce().orElseThrow().finished(), is(false));
         finish("a");
         assertThat(inForce().orElseThrow().finished(), is(true));
-        assertThat(fold(claimed("job-3", "b")), is(new Folded.Unchanged()));
+        assertThat(fold(claimed("job-3", "b")), is(new FoldResult.Unchanged()));
     }
 
     /*
@@ -141,8 +141,8 @@
     @Test
     void recordsThatWereFoldedAreNotFoldedAgain() {
         fold(claimed("job-1", "a"));
-        Folded again = table.fold(0, ClaimSamples.id("a", 99), new ClaimEntry(claimed("job-9", "a"), END));
-        assertThat(again, is(new Folded.Unchanged()));
+        FoldResult again = table.fold(0, ClaimSamples.id("a", 99), new TimestampedRecord(claimed("job-9", "a"), END));
+        assertThat(again, is(new FoldResult.Unchanged()));
         assertThat(table.nextOffset(), is(1L));
         assertThat(table.streamMillis(), is(0L));
     }
@@ -157,21 +157,21 @@
 
     private void finish(String process) {
         ClaimRecord finished = new ClaimRecord.Finished(ClaimSamples.KEY, new JobId("job-1"));
-        table.fold(table.nextOffset(), ClaimSamples.id(process, 1), new ClaimEntry(finished, 0));
+        table.fold(table.nextOffset(), ClaimSamples.id(process, 1), new TimestampedRecord(finished, 0));
     }
 
     private void renew(String process, long count) {
         ClaimRecord renewed = new ClaimRecord.Renewed(ClaimSamples.process(process), ClaimSamples.WINDOW);
-        table.fold(table.nextOffset(), ClaimSamples.id(process, count), new ClaimEntry(renewed, 0));
+        table.fold(table.nextOffset(), ClaimSamples.id(process, count), new TimestampedRecord(renewed, 0));
     }
 
-    private Folded fold(ClaimRecord content) {
+    private FoldResult fold(ClaimRecord content) {
         return fold(content, 0);
     }
 
-    private Folded fold(ClaimRecord content, long streamMillis) {
+    private FoldResult fold(ClaimRecord content, long streamMillis) {
         sequence++;
         return table.fold(
-                table.nextOffset(), ClaimSamples.id("writer", sequence), new ClaimEntry(content, streamMillis));
+                table.nextOffset(), ClaimSamples.id("writer", sequence), new TimestampedRecord(content, streamMillis));
     }
 }
--- a/library/src/test/java/org/chivetally/claim/LeaseTableTest.java
+++ b/library/src/test/java/org/chivetally/claim/LeaseTableTest.java
@@ -73,7 +73,7 @@
      */
     @Test
     void answersAreThoseOfSomeOrderOfReadsAndQuestions() {
-        new ModelCheckingOptions().iterations(10).invocationsPerIteration(300).check(ReadsAndQuestions.class);
+        new ModelCheckingOptions().iterations(10).invocationsPerIteration(300).check(ConcurrentReadsAndQueries.class);
     }
 
     private boolean lapsesBy(long endNanos) {
@@ -82,11 +82,11 @@
     }
 
     /** One reader, many that ask. */
-    public static class ReadsAndQuestions {
+    public static class ConcurrentReadsAndQueries {
         private final LeaseTable leases = new LeaseTable(Duration.ofNanos(1), Duration.ofNanos(1));
         private long nanos;
 
-        public ReadsAndQuestions() {
+        public ConcurrentReadsAndQueries() {
             leases.renewed(OTHER, Duration.ofNanos(1), 0);
         }
 
--- a/library/src/test/java/org/chivetally/claim/ScriptedLog.java
+++ b/library/src/test/java/org/chivetally/claim/ScriptedLog.java
@@ -19,19 +19,19 @@
 final class ScriptedLog implements PlatformLog {
     private static final Duration LONGEST_POLL = Duration.ofHours(1);
 
-    private final Shared shared;
+    private final SharedStreams shared;
     private final List<HeldAppend> heldAppends = new ArrayList<>();
     private boolean down;
     private boolean holdsAppends;
     private int answersToLose;
     private int appends;
 
-    private ScriptedLog(Shared shared) {
+    private ScriptedLog(SharedStreams shared) {
         this.shared = shared;
     }
 
     static ScriptedLog create() {
-        return new ScriptedLog(new Shared());
+        return new ScriptedLog(new SharedStreams());
     }
 
     /** Returns another process's access to the same streams, with faults of its own. */
@@ -171,7 +171,7 @@
             Duration longest,
             CompletableFuture<ReadOutcome> answer) {}
 
-    private static final class Shared {
+    private static final class SharedStreams {
         private final Map<String, List<LogRecord>> streams = new HashMap<>();
         private final Map<String, Long> earliest = new HashMap<>();
         private final List<Poll> polls = new ArrayList<>();
--- a/library/src/test/java/org/chivetally/claim/SnapshotReaderTest.java
+++ b/library/src/test/java/org/chivetally/claim/SnapshotReaderTest.java
@@ -23,13 +23,13 @@
 
     @Test
     void emptyStreamHasNoSnapshot() {
-        assertThat(load(), is(new SnapshotLoad.None()));
+        assertThat(load(), is(new SnapshotLoadResult.None()));
     }
 
     @Test
     void logThatIsDownIsTold() {
         log.down(true);
-        assertThat(load(), instanceOf(SnapshotLoad.Unavailable.class));
+        assertThat(load(), instanceOf(SnapshotLoadResult.Unavailable.class));
     }
 
     @Test
@@ -39,7 +39,7 @@
         chunks.forEach(chunk -> assertThat(chunk.payload().length, lessThanOrEqualTo(CHUNK_BYTES)));
         write(chunks(table(500), "b"));
         write(chunks);
-        assertThat(load(), is(new SnapshotLoad.Found(table(4_000).image())));
+        assertThat(load(), is(new SnapshotLoadResult.Found(table(4_000).image())));
     }
 
     /*
@@ -51,7 +51,7 @@
         write(chunks(table(500), "a"));
         List<NewRecord> newer = chunks(table(1_000), "b");
         write(newer.subList(0, newer.size() / 2));
-        assertThat(load(), is(new SnapshotLoad.Found(table(500).image())));
+        assertThat(load(), is(new SnapshotLoadResult.Found(table(500).image())));
     }
 
     @Test
@@ -60,7 +60,7 @@
         List<NewRecord> newer = chunks(table(1_000), "b");
         newer.getLast().payload()[newer.getLast().payload().length / 2]++;
         write(newer);
-        assertThat(load(), is(new SnapshotLoad.Found(table(300).image())));
+        assertThat(load(), is(new SnapshotLoadResult.Found(table(300).image())));
     }
 
     /*
@@ -73,7 +73,7 @@
         try (InputStream first = SnapshotReaderTest.class.getResourceAsStream("claim-snapshot-format-1.txt")) {
             write(List.of(new NewRecord("old", first.readAllBytes())));
         }
-        assertThat(load(), is(new SnapshotLoad.Found(table(300).image())));
+        assertThat(load(), is(new SnapshotLoadResult.Found(table(300).image())));
         SnapshotAssembler assembler = new SnapshotAssembler();
         log.records(STREAM).forEach(assembler::add);
         assertThat(assembler.otherFormats(), contains(1));
@@ -90,7 +90,7 @@
         for (int part = 0; part < newer.size(); part++) {
             log.write(STREAM, newer.get(part), older.get(Math.min(part, older.size() - 1)), newer.get(part));
         }
-        assertThat(load(), is(new SnapshotLoad.Found(table(1_000).image())));
+        assertThat(load(), is(new SnapshotLoadResult.Found(table(1_000).image())));
     }
 
     @Test
@@ -98,10 +98,10 @@
         List<NewRecord> only = chunks(table(1_000), "a");
         write(only);
         log.expire(STREAM, 1);
-        assertThat(load(), is(new SnapshotLoad.None()));
+        assertThat(load(), is(new SnapshotLoadResult.None()));
     }
 
-    private SnapshotLoad load() {
+    private SnapshotLoadResult load() {
         return reader.load().toCompletableFuture().join();
     }
 
@@ -118,7 +118,7 @@
         IntStream.range(0, claims).forEach(number -> {
             SubmissionKey key = new SubmissionKey("team", "key \"" + number);
             ClaimRecord content = ClaimSamples.claimed(key, ClaimSamples.BODY, "job-" + number, "p" + number % 3);
-            table.fold(number, ClaimSamples.id("p" + number % 3, number + 1), new ClaimEntry(content, number));
+            table.fold(number, ClaimSamples.id("p" + number % 3, number + 1), new TimestampedRecord(content, number));
         });
         return table;
     }
