--- a/library/src/main/java/org/chivetally/claim/ClaimMeters.java
+++ b/library/src/main/java/org/chivetally/claim/ClaimMeters.java
@@ -11,7 +11,7 @@
 
 /** Meters of one process's claims. */
 final class ClaimMeters {
-    private static final double NANOS_IN_A_SECOND = TimeUnit.SECONDS.toNanos(1);
+    private static final double NANOS_PER_SECOND = TimeUnit.SECONDS.toNanos(1);
 
     private final Counter appends;
     private final DistributionSummary recordsPerAppend;
@@ -46,27 +46,27 @@
     }
 
     /** Counts an append. */
-    void appending(int records) {
+    void recordAppend(int records) {
         appends.increment();
         recordsPerAppend.record(records);
     }
 
     /** Counts a decision. */
-    void decided(long waitedNanos) {
+    void recordDecision(long waitedNanos) {
         latency.record(waitedNanos, TimeUnit.NANOSECONDS);
     }
 
     /** Counts a record that could not be read. */
-    void skipped() {
+    void recordSkipped() {
         skipped.increment();
     }
 
     /** Notes how many claims are in force. */
-    void tableSize(int claims) {
+    void setTableSize(int claims) {
         tableSize.set(claims);
     }
 
     private static double secondsLeft(OwnLease lease, NanoClock clock) {
-        return lease.remainingNanos(clock.nanos()) / NANOS_IN_A_SECOND;
+        return lease.remainingNanos(clock.nanos()) / NANOS_PER_SECOND;
     }
 }
--- a/library/src/main/java/org/chivetally/claim/ClaimRecord.java
+++ b/library/src/main/java/org/chivetally/claim/ClaimRecord.java
@@ -40,7 +40,7 @@
      *
      * @param generation one more than that of the claim in force
      * @param lastRenewal offset of the last renewal by the coordinator in force that the sender had read;
-     *     {@link #NO_RENEWAL} when there was none, {@link #UNNAMED} in records of the first format
+     *     {@link #NO_RENEWAL} when there was none, {@link #UNSPECIFIED} in records of the first format
      */
     record TakenOver(SubmissionKey key, JobId job, Coordinator coordinator, int generation, long lastRenewal)
             implements ClaimRecord {
@@ -48,7 +48,7 @@
         public static final long NO_RENEWAL = -1;
 
         /** Stands in records that name none, and that are judged by their generation alone, as they always were. */
-        public static final long UNNAMED = Long.MAX_VALUE;
+        public static final long UNSPECIFIED = Long.MAX_VALUE;
 
         /** Refuses missing parts, generations that no takeover has, and offsets that no record has. */
         public TakenOver {
@@ -71,8 +71,8 @@
         }
 
         /** Tells whether the record names a renewal, or that there was none. */
-        boolean namesRenewal() {
-            return lastRenewal != UNNAMED;
+        boolean specifiesRenewal() {
+            return lastRenewal != UNSPECIFIED;
         }
     }
 
@@ -119,7 +119,7 @@
      * been written.
      *
      * <p>A takeover that is given up can't free the key, as the coordinator before it may have started tasks: the claim
-     * stays, of {@link Coordinator#NOBODY}, whose lease has always lapsed, and the next takeover inquires first.
+     * stays, of {@link Coordinator#NONE}, whose lease has always lapsed, and the next takeover inquires first.
      */
     record Released(SubmissionKey key, JobId job, Coordinator coordinator, int generation) implements ClaimRecord {
         /** Refuses missing parts and generations below one. */
--- a/library/src/main/java/org/chivetally/claim/ClaimRecordCodec.java
+++ b/library/src/main/java/org/chivetally/claim/ClaimRecordCodec.java
@@ -15,14 +15,14 @@
 
 /** Writes records of the claims stream as flat JSON objects, and reads them. */
 final class ClaimRecordCodec {
-    /** Format version of all records but those of {@link #NAMING_FORMAT}. */
+    /** Format version of all records but those of {@link #TAKEOVER_FORMAT}. */
     static final int FORMAT = 1;
 
     /** Format version of takeovers that name the last renewal read; they had the first version before. */
-    static final int NAMING_FORMAT = 2;
+    static final int TAKEOVER_FORMAT = 2;
 
     private static final JsonFactory JSON = new JsonFactory();
-    private static final int USUAL_SIZE = 400;
+    private static final int INITIAL_BUFFER_BYTES = 400;
     private static final String TAKEOVER = "takeover";
 
     private ClaimRecordCodec() {}
@@ -33,7 +33,7 @@
      * @param written wall-clock time of writing, for operators only
      */
     static byte[] encode(TimestampedRecord entry, Instant written) {
-        ByteArrayOutputStream bytes = new ByteArrayOutputStream(USUAL_SIZE);
+        ByteArrayOutputStream bytes = new ByteArrayOutputStream(INITIAL_BUFFER_BYTES);
         try (JsonGenerator json = JSON.createGenerator(ObjectWriteContext.empty(), bytes)) {
             json.writeStartObject();
             json.writeNumberProperty("format", formatOf(entry.content()));
@@ -51,13 +51,14 @@
         try {
             return decodeFields(readFields(payload));
         } catch (JacksonException | IllegalArgumentException | NullPointerException exception) {
-            return new DecodedRecord.Skipped("malformed: " + exception.getClass().getSimpleName());
+            return new DecodedRecord.Skipped(
+                    "malformed: " + exception.getClass().getSimpleName());
         }
     }
 
     private static int formatOf(ClaimRecord content) {
-        boolean naming = content instanceof ClaimRecord.TakenOver taken && taken.namesRenewal();
-        return naming ? NAMING_FORMAT : FORMAT;
+        boolean naming = content instanceof ClaimRecord.TakenOver taken && taken.specifiesRenewal();
+        return naming ? TAKEOVER_FORMAT : FORMAT;
     }
 
     private static String typeOf(ClaimRecord content) {
@@ -82,7 +83,7 @@
             case ClaimRecord.TakenOver taken -> {
                 writeJob(json, taken.key(), taken.job());
                 json.writeNumberProperty("generation", taken.generation());
-                if (taken.namesRenewal()) {
+                if (taken.specifiesRenewal()) {
                     json.writeNumberProperty("lastRenewal", taken.lastRenewal());
                 }
                 writeCoordinator(json, taken.coordinator());
@@ -133,31 +134,31 @@
         if (fields.type == null) {
             return new DecodedRecord.Skipped("no type");
         }
-        boolean naming = fields.type.equals(TAKEOVER) && fields.format == NAMING_FORMAT;
+        boolean naming = fields.type.equals(TAKEOVER) && fields.format == TAKEOVER_FORMAT;
         if (fields.format != FORMAT && !naming) {
             return new DecodedRecord.Skipped("format " + fields.format);
         }
         return switch (fields.type) {
             case "claim" ->
-                fields.known(new ClaimRecord.Claimed(
+                fields.valid(new ClaimRecord.Claimed(
                         fields.submissionKey(),
                         fields.digest,
                         fields.jobId(),
                         fields.coordinator(),
                         Duration.ofMillis(fields.window)));
             case TAKEOVER ->
-                fields.known(new ClaimRecord.TakenOver(
+                fields.valid(new ClaimRecord.TakenOver(
                         fields.submissionKey(),
                         fields.jobId(),
                         fields.coordinator(),
                         fields.generation,
-                        naming ? fields.lastRenewal() : ClaimRecord.TakenOver.UNNAMED));
+                        naming ? fields.lastRenewal() : ClaimRecord.TakenOver.UNSPECIFIED));
             case "renewal" ->
-                fields.known(new ClaimRecord.Renewed(fields.coordinator(), Duration.ofMillis(fields.lease)));
-            case "departed" -> fields.known(new ClaimRecord.Departed(fields.coordinator()));
-            case "finished" -> fields.known(new ClaimRecord.Finished(fields.submissionKey(), fields.jobId()));
+                fields.valid(new ClaimRecord.Renewed(fields.coordinator(), Duration.ofMillis(fields.lease)));
+            case "departed" -> fields.valid(new ClaimRecord.Departed(fields.coordinator()));
+            case "finished" -> fields.valid(new ClaimRecord.Finished(fields.submissionKey(), fields.jobId()));
             case "released" ->
-                fields.known(new ClaimRecord.Released(
+                fields.valid(new ClaimRecord.Released(
                         fields.submissionKey(), fields.jobId(), fields.coordinator(), fields.generation));
             default -> new DecodedRecord.Skipped("type " + fields.type);
         };
@@ -218,7 +219,7 @@
             return new Coordinator(process, incarnation, host, port);
         }
 
-        private DecodedRecord known(ClaimRecord content) {
+        private DecodedRecord valid(ClaimRecord content) {
             return new DecodedRecord.Valid(new TimestampedRecord(content, time));
         }
     }
--- a/library/src/main/java/org/chivetally/claim/ClaimSettings.java
+++ b/library/src/main/java/org/chivetally/claim/ClaimSettings.java
@@ -26,11 +26,11 @@
         GroupCommitSettings commit,
         TailSettings tail,
         SnapshotSettings snapshots) {
-    private static final Duration USUAL_LEASE = Duration.ofSeconds(6);
-    private static final Duration USUAL_TICKET_AGE = Duration.ofSeconds(3);
-    private static final Duration USUAL_CLAIM_TIMEOUT = Duration.ofSeconds(2);
-    private static final int RENEWALS_IN_LEASE = 3;
-    private static final int SNAPSHOTS_IN_RETENTION = 4;
+    private static final Duration DEFAULT_LEASE = Duration.ofSeconds(6);
+    private static final Duration DEFAULT_TICKET_AGE = Duration.ofSeconds(3);
+    private static final Duration DEFAULT_CLAIM_TIMEOUT = Duration.ofSeconds(2);
+    private static final int RENEWALS_PER_LEASE = 3;
+    private static final int SNAPSHOTS_PER_RETENTION = 4;
 
     /** Refuses times that are not positive, and windows and leases that the rest can't keep. */
     public ClaimSettings {
@@ -60,20 +60,20 @@
         return new ClaimSettings(
                 window,
                 logRetention,
-                USUAL_LEASE,
-                USUAL_LEASE.dividedBy(RENEWALS_IN_LEASE),
-                USUAL_TICKET_AGE,
-                USUAL_CLAIM_TIMEOUT,
+                DEFAULT_LEASE,
+                DEFAULT_LEASE.dividedBy(RENEWALS_PER_LEASE),
+                DEFAULT_TICKET_AGE,
+                DEFAULT_CLAIM_TIMEOUT,
                 GroupCommitSettings.defaults(),
                 TailSettings.defaults(),
-                SnapshotSettings.every(logRetention.dividedBy(SNAPSHOTS_IN_RETENTION)));
+                SnapshotSettings.every(logRetention.dividedBy(SNAPSHOTS_PER_RETENTION)));
     }
 
     /**
      * Returns the window as it is written: a little longer, as the stream's time at a claim may lag behind by one
      * renewal and one append, and a key must never come free before the promised window is over.
      */
-    Duration writtenWindow() {
+    Duration recordedWindow() {
         return window.plus(lease).plus(claimTimeout);
     }
 
--- a/library/src/main/java/org/chivetally/claim/ClaimStateMachine.java
+++ b/library/src/main/java/org/chivetally/claim/ClaimStateMachine.java
@@ -28,15 +28,15 @@
     private final Coordinator self;
     private final String writer;
     private final LeaseTable leases;
-    private final LeaseManager lease;
+    private final LeaseManager leaseManager;
     private final GroupCommit commit;
     private final StreamTime streamTime;
-    private final ReadTimeline timeline = new ReadTimeline();
-    private final PendingMemoryClaims late;
-    private final LogHealth health = new LogHealth();
-    private final Map<ClaimRecord, PendingClaim> waiting = new LinkedHashMap<>();
-    private final Map<ClaimRecord, Long> abandoned = new LinkedHashMap<>();
-    private final Set<JobId> releasing = new HashSet<>();
+    private final ReadTimeline readTimeline = new ReadTimeline();
+    private final PendingMemoryClaims memoryClaims;
+    private final LogHealth logHealth = new LogHealth();
+    private final Map<ClaimRecord, PendingClaim> pendingClaims = new LinkedHashMap<>();
+    private final Map<ClaimRecord, Long> abandonedSequences = new LinkedHashMap<>();
+    private final Set<JobId> releasingJobs = new HashSet<>();
     private List<ClaimEffect> effects = new ArrayList<>();
     private ClaimTable table = new ClaimTable();
     private boolean caughtUp;
@@ -53,29 +53,29 @@
         this.self = self;
         this.writer = RecordId.writerOf(self);
         this.leases = leases;
-        this.lease = new LeaseManager(settings, self, lease);
+        this.leaseManager = new LeaseManager(settings, self, lease);
         this.commit = new GroupCommit(settings.commit(), nanos);
         this.streamTime = new StreamTime(nanos);
-        this.late = new PendingMemoryClaims(self, settings.window(), clock);
+        this.memoryClaims = new PendingMemoryClaims(self, settings.window(), clock);
     }
 
     /** Claims a key; the reply comes as an effect, now or later. */
     void claim(ClaimRecord.Claimed claimed, ClaimMode mode, CompletableFuture<ClaimDecision> reply, long nanos) {
-        Optional<ClaimDecision> known = decideFromKnown(claimed);
+        Optional<ClaimDecision> known = decideFromTable(claimed);
         if (known.isPresent()) {
             decide(claimed.key(), reply, known.get());
             return;
         }
-        if (mode == ClaimMode.MEMORY && health.isDown()) {
+        if (mode == ClaimMode.MEMORY && logHealth.isDown()) {
             decide(claimed.key(), reply, claimInMemory(claimed));
             return;
         }
-        Optional<String> obstacle = mode == ClaimMode.MEMORY ? departure() : obstacle();
+        Optional<String> obstacle = mode == ClaimMode.MEMORY ? departureReason() : refusalReason();
         if (obstacle.isPresent()) {
             decide(claimed.key(), reply, unavailable(obstacle.get()));
             return;
         }
-        offer(new PendingClaim(claimed, mode, reply, nanos));
+        enqueue(new PendingClaim(claimed, mode, reply, nanos));
     }
 
     /** Takes a job over from a coordinator whose lease has lapsed; the reply comes as an effect, now or later. */
@@ -91,7 +91,7 @@
             decide(current.key(), reply, new ClaimDecision.Attached(claim));
             return;
         }
-        Optional<String> obstacle = obstacle();
+        Optional<String> obstacle = refusalReason();
         if (obstacle.isPresent()) {
             decide(current.key(), reply, unavailable(obstacle.get()));
             return;
@@ -99,22 +99,22 @@
         long lastRenewal = table.lastRenewalOf(claim.coordinator());
         ClaimRecord.TakenOver taken =
                 new ClaimRecord.TakenOver(claim.key(), claim.job(), self, claim.generation() + 1, lastRenewal);
-        offer(new PendingClaim(taken, ClaimMode.LOG, reply, nanos));
+        enqueue(new PendingClaim(taken, ClaimMode.LOG, reply, nanos));
     }
 
     /** Notes that a job has its final outcome. */
-    void finished(Claim claim) {
+    void markFinished(Claim claim) {
         commit.addLazy(new ClaimRecord.Finished(claim.key(), claim.job()));
     }
 
     /** Gives the lease up: this process starts nothing from now on, and others may take its jobs over at once. */
     void depart(long nanos) {
-        if (lease.isDeparting()) {
+        if (leaseManager.isDeparting()) {
             return;
         }
-        giveUpAll(nanos);
+        abandonAll(nanos);
         commit.addUrgent(new ClaimRecord.Departed(self));
-        noticeLease(nanos);
+        detectLeaseChange(nanos);
     }
 
     /**
@@ -123,33 +123,33 @@
      * @param endOffset end of the stream when it was read
      * @param sentNanos reading of the clock before the read was sent
      */
-    void read(List<LogRecord> records, long endOffset, long sentNanos, long nanos) {
-        health.readSucceeded();
+    void recordsRead(List<LogRecord> records, long endOffset, long sentNanos, long nanos) {
+        logHealth.readSucceeded();
         for (LogRecord logRecord : records) {
             fold(logRecord, nanos);
         }
-        streamTime.reached(table.streamMillis(), nanos);
-        timeline.endSeen(endOffset, sentNanos);
+        streamTime.advanceTo(table.streamMillis(), nanos);
+        readTimeline.recordEnd(endOffset, sentNanos);
         if (table.nextOffset() >= endOffset) {
-            leases.endRead(sentNanos);
-            noticeEnd(endOffset);
+            leases.recordReadToEnd(sentNanos);
+            recordCaughtUp(endOffset);
         }
-        settle(nanos);
+        resolveReadRecords(nanos);
     }
 
     /** Learns that a read failed. */
     void readFailed(String reason) {
-        if (health.readFailed()) {
+        if (logHealth.readFailed()) {
             write(EventLine.of("claims-log-unreadable").with("reason", reason));
         }
     }
 
     /** Learns the outcome of an append. */
-    void appended(long number, AppendOutcome outcome, long nanos) {
-        if (!commit.answered(number, outcome, nanos)) {
+    void appendCompleted(long number, AppendOutcome outcome, long nanos) {
+        if (!commit.appendCompleted(number, outcome, nanos)) {
             return;
         }
-        health.appended(outcome);
+        logHealth.appended(outcome);
         ClaimLines.of(outcome).ifPresent(this::write);
     }
 
@@ -159,9 +159,9 @@
             return;
         }
         table = ClaimTable.of(image);
-        image.held().forEach(held -> leases.needed(held.coordinator(), nanos));
-        streamTime.reached(table.streamMillis(), nanos);
-        settle(nanos);
+        image.claims().forEach(held -> leases.track(held.coordinator(), nanos));
+        streamTime.advanceTo(table.streamMillis(), nanos);
+        resolveReadRecords(nanos);
     }
 
     /** Passes over records that the log no longer keeps; their windows are over, as no window is longer than that. */
@@ -171,18 +171,18 @@
     }
 
     /** Refuses whatever waits, as this process stops. */
-    void giveUpAll(long nanos) {
-        lease.depart(nanos);
-        List.copyOf(waiting.values()).forEach(claim -> giveUp(claim, nanos));
-        waiting.clear();
+    void abandonAll(long nanos) {
+        leaseManager.depart(nanos);
+        List.copyOf(pendingClaims.values()).forEach(claim -> abandon(claim, nanos));
+        pendingClaims.clear();
     }
 
     /** Lets time pass: gives up what waits too long, renews the lease, notices its loss. */
     void tick(long nanos) {
-        giveUpOld(nanos);
+        abandonTimedOut(nanos);
         renew(nanos);
-        noticeLease(nanos);
-        if (lease.isDepartureOverdue(nanos)) {
+        detectLeaseChange(nanos);
+        if (leaseManager.isDepartureOverdue(nanos)) {
             confirmDeparture();
         }
     }
@@ -190,12 +190,12 @@
     /** Returns the next append, if one may be sent now; {@code nanos} must be read before it is sent. */
     Optional<GroupCommit.Batch> nextAppend(long nanos) {
         Optional<GroupCommit.Batch> batch = commit.poll(nanos, streamTime.estimate(nanos));
-        batch.ifPresent(sent -> sent.records().forEach(outgoing -> noteSending(outgoing, nanos)));
+        batch.ifPresent(sent -> sent.records().forEach(outgoing -> recordSending(outgoing, nanos)));
         return batch;
     }
 
     /** Returns the effects since the last call, in order. */
-    List<ClaimEffect> takeEffects() {
+    List<ClaimEffect> drainEffects() {
         List<ClaimEffect> taken = effects;
         effects = new ArrayList<>();
         return taken;
@@ -203,18 +203,18 @@
 
     /** Returns the claim in force for a key. */
     Optional<Claim> find(SubmissionKey key) {
-        return table.find(key).or(() -> late.find(key));
+        return table.find(key).or(() -> memoryClaims.find(key));
     }
 
     /** Returns the claim in force for a job. */
     Optional<Claim> find(JobId job) {
-        return table.find(job).or(() -> late.find(job));
+        return table.find(job).or(() -> memoryClaims.find(job));
     }
 
     /** Returns a reading of the clock after which a job was claimed in the log; empty when none is known. */
     OptionalLong claimedAfter(JobId job) {
         OptionalLong offset = table.offsetOf(job);
-        return offset.isPresent() ? timeline.writtenAfter(offset.getAsLong()) : OptionalLong.empty();
+        return offset.isPresent() ? readTimeline.writtenAfter(offset.getAsLong()) : OptionalLong.empty();
     }
 
     /** Returns the table's content, for a snapshot. */
@@ -238,8 +238,8 @@
     }
 
     /** Tells whether there is nothing to hurry for: the log may hold a read back until there is a record. */
-    boolean mayWait() {
-        return caughtUp && health.isReadable();
+    boolean mayLongPoll() {
+        return caughtUp && logHealth.isReadable();
     }
 
     /** Tells whether the log was read to its end at least once. */
@@ -247,27 +247,29 @@
         return caughtUp;
     }
 
-    private Optional<String> departure() {
-        return lease.isDeparting() ? Optional.of("this process departs") : Optional.empty();
+    private Optional<String> departureReason() {
+        return leaseManager.isDeparting() ? Optional.of("this process departs") : Optional.empty();
     }
 
-    private Optional<String> obstacle() {
-        if (lease.isDeparting()) {
-            return departure();
+    private Optional<String> refusalReason() {
+        if (leaseManager.isDeparting()) {
+            return departureReason();
         }
-        if (health.isDown()) {
+        if (logHealth.isDown()) {
             return Optional.of("the log can't be reached");
         }
         return caughtUp ? Optional.empty() : Optional.of("the log is not read to its end yet");
     }
 
-    private Optional<ClaimDecision> decideFromKnown(ClaimRecord.Claimed claimed) {
-        return find(claimed.key()).filter(this::isStaying).map(inForce -> decideAgainst(inForce, claimed.bodyDigest()));
+    private Optional<ClaimDecision> decideFromTable(ClaimRecord.Claimed claimed) {
+        return find(claimed.key())
+                .filter(this::isRetained)
+                .map(inForce -> decideAgainst(inForce, claimed.bodyDigest()));
     }
 
     /** Tells whether a claim is not one that this process gave up and is about to release. */
-    private boolean isStaying(Claim claim) {
-        return !releasing.contains(claim.job());
+    private boolean isRetained(Claim claim) {
+        return !releasingJobs.contains(claim.job());
     }
 
     private static ClaimDecision decideAgainst(Claim inForce, String bodyDigest) {
@@ -276,35 +278,35 @@
                 : new ClaimDecision.KeyReused(inForce);
     }
 
-    private void offer(PendingClaim claim) {
-        Optional<PendingClaim> same = findSame(claim.content());
+    private void enqueue(PendingClaim claim) {
+        Optional<PendingClaim> same = findEquivalent(claim.content());
         if (same.isPresent()) {
-            same.get().follow(claim.reply());
+            same.get().addFollower(claim.reply());
             return;
         }
         if (commit.offer(claim.content())) {
-            waiting.put(claim.content(), claim);
+            pendingClaims.put(claim.content(), claim);
             return;
         }
         decide(claim.key(), claim.reply(), unavailable("too many claims wait for the log"));
     }
 
     /** Returns what waits for the same; takeovers to one generation are, though they name other renewals. */
-    private Optional<PendingClaim> findSame(ClaimRecord content) {
+    private Optional<PendingClaim> findEquivalent(ClaimRecord content) {
         if (!(content instanceof ClaimRecord.TakenOver taken)) {
-            return Optional.ofNullable(waiting.get(content));
+            return Optional.ofNullable(pendingClaims.get(content));
         }
-        return waiting.values().stream()
+        return pendingClaims.values().stream()
                 .filter(other ->
                         other.content() instanceof ClaimRecord.TakenOver earlier && earlier.competesWith(taken))
                 .findFirst();
     }
 
     private ClaimDecision claimInMemory(ClaimRecord.Claimed claimed) {
-        if (lease.isDeparting()) {
+        if (leaseManager.isDeparting()) {
             return unavailable("this process departs");
         }
-        ClaimDecision decision = late.decide(claimed);
+        ClaimDecision decision = memoryClaims.decide(claimed);
         if (decision instanceof ClaimDecision.Won) {
             commit.addLazy(claimed);
             write(ClaimLines.of("claim-in-memory", claimed.key(), claimed.job()));
@@ -333,11 +335,12 @@
 
     private void apply(FoldResult folded, long nanos) {
         switch (folded) {
-            case FoldResult.Won won -> leases.needed(won.claim().coordinator(), nanos);
+            case FoldResult.Won won -> leases.track(won.claim().coordinator(), nanos);
             case FoldResult.TakenOver taken -> applyTakenOver(taken, nanos);
             case FoldResult.Renewed renewed -> applyRenewed(renewed, nanos);
             case FoldResult.Departed departed -> applyDeparted(departed, nanos);
-            case FoldResult.Released released -> releasing.remove(released.claim().job());
+            case FoldResult.Released released ->
+                releasingJobs.remove(released.claim().job());
             case FoldResult.Finished ignored -> {}
             case FoldResult.Unchanged ignored -> {}
         }
@@ -345,11 +348,11 @@
 
     private void applyTakenOver(FoldResult.TakenOver taken, long nanos) {
         Claim claim = taken.claim();
-        leases.needed(claim.coordinator(), nanos);
+        leases.track(claim.coordinator(), nanos);
         if (!taken.previous().equals(self)) {
             return;
         }
-        releasing.remove(claim.job());
+        releasingJobs.remove(claim.job());
         effects.add(new ClaimEffect.NotifyReplaced(claim));
         write(ClaimLines.of("claim-replaced", claim.key(), claim.job())
                 .with("by", claim.coordinator().processId())
@@ -357,18 +360,18 @@
     }
 
     private void applyRenewed(FoldResult.Renewed renewed, long nanos) {
-        leases.renewed(renewed.coordinator(), renewed.lease(), nanos);
-        lease.read(renewed).ifPresent(end -> effects.add(new ClaimEffect.NotifyLeaseExtended(end)));
+        leases.recordRenewal(renewed.coordinator(), renewed.lease(), nanos);
+        leaseManager.renewalRead(renewed).ifPresent(end -> effects.add(new ClaimEffect.NotifyLeaseExtended(end)));
     }
 
     private void applyDeparted(FoldResult.Departed departed, long nanos) {
-        leases.departed(departed.coordinator(), nanos);
+        leases.recordDeparture(departed.coordinator(), nanos);
         if (departed.coordinator().equals(self)) {
             confirmDeparture();
         }
     }
 
-    private void noticeEnd(long endOffset) {
+    private void recordCaughtUp(long endOffset) {
         if (!caughtUp) {
             write(EventLine.of("claims-caught-up").with("offset", endOffset).with("claims", table.size()));
         }
@@ -376,22 +379,23 @@
     }
 
     /** Decides what waits for records of this process that have been read, or can't count any more. */
-    private void settle(long nanos) {
+    private void resolveReadRecords(long nanos) {
         long sequence = table.sequenceOf(writer);
         if (sequence > readSequence) {
             readSequence = sequence;
-            health.appendSucceeded();
+            logHealth.appendSucceeded();
         }
-        commit.readBack(sequence, nanos);
-        settleAbandoned(sequence);
-        settleWaiting(sequence, nanos);
-        late.takeLanded(sequence).forEach(this::landLate);
-        releasing.removeIf(job -> table.find(job).isEmpty());
-        noticeLease(nanos);
+        commit.recordRead(sequence, nanos);
+        releaseAbandoned(sequence);
+        decidePending(sequence, nanos);
+        memoryClaims.removeWritten(sequence).forEach(this::resolveMemoryClaim);
+        releasingJobs.removeIf(job -> table.find(job).isEmpty());
+        detectLeaseChange(nanos);
     }
 
-    private void settleAbandoned(long sequence) {
-        Iterator<Map.Entry<ClaimRecord, Long>> entries = abandoned.entrySet().iterator();
+    private void releaseAbandoned(long sequence) {
+        Iterator<Map.Entry<ClaimRecord, Long>> entries =
+                abandonedSequences.entrySet().iterator();
         while (entries.hasNext()) {
             Map.Entry<ClaimRecord, Long> entry = entries.next();
             if (entry.getValue() > sequence) {
@@ -404,7 +408,7 @@
 
     /** Gives a claim of this process up, of which nothing was started. */
     void release(Claim claim) {
-        late.release(claim.job());
+        memoryClaims.release(claim.job());
         ownClaim(claim.key(), claim.job(), claim.generation()).ifPresent(this::releaseOwn);
     }
 
@@ -414,7 +418,7 @@
     }
 
     private void releaseOwn(Claim claim) {
-        releasing.add(claim.job());
+        releasingJobs.add(claim.job());
         commit.add(new ClaimRecord.Released(claim.key(), claim.job(), self, claim.generation()));
         write(ClaimLines.of("claim-released", claim.key(), claim.job()).with("generation", claim.generation()));
     }
@@ -434,24 +438,24 @@
                 .filter(claim -> claim.coordinator().equals(self));
     }
 
-    private void settleWaiting(long sequence, long nanos) {
-        List<PendingClaim> read = waiting.values().stream()
+    private void decidePending(long sequence, long nanos) {
+        List<PendingClaim> read = pendingClaims.values().stream()
                 .filter(claim -> claim.wasSent() && claim.sequence() <= sequence)
                 .toList();
-        read.forEach(claim -> settleOne(claim, nanos));
+        read.forEach(claim -> decideOne(claim, nanos));
     }
 
-    private void settleOne(PendingClaim claim, long nanos) {
+    private void decideOne(PendingClaim claim, long nanos) {
         Optional<Claim> inForce = table.find(claim.key());
-        if (claim.isFirst() && inForce.filter(this::isStaying).isEmpty()) {
+        if (claim.isSubmission() && inForce.filter(this::isRetained).isEmpty()) {
             // Lost to a claim that was given up, and is released by now or soon: after that the next one wins.
-            claim.sendAgain();
+            claim.resetForResend();
             commit.add(claim.content());
             return;
         }
-        waiting.remove(claim.content());
+        pendingClaims.remove(claim.content());
         Optional<Claim> own = ownClaimOf(claim.content());
-        if (own.isPresent() && !isStaying(own.get())) {
+        if (own.isPresent() && !isRetained(own.get())) {
             // An equal takeover stands before this one, and was given up: won here, the job would be left to nobody by
             // the release while this process goes on with it.
             decide(claim, unavailable("an earlier takeover of this process was given up"), nanos);
@@ -467,8 +471,8 @@
         decide(claim, decision, nanos);
     }
 
-    private void landLate(ClaimRecord.Claimed claimed) {
-        if (late.takeReleased(claimed.job())) {
+    private void resolveMemoryClaim(ClaimRecord.Claimed claimed) {
+        if (memoryClaims.removeReleased(claimed.job())) {
             release(claimed);
             return;
         }
@@ -481,55 +485,55 @@
         }
     }
 
-    private void giveUpOld(long nanos) {
+    private void abandonTimedOut(long nanos) {
         long timeout = settings.claimTimeout().toNanos();
-        Iterator<PendingClaim> oldest = waiting.values().iterator();
+        Iterator<PendingClaim> oldest = pendingClaims.values().iterator();
         while (oldest.hasNext()) {
             PendingClaim claim = oldest.next();
-            if (nanos - claim.startedNanos() < timeout) {
+            if (nanos - claim.requestedNanos() < timeout) {
                 return;
             }
             oldest.remove();
-            giveUp(claim, nanos);
+            abandon(claim, nanos);
         }
     }
 
-    private void giveUp(PendingClaim claim, long nanos) {
+    private void abandon(PendingClaim claim, long nanos) {
         commit.withdraw(claim.content());
-        ClaimDecision decision = claim.memoryContent()
+        ClaimDecision decision = claim.memoryFallback()
                 .map(this::claimInMemory)
                 .orElseGet(() -> unavailable("no answer of the log in time"));
         boolean goesOn = decision instanceof ClaimDecision.Won;
         if (claim.wasSent() && !goesOn) {
-            abandoned.put(claim.content(), claim.sequence());
+            abandonedSequences.put(claim.content(), claim.sequence());
         }
         decide(claim, decision, nanos);
     }
 
     private void renew(long nanos) {
-        lease.takeRenewal(nanos).ifPresent(renewed -> {
+        leaseManager.pollRenewal(nanos).ifPresent(renewed -> {
             // One that waits or is in doubt counts from its first sending; the new one lasts longer.
             commit.withdraw(renewed);
             commit.addUrgent(renewed);
         });
     }
 
-    private void noteSending(GroupCommit.Outgoing outgoing, long nanos) {
+    private void recordSending(GroupCommit.Outgoing outgoing, long nanos) {
         ClaimRecord content = outgoing.content();
         if (content instanceof ClaimRecord.Renewed) {
-            lease.sending(outgoing.sequence(), nanos);
+            leaseManager.recordSending(outgoing.sequence(), nanos);
         }
         if (content instanceof ClaimRecord.Claimed claimed) {
-            late.sentAs(claimed, outgoing.sequence());
+            memoryClaims.recordSequence(claimed, outgoing.sequence());
         }
-        PendingClaim claim = waiting.get(content);
+        PendingClaim claim = pendingClaims.get(content);
         if (claim != null) {
-            claim.sentAs(outgoing.sequence());
+            claim.markSent(outgoing.sequence());
         }
     }
 
-    private void noticeLease(long nanos) {
-        lease.takeChange(nanos).ifPresent(held -> {
+    private void detectLeaseChange(long nanos) {
+        leaseManager.pollChange(nanos).ifPresent(held -> {
             effects.add(new ClaimEffect.NotifyLeaseChanged(held));
             write(EventLine.of(held ? "lease-gained" : "lease-lost")
                     .with("process", self.processId())
@@ -538,13 +542,13 @@
     }
 
     private void confirmDeparture() {
-        if (lease.confirmDeparture()) {
+        if (leaseManager.confirmDeparture()) {
             effects.add(new ClaimEffect.ConfirmDeparture());
         }
     }
 
     private void decide(PendingClaim claim, ClaimDecision decision, long nanos) {
-        long waitedNanos = nanos - claim.startedNanos();
+        long waitedNanos = nanos - claim.requestedNanos();
         decide(claim.key(), claim.reply(), decision, waitedNanos);
         ClaimDecision followed =
                 decision instanceof ClaimDecision.Won won ? new ClaimDecision.Attached(won.claim()) : decision;
--- a/library/src/main/java/org/chivetally/claim/ClaimTable.java
+++ b/library/src/main/java/org/chivetally/claim/ClaimTable.java
@@ -19,7 +19,7 @@
  */
 final class ClaimTable {
     /** How long a silent writer's count is kept, in the stream's time; far longer than any late repeat takes. */
-    private static final long WRITER_MILLIS = TimeUnit.HOURS.toMillis(24);
+    private static final long WRITER_RETENTION_MILLIS = TimeUnit.HOURS.toMillis(24);
 
     private final Map<SubmissionKey, CompactClaim> byKey = new LinkedHashMap<>();
     private final Map<JobId, CompactClaim> byJob = new HashMap<>();
@@ -35,8 +35,8 @@
         table.nextOffset = image.nextOffset();
         table.streamMillis = image.streamMillis();
         image.writers().forEach(writer -> table.writers.put(writer.name(), writer));
-        for (CompactClaim held : image.held()) {
-            table.put(table.lean(held));
+        for (CompactClaim held : image.claims()) {
+            table.put(table.intern(held));
         }
         return table;
     }
@@ -45,7 +45,8 @@
     TableImage image() {
         List<TableImage.Writer> sortedWriters = new ArrayList<>(writers.values());
         sortedWriters.sort(Comparator.comparing(TableImage.Writer::name));
-        List<CompactClaim> held = byKey.values().stream().filter(this::isInForce).toList();
+        List<CompactClaim> held =
+                byKey.values().stream().filter(this::isInForce).toList();
         return new TableImage(nextOffset, streamMillis, sortedWriters, held);
     }
 
@@ -55,12 +56,12 @@
             return new FoldResult.Unchanged();
         }
         nextOffset = offset + 1;
-        if (!isFirst(id)) {
+        if (!isNew(id)) {
             return new FoldResult.Unchanged();
         }
         streamMillis = Math.max(streamMillis, entry.streamMillis());
-        noteWriter(id, offset, entry.content());
-        forgetEnded();
+        updateWriter(id, offset, entry.content());
+        removeEnded();
         return switch (entry.content()) {
             case ClaimRecord.Claimed claimed -> foldClaimed(claimed, offset);
             case ClaimRecord.TakenOver taken -> foldTakenOver(taken);
@@ -128,16 +129,16 @@
      * <p>An append whose answer was lost is repeated, and the first may land late: the record stands twice. Folded
      * twice it could claim a key again that was released in between, and nobody would work on it.
      */
-    private boolean isFirst(RecordId id) {
+    private boolean isNew(RecordId id) {
         TableImage.Writer known = writers.get(id.writer());
         if (known == null) {
-            writers.values().removeIf(writer -> writer.lastMillis() + WRITER_MILLIS < streamMillis);
+            writers.values().removeIf(writer -> writer.lastMillis() + WRITER_RETENTION_MILLIS < streamMillis);
             return true;
         }
         return id.sequence() > known.sequence();
     }
 
-    private void noteWriter(RecordId id, long offset, ClaimRecord content) {
+    private void updateWriter(RecordId id, long offset, ClaimRecord content) {
         long renewal = content instanceof ClaimRecord.Renewed ? offset : lastRenewalOf(id.writer());
         writers.put(id.writer(), new TableImage.Writer(id.writer(), id.sequence(), streamMillis, renewal));
     }
@@ -159,7 +160,7 @@
                 Claim.FIRST_GENERATION,
                 false);
         remove(byKey.get(claimed.key()));
-        put(lean(CompactClaim.of(claim, streamMillis + claimed.window().toMillis(), offset)));
+        put(intern(CompactClaim.of(claim, streamMillis + claimed.window().toMillis(), offset)));
         return new FoldResult.Won(claim);
     }
 
@@ -171,7 +172,7 @@
         if (lastRenewalOf(held.coordinator()) > taken.lastRenewal()) {
             return new FoldResult.Unchanged();
         }
-        CompactClaim successor = held.withCoordinator(coordinators.shared(taken.coordinator()), taken.generation());
+        CompactClaim successor = held.withCoordinator(coordinators.intern(taken.coordinator()), taken.generation());
         put(successor);
         return new FoldResult.TakenOver(successor.claim(), held.coordinator());
     }
@@ -201,7 +202,7 @@
         if (held.generation() == Claim.FIRST_GENERATION) {
             remove(held);
         } else {
-            put(held.withCoordinator(Coordinator.NOBODY, held.generation()));
+            put(held.withCoordinator(Coordinator.NONE, held.generation()));
         }
         return new FoldResult.Released(held.claim());
     }
@@ -220,8 +221,8 @@
         byJob.put(held.job(), held);
     }
 
-    private CompactClaim lean(CompactClaim held) {
-        return held.sharing(teams.shared(held.key().team()), coordinators.shared(held.coordinator()));
+    private CompactClaim intern(CompactClaim held) {
+        return held.withShared(teams.intern(held.key().team()), coordinators.intern(held.coordinator()));
     }
 
     private void remove(CompactClaim held) {
@@ -233,7 +234,7 @@
     }
 
     /** Frees the memory of ended claims; oldest first, so that each is looked at once. */
-    private void forgetEnded() {
+    private void removeEnded() {
         Iterator<CompactClaim> oldest = byKey.values().iterator();
         while (oldest.hasNext()) {
             CompactClaim held = oldest.next();
--- a/library/src/main/java/org/chivetally/claim/Claims.java
+++ b/library/src/main/java/org/chivetally/claim/Claims.java
@@ -44,7 +44,7 @@
     }
 
     /** Records, with a later append, that a job has its final outcome. */
-    void finished(Claim claim);
+    void markFinished(Claim claim);
 
     /**
      * Gives a claim of this process up with a later append; its key can be claimed anew afterwards.
--- a/library/src/main/java/org/chivetally/claim/ClaimsActor.java
+++ b/library/src/main/java/org/chivetally/claim/ClaimsActor.java
@@ -25,12 +25,12 @@
 /** Connects a {@link ClaimStateMachine} with the log, the clock and its callers. */
 final class ClaimsActor extends AbstractBehavior<ClaimsCommand> {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
-    private static final Duration TICK = Duration.ofMillis(10);
+    private static final Duration TICK_INTERVAL = Duration.ofMillis(10);
     private static final Duration EMPTY_READ_PAUSE = Duration.ofMillis(20);
 
-    private final ActorRef<ClaimsCommand> me;
+    private final ActorRef<ClaimsCommand> actor;
     private final TimerScheduler<ClaimsCommand> timers;
-    private final ClaimStateMachine claimant;
+    private final ClaimStateMachine stateMachine;
     private final PlatformLog log;
     private final ClaimSettings settings;
     private final String writer;
@@ -41,7 +41,7 @@
     private final List<Consumer<Boolean>> leaseListeners = new ArrayList<>();
     private final List<Consumer<Claim>> replacedListeners = new ArrayList<>();
     private final List<CompletableFuture<Void>> departures = new ArrayList<>();
-    private final List<LongConsumer> extendedListeners = new ArrayList<>();
+    private final List<LongConsumer> leaseExtendedListeners = new ArrayList<>();
     private Long leaseEndNanos;
     private boolean departed;
     private boolean stopped;
@@ -51,7 +51,7 @@
     private boolean readMayWait;
     private long readSentNanos;
     private long readNotBeforeNanos;
-    private boolean snapshotWanted = true;
+    private boolean snapshotNeeded = true;
     private long earliestOffset;
     private boolean appendOpen;
     private long appendNumber;
@@ -60,7 +60,7 @@
     private ClaimsActor(
             ActorContext<ClaimsCommand> context,
             TimerScheduler<ClaimsCommand> timers,
-            ClaimStateMachine claimant,
+            ClaimStateMachine stateMachine,
             PlatformLog log,
             ClaimSettings settings,
             Coordinator self,
@@ -68,9 +68,9 @@
             ClaimMeters meters,
             AtomicBoolean caughtUp) {
         super(context);
-        this.me = context.getSelf();
+        this.actor = context.getSelf();
         this.timers = timers;
-        this.claimant = claimant;
+        this.stateMachine = stateMachine;
         this.log = log;
         this.settings = settings;
         this.writer = RecordId.writerOf(self);
@@ -83,7 +83,7 @@
 
     /** Returns the behaviour; the first tick sets it going. */
     static Behavior<ClaimsCommand> create(
-            ClaimStateMachine claimant,
+            ClaimStateMachine stateMachine,
             PlatformLog log,
             ClaimSettings settings,
             Coordinator self,
@@ -91,9 +91,9 @@
             ClaimMeters meters,
             AtomicBoolean caughtUp) {
         return Behaviors.setup(context -> Behaviors.withTimers(timers -> {
-            timers.startTimerWithFixedDelay(new ClaimsCommand.Tick(), TICK);
+            timers.startTimerWithFixedDelay(new ClaimsCommand.Tick(), TICK_INTERVAL);
             context.getSelf().tell(new ClaimsCommand.Tick());
-            return new ClaimsActor(context, timers, claimant, log, settings, self, clock, meters, caughtUp);
+            return new ClaimsActor(context, timers, stateMachine, log, settings, self, clock, meters, caughtUp);
         }));
     }
 
@@ -105,33 +105,33 @@
     private Behavior<ClaimsCommand> receive(ClaimsCommand command) {
         handle(command, clock.nanos());
         if (!stopped) {
-            readOn();
+            readNext();
             append();
         }
         perform();
-        meters.tableSize(claimant.tableSize());
-        caughtUp.set(claimant.caughtUp());
+        meters.setTableSize(stateMachine.tableSize());
+        caughtUp.set(stateMachine.caughtUp());
         return this;
     }
 
     private void handle(ClaimsCommand command, long nanos) {
         switch (command) {
-            case ClaimsCommand.MakeClaim make -> claimant.claim(make.claimed(), make.mode(), make.reply(), nanos);
-            case ClaimsCommand.TakeOver take -> claimant.takeOver(take.current(), take.reply(), nanos);
-            case ClaimsCommand.FindKey find -> find.reply().complete(claimant.find(find.key()));
-            case ClaimsCommand.FindJob find -> find.reply().complete(claimant.find(find.job()));
-            case ClaimsCommand.FindClaimedAfter find -> find.reply().complete(claimant.claimedAfter(find.job()));
-            case ClaimsCommand.Finish finish -> claimant.finished(finish.claim());
-            case ClaimsCommand.Release release -> claimant.release(release.claim());
+            case ClaimsCommand.MakeClaim make -> stateMachine.claim(make.claimed(), make.mode(), make.reply(), nanos);
+            case ClaimsCommand.TakeOver take -> stateMachine.takeOver(take.current(), take.reply(), nanos);
+            case ClaimsCommand.FindKey find -> find.reply().complete(stateMachine.find(find.key()));
+            case ClaimsCommand.FindJob find -> find.reply().complete(stateMachine.find(find.job()));
+            case ClaimsCommand.FindClaimedAfter find -> find.reply().complete(stateMachine.claimedAfter(find.job()));
+            case ClaimsCommand.Finish finish -> stateMachine.markFinished(finish.claim());
+            case ClaimsCommand.Release release -> stateMachine.release(release.claim());
             case ClaimsCommand.Depart depart -> depart(depart.reply(), nanos);
-            case ClaimsCommand.AddLeaseListener listen -> listenToLease(listen.listener());
-            case ClaimsCommand.AddLeaseExtendedListener listen -> listenToLeaseExtended(listen.listener());
+            case ClaimsCommand.AddLeaseListener listen -> addLeaseListener(listen.listener());
+            case ClaimsCommand.AddLeaseExtendedListener listen -> addLeaseExtendedListener(listen.listener());
             case ClaimsCommand.AddReplacedListener listen -> replacedListeners.add(listen.listener());
             case ClaimsCommand.ReadAnswered answered -> readAnswered(answered, nanos);
             case ClaimsCommand.AppendAnswered answered -> appendAnswered(answered.number(), answered.outcome(), nanos);
             case ClaimsCommand.SnapshotLoaded loaded -> snapshotLoaded(loaded, nanos);
-            case ClaimsCommand.SnapshotTailRead read -> snapshots.write(read.tail(), claimant, nanos);
-            case ClaimsCommand.SnapshotDone done -> snapshots.done(done, nanos);
+            case ClaimsCommand.SnapshotTailRead read -> snapshots.write(read.tail(), stateMachine, nanos);
+            case ClaimsCommand.SnapshotDone done -> snapshots.snapshotDone(done, nanos);
             case ClaimsCommand.Tick ignored -> tick(nanos);
             case ClaimsCommand.Stop ignored -> stop(nanos);
         }
@@ -141,7 +141,7 @@
     private void stop(long nanos) {
         stopped = true;
         timers.cancelAll();
-        claimant.giveUpAll(nanos);
+        stateMachine.abandonAll(nanos);
         departed = true;
         completeDepartures();
     }
@@ -157,18 +157,18 @@
             return;
         }
         departures.add(reply);
-        claimant.depart(nanos);
+        stateMachine.depart(nanos);
     }
 
-    private void listenToLease(Consumer<Boolean> listener) {
+    private void addLeaseListener(Consumer<Boolean> listener) {
         leaseListeners.add(listener);
         if (leaseHeld) {
             listener.accept(true);
         }
     }
 
-    private void listenToLeaseExtended(LongConsumer listener) {
-        extendedListeners.add(listener);
+    private void addLeaseExtendedListener(LongConsumer listener) {
+        leaseExtendedListeners.add(listener);
         if (leaseEndNanos != null) {
             listener.accept(leaseEndNanos);
         }
@@ -184,10 +184,10 @@
             appendAnswered(appendNumber, new AppendOutcome.Unknown("no answer in time"), nanos);
         }
         if (snapshots.isLoadOverdue(nanos)) {
-            loadLater("no answer in time", nanos);
+            retryLoadLater("no answer in time", nanos);
         }
-        claimant.tick(nanos);
-        snapshots.tick(claimant, nanos);
+        stateMachine.tick(nanos);
+        snapshots.tick(stateMachine, nanos);
     }
 
     private void snapshotLoaded(ClaimsCommand.SnapshotLoaded loaded, long nanos) {
@@ -196,33 +196,34 @@
         }
         switch (loaded.load()) {
             case SnapshotLoadResult.Found found -> {
-                snapshots.covered(found.image().nextOffset(), found.image().streamMillis());
-                claimant.restore(found.image(), nanos);
+                snapshots.recordSnapshot(
+                        found.image().nextOffset(), found.image().streamMillis());
+                stateMachine.restore(found.image(), nanos);
                 endLoading();
             }
             case SnapshotLoadResult.None ignored -> endLoading();
-            case SnapshotLoadResult.Unavailable unavailable -> loadLater(unavailable.reason(), nanos);
+            case SnapshotLoadResult.Unavailable unavailable -> retryLoadLater(unavailable.reason(), nanos);
         }
     }
 
     private void endLoading() {
-        snapshotWanted = false;
-        if (claimant.nextOffset() < earliestOffset) {
-            claimant.skipTo(earliestOffset);
+        snapshotNeeded = false;
+        if (stateMachine.nextOffset() < earliestOffset) {
+            stateMachine.skipTo(earliestOffset);
         }
     }
 
-    private void loadLater(String reason, long nanos) {
+    private void retryLoadLater(String reason, long nanos) {
         snapshots.cancelLoading();
         readFailed(reason, nanos);
     }
 
-    private void readOn() {
+    private void readNext() {
         long nanos = clock.nanos();
         if (readOpen || snapshots.isLoading() || nanos - readNotBeforeNanos < 0) {
             return;
         }
-        if (snapshotWanted) {
+        if (snapshotNeeded) {
             snapshots.load(nanos);
             return;
         }
@@ -230,10 +231,10 @@
         readNumber++;
         readSentNanos = nanos;
         long number = readNumber;
-        readMayWait = claimant.mayWait();
+        readMayWait = stateMachine.mayLongPoll();
         Duration wait = readMayWait ? settings.tail().pollWait() : Duration.ZERO;
-        log.read(LogClaims.STREAM, claimant.nextOffset(), settings.tail().readLimit(), wait)
-                .whenComplete((outcome, failure) -> me.tell(new ClaimsCommand.ReadAnswered(
+        log.read(LogClaims.STREAM, stateMachine.nextOffset(), settings.tail().readLimit(), wait)
+                .whenComplete((outcome, failure) -> actor.tell(new ClaimsCommand.ReadAnswered(
                         number, failure == null ? outcome : new ReadOutcome.Unavailable(failure.toString()))));
     }
 
@@ -246,15 +247,15 @@
             case ReadOutcome.Records found -> recordsRead(found, nanos);
             case ReadOutcome.Expired expired -> {
                 earliestOffset = expired.earliestOffset();
-                snapshotWanted = true;
+                snapshotNeeded = true;
             }
             case ReadOutcome.Unavailable unavailable -> readFailed(unavailable.reason(), nanos);
         }
     }
 
     private void recordsRead(ReadOutcome.Records found, long nanos) {
-        claimant.read(found.records(), found.endOffset(), readSentNanos, nanos);
-        if (found.records().isEmpty() && (readMayWait || !claimant.mayWait())) {
+        stateMachine.recordsRead(found.records(), found.endOffset(), readSentNanos, nanos);
+        if (found.records().isEmpty() && (readMayWait || !stateMachine.mayLongPoll())) {
             // A log that doesn't hold empty reads back would otherwise be asked without a pause.
             readNotBeforeNanos = readSentNanos + EMPTY_READ_PAUSE.toNanos();
         }
@@ -263,20 +264,20 @@
     private void readFailed(String reason, long nanos) {
         readOpen = false;
         readNotBeforeNanos = nanos + settings.tail().retryInterval().toNanos();
-        claimant.readFailed(reason);
+        stateMachine.readFailed(reason);
     }
 
     private void append() {
-        claimant.nextAppend(clock.nanos()).ifPresent(this::send);
+        stateMachine.nextAppend(clock.nanos()).ifPresent(this::send);
     }
 
     private void send(GroupCommit.Batch batch) {
         appendOpen = true;
         appendNumber = batch.number();
         appendSentNanos = clock.nanos();
-        meters.appending(batch.records().size());
+        meters.recordAppend(batch.records().size());
         log.append(LogClaims.STREAM, encode(batch))
-                .whenComplete((outcome, failure) -> me.tell(new ClaimsCommand.AppendAnswered(
+                .whenComplete((outcome, failure) -> actor.tell(new ClaimsCommand.AppendAnswered(
                         batch.number(), failure == null ? outcome : new AppendOutcome.Unknown(failure.toString()))));
     }
 
@@ -293,11 +294,11 @@
         if (number == appendNumber) {
             appendOpen = false;
         }
-        claimant.appended(number, outcome, nanos);
+        stateMachine.appendCompleted(number, outcome, nanos);
     }
 
     private void perform() {
-        for (ClaimEffect effect : claimant.takeEffects()) {
+        for (ClaimEffect effect : stateMachine.drainEffects()) {
             perform(effect);
         }
     }
@@ -305,7 +306,7 @@
     private void perform(ClaimEffect effect) {
         switch (effect) {
             case ClaimEffect.Decide decide -> {
-                meters.decided(decide.waitedNanos());
+                meters.recordDecision(decide.waitedNanos());
                 decide.reply().complete(decide.decision());
             }
             case ClaimEffect.NotifyLeaseChanged tell -> {
@@ -314,7 +315,7 @@
             }
             case ClaimEffect.NotifyLeaseExtended tell -> {
                 leaseEndNanos = tell.untilNanos();
-                extendedListeners.forEach(listener -> listener.accept(tell.untilNanos()));
+                leaseExtendedListeners.forEach(listener -> listener.accept(tell.untilNanos()));
             }
             case ClaimEffect.NotifyReplaced tell ->
                 replacedListeners.forEach(listener -> listener.accept(tell.successor()));
@@ -322,7 +323,7 @@
                 departed = true;
                 completeDepartures();
             }
-            case ClaimEffect.CountSkipped ignored -> meters.skipped();
+            case ClaimEffect.CountSkipped ignored -> meters.recordSkipped();
             case ClaimEffect.WriteLine write -> logger.atInfo().log("%s", write.line());
         }
     }
--- a/library/src/main/java/org/chivetally/claim/ClaimsCommand.java
+++ b/library/src/main/java/org/chivetally/claim/ClaimsCommand.java
@@ -59,7 +59,7 @@
     record SnapshotTailRead(Optional<SnapshotTail> tail) implements ClaimsCommand {}
 
     /** A snapshot of this process is written, or given up on. */
-    record SnapshotDone(long covers, long streamMillis, boolean whole) implements ClaimsCommand {}
+    record SnapshotDone(long covers, long streamMillis, boolean complete) implements ClaimsCommand {}
 
     /** Time passed. */
     record Tick() implements ClaimsCommand {}
--- a/library/src/main/java/org/chivetally/claim/CompactClaim.java
+++ b/library/src/main/java/org/chivetally/claim/CompactClaim.java
@@ -21,16 +21,16 @@
         boolean finished,
         long endMillis,
         long offset) {
-    private static final int DIGITS = 16;
+    private static final int DIGITS_PER_PART = 16;
 
     /** Packs a claim. */
     static CompactClaim of(Claim claim, long endMillis, long offset) {
         return new CompactClaim(
                 claim.key(),
-                part(claim.bodyDigest(), 0),
-                part(claim.bodyDigest(), 1),
-                part(claim.bodyDigest(), 2),
-                part(claim.bodyDigest(), 3),
+                digestPart(claim.bodyDigest(), 0),
+                digestPart(claim.bodyDigest(), 1),
+                digestPart(claim.bodyDigest(), 2),
+                digestPart(claim.bodyDigest(), 3),
                 claim.job(),
                 claim.coordinator(),
                 claim.generation(),
@@ -51,7 +51,7 @@
     }
 
     /** Returns the same claim with shared instances of its parts. */
-    CompactClaim sharing(String team, Coordinator sharedCoordinator) {
+    CompactClaim withShared(String team, Coordinator sharedCoordinator) {
         SubmissionKey sharedKey = new SubmissionKey(team, key.key());
         return new CompactClaim(
                 sharedKey,
@@ -73,8 +73,8 @@
                 key, digest1, digest2, digest3, digest4, job, coordinator, generation, true, endMillis, offset);
     }
 
-    private static long part(String digest, int number) {
-        return HexFormat.fromHexDigitsToLong(digest, number * DIGITS, (number + 1) * DIGITS);
+    private static long digestPart(String digest, int number) {
+        return HexFormat.fromHexDigitsToLong(digest, number * DIGITS_PER_PART, (number + 1) * DIGITS_PER_PART);
     }
 
     /** Returns the digest as text. */
--- a/library/src/main/java/org/chivetally/claim/DecodedChunk.java
+++ b/library/src/main/java/org/chivetally/claim/DecodedChunk.java
@@ -6,7 +6,7 @@
     record Valid(SnapshotChunk chunk) implements DecodedChunk {}
 
     /** A whole chunk of a format version that this program does not read. */
-    record OtherFormat(int format) implements DecodedChunk {}
+    record UnsupportedFormat(int format) implements DecodedChunk {}
 
     /** Cut off, changed, or never a chunk. */
     record Damaged() implements DecodedChunk {}
--- a/library/src/main/java/org/chivetally/claim/GroupCommit.java
+++ b/library/src/main/java/org/chivetally/claim/GroupCommit.java
@@ -25,9 +25,9 @@
     private final SequencedSet<ClaimRecord> normal = new LinkedHashSet<>();
     private final SequencedSet<ClaimRecord> lazy = new LinkedHashSet<>();
     private final Set<ClaimRecord> withdrawnInFlight = new HashSet<>();
-    private List<Outgoing> unsettled = List.of();
+    private List<Outgoing> unconfirmed = List.of();
     private boolean inFlight;
-    private long notBeforeNanos;
+    private long earliestSendNanos;
     private long appendNumber;
     private long lastSequence;
     private long readSequence;
@@ -36,7 +36,7 @@
     GroupCommit(GroupCommitSettings settings, long nanos) {
         this.settings = settings;
         this.budget = new TokenBucket(settings.appendsPerSecond(), settings.burst(), nanos);
-        this.notBeforeNanos = nanos;
+        this.earliestSendNanos = nanos;
     }
 
     /** Queues a record whose sender is told at once when there is no room; returns whether there was. */
@@ -69,7 +69,7 @@
         if (inFlight) {
             withdrawnInFlight.add(content);
         } else {
-            dropUnsettled(Set.of(content));
+            removeUnconfirmed(Set.of(content));
         }
     }
 
@@ -79,21 +79,21 @@
      * @param streamMillis the stream's time, for records that are sent for the first time
      */
     Optional<Batch> poll(long nanos, long streamMillis) {
-        if (inFlight || nanos - notBeforeNanos < 0 || !hasWork()) {
+        if (inFlight || nanos - earliestSendNanos < 0 || !hasWork()) {
             return Optional.empty();
         }
-        if (!budget.take(nanos)) {
+        if (!budget.tryAcquire(nanos)) {
             return Optional.empty();
         }
-        List<Outgoing> batch = new ArrayList<>(unsettled);
+        List<Outgoing> batch = new ArrayList<>(unconfirmed);
         int room = settings.maximumBatch();
         room -= drain(urgent, room, batch, streamMillis);
         room -= drain(normal, room, batch, streamMillis);
         drain(lazy, room, batch, streamMillis);
-        unsettled = List.copyOf(batch);
+        unconfirmed = List.copyOf(batch);
         inFlight = true;
         appendNumber++;
-        return Optional.of(new Batch(appendNumber, unsettled));
+        return Optional.of(new Batch(appendNumber, unconfirmed));
     }
 
     /**
@@ -101,15 +101,15 @@
      *
      * @return whether it was waited for; that of one which was settled by reading is passed over
      */
-    boolean answered(long number, AppendOutcome outcome, long nanos) {
+    boolean appendCompleted(long number, AppendOutcome outcome, long nanos) {
         if (!inFlight || number != appendNumber) {
             return false;
         }
         inFlight = false;
-        dropUnsettled(withdrawnInFlight);
+        removeUnconfirmed(withdrawnInFlight);
         withdrawnInFlight.clear();
         switch (outcome) {
-            case AppendOutcome.Appended ignored -> unsettled = List.of();
+            case AppendOutcome.Appended ignored -> unconfirmed = List.of();
             case AppendOutcome.Refused ignored -> pause(settings.retryInterval(), nanos);
             case AppendOutcome.Unknown ignored -> pause(settings.settleTime(), nanos);
         }
@@ -117,16 +117,16 @@
     }
 
     /** Learns the count of this process's newest record that was read. */
-    void readBack(long sequence, long nanos) {
+    void recordRead(long sequence, long nanos) {
         readSequence = Math.max(readSequence, sequence);
-        if (unsettled.isEmpty() || unsettled.getLast().sequence() > readSequence) {
+        if (unconfirmed.isEmpty() || unconfirmed.getLast().sequence() > readSequence) {
             return;
         }
         // Read back is better than answered: a lost answer costs no waiting, and a late one no second append.
-        unsettled = List.of();
+        unconfirmed = List.of();
         inFlight = false;
         withdrawnInFlight.clear();
-        notBeforeNanos = nanos;
+        earliestSendNanos = nanos;
     }
 
     /** Returns how many records wait to be sent for the first time. */
@@ -135,26 +135,29 @@
     }
 
     private boolean hasWork() {
-        return !unsettled.isEmpty() || !urgent.isEmpty() || !normal.isEmpty() || lazy.size() >= settings.maximumBatch();
+        return !unconfirmed.isEmpty()
+                || !urgent.isEmpty()
+                || !normal.isEmpty()
+                || lazy.size() >= settings.maximumBatch();
     }
 
-    private void dropUnsettled(Set<ClaimRecord> contents) {
-        unsettled = unsettled.stream()
+    private void removeUnconfirmed(Set<ClaimRecord> contents) {
+        unconfirmed = unconfirmed.stream()
                 .filter(outgoing -> !contents.contains(outgoing.content()))
                 .toList();
     }
 
     private void pause(Duration pause, long nanos) {
-        notBeforeNanos = nanos + pause.toNanos();
+        earliestSendNanos = nanos + pause.toNanos();
     }
 
-    private int drain(SequencedSet<ClaimRecord> lane, int room, List<Outgoing> batch, long streamMillis) {
+    private int drain(SequencedSet<ClaimRecord> queue, int room, List<Outgoing> batch, long streamMillis) {
         int taken = 0;
-        Iterator<ClaimRecord> waiting = lane.iterator();
-        while (taken < room && waiting.hasNext()) {
+        Iterator<ClaimRecord> queued = queue.iterator();
+        while (taken < room && queued.hasNext()) {
             lastSequence++;
-            batch.add(new Outgoing(lastSequence, new TimestampedRecord(waiting.next(), streamMillis)));
-            waiting.remove();
+            batch.add(new Outgoing(lastSequence, new TimestampedRecord(queued.next(), streamMillis)));
+            queued.remove();
             taken++;
         }
         return taken;
--- a/library/src/main/java/org/chivetally/claim/LeaseManager.java
+++ b/library/src/main/java/org/chivetally/claim/LeaseManager.java
@@ -9,7 +9,7 @@
     private final OwnLease lease;
     private boolean held;
     private boolean renewedOnce;
-    private long renewedNanos;
+    private long lastRenewalNanos;
     private boolean departing;
     private boolean departureConfirmed;
     private long departedNanos;
@@ -22,29 +22,29 @@
     }
 
     /** Returns a renewal if one is due; it counts as queued then. */
-    Optional<ClaimRecord.Renewed> takeRenewal(long nanos) {
+    Optional<ClaimRecord.Renewed> pollRenewal(long nanos) {
         boolean due = !renewedOnce
-                || nanos - renewedNanos >= settings.renewalInterval().toNanos();
+                || nanos - lastRenewalNanos >= settings.renewalInterval().toNanos();
         if (departing || !due) {
             return Optional.empty();
         }
         renewedOnce = true;
-        renewedNanos = nanos;
+        lastRenewalNanos = nanos;
         return Optional.of(new ClaimRecord.Renewed(self, settings.lease()));
     }
 
     /** Notes that a renewal is about to be sent for the first time. */
-    void sending(long sequence, long nanos) {
-        lease.sending(sequence, nanos);
+    void recordSending(long sequence, long nanos) {
+        lease.recordSending(sequence, nanos);
     }
 
     /** Learns of a renewal that was read; returns the end of this process's lease if it is later now. */
-    Optional<Long> read(FoldResult.Renewed renewed) {
-        return renewed.coordinator().equals(self) ? lease.readBack(renewed.sequence()) : Optional.empty();
+    Optional<Long> renewalRead(FoldResult.Renewed renewed) {
+        return renewed.coordinator().equals(self) ? lease.confirmRenewal(renewed.sequence()) : Optional.empty();
     }
 
     /** Returns whether the lease is held now, if that has changed since the last call. */
-    Optional<Boolean> takeChange(long nanos) {
+    Optional<Boolean> pollChange(long nanos) {
         boolean now = lease.isHeldAt(nanos);
         if (now == held) {
             return Optional.empty();
@@ -57,7 +57,7 @@
     void depart(long nanos) {
         departing = true;
         departedNanos = nanos;
-        lease.end();
+        lease.relinquish();
     }
 
     /** Tells whether the lease was given up. */
--- a/library/src/main/java/org/chivetally/claim/LeaseTable.java
+++ b/library/src/main/java/org/chivetally/claim/LeaseTable.java
@@ -15,9 +15,9 @@
  */
 final class LeaseTable {
     private final Map<Coordinator, Lease> leases = new ConcurrentHashMap<>();
-    private final long usualLeaseNanos;
-    private final long ticketNanos;
-    private volatile Long endNanos;
+    private final long defaultLeaseNanos;
+    private final long ticketAgeNanos;
+    private volatile Long readToEndNanos;
 
     /**
      * Creates a table without leases.
@@ -25,56 +25,56 @@
      * @param usualLease lease of coordinators that were never heard of
      * @param longestTicketAge how long after its lease a coordinator's starts may still be accepted
      */
-    LeaseTable(Duration usualLease, Duration longestTicketAge) {
-        this.usualLeaseNanos = usualLease.toNanos();
-        this.ticketNanos = longestTicketAge.toNanos();
+    LeaseTable(Duration defaultLease, Duration longestTicketAge) {
+        this.defaultLeaseNanos = defaultLease.toNanos();
+        this.ticketAgeNanos = longestTicketAge.toNanos();
     }
 
     /** Learns of a renewal that was read when the clock stood at {@code nanos}. */
-    void renewed(Coordinator coordinator, Duration lease, long nanos) {
+    void recordRenewal(Coordinator coordinator, Duration lease, long nanos) {
         Lease renewed = new Lease(nanos, lease.toNanos(), false);
         leases.compute(coordinator, (ignored, known) -> known != null && known.departed() ? known : renewed);
     }
 
     /** Learns that a coordinator gave its lease up. */
-    void departed(Coordinator coordinator, long nanos) {
+    void recordDeparture(Coordinator coordinator, long nanos) {
         leases.put(coordinator, new Lease(nanos, 0, true));
     }
 
     /** Counts a coordinator from now on, unless it is counted already. */
-    void needed(Coordinator coordinator, long nanos) {
-        leases.putIfAbsent(coordinator, new Lease(nanos, usualLeaseNanos, false));
+    void track(Coordinator coordinator, long nanos) {
+        leases.putIfAbsent(coordinator, new Lease(nanos, defaultLeaseNanos, false));
     }
 
     /** Learns that everything was read which stood in the log when the clock was at {@code nanos}; comes last. */
-    void endRead(long nanos) {
-        Long known = endNanos;
+    void recordReadToEnd(long nanos) {
+        Long known = readToEndNanos;
         if (known == null || nanos - known > 0) {
-            endNanos = nanos;
+            readToEndNanos = nanos;
         }
     }
 
     /** Returns the reading of the clock up to which everything in the log was read; empty before the first. */
     OptionalLong readToEndAt() {
-        Long end = endNanos;
+        Long end = readToEndNanos;
         return end == null ? OptionalLong.empty() : OptionalLong.of(end);
     }
 
     /** Tells whether a coordinator's lease has lapsed beyond doubt. */
     boolean hasLapsed(Coordinator coordinator, long nanos) {
-        if (coordinator.equals(Coordinator.NOBODY)) {
+        if (coordinator.equals(Coordinator.NONE)) {
             return true;
         }
         // Read before the lease: a renewal that stood before this end is then seen below, never an older one.
-        Long end = endNanos;
+        Long end = readToEndNanos;
         Lease lease = leases.get(coordinator);
         if (lease == null) {
-            needed(coordinator, nanos);
+            track(coordinator, nanos);
             return false;
         }
-        return end != null && end - lease.countedNanos() - lease.lengthNanos() - ticketNanos >= 0;
+        return end != null && end - lease.startNanos() - lease.durationNanos() - ticketAgeNanos >= 0;
     }
 
     /** A lease as counted by this process. */
-    private record Lease(long countedNanos, long lengthNanos, boolean departed) {}
+    private record Lease(long startNanos, long durationNanos, boolean departed) {}
 }
--- a/library/src/main/java/org/chivetally/claim/LogClaims.java
+++ b/library/src/main/java/org/chivetally/claim/LogClaims.java
@@ -72,10 +72,10 @@
         LeaseTable leases = new LeaseTable(settings.lease(), settings.longestTicketAge());
         OwnLease lease = new OwnLease(settings.lease());
         AtomicBoolean caughtUp = new AtomicBoolean();
-        ClaimStateMachine claimant = new ClaimStateMachine(settings, self, leases, lease, clock);
+        ClaimStateMachine stateMachine = new ClaimStateMachine(settings, self, leases, lease, clock);
         ClaimMeters claimMeters = new ClaimMeters(meters, lease, clock);
         ActorRef<ClaimsCommand> actor = system.systemActorOf(
-                ClaimsActor.create(claimant, log, settings, self, clock, claimMeters, caughtUp),
+                ClaimsActor.create(stateMachine, log, settings, self, clock, claimMeters, caughtUp),
                 "claims-" + UUID.randomUUID(),
                 Props.empty());
         return new LogClaims(actor, settings, self, clock, leases, lease, caughtUp);
@@ -88,7 +88,7 @@
 
     @Override
     public CompletionStage<ClaimDecision> claim(SubmissionKey key, String bodyDigest, JobId job, ClaimMode mode) {
-        ClaimRecord.Claimed claimed = new ClaimRecord.Claimed(key, bodyDigest, job, self, settings.writtenWindow());
+        ClaimRecord.Claimed claimed = new ClaimRecord.Claimed(key, bodyDigest, job, self, settings.recordedWindow());
         CompletableFuture<ClaimDecision> reply = new CompletableFuture<>();
         actor.tell(new ClaimsCommand.MakeClaim(claimed, mode, reply));
         return reply;
@@ -116,7 +116,7 @@
     }
 
     @Override
-    public void finished(Claim claim) {
+    public void markFinished(Claim claim) {
         actor.tell(new ClaimsCommand.Finish(claim));
     }
 
@@ -154,7 +154,7 @@
 
     @Override
     public CompletionStage<Void> depart() {
-        lease.end();
+        lease.relinquish();
         CompletableFuture<Void> reply = new CompletableFuture<>();
         actor.tell(new ClaimsCommand.Depart(reply));
         return reply;
@@ -177,7 +177,7 @@
 
     /** Ends the work on the log; what waits is refused as not run, and the lease is given up without a record. */
     public void stop() {
-        lease.end();
+        lease.relinquish();
         actor.tell(new ClaimsCommand.Stop());
     }
 }
--- a/library/src/main/java/org/chivetally/claim/LogHealth.java
+++ b/library/src/main/java/org/chivetally/claim/LogHealth.java
@@ -4,7 +4,7 @@
 
 /** Whether the log is known to be down: the last read or append failed, and none has succeeded since. */
 final class LogHealth {
-    private static final int FAILURES_OF_AN_OUTAGE = 2;
+    private static final int OUTAGE_FAILURES = 2;
 
     private boolean readFailing;
     private int appendFailures;
@@ -30,7 +30,7 @@
     void appended(AppendOutcome outcome) {
         switch (outcome) {
             case AppendOutcome.Appended ignored -> appendSucceeded();
-            case AppendOutcome.Refused ignored -> appendFailures = FAILURES_OF_AN_OUTAGE;
+            case AppendOutcome.Refused ignored -> appendFailures = OUTAGE_FAILURES;
             // One lost answer may be just that: the records are looked for before claims are refused.
             case AppendOutcome.Unknown ignored -> appendFailures++;
         }
@@ -43,6 +43,6 @@
 
     /** Tells whether the log is known to be down. */
     boolean isDown() {
-        return readFailing || appendFailures >= FAILURES_OF_AN_OUTAGE;
+        return readFailing || appendFailures >= OUTAGE_FAILURES;
     }
 }
--- a/library/src/main/java/org/chivetally/claim/MemoryClaims.java
+++ b/library/src/main/java/org/chivetally/claim/MemoryClaims.java
@@ -20,13 +20,13 @@
  * <p>For tests, and for services that go on in memory while the log is down. Safe from any thread.
  */
 public final class MemoryClaims implements Claims {
-    private static final long FOR_EVER_NANOS = Long.MAX_VALUE / 2;
+    private static final long UNBOUNDED_LEASE_NANOS = Long.MAX_VALUE / 2;
 
     private final Coordinator self;
     private final long windowNanos;
     private final NanoClock clock;
     private final Map<SubmissionKey, StoredClaim> byKey = new LinkedHashMap<>();
-    private final Map<JobId, SubmissionKey> keys = new HashMap<>();
+    private final Map<JobId, SubmissionKey> keysByJob = new HashMap<>();
     private boolean departed;
 
     /** Creates an empty set of claims of one process; a key stays taken for the window. */
@@ -67,7 +67,7 @@
     }
 
     @Override
-    public synchronized void finished(Claim claim) {
+    public synchronized void markFinished(Claim claim) {
         StoredClaim held = inForce(claim.key());
         if (held == null || !held.claim().job().equals(claim.job())) {
             return;
@@ -80,7 +80,7 @@
 
     @Override
     public synchronized void release(Claim claim) {
-        forget(claim.job());
+        remove(claim.job());
     }
 
     @Override
@@ -90,12 +90,12 @@
 
     @Override
     public void onLeaseExtended(LongConsumer listener) {
-        listener.accept(clock.nanos() + FOR_EVER_NANOS);
+        listener.accept(clock.nanos() + UNBOUNDED_LEASE_NANOS);
     }
 
     @Override
     public boolean hasLapsed(Coordinator coordinator) {
-        return coordinator.equals(Coordinator.NOBODY);
+        return coordinator.equals(Coordinator.NONE);
     }
 
     @Override
@@ -119,12 +119,12 @@
         if (departed) {
             return new ClaimDecision.LogUnavailable("this process departs");
         }
-        forgetEnded();
+        removeEnded();
         StoredClaim held = inForce(key);
         if (held == null) {
             Claim claim = new Claim(key, bodyDigest, job, self, Claim.FIRST_GENERATION, false);
             byKey.put(key, new StoredClaim(claim, clock.nanos() + windowNanos));
-            keys.put(job, key);
+            keysByJob.put(job, key);
             return new ClaimDecision.Won(claim);
         }
         return held.claim().bodyDigest().equals(bodyDigest)
@@ -139,12 +139,12 @@
 
     /** Returns the claim in force for a job. */
     synchronized Optional<Claim> lookUp(JobId job) {
-        return Optional.ofNullable(keys.get(job)).flatMap(this::lookUp);
+        return Optional.ofNullable(keysByJob.get(job)).flatMap(this::lookUp);
     }
 
     /** Drops a job's claim, as another place holds it now. */
-    synchronized void forget(JobId job) {
-        SubmissionKey key = keys.remove(job);
+    synchronized void remove(JobId job) {
+        SubmissionKey key = keysByJob.remove(job);
         if (key != null) {
             byKey.remove(key);
         }
@@ -155,7 +155,7 @@
         return held != null && held.endNanos() - clock.nanos() > 0 ? held : null;
     }
 
-    private void forgetEnded() {
+    private void removeEnded() {
         Iterator<StoredClaim> oldest = byKey.values().iterator();
         while (oldest.hasNext()) {
             StoredClaim held = oldest.next();
@@ -163,7 +163,7 @@
                 return;
             }
             oldest.remove();
-            keys.remove(held.claim().job());
+            keysByJob.remove(held.claim().job());
         }
     }
 
--- a/library/src/main/java/org/chivetally/claim/OwnLease.java
+++ b/library/src/main/java/org/chivetally/claim/OwnLease.java
@@ -13,9 +13,9 @@
  */
 final class OwnLease {
     private final long lengthNanos;
-    private final Map<Long, Long> sentNanos = new TreeMap<>();
+    private final Map<Long, Long> sentNanosBySequence = new TreeMap<>();
     private volatile Long endNanos;
-    private volatile boolean ended;
+    private volatile boolean relinquished;
 
     /** Creates a lease that is not held yet. */
     OwnLease(Duration length) {
@@ -23,14 +23,14 @@
     }
 
     /** Notes when a renewal was about to be sent; a second sending of the same record changes nothing. */
-    void sending(long sequence, long nanos) {
-        sentNanos.putIfAbsent(sequence, nanos);
+    void recordSending(long sequence, long nanos) {
+        sentNanosBySequence.putIfAbsent(sequence, nanos);
     }
 
     /** Holds the lease by a renewal that was read back; returns its end if that is later now. */
-    Optional<Long> readBack(long sequence) {
-        Long sent = sentNanos.get(sequence);
-        sentNanos.keySet().removeIf(earlier -> earlier <= sequence);
+    Optional<Long> confirmRenewal(long sequence) {
+        Long sent = sentNanosBySequence.get(sequence);
+        sentNanosBySequence.keySet().removeIf(earlier -> earlier <= sequence);
         if (sent == null || endNanos != null && sent + lengthNanos - endNanos <= 0) {
             return Optional.empty();
         }
@@ -39,8 +39,8 @@
     }
 
     /** Gives the lease up for good. */
-    void end() {
-        ended = true;
+    void relinquish() {
+        relinquished = true;
     }
 
     /** Tells whether the lease is held at a reading of the clock. */
@@ -51,6 +51,6 @@
     /** Returns what is left of the lease in nanoseconds, zero when it is not held. */
     long remainingNanos(long nanos) {
         Long end = endNanos;
-        return ended || end == null ? 0 : Math.max(0, end - nanos);
+        return relinquished || end == null ? 0 : Math.max(0, end - nanos);
     }
 }
--- a/library/src/main/java/org/chivetally/claim/PendingClaim.java
+++ b/library/src/main/java/org/chivetally/claim/PendingClaim.java
@@ -11,7 +11,7 @@
     private final ClaimRecord content;
     private final ClaimMode mode;
     private final CompletableFuture<ClaimDecision> reply;
-    private final long startedNanos;
+    private final long requestedNanos;
     private final List<CompletableFuture<ClaimDecision>> followers = new ArrayList<>();
     private long sequence;
 
@@ -20,7 +20,7 @@
         this.content = content;
         this.mode = mode;
         this.reply = reply;
-        this.startedNanos = startedNanos;
+        this.requestedNanos = startedNanos;
     }
 
     /** Returns the record that is to decide. */
@@ -29,12 +29,12 @@
     }
 
     /** Tells whether this is the claim of a submission, not a takeover. */
-    boolean isFirst() {
+    boolean isSubmission() {
         return content instanceof ClaimRecord.Claimed;
     }
 
     /** Returns the claim that may be made in memory instead, if its service allows that. */
-    Optional<ClaimRecord.Claimed> memoryContent() {
+    Optional<ClaimRecord.Claimed> memoryFallback() {
         boolean allowed = mode == ClaimMode.MEMORY;
         return allowed && content instanceof ClaimRecord.Claimed claimed ? Optional.of(claimed) : Optional.empty();
     }
@@ -45,7 +45,7 @@
     }
 
     /** Lets another caller, who asked for the very same, wait for the decision; at most one of them may win. */
-    void follow(CompletableFuture<ClaimDecision> other) {
+    void addFollower(CompletableFuture<ClaimDecision> other) {
         followers.add(other);
     }
 
@@ -55,8 +55,8 @@
     }
 
     /** Returns the reading of the clock when the caller asked. */
-    long startedNanos() {
-        return startedNanos;
+    long requestedNanos() {
+        return requestedNanos;
     }
 
     /** Tells whether the record may stand in the stream. */
@@ -70,12 +70,12 @@
     }
 
     /** Notes the count with which the record is sent. */
-    void sentAs(long newSequence) {
+    void markSent(long newSequence) {
         this.sequence = newSequence;
     }
 
     /** Notes that the record is sent anew, with another count. */
-    void sendAgain() {
+    void resetForResend() {
         this.sequence = 0;
     }
 
--- a/library/src/main/java/org/chivetally/claim/ReadTimeline.java
+++ b/library/src/main/java/org/chivetally/claim/ReadTimeline.java
@@ -13,26 +13,26 @@
  * is late when this process was cut off. Of records that stood there before this process first read, nothing is known.
  */
 final class ReadTimeline {
-    private static final long SPACING_NANOS = TimeUnit.SECONDS.toNanos(1);
+    private static final long MINIMUM_SPACING_NANOS = TimeUnit.SECONDS.toNanos(1);
     /** Reaches back more than an hour, longer than any agent remembers. */
-    private static final int MAXIMUM = 4_096;
+    private static final int MAXIMUM_ENTRIES = 4_096;
 
     private final TreeMap<Long, Long> sentNanosByEnd = new TreeMap<>();
 
     /** Learns that the stream ended at an offset when the clock was at {@code sentNanos} at the earliest. */
-    void endSeen(long endOffset, long sentNanos) {
+    void recordEnd(long endOffset, long sentNanos) {
         Map.Entry<Long, Long> newest = sentNanosByEnd.lastEntry();
         boolean older = newest != null && (endOffset < newest.getKey() || sentNanos - newest.getValue() <= 0);
         if (older) {
             return;
         }
         boolean tooSoon =
-                newest != null && newest.getKey() != endOffset && sentNanos - newest.getValue() < SPACING_NANOS;
+                newest != null && newest.getKey() != endOffset && sentNanos - newest.getValue() < MINIMUM_SPACING_NANOS;
         if (tooSoon) {
             return;
         }
         sentNanosByEnd.put(endOffset, sentNanos);
-        if (sentNanosByEnd.size() > MAXIMUM) {
+        if (sentNanosByEnd.size() > MAXIMUM_ENTRIES) {
             sentNanosByEnd.pollFirstEntry();
         }
     }
--- a/library/src/main/java/org/chivetally/claim/SnapshotAssembler.java
+++ b/library/src/main/java/org/chivetally/claim/SnapshotAssembler.java
@@ -20,29 +20,29 @@
  */
 final class SnapshotAssembler {
     private final Map<String, Parts> snapshots = new HashMap<>();
-    private final Set<Integer> otherFormats = new TreeSet<>();
+    private final Set<Integer> unsupportedFormats = new TreeSet<>();
 
     /** Takes a record of the snapshot stream in. */
     void add(LogRecord logRecord) {
         switch (SnapshotChunk.decode(logRecord.payload())) {
             case DecodedChunk.Valid known -> add(known.chunk());
-            case DecodedChunk.OtherFormat other -> otherFormats.add(other.format());
+            case DecodedChunk.UnsupportedFormat other -> unsupportedFormats.add(other.format());
             case DecodedChunk.Damaged ignored -> {}
         }
     }
 
     /** Returns the format versions of the chunks that were refused for them. */
-    Set<Integer> otherFormats() {
-        return otherFormats;
+    Set<Integer> unsupportedFormats() {
+        return unsupportedFormats;
     }
 
     /** Returns the newest whole snapshot's content. */
     Optional<TableImage> newest() {
-        List<Parts> whole = new ArrayList<>(
-                snapshots.values().stream().filter(Parts::isWhole).toList());
-        whole.sort(
+        List<Parts> complete = new ArrayList<>(
+                snapshots.values().stream().filter(Parts::isComplete).toList());
+        complete.sort(
                 Comparator.comparingLong((Parts parts) -> parts.header.covers()).reversed());
-        for (Parts parts : whole) {
+        for (Parts parts : complete) {
             Optional<TableImage> image = SnapshotCodec.decode(parts.header, Arrays.asList(parts.bodies));
             if (image.isPresent()) {
                 return image;
@@ -77,7 +77,7 @@
             }
         }
 
-        private boolean isWhole() {
+        private boolean isComplete() {
             return Arrays.stream(bodies).allMatch(Objects::nonNull);
         }
     }
--- a/library/src/main/java/org/chivetally/claim/SnapshotChunk.java
+++ b/library/src/main/java/org/chivetally/claim/SnapshotChunk.java
@@ -116,7 +116,7 @@
             }
         }
         if (format != FORMAT) {
-            return new DecodedChunk.OtherFormat(format);
+            return new DecodedChunk.UnsupportedFormat(format);
         }
         return new DecodedChunk.Valid(new SnapshotChunk(new SnapshotHeader(snapshot, part, parts, covers, time), body));
     }
--- a/library/src/main/java/org/chivetally/claim/SnapshotCodec.java
+++ b/library/src/main/java/org/chivetally/claim/SnapshotCodec.java
@@ -75,7 +75,7 @@
 
         private List<byte[]> write(TableImage image) {
             image.writers().forEach(writer -> add(json -> writeWriter(json, writer)));
-            for (CompactClaim held : image.held()) {
+            for (CompactClaim held : image.claims()) {
                 int number = numberOf(held.coordinator());
                 add(json -> writeClaim(json, held, number, held.endMillis() - image.streamMillis()));
             }
--- a/library/src/main/java/org/chivetally/claim/SnapshotManager.java
+++ b/library/src/main/java/org/chivetally/claim/SnapshotManager.java
@@ -11,8 +11,8 @@
 
 /** What an actor of claims does about snapshots: reads the newest one when it has to, and writes one when it is due. */
 final class SnapshotManager {
-    private static final Duration LOAD_LIMIT = Duration.ofSeconds(60);
-    private static final int LOOKS_IN_INTERVAL = 8;
+    private static final Duration LOAD_TIMEOUT = Duration.ofSeconds(60);
+    private static final int CHECKS_PER_INTERVAL = 8;
 
     private final ActorContext<ClaimsCommand> context;
     private final PlatformLog log;
@@ -24,8 +24,8 @@
     private boolean loading;
     private long loadNumber;
     private long loadSentNanos;
-    private boolean busy;
-    private long notBeforeNanos;
+    private boolean inProgress;
+    private long nextCheckNanos;
 
     /** Creates the duty of a process; chunks are made and read on the blocking dispatcher. */
     SnapshotManager(
@@ -41,7 +41,7 @@
         this.executor = context.getSystem().dispatchers().lookup(DispatcherSelector.blocking());
         this.reader = new SnapshotReader(log, executor);
         this.schedule = new SnapshotSchedule(settings.snapshots(), self.processId());
-        this.notBeforeNanos = nanos;
+        this.nextCheckNanos = nanos;
     }
 
     /** Looks for the newest snapshot; the actor gets {@link ClaimsCommand.SnapshotLoaded}. */
@@ -64,7 +64,7 @@
 
     /** Tells whether the search takes longer than it may. */
     boolean isLoadOverdue(long nanos) {
-        return loading && nanos - loadSentNanos > LOAD_LIMIT.toNanos();
+        return loading && nanos - loadSentNanos > LOAD_TIMEOUT.toNanos();
     }
 
     /** Ends a search; the answer to an earlier one is passed over. */
@@ -82,33 +82,33 @@
     }
 
     /** Learns of a whole snapshot. */
-    void covered(long offset, long streamMillis) {
-        schedule.covered(offset, streamMillis);
+    void recordSnapshot(long offset, long streamMillis) {
+        schedule.recordSnapshot(offset, streamMillis);
     }
 
     /** Looks at the snapshot stream when one is due; the actor gets {@link ClaimsCommand.SnapshotTailRead}. */
-    void tick(ClaimStateMachine claimant, long nanos) {
-        if (busy || loading || !claimant.caughtUp() || nanos - notBeforeNanos < 0) {
+    void tick(ClaimStateMachine stateMachine, long nanos) {
+        if (inProgress || loading || !stateMachine.caughtUp() || nanos - nextCheckNanos < 0) {
             return;
         }
-        if (!schedule.isDue(claimant.nextOffset(), claimant.streamMillis())) {
+        if (!schedule.isDue(stateMachine.nextOffset(), stateMachine.streamMillis())) {
             return;
         }
-        busy = true;
+        inProgress = true;
         context.pipeToSelf(
                 reader.tail(),
                 (tail, failure) -> new ClaimsCommand.SnapshotTailRead(failure == null ? tail : Optional.empty()));
     }
 
     /** Writes a snapshot unless another process does; the actor gets {@link ClaimsCommand.SnapshotDone}. */
-    void write(Optional<SnapshotTail> tail, ClaimStateMachine claimant, long nanos) {
-        boolean write =
-                tail.isPresent() && schedule.shallWrite(tail.get(), claimant.nextOffset(), claimant.streamMillis());
+    void write(Optional<SnapshotTail> tail, ClaimStateMachine stateMachine, long nanos) {
+        boolean write = tail.isPresent()
+                && schedule.shouldWrite(tail.get(), stateMachine.nextOffset(), stateMachine.streamMillis());
         if (!write) {
             pause(nanos);
             return;
         }
-        TableImage image = claimant.image();
+        TableImage image = stateMachine.image();
         Behavior<SnapshotWriter.Command> behavior = SnapshotWriter.create(
                 log,
                 settings,
@@ -121,16 +121,16 @@
     }
 
     /** Learns that the writer ended. */
-    void done(ClaimsCommand.SnapshotDone done, long nanos) {
-        if (done.whole()) {
-            schedule.covered(done.covers(), done.streamMillis());
+    void snapshotDone(ClaimsCommand.SnapshotDone done, long nanos) {
+        if (done.complete()) {
+            schedule.recordSnapshot(done.covers(), done.streamMillis());
         }
         pause(nanos);
     }
 
     private void pause(long nanos) {
-        busy = false;
-        Duration pause = settings.snapshots().interval().dividedBy(LOOKS_IN_INTERVAL);
-        notBeforeNanos = nanos + pause.toNanos();
+        inProgress = false;
+        Duration pause = settings.snapshots().interval().dividedBy(CHECKS_PER_INTERVAL);
+        nextCheckNanos = nanos + pause.toNanos();
     }
 }
--- a/library/src/main/java/org/chivetally/claim/SnapshotReader.java
+++ b/library/src/main/java/org/chivetally/claim/SnapshotReader.java
@@ -13,9 +13,9 @@
 /** Reads the snapshot stream from its end backwards, as far as is needed for one whole snapshot. */
 final class SnapshotReader {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
-    private static final int RECORDS_OF_A_READ = 16;
-    private static final long FIRST_STRETCH = 32;
-    private static final int GROWTH = 4;
+    private static final int RECORDS_PER_READ = 16;
+    private static final long INITIAL_RECORD_COUNT = 32;
+    private static final int GROWTH_FACTOR = 4;
 
     private final PlatformLog log;
     private final Executor executor;
@@ -29,7 +29,7 @@
     /** Returns the newest whole, valid snapshot. */
     CompletionStage<SnapshotLoadResult> load() {
         return bounds().thenCompose(bounds -> switch (bounds) {
-            case Bounds.Known known -> load(known, FIRST_STRETCH);
+            case Bounds.Known known -> load(known, INITIAL_RECORD_COUNT);
             case Bounds.Unknown unknown -> completed(new SnapshotLoadResult.Unavailable(unknown.reason()));
         });
     }
@@ -63,23 +63,23 @@
                 : Optional.empty();
     }
 
-    private CompletionStage<SnapshotLoadResult> load(Bounds.Known bounds, long stretch) {
-        long from = Math.max(bounds.earliest(), bounds.end() - stretch);
+    private CompletionStage<SnapshotLoadResult> load(Bounds.Known bounds, long recordCount) {
+        long from = Math.max(bounds.earliest(), bounds.end() - recordCount);
         return collect(from, bounds.end(), new SnapshotAssembler()).thenCompose(load -> {
-            boolean goesOn = load instanceof SnapshotLoadResult.None && from > bounds.earliest();
-            return goesOn ? load(bounds, stretch * GROWTH) : completed(load);
+            boolean readFurther = load instanceof SnapshotLoadResult.None && from > bounds.earliest();
+            return readFurther ? load(bounds, recordCount * GROWTH_FACTOR) : completed(load);
         });
     }
 
     private CompletionStage<SnapshotLoadResult> collect(long from, long end, SnapshotAssembler assembler) {
         if (from >= end) {
-            tellRefused(assembler);
+            logRefused(assembler);
             return completed(assembler
                     .newest()
                     .<SnapshotLoadResult>map(SnapshotLoadResult.Found::new)
                     .orElseGet(SnapshotLoadResult.None::new));
         }
-        return log.read(LogClaims.SNAPSHOT_STREAM, from, RECORDS_OF_A_READ, Duration.ZERO)
+        return log.read(LogClaims.SNAPSHOT_STREAM, from, RECORDS_PER_READ, Duration.ZERO)
                 .thenComposeAsync(
                         outcome -> switch (outcome) {
                             case ReadOutcome.Records found -> {
@@ -96,12 +96,12 @@
                         executor);
     }
 
-    private static void tellRefused(SnapshotAssembler assembler) {
-        if (!assembler.otherFormats().isEmpty()) {
+    private static void logRefused(SnapshotAssembler assembler) {
+        if (!assembler.unsupportedFormats().isEmpty()) {
             logger.atWarning().log(
                     "%s",
                     EventLine.of("claim-snapshot-refused")
-                            .with("formats", assembler.otherFormats())
+                            .with("formats", assembler.unsupportedFormats())
                             .with("readable", SnapshotChunk.FORMAT));
         }
     }
--- a/library/src/main/java/org/chivetally/claim/SnapshotSchedule.java
+++ b/library/src/main/java/org/chivetally/claim/SnapshotSchedule.java
@@ -8,25 +8,25 @@
  * another that is at it; two writers do no harm but cost.
  */
 final class SnapshotSchedule {
-    private static final int SPREAD = 100;
-    private static final int LATEST_FRACTION = 4;
+    private static final int JITTER_STEPS = 100;
+    private static final int JITTER_DIVISOR = 4;
 
     private final long dueMillis;
     private final long dueRecords;
     private long coveredOffset;
     private long coveredMillis;
-    private long lastEnd = -1;
+    private long lastEndOffset = -1;
 
     /** Creates a schedule for a process by its name. */
     SnapshotSchedule(SnapshotSettings settings, String processId) {
-        double share = Math.floorMod(processId.hashCode(), SPREAD) / (double) SPREAD;
-        double factor = 1 - (1 - share) / LATEST_FRACTION;
+        double share = Math.floorMod(processId.hashCode(), JITTER_STEPS) / (double) JITTER_STEPS;
+        double factor = 1 - (1 - share) / JITTER_DIVISOR;
         this.dueMillis = Math.round(settings.interval().toMillis() * factor);
         this.dueRecords = Math.max(1, Math.round(settings.records() * factor));
     }
 
     /** Learns that a whole snapshot covers the stream up to an offset. */
-    void covered(long offset, long streamMillis) {
+    void recordSnapshot(long offset, long streamMillis) {
         if (offset > coveredOffset) {
             coveredOffset = offset;
             coveredMillis = streamMillis;
@@ -40,15 +40,15 @@
     }
 
     /** Decides, by the end of the snapshot stream, whether this process writes the snapshot that is due. */
-    boolean shallWrite(SnapshotTail tail, long nextOffset, long streamMillis) {
-        boolean grew = tail.endOffset() != lastEnd;
-        lastEnd = tail.endOffset();
+    boolean shouldWrite(SnapshotTail tail, long nextOffset, long streamMillis) {
+        boolean grew = tail.endOffset() != lastEndOffset;
+        lastEndOffset = tail.endOffset();
         if (tail.newest().isEmpty()) {
             return true;
         }
         SnapshotHeader newest = tail.newest().get();
         if (newest.isLast()) {
-            covered(newest.covers(), newest.streamMillis());
+            recordSnapshot(newest.covers(), newest.streamMillis());
             return isDue(nextOffset, streamMillis);
         }
         // Another process is at it, unless it stopped half way: then the stream has not grown since the last look.
--- a/library/src/main/java/org/chivetally/claim/SnapshotSettings.java
+++ b/library/src/main/java/org/chivetally/claim/SnapshotSettings.java
@@ -14,7 +14,7 @@
     /** Most bytes that a chunk may have. */
     public static final int MAXIMUM_CHUNK_BYTES = 512 * 1024;
 
-    private static final long USUAL_RECORDS = 200_000;
+    private static final long DEFAULT_RECORDS = 200_000;
     private static final int MINIMUM_CHUNK_BYTES = 16 * 1024;
 
     /** Refuses times and sizes out of range. */
@@ -30,6 +30,6 @@
 
     /** Returns the usual settings with an interval. */
     public static SnapshotSettings every(Duration interval) {
-        return new SnapshotSettings(interval, USUAL_RECORDS, Duration.ofMillis(250), MAXIMUM_CHUNK_BYTES);
+        return new SnapshotSettings(interval, DEFAULT_RECORDS, Duration.ofMillis(250), MAXIMUM_CHUNK_BYTES);
     }
 }
--- a/library/src/main/java/org/chivetally/claim/SnapshotWriter.java
+++ b/library/src/main/java/org/chivetally/claim/SnapshotWriter.java
@@ -20,13 +20,13 @@
 /** Appends one snapshot, chunk by chunk with pauses, and stops. A chunk in doubt is repeated; readers drop repeats. */
 final class SnapshotWriter extends AbstractBehavior<SnapshotWriter.Command> {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
-    private static final int MOST_FAILURES = 20;
+    private static final int MAXIMUM_FAILURES = 20;
 
     private final TimerScheduler<Command> timers;
     private final PlatformLog log;
     private final ClaimSettings settings;
     private final TableImage image;
-    private final Consumer<Boolean> whenDone;
+    private final Consumer<Boolean> completionListener;
     private List<NewRecord> chunks = List.of();
     private int part;
     private int failures;
@@ -38,13 +38,13 @@
             PlatformLog log,
             ClaimSettings settings,
             TableImage image,
-            Consumer<Boolean> whenDone) {
+            Consumer<Boolean> completionListener) {
         super(context);
         this.timers = timers;
         this.log = log;
         this.settings = settings;
         this.image = image;
-        this.whenDone = whenDone;
+        this.completionListener = completionListener;
     }
 
     /**
@@ -59,13 +59,13 @@
             TableImage image,
             String writer,
             Executor executor,
-            Consumer<Boolean> whenDone) {
+            Consumer<Boolean> completionListener) {
         return Behaviors.setup(context -> Behaviors.withTimers(timers -> {
             int chunkBytes = settings.snapshots().chunkBytes();
             CompletableFuture<List<NewRecord>> chunks =
                     CompletableFuture.supplyAsync(() -> SnapshotCodec.encode(image, writer, chunkBytes), executor);
             context.pipeToSelf(chunks, (encoded, failure) -> new Encoded(failure == null ? encoded : List.of()));
-            return new SnapshotWriter(context, timers, log, settings, image, whenDone);
+            return new SnapshotWriter(context, timers, log, settings, image, completionListener);
         }));
     }
 
@@ -90,8 +90,8 @@
     private Behavior<Command> send() {
         attempt++;
         int current = attempt;
-        Answered late = new Answered(current, new AppendOutcome.Unknown("no answer in time"));
-        timers.startSingleTimer(late, settings.tail().answerTimeout());
+        Answered timeout = new Answered(current, new AppendOutcome.Unknown("no answer in time"));
+        timers.startSingleTimer(timeout, settings.tail().answerTimeout());
         getContext()
                 .pipeToSelf(
                         log.append(LogClaims.SNAPSHOT_STREAM, List.of(chunks.get(part))),
@@ -105,7 +105,7 @@
         timers.cancelAll();
         if (!(outcome instanceof AppendOutcome.Appended)) {
             failures++;
-            return failures > MOST_FAILURES
+            return failures > MAXIMUM_FAILURES
                     ? end(false)
                     : sendAfter(settings.tail().retryInterval());
         }
@@ -121,14 +121,14 @@
         return this;
     }
 
-    private Behavior<Command> end(boolean whole) {
+    private Behavior<Command> end(boolean complete) {
         logger.atInfo().log(
                 "%s",
-                EventLine.of(whole ? "claim-snapshot-written" : "claim-snapshot-given-up")
+                EventLine.of(complete ? "claim-snapshot-written" : "claim-snapshot-given-up")
                         .with("covers", image.nextOffset())
-                        .with("claims", image.held().size())
+                        .with("claims", image.claims().size())
                         .with("parts", chunks.size()));
-        whenDone.accept(whole);
+        completionListener.accept(complete);
         return Behaviors.stopped();
     }
 
--- a/library/src/main/java/org/chivetally/claim/StreamTime.java
+++ b/library/src/main/java/org/chivetally/claim/StreamTime.java
@@ -23,7 +23,7 @@
     }
 
     /** Learns that the stream had reached a time when the clock was read. */
-    void reached(long streamMillis, long nanos) {
+    void advanceTo(long streamMillis, long nanos) {
         if (streamMillis > estimate(nanos)) {
             baseMillis = streamMillis;
             baseNanos = nanos;
--- a/library/src/main/java/org/chivetally/claim/TableImage.java
+++ b/library/src/main/java/org/chivetally/claim/TableImage.java
@@ -9,12 +9,12 @@
  * @param nextOffset offset of the first record that is not in it
  * @param streamMillis the stream's time at that offset
  * @param writers how far each writer has got, by name
- * @param held the claims in force, oldest first
+ * @param claims the claims in force, oldest first
  */
-record TableImage(long nextOffset, long streamMillis, List<Writer> writers, List<CompactClaim> held) {
+record TableImage(long nextOffset, long streamMillis, List<Writer> writers, List<CompactClaim> claims) {
     TableImage {
         writers = List.copyOf(writers);
-        held = List.copyOf(held);
+        claims = List.copyOf(claims);
     }
 
     /**
--- a/library/src/main/java/org/chivetally/claim/TokenBucket.java
+++ b/library/src/main/java/org/chivetally/claim/TokenBucket.java
@@ -4,27 +4,27 @@
 
 /** Bounds a rate: tokens come in steadily, up to a burst, and each use takes one. */
 final class TokenBucket {
-    private final long tokenNanos;
-    private final long fullNanos;
+    private final long nanosPerToken;
+    private final long capacityNanos;
     private long creditNanos;
-    private long filledNanos;
+    private long refilledNanos;
 
     /** Creates a full bucket. */
     TokenBucket(double tokensPerSecond, int burst, long nanos) {
-        this.tokenNanos = Math.max(1, Math.round(Duration.ofSeconds(1).toNanos() / tokensPerSecond));
-        this.fullNanos = tokenNanos * burst;
-        this.creditNanos = fullNanos;
-        this.filledNanos = nanos;
+        this.nanosPerToken = Math.max(1, Math.round(Duration.ofSeconds(1).toNanos() / tokensPerSecond));
+        this.capacityNanos = nanosPerToken * burst;
+        this.creditNanos = capacityNanos;
+        this.refilledNanos = nanos;
     }
 
     /** Takes a token if there is one. */
-    boolean take(long nanos) {
-        creditNanos = Math.min(fullNanos, creditNanos + (nanos - filledNanos));
-        filledNanos = nanos;
-        if (creditNanos < tokenNanos) {
+    boolean tryAcquire(long nanos) {
+        creditNanos = Math.min(capacityNanos, creditNanos + (nanos - refilledNanos));
+        refilledNanos = nanos;
+        if (creditNanos < nanosPerToken) {
             return false;
         }
-        creditNanos -= tokenNanos;
+        creditNanos -= nanosPerToken;
         return true;
     }
 }
--- a/library/src/main/java/org/chivetally/entry/submission/RemoteJobs.java
+++ b/library/src/main/java/org/chivetally/entry/submission/RemoteJobs.java
@@ -173,7 +173,7 @@
 
     private void askCoordinator(Claim claim) {
         boolean reachable =
-                !isSame(claim.coordinator(), parts.self()) && !isSame(claim.coordinator(), Coordinator.NOBODY);
+                !isSame(claim.coordinator(), parts.self()) && !isSame(claim.coordinator(), Coordinator.NONE);
         if (reachable) {
             parts.peers().ask(claim.coordinator(), claim.job(), claim.key().key());
         }
--- a/library/src/main/java/org/chivetally/entry/submission/SubmissionActor.java
+++ b/library/src/main/java/org/chivetally/entry/submission/SubmissionActor.java
@@ -324,7 +324,7 @@
         if (isPassingRefusal(outcome)) {
             parts.claims().release(claim);
         } else {
-            parts.claims().finished(claim);
+            parts.claims().markFinished(claim);
         }
     }
 
--- a/library/src/test/java/org/chivetally/claim/ClaimRecordCodecTest.java
+++ b/library/src/test/java/org/chivetally/claim/ClaimRecordCodecTest.java
@@ -19,7 +19,7 @@
     private static final Instant WRITTEN = Instant.parse("2026-03-01T08:00:00Z");
     private static final List<ClaimRecord> RECORDS = List.of(
             ClaimSamples.claimed(new SubmissionKey("team \"x\"", "clé\n1"), ClaimSamples.BODY, "job-1", "a"),
-            ClaimSamples.takenOver("job-1", "b", 2, ClaimRecord.TakenOver.UNNAMED),
+            ClaimSamples.takenOver("job-1", "b", 2, ClaimRecord.TakenOver.UNSPECIFIED),
             new ClaimRecord.Renewed(ClaimSamples.process("a"), Duration.ofSeconds(6)),
             new ClaimRecord.Departed(ClaimSamples.process("a")),
             new ClaimRecord.Finished(ClaimSamples.KEY, new JobId("job-1")),
@@ -29,17 +29,17 @@
 
     /** The file holds what is in the logs of running installations: it may grow, but no line may change. */
     @Test
-    void recordsAreWrittenAsRecorded() throws IOException {
+    void encodingMatchesStoredRecords() throws IOException {
         List<String> lines = RECORDS.stream()
                 .map(content -> ClaimRecordCodec.encode(new TimestampedRecord(content, 1234), WRITTEN))
                 .map(payload -> new String(payload, StandardCharsets.UTF_8))
                 .toList();
-        assertThat(lines, is(recordedLines()));
+        assertThat(lines, is(storedLines()));
     }
 
     @Test
-    void recordsAreReadAsWritten() throws IOException {
-        List<DecodedRecord> decoded = recordedLines().stream()
+    void storedRecordsAreDecoded() throws IOException {
+        List<DecodedRecord> decoded = storedLines().stream()
                 .map(line -> ClaimRecordCodec.decode(line.getBytes(StandardCharsets.UTF_8)))
                 .toList();
         List<DecodedRecord> expected = RECORDS.stream()
@@ -49,7 +49,7 @@
     }
 
     @Test
-    void unknownFieldsArePassedOver() {
+    void unknownFieldsAreIgnored() {
         String line =
                 "{\"format\":1,\"type\":\"finished\",\"new\":{\"a\":[1]},\"team\":\"t\",\"key\":\"k\",\"job\":\"j\"}";
         ClaimRecord content = new ClaimRecord.Finished(new SubmissionKey("t", "k"), new JobId("j"));
@@ -73,12 +73,12 @@
                 "{\"format\":1,\"type\":\"finished\",\"team\":\"t\",\"key\":\"k\",\"job\":\"j\",\"time\":\"x\"}",
                 "{\"format\":1,\"type\":\"finished\",\"team\":\"t\",\"key\":\"k\",\"job\":\"j\""
             })
-    void whatCannotBeReadIsSkipped(String line) {
+    void unreadableRecordIsSkipped(String line) {
         DecodedRecord decoded = ClaimRecordCodec.decode(line.getBytes(StandardCharsets.UTF_8));
         assertThat(decoded, instanceOf(DecodedRecord.Skipped.class));
     }
 
-    private static List<String> recordedLines() throws IOException {
+    private static List<String> storedLines() throws IOException {
         try (InputStream stream = ClaimRecordCodecTest.class.getResourceAsStream("claim-records.jsonl")) {
             return new String(stream.readAllBytes(), StandardCharsets.UTF_8)
                     .lines()
--- a/library/src/test/java/org/chivetally/claim/ClaimSettingsTest.java
+++ b/library/src/test/java/org/chivetally/claim/ClaimSettingsTest.java
@@ -12,10 +12,10 @@
     private static final Duration RETENTION = Duration.ofHours(1);
 
     @Test
-    void windowMustNotExceedWhatTheLogKeeps() {
+    void windowMustNotExceedLogRetention() {
         Duration slack = Duration.ofSeconds(8);
         ClaimSettings settings = ClaimSettings.defaults(RETENTION.minus(slack), RETENTION);
-        assertThat(settings.writtenWindow(), is(RETENTION));
+        assertThat(settings.recordedWindow(), is(RETENTION));
         Exception refusal = Assertions.assertThrows(
                 IllegalArgumentException.class,
                 () -> ClaimSettings.defaults(RETENTION.minus(slack).plusMillis(1), RETENTION));
--- a/library/src/test/java/org/chivetally/claim/ClaimStateMachinePropertiesTest.java
+++ b/library/src/test/java/org/chivetally/claim/ClaimStateMachinePropertiesTest.java
@@ -34,32 +34,33 @@
      */
     @Property(tries = 2_000)
     void oneWinnerAndNoOrphans(@ForAll("schedules") List<Step> schedule) {
-        Simulation world = new Simulation();
-        schedule.forEach(world::play);
-        world.quiesce();
-        assertThat(world.winners.values(), everyItem(hasSize(1)));
-        world.replies.forEach(reply -> assertThat(reply.isDone(), is(true)));
-        TableImage image = world.processes.getFirst().claimant.image();
-        world.processes.forEach(process -> assertThat(process.claimant.image(), is(image)));
-        for (CompactClaim held : image.held()) {
-            boolean nobody = held.coordinator().equals(Coordinator.NOBODY);
-            List<Coordinator> winners = world.winners.getOrDefault(Simulation.placeOf(held.claim()), List.of());
+        Simulation simulation = new Simulation();
+        schedule.forEach(simulation::apply);
+        simulation.quiesce();
+        assertThat(simulation.winners.values(), everyItem(hasSize(1)));
+        simulation.replies.forEach(reply -> assertThat(reply.isDone(), is(true)));
+        TableImage image = simulation.processes.getFirst().stateMachine.image();
+        simulation.processes.forEach(process -> assertThat(process.stateMachine.image(), is(image)));
+        for (CompactClaim held : image.claims()) {
+            boolean nobody = held.coordinator().equals(Coordinator.NONE);
+            List<Coordinator> winners =
+                    simulation.winners.getOrDefault(Simulation.generationKey(held.claim()), List.of());
             assertThat(nobody ? winners.isEmpty() : winners.contains(held.coordinator()), is(true));
         }
     }
 
     /** A snapshot that covers less than was read changes nothing: claims known once are never forgotten early. */
     @Example
-    void tableNeverGoesBackwards() {
-        Simulation world = new Simulation();
-        TableImage older = world.processes.getFirst().claimant().image();
-        world.play(new Step(StepKind.CLAIM, 0, 0));
-        world.deliverAll();
-        ClaimStateMachine claimant = world.processes.getFirst().claimant();
-        TableImage newer = claimant.image();
-        claimant.restore(older, world.clock.nanos());
-        assertThat(claimant.image(), is(newer));
-        assertThat(newer.held(), hasSize(1));
+    void olderSnapshotDoesNotReplaceNewerTable() {
+        Simulation simulation = new Simulation();
+        TableImage older = simulation.processes.getFirst().stateMachine().image();
+        simulation.apply(new Step(StepKind.CLAIM, 0, 0));
+        simulation.deliverAll();
+        ClaimStateMachine stateMachine = simulation.processes.getFirst().stateMachine();
+        TableImage newer = stateMachine.image();
+        stateMachine.restore(older, simulation.clock.nanos());
+        assertThat(stateMachine.image(), is(newer));
+        assertThat(newer.claims(), hasSize(1));
     }
 
     @Provide
@@ -73,14 +74,14 @@
     }
 
     private enum StepKind {
-        PASS,
+        ADVANCE_CLOCK,
         SEND,
         READ,
-        LAND,
+        WRITE,
         ANSWER,
         CLAIM,
         TAKE_OVER,
-        LEAVE_ALONE,
+        RUN_ALONE,
         DELIVER_ALL
     }
 
@@ -90,7 +91,7 @@
         private final ClaimStateMachine sender;
         private final long number;
         private final List<NewRecord> records;
-        private boolean landed;
+        private boolean written;
         private boolean refused;
 
         private InFlightAppend(ClaimStateMachine sender, long number, List<NewRecord> records) {
@@ -100,7 +101,7 @@
         }
     }
 
-    private record Process(Coordinator self, ClaimStateMachine claimant) {}
+    private record Process(Coordinator self, ClaimStateMachine stateMachine) {}
 
     private static final class Simulation {
         private static final int PROCESSES = 3;
@@ -109,7 +110,7 @@
         private final ManualClock clock = new ManualClock();
         private final List<Process> processes = new ArrayList<>();
         private final List<LogRecord> stream = new ArrayList<>();
-        private final List<InFlightAppend> flights = new ArrayList<>();
+        private final List<InFlightAppend> appends = new ArrayList<>();
         private final List<CompletableFuture<ClaimDecision>> replies = new ArrayList<>();
         private final Map<List<Object>, List<Coordinator>> winners = new HashMap<>();
         private int jobs;
@@ -124,55 +125,55 @@
             }
         }
 
-        private static List<Object> placeOf(Claim claim) {
+        private static List<Object> generationKey(Claim claim) {
             return List.of(claim.key(), claim.generation());
         }
 
-        private void play(Step step) {
+        private void apply(Step step) {
             Process process = processes.get(step.process());
             switch (step.kind()) {
-                case PASS -> clock.advance(Duration.ofMillis(step.number()));
+                case ADVANCE_CLOCK -> clock.advance(Duration.ofMillis(step.number()));
                 case SEND -> send(process);
                 case READ -> read(process);
-                case LAND -> flight(step.number()).ifPresent(this::land);
-                case ANSWER -> flight(step.number()).ifPresent(flight -> answer(flight, step.number()));
+                case WRITE -> pickAppend(step.number()).ifPresent(this::write);
+                case ANSWER -> pickAppend(step.number()).ifPresent(flight -> answer(flight, step.number()));
                 case CLAIM -> claim(process, step.number());
                 case TAKE_OVER -> takeOver(process, step.number());
-                case LEAVE_ALONE -> leaveAlone(process);
+                case RUN_ALONE -> runAlone(process);
                 case DELIVER_ALL -> deliverAll();
             }
         }
 
-        private Optional<InFlightAppend> flight(int number) {
-            return flights.isEmpty()
+        private Optional<InFlightAppend> pickAppend(int number) {
+            return appends.isEmpty()
                     ? Optional.empty()
-                    : Optional.of(flights.get(flights.size() - 1 - number % Math.min(4, flights.size())));
+                    : Optional.of(appends.get(appends.size() - 1 - number % Math.min(4, appends.size())));
         }
 
         private void claim(Process process, int number) {
             jobs++;
             SubmissionKey key = keyOf(number);
             ClaimRecord.Claimed claimed = new ClaimRecord.Claimed(
-                    key, ClaimSamples.BODY, new JobId("job-" + jobs), process.self(), SETTINGS.writtenWindow());
-            process.claimant().claim(claimed, ClaimMode.LOG, reply(), clock.nanos());
+                    key, ClaimSamples.BODY, new JobId("job-" + jobs), process.self(), SETTINGS.recordedWindow());
+            process.stateMachine().claim(claimed, ClaimMode.LOG, reply(), clock.nanos());
             perform(process);
         }
 
         private void takeOver(Process process, int number) {
-            process.claimant().find(keyOf(number)).ifPresent(claim -> {
-                process.claimant().takeOver(claim, reply(), clock.nanos());
+            process.stateMachine().find(keyOf(number)).ifPresent(claim -> {
+                process.stateMachine().takeOver(claim, reply(), clock.nanos());
                 perform(process);
             });
         }
 
         /** All others stand still for longer than their leases. */
-        private void leaveAlone(Process process) {
+        private void runAlone(Process process) {
             for (int round = 0; round < 4; round++) {
                 clock.advance(Duration.ofSeconds(3));
                 send(process);
-                flights.stream()
-                        .filter(flight -> flight.sender == process.claimant())
-                        .forEach(this::land);
+                appends.stream()
+                        .filter(flight -> flight.sender == process.stateMachine())
+                        .forEach(this::write);
                 read(process);
             }
         }
@@ -187,9 +188,9 @@
         }
 
         private void send(Process process) {
-            process.claimant().tick(clock.nanos());
+            process.stateMachine().tick(clock.nanos());
             perform(process);
-            process.claimant().nextAppend(clock.nanos()).ifPresent(batch -> {
+            process.stateMachine().nextAppend(clock.nanos()).ifPresent(batch -> {
                 List<NewRecord> records = batch.records().stream()
                         .map(outgoing -> ClaimSamples.written(
                                 process.self().processId(),
@@ -197,44 +198,44 @@
                                 outgoing.content(),
                                 outgoing.entry().streamMillis()))
                         .toList();
-                flights.add(new InFlightAppend(process.claimant(), batch.number(), records));
+                appends.add(new InFlightAppend(process.stateMachine(), batch.number(), records));
             });
         }
 
-        private void land(InFlightAppend flight) {
+        private void write(InFlightAppend flight) {
             if (flight.refused) {
                 return;
             }
-            flight.landed = true;
+            flight.written = true;
             flight.records.forEach(record -> stream.add(new LogRecord(stream.size(), record.id(), record.payload())));
         }
 
         private void answer(InFlightAppend flight, int number) {
-            boolean refuse = number % 3 == 0 && !flight.landed;
+            boolean refuse = number % 3 == 0 && !flight.written;
             flight.refused = flight.refused || refuse;
-            AppendOutcome known = flight.landed ? new AppendOutcome.Appended(0) : new AppendOutcome.Unknown("late");
+            AppendOutcome known = flight.written ? new AppendOutcome.Appended(0) : new AppendOutcome.Unknown("late");
             AppendOutcome lost = refuse ? new AppendOutcome.Refused("down") : new AppendOutcome.Unknown("lost");
-            flight.sender.appended(flight.number, number % 3 == 1 ? known : lost, clock.nanos());
+            flight.sender.appendCompleted(flight.number, number % 3 == 1 ? known : lost, clock.nanos());
         }
 
         private void read(Process process) {
-            int from = (int) process.claimant().nextOffset();
+            int from = (int) process.stateMachine().nextOffset();
             List<LogRecord> records = List.copyOf(stream.subList(from, stream.size()));
-            process.claimant().read(records, stream.size(), clock.nanos(), clock.nanos());
+            process.stateMachine().recordsRead(records, stream.size(), clock.nanos(), clock.nanos());
             perform(process);
         }
 
         private void deliverAll() {
             processes.forEach(this::send);
-            flights.stream().filter(flight -> !flight.landed).forEach(this::land);
-            flights.stream().filter(flight -> flight.landed).forEach(flight -> answer(flight, 1));
+            appends.stream().filter(flight -> !flight.written).forEach(this::write);
+            appends.stream().filter(flight -> flight.written).forEach(flight -> answer(flight, 1));
             processes.forEach(this::read);
         }
 
         /** The log works again, and whatever was under way either lands or never does. */
         private void quiesce() {
-            flights.forEach(flight -> answer(flight, 2));
-            flights.forEach(flight -> flight.landed = true);
+            appends.forEach(flight -> answer(flight, 2));
+            appends.forEach(flight -> flight.written = true);
             for (int round = 0; round < 30; round++) {
                 clock.advance(Duration.ofMillis(500));
                 deliverAll();
@@ -242,17 +243,17 @@
         }
 
         private void perform(Process process) {
-            for (ClaimEffect effect : process.claimant().takeEffects()) {
+            for (ClaimEffect effect : process.stateMachine().drainEffects()) {
                 if (effect instanceof ClaimEffect.Decide decide) {
                     decide.reply().complete(decide.decision());
-                    count(decide.decision());
+                    recordWinner(decide.decision());
                 }
             }
         }
 
-        private void count(ClaimDecision decision) {
+        private void recordWinner(ClaimDecision decision) {
             if (decision instanceof ClaimDecision.Won won) {
-                winners.computeIfAbsent(placeOf(won.claim()), ignored -> new ArrayList<>())
+                winners.computeIfAbsent(generationKey(won.claim()), ignored -> new ArrayList<>())
                         .add(won.claim().coordinator());
             }
         }
--- a/library/src/test/java/org/chivetally/claim/ClaimStateMachineTest.java
+++ b/library/src/test/java/org/chivetally/claim/ClaimStateMachineTest.java
@@ -13,11 +13,11 @@
 
 class ClaimStateMachineTest {
     private static final Duration LAPSE = Duration.ofSeconds(1);
-    private static final ClaimSettings SETTINGS = patient();
+    private static final ClaimSettings SETTINGS = settingsWithLongClaimTimeout();
 
     private final ManualClock clock = new ManualClock();
     private final List<LogRecord> stream = new ArrayList<>();
-    private final ClaimStateMachine claimant = new ClaimStateMachine(
+    private final ClaimStateMachine stateMachine = new ClaimStateMachine(
             SETTINGS,
             ClaimSamples.process("b"),
             new LeaseTable(SETTINGS.lease(), SETTINGS.longestTicketAge()),
@@ -36,7 +36,7 @@
         write(2, new ClaimRecord.Renewed(ClaimSamples.process("a"), SETTINGS.lease()));
         takeOver(claim);
         List<GroupCommit.Outgoing> sent =
-                claimant.nextAppend(clock.nanos()).orElseThrow().records();
+                stateMachine.nextAppend(clock.nanos()).orElseThrow().records();
         List<ClaimRecord> takeovers = sent.stream()
                 .map(GroupCommit.Outgoing::content)
                 .filter(ClaimRecord.TakenOver.class::isInstance)
@@ -45,18 +45,18 @@
     }
 
     private void takeOver(Claim claim) {
-        claimant.read(List.of(), stream.size(), clock.nanos(), clock.nanos());
-        claimant.takeOver(claim, new CompletableFuture<>(), clock.nanos());
+        stateMachine.recordsRead(List.of(), stream.size(), clock.nanos(), clock.nanos());
+        stateMachine.takeOver(claim, new CompletableFuture<>(), clock.nanos());
     }
 
     private void write(long sequence, ClaimRecord content) {
         NewRecord record = ClaimSamples.written("a", sequence, content, 0);
         stream.add(new LogRecord(stream.size(), record.id(), record.payload()));
-        claimant.read(List.of(stream.getLast()), stream.size(), clock.nanos(), clock.nanos());
+        stateMachine.recordsRead(List.of(stream.getLast()), stream.size(), clock.nanos(), clock.nanos());
         clock.advance(LAPSE);
     }
 
-    private static ClaimSettings patient() {
+    private static ClaimSettings settingsWithLongClaimTimeout() {
         ClaimSettings usual = ClaimSettings.defaults(Duration.ofMinutes(10), Duration.ofHours(1));
         return new ClaimSettings(
                 usual.window(),
--- a/library/src/test/java/org/chivetally/claim/ClaimTablePropertiesTest.java
+++ b/library/src/test/java/org/chivetally/claim/ClaimTablePropertiesTest.java
@@ -29,16 +29,16 @@
     @Property
     void allReadersGetTheSameTable(@ForAll("streams") List<Written> stream, @ForAll @IntRange(max = 100) int percent) {
         int cut = stream.size() * percent / 100;
-        ClaimTable straight = new ClaimTable();
-        fold(straight, stream, 0, cut);
-        ClaimTable fromSnapshot = ClaimTable.of(throughTheLog(straight.image()));
+        ClaimTable sequential = new ClaimTable();
+        fold(sequential, stream, 0, cut);
+        ClaimTable fromSnapshot = ClaimTable.of(encodeAndDecode(sequential.image()));
         ClaimTable overlapping = new ClaimTable();
         fold(overlapping, stream, 0, cut);
-        fold(straight, stream, cut, stream.size());
+        fold(sequential, stream, cut, stream.size());
         fold(fromSnapshot, stream, cut, stream.size());
         fold(overlapping, stream, cut / 2, stream.size());
-        assertThat(fromSnapshot.image(), is(straight.image()));
-        assertThat(overlapping.image(), is(straight.image()));
+        assertThat(fromSnapshot.image(), is(sequential.image()));
+        assertThat(overlapping.image(), is(sequential.image()));
     }
 
     /**
@@ -63,7 +63,8 @@
                 int before = generations.put(taken.claim().key(), taken.claim().generation());
                 assertThat(taken.claim().generation(), is(before + 1));
             }
-            if (folded instanceof FoldResult.Released released && released.claim().generation() == 1) {
+            if (folded instanceof FoldResult.Released released
+                    && released.claim().generation() == 1) {
                 generations.remove(released.claim().key());
             }
         }
@@ -79,10 +80,10 @@
                         Arbitraries.integers().between(1, 3),
                         Arbitraries.longs().between(0, WINDOW / 3))
                 .as(Step::new);
-        return step.list().ofMaxSize(60).map(ClaimTablePropertiesTest::play);
+        return step.list().ofMaxSize(60).map(ClaimTablePropertiesTest::toStream);
     }
 
-    private static List<Written> play(List<Step> steps) {
+    private static List<Written> toStream(List<Step> steps) {
         List<Written> stream = new ArrayList<>();
         long[] sequences = new long[PROCESSES];
         long millis = 0;
@@ -91,7 +92,7 @@
                 repeatOne(stream, step);
                 continue;
             }
-            millis += step.passed();
+            millis += step.elapsedMillis();
             sequences[step.process()]++;
             RecordId id = ClaimSamples.id("p" + step.process(), sequences[step.process()]);
             stream.add(new Written(stream.size(), id, new TimestampedRecord(contentOf(step), millis)));
@@ -103,7 +104,7 @@
         if (stream.isEmpty()) {
             return;
         }
-        Written earlier = stream.get((int) (step.passed() % stream.size()));
+        Written earlier = stream.get((int) (step.elapsedMillis() % stream.size()));
         stream.add(new Written(stream.size(), earlier.id(), earlier.entry()));
     }
 
@@ -121,21 +122,21 @@
     }
 
     private static long lastRenewalOf(Step step) {
-        return step.passed() % 2 == 0 ? ClaimRecord.TakenOver.UNNAMED : step.passed() % 50 - 1;
+        return step.elapsedMillis() % 2 == 0 ? ClaimRecord.TakenOver.UNSPECIFIED : step.elapsedMillis() % 50 - 1;
     }
 
     private static void fold(ClaimTable table, List<Written> stream, int from, int to) {
         stream.subList(from, to).forEach(written -> written.fold(table));
     }
 
-    private static TableImage throughTheLog(TableImage image) {
+    private static TableImage encodeAndDecode(TableImage image) {
         List<NewRecord> chunks = SnapshotCodec.encode(image, "writer", SnapshotSettings.MAXIMUM_CHUNK_BYTES);
         SnapshotAssembler assembler = new SnapshotAssembler();
         chunks.forEach(chunk -> assembler.add(new LogRecord(0, chunk.id(), chunk.payload())));
         return assembler.newest().orElseThrow();
     }
 
-    private record Step(int process, int kind, int number, int generation, long passed) {}
+    private record Step(int process, int kind, int number, int generation, long elapsedMillis) {}
 
     private record Written(long offset, RecordId id, TimestampedRecord entry) {
         private FoldResult fold(ClaimTable table) {
--- a/library/src/test/java/org/chivetally/claim/ClaimTableTest.java
+++ b/library/src/test/java/org/chivetally/claim/ClaimTableTest.java
@@ -24,7 +24,7 @@
     }
 
     @Test
-    void keysOfTeamsAreApart() {
+    void keysAreScopedByTeam() {
         fold(claimed("job-1", "a"));
         SubmissionKey sameKey = new SubmissionKey("other team", ClaimSamples.KEY.key());
         FoldResult folded = fold(ClaimSamples.claimed(sameKey, ClaimSamples.OTHER_BODY, "job-2", "b"));
@@ -49,7 +49,7 @@
      * A takeover that names this renewal, or that follows a renewal of a process that has no part in the claim, wins.
      */
     @Test
-    void takeoverLosesToARenewalThatItDoesNotName() {
+    void takeoverLosesToRenewalItDoesNotSpecify() {
         fold(claimed("job-1", "a"));
         long first = table.nextOffset();
         renew("a", 100);
@@ -63,10 +63,10 @@
     }
 
     @Test
-    void takeoverOfTheFirstFormatIsJudgedByItsGenerationAlone() {
+    void formatOneTakeoverIsDecidedByGenerationAlone() {
         fold(claimed("job-1", "a"));
         renew("a", 100);
-        ClaimRecord takenOver = ClaimSamples.takenOver("job-1", "b", 2, ClaimRecord.TakenOver.UNNAMED);
+        ClaimRecord takenOver = ClaimSamples.takenOver("job-1", "b", 2, ClaimRecord.TakenOver.UNSPECIFIED);
         assertThat(fold(takenOver), instanceOf(FoldResult.TakenOver.class));
     }
 
@@ -97,7 +97,7 @@
     }
 
     @Test
-    void keyIsFreeWhenItsWindowHasPassedInTheStreamsTime() {
+    void keyIsFreeAfterItsWindowInStreamTime() {
         fold(claimed("job-1", "a"), 1_000);
         assertThat(fold(claimed("job-2", "b"), 1_000 + END - 1), is(new FoldResult.Unchanged()));
         FoldResult folded = fold(claimed("job-3", "b"), 1_000 + END);
@@ -107,7 +107,7 @@
     }
 
     @Test
-    void streamsTimeNeverGoesBack() {
+    void streamTimeNeverGoesBack() {
         fold(claimed("job-1", "a"), END);
         fold(ClaimSamples.takenOver("job-1", "b", 2), 1);
         assertThat(table.streamMillis(), is(END));
@@ -139,7 +139,7 @@
     }
 
     @Test
-    void recordsThatWereFoldedAreNotFoldedAgain() {
+    void foldedRecordsAreNotFoldedAgain() {
         fold(claimed("job-1", "a"));
         FoldResult again = table.fold(0, ClaimSamples.id("a", 99), new TimestampedRecord(claimed("job-9", "a"), END));
         assertThat(again, is(new FoldResult.Unchanged()));
@@ -160,9 +160,9 @@
         table.fold(table.nextOffset(), ClaimSamples.id(process, 1), new TimestampedRecord(finished, 0));
     }
 
-    private void renew(String process, long count) {
+    private void renew(String process, long recordSequence) {
         ClaimRecord renewed = new ClaimRecord.Renewed(ClaimSamples.process(process), ClaimSamples.WINDOW);
-        table.fold(table.nextOffset(), ClaimSamples.id(process, count), new TimestampedRecord(renewed, 0));
+        table.fold(table.nextOffset(), ClaimSamples.id(process, recordSequence), new TimestampedRecord(renewed, 0));
     }
 
     private FoldResult fold(ClaimRecord content) {
--- a/library/src/test/java/org/chivetally/claim/GroupCommitTest.java
+++ b/library/src/test/java/org/chivetally/claim/GroupCommitTest.java
@@ -25,7 +25,7 @@
     private final GroupCommit commit = new GroupCommit(SETTINGS, START);
 
     @Test
-    void recordsThatWaitGoInOneAppendWithRenewalsFirst() {
+    void queuedRecordsShareOneAppendWithRenewalsFirst() {
         commit.offer(claim(1));
         commit.addLazy(finished(1));
         commit.offer(claim(2));
@@ -36,12 +36,12 @@
     }
 
     @Test
-    void oneAppendIsInFlight() {
+    void onlyOneAppendIsInFlight() {
         commit.offer(claim(1));
         GroupCommit.Batch first = poll(0).orElseThrow();
         commit.offer(claim(2));
         assertThat(poll(100), is(Optional.empty()));
-        commit.answered(first.number(), APPENDED, at(100));
+        commit.appendCompleted(first.number(), APPENDED, at(100));
         assertThat(contents(poll(100).orElseThrow()), contains(claim(2)));
     }
 
@@ -63,14 +63,14 @@
             Optional<GroupCommit.Batch> batch = poll(millis);
             if (batch.isPresent()) {
                 sentMillis.add(millis);
-                commit.answered(batch.get().number(), APPENDED, at(millis));
+                commit.appendCompleted(batch.get().number(), APPENDED, at(millis));
             }
         }
         assertThat(sentMillis, contains(0L, 10L, 100L, 200L, 300L, 400L, 500L, 600L, 700L, 800L, 900L, 1_000L));
     }
 
     @Test
-    void fullQueueRefusesClaimsButNotTheProcessItself() {
+    void fullQueueRefusesClaimsButNotOwnRecords() {
         assertThat(commit.offer(claim(1)) && commit.offer(claim(2)) && commit.offer(claim(3)), is(true));
         assertThat(commit.offer(claim(4)), is(false));
         commit.add(ClaimSamples.released("job-9", "a", 1));
@@ -88,7 +88,7 @@
     void appendInDoubtIsRepeatedBeforeNewerRecords() {
         commit.offer(claim(1));
         GroupCommit.Batch first = poll(0).orElseThrow();
-        commit.answered(first.number(), UNKNOWN, at(50));
+        commit.appendCompleted(first.number(), UNKNOWN, at(50));
         commit.offer(claim(2));
         commit.addUrgent(RENEWAL);
         assertThat(poll(549), is(Optional.empty()));
@@ -101,27 +101,27 @@
     @Test
     void appendInDoubtIsSettledByReading() {
         commit.offer(claim(1));
-        commit.answered(poll(0).orElseThrow().number(), UNKNOWN, at(50));
-        commit.readBack(1, at(60));
+        commit.appendCompleted(poll(0).orElseThrow().number(), UNKNOWN, at(50));
+        commit.recordRead(1, at(60));
         commit.offer(claim(2));
         assertThat(contents(poll(60).orElseThrow()), contains(claim(2)));
     }
 
     @Test
-    void answerAfterReadingIsPassedOver() {
+    void answerAfterReadingIsIgnored() {
         commit.offer(claim(1));
         GroupCommit.Batch first = poll(0).orElseThrow();
-        commit.readBack(1, at(10));
+        commit.recordRead(1, at(10));
         commit.offer(claim(2));
         GroupCommit.Batch second = poll(10).orElseThrow();
-        assertThat(commit.answered(first.number(), UNKNOWN, at(20)), is(false));
-        assertThat(commit.answered(second.number(), APPENDED, at(20)), is(true));
+        assertThat(commit.appendCompleted(first.number(), UNKNOWN, at(20)), is(false));
+        assertThat(commit.appendCompleted(second.number(), APPENDED, at(20)), is(true));
     }
 
     @Test
     void refusedAppendIsRepeatedAfterAPause() {
         commit.offer(claim(1));
-        commit.answered(poll(0).orElseThrow().number(), REFUSED, at(0));
+        commit.appendCompleted(poll(0).orElseThrow().number(), REFUSED, at(0));
         assertThat(poll(199), is(Optional.empty()));
         assertThat(contents(poll(200).orElseThrow()), contains(claim(1)));
     }
@@ -134,10 +134,10 @@
         commit.offer(claim(3));
         commit.withdraw(claim(1));
         commit.withdraw(claim(3));
-        commit.answered(first.number(), UNKNOWN, at(0));
+        commit.appendCompleted(first.number(), UNKNOWN, at(0));
         GroupCommit.Batch second = poll(500).orElseThrow();
         assertThat(contents(second), contains(claim(2)));
-        commit.answered(second.number(), UNKNOWN, at(500));
+        commit.appendCompleted(second.number(), UNKNOWN, at(500));
         commit.withdraw(claim(2));
         assertThat(poll(60_000), is(Optional.empty()));
     }
--- a/library/src/test/java/org/chivetally/claim/LeaseTableTest.java
+++ b/library/src/test/java/org/chivetally/claim/LeaseTableTest.java
@@ -18,53 +18,53 @@
     private final LeaseTable leases = new LeaseTable(LEASE, TICKET_AGE);
 
     @Test
-    void lapsesOnlyWhenTheEndWasReadAfterLeaseAndTicketAge() {
-        leases.renewed(OTHER, LEASE, READ);
-        assertThat(lapsesBy(READ + LAPSE - 1), is(false));
-        assertThat(lapsesBy(READ + LAPSE), is(true));
+    void lapsesOnlyWhenReadToEndAfterLeaseAndTicketAge() {
+        leases.recordRenewal(OTHER, LEASE, READ);
+        assertThat(hasLapsedWhenReadToEndAt(READ + LAPSE - 1), is(false));
+        assertThat(hasLapsedWhenReadToEndAt(READ + LAPSE), is(true));
     }
 
     @Test
     void doesNotLapseWhileTheLogCannotBeRead() {
-        leases.renewed(OTHER, LEASE, READ);
-        leases.endRead(READ);
+        leases.recordRenewal(OTHER, LEASE, READ);
+        leases.recordReadToEnd(READ);
         assertThat(leases.hasLapsed(OTHER, READ + 100 * LAPSE), is(false));
     }
 
     @Test
-    void renewalProlongsTheLease() {
-        leases.renewed(OTHER, LEASE, READ);
-        leases.renewed(OTHER, LEASE, READ + 5);
-        assertThat(lapsesBy(READ + LAPSE), is(false));
-        assertThat(lapsesBy(READ + LAPSE + 5), is(true));
+    void renewalExtendsLease() {
+        leases.recordRenewal(OTHER, LEASE, READ);
+        leases.recordRenewal(OTHER, LEASE, READ + 5);
+        assertThat(hasLapsedWhenReadToEndAt(READ + LAPSE), is(false));
+        assertThat(hasLapsedWhenReadToEndAt(READ + LAPSE + 5), is(true));
     }
 
     @Test
-    void lengthIsThatOfTheHolder() {
-        leases.renewed(OTHER, LEASE.multipliedBy(2), READ);
-        assertThat(lapsesBy(READ + LAPSE), is(false));
-        assertThat(lapsesBy(READ + LAPSE + LEASE.toNanos()), is(true));
+    void holderSetsLeaseDuration() {
+        leases.recordRenewal(OTHER, LEASE.multipliedBy(2), READ);
+        assertThat(hasLapsedWhenReadToEndAt(READ + LAPSE), is(false));
+        assertThat(hasLapsedWhenReadToEndAt(READ + LAPSE + LEASE.toNanos()), is(true));
     }
 
     @Test
-    void departureEndsTheLeaseAtOnceAndForGood() {
-        leases.departed(OTHER, READ);
-        leases.renewed(OTHER, LEASE, READ + 1);
-        assertThat(lapsesBy(READ + TICKET_AGE.toNanos() - 1), is(false));
-        assertThat(lapsesBy(READ + TICKET_AGE.toNanos()), is(true));
+    void departureEndsLeaseImmediatelyAndPermanently() {
+        leases.recordDeparture(OTHER, READ);
+        leases.recordRenewal(OTHER, LEASE, READ + 1);
+        assertThat(hasLapsedWhenReadToEndAt(READ + TICKET_AGE.toNanos() - 1), is(false));
+        assertThat(hasLapsedWhenReadToEndAt(READ + TICKET_AGE.toNanos()), is(true));
     }
 
     @Test
-    void coordinatorNeverHeardOfCountsFromTheFirstQuestion() {
-        leases.endRead(READ + LAPSE);
+    void unknownCoordinatorIsTrackedFromFirstQuery() {
+        leases.recordReadToEnd(READ + LAPSE);
         assertThat(leases.hasLapsed(OTHER, READ + 7), is(false));
         assertThat(leases.hasLapsed(OTHER, READ + 2 * LAPSE), is(false));
-        assertThat(lapsesBy(READ + LAPSE + 7), is(true));
+        assertThat(hasLapsedWhenReadToEndAt(READ + LAPSE + 7), is(true));
     }
 
     @Test
-    void nobodyHasAlwaysLapsed() {
-        assertThat(leases.hasLapsed(Coordinator.NOBODY, READ), is(true));
+    void missingCoordinatorHasAlwaysLapsed() {
+        assertThat(leases.hasLapsed(Coordinator.NONE, READ), is(true));
     }
 
     /*
@@ -72,12 +72,12 @@
      * must never be "lapsed" from the new end and the old renewal: two entries would coordinate one job.
      */
     @Test
-    void answersAreThoseOfSomeOrderOfReadsAndQuestions() {
+    void concurrentReadsAndQueriesAreLinearizable() {
         new ModelCheckingOptions().iterations(10).invocationsPerIteration(300).check(ConcurrentReadsAndQueries.class);
     }
 
-    private boolean lapsesBy(long endNanos) {
-        leases.endRead(endNanos);
+    private boolean hasLapsedWhenReadToEndAt(long endNanos) {
+        leases.recordReadToEnd(endNanos);
         return leases.hasLapsed(OTHER, endNanos);
     }
 
@@ -87,20 +87,20 @@
         private long nanos;
 
         public ConcurrentReadsAndQueries() {
-            leases.renewed(OTHER, Duration.ofNanos(1), 0);
+            leases.recordRenewal(OTHER, Duration.ofNanos(1), 0);
         }
 
         @Operation(nonParallelGroup = "reader")
         public void readRenewalAndEnd() {
             nanos += 5;
-            leases.renewed(OTHER, Duration.ofNanos(1), nanos);
-            leases.endRead(nanos);
+            leases.recordRenewal(OTHER, Duration.ofNanos(1), nanos);
+            leases.recordReadToEnd(nanos);
         }
 
         @Operation(nonParallelGroup = "reader")
         public void readEnd() {
             nanos++;
-            leases.endRead(nanos);
+            leases.recordReadToEnd(nanos);
         }
 
         @Operation
--- a/library/src/test/java/org/chivetally/claim/LogClaimsTest.java
+++ b/library/src/test/java/org/chivetally/claim/LogClaimsTest.java
@@ -33,8 +33,8 @@
     private static final SubmissionKey KEY = ClaimSamples.KEY;
     private static final String BODY = ClaimSamples.BODY;
     private static final Duration STEP = Duration.ofMillis(500);
-    private static final Duration NOTICED = STEP;
-    private static final Duration RECOVERED = Duration.ofSeconds(2);
+    private static final Duration DETECTION_TIME = STEP;
+    private static final Duration RECOVERY_TIME = Duration.ofSeconds(2);
     private static final Duration SNAPSHOT_INTERVAL = Duration.ofSeconds(20);
     private static final ClaimSettings SETTINGS = settings();
     private static final Duration LAPSE = SETTINGS.lease().plus(SETTINGS.longestTicketAge());
@@ -69,13 +69,13 @@
         ScriptedLog viewOfB = log.view();
         LogClaims a = start("a", log);
         LogClaims b = start("b", viewOfB);
-        log.holdAppends(true);
-        viewOfB.holdAppends(true);
+        log.setHoldAppends(true);
+        viewOfB.setHoldAppends(true);
         CompletionStage<ClaimDecision> first = a.claim(KEY, BODY, new JobId("job-a"));
         CompletionStage<ClaimDecision> second = b.claim(KEY, BODY, new JobId("job-b"));
-        settle();
-        viewOfB.land(viewOfB.heldAppends().getFirst());
-        log.land(log.heldAppends().getFirst());
+        processMessages();
+        viewOfB.deliver(viewOfB.heldAppends().getFirst());
+        log.deliver(log.heldAppends().getFirst());
         Claim winner = ClaimSamples.claim("job-b", "b", 1);
         assertThat(join(second), is(new ClaimDecision.Won(winner)));
         assertThat(join(first), is(new ClaimDecision.Attached(winner)));
@@ -86,12 +86,12 @@
      * The entry reads its own record back, so the answer isn't needed, and nothing is appended a second time.
      */
     @Test
-    void answerLostAfterTheWrite() {
+    void claimIsWonWhenAppendAnswerIsLost() {
         LogClaims claims = start("a", log);
         int before = log.appends();
         log.loseAnswers(1);
         assertThat(claim(claims, "job-1"), is(new ClaimDecision.Won(ClaimSamples.claim("job-1", "a", 1))));
-        pass(Duration.ofSeconds(1));
+        advance(Duration.ofSeconds(1));
         assertThat(log.appends(), is(before + 1));
     }
 
@@ -101,19 +101,19 @@
      * sending lands late, twice. All readers drop records whose ids they have folded.
      */
     @Test
-    void retriedAppendLandsLateAndTwice() {
+    void retriedAppendIsWrittenLateAndTwice() {
         LogClaims a = start("a", log);
-        log.holdAppends(true);
+        log.setHoldAppends(true);
         CompletionStage<ClaimDecision> decision = a.claim(KEY, BODY, new JobId("job-1"));
-        settle();
+        processMessages();
         ScriptedLog.HeldAppend original = log.heldAppends().getFirst();
         original.answer().complete(new AppendOutcome.Unknown("lost"));
-        log.holdAppends(false);
-        pass(SETTINGS.commit().settleTime().plus(STEP));
+        log.setHoldAppends(false);
+        advance(SETTINGS.commit().settleTime().plus(STEP));
         Claim claim = ClaimSamples.claim("job-1", "a", 1);
         assertThat(join(decision), is(new ClaimDecision.Won(claim)));
-        log.land(original);
-        log.land(original);
+        log.deliver(original);
+        log.deliver(original);
         assertThat(recordsOf(original.records().getFirst().id()), hasSize(3));
         LogClaims b = start("b", log.view());
         assertThat(join(b.find(KEY)), is(Optional.of(claim)));
@@ -127,12 +127,12 @@
     @Test
     void claimsAreRefusedAtOnceWhileTheLogIsDown() {
         LogClaims claims = start("a", log);
-        log.down(true);
-        settle();
+        log.setDown(true);
+        processMessages();
         assertThat(claim(claims, "job-1"), instanceOf(ClaimDecision.LogUnavailable.class));
         assertThat(join(claims.find(KEY)), is(Optional.empty()));
-        log.down(false);
-        pass(NOTICED);
+        log.setDown(false);
+        advance(DETECTION_TIME);
         assertThat(claim(claims, "job-2"), is(new ClaimDecision.Won(ClaimSamples.claim("job-2", "a", 1))));
     }
 
@@ -142,14 +142,14 @@
      * listener hears of it with the first tick, and a renewal regains it.
      */
     @Test
-    void leaseIsLostWhenPausedPastIt() {
+    void pausedProcessLosesExpiredLease() {
         List<Boolean> changes = Collections.synchronizedList(new ArrayList<>());
         LogClaims claims = start("a", log);
         claims.onLeaseChange(changes::add);
         assertThat(claims.holdsLease(), is(true));
         clock.advance(SETTINGS.lease());
         assertThat(claims.holdsLease(), is(false));
-        pass(NOTICED.multipliedBy(2));
+        advance(DETECTION_TIME.multipliedBy(2));
         assertThat(changes, contains(true, false, true));
         assertThat(claims.holdsLease(), is(true));
     }
@@ -167,17 +167,17 @@
         claim(dead, "job-1");
         Claim claim = ClaimSamples.claim("job-1", "a", 1);
         dead.stop();
-        pass(Duration.ofSeconds(1));
+        advance(Duration.ofSeconds(1));
         assertThat(join(b.takeOver(claim)), is(new ClaimDecision.Attached(claim)));
-        pass(LAPSE.plus(SETTINGS.renewalInterval()));
+        advance(LAPSE.plus(SETTINGS.renewalInterval()));
         assertThat(b.hasLapsed(claim.coordinator()), is(true));
-        log.holdAppends(true);
+        log.setHoldAppends(true);
         CompletionStage<ClaimDecision> early = b.takeOver(claim);
         CompletionStage<ClaimDecision> same = b.takeOver(claim);
-        settle();
+        processMessages();
         Claim winner = ClaimSamples.claim("job-1", "c", 2);
         assertThat(join(c.takeOver(claim)), is(new ClaimDecision.Won(winner)));
-        log.land(log.heldAppends().getFirst());
+        log.deliver(log.heldAppends().getFirst());
         assertThat(join(early), is(new ClaimDecision.Attached(winner)));
         assertThat(join(same), is(new ClaimDecision.Attached(winner)));
     }
@@ -188,23 +188,23 @@
      * hears that it holds its lease again, so that it starts nothing of the job in between.
      */
     @Test
-    void replacedCoordinatorIsTold() {
-        List<Object> told = Collections.synchronizedList(new ArrayList<>());
+    void replacedCoordinatorIsNotified() {
+        List<Object> notifications = Collections.synchronizedList(new ArrayList<>());
         ScriptedLog viewOfA = log.view();
         LogClaims a = start("a", viewOfA);
         LogClaims b = start("b", log);
         claim(a, "job-1");
-        viewOfA.down(true);
-        pass(LAPSE.plus(SETTINGS.renewalInterval()));
+        viewOfA.setDown(true);
+        advance(LAPSE.plus(SETTINGS.renewalInterval()));
         join(b.takeOver(ClaimSamples.claim("job-1", "a", 1)));
         assertThat(a.holdsLease(), is(false));
-        a.onReplaced(told::add);
-        a.onLeaseExtended(until -> told.add(until > clock.nanos()));
-        settle();
-        assertThat(told, contains(false));
-        viewOfA.down(false);
-        pass(NOTICED);
-        assertThat(told, contains(false, ClaimSamples.claim("job-1", "b", 2), true));
+        a.onReplaced(notifications::add);
+        a.onLeaseExtended(until -> notifications.add(until > clock.nanos()));
+        processMessages();
+        assertThat(notifications, contains(false));
+        viewOfA.setDown(false);
+        advance(DETECTION_TIME);
+        assertThat(notifications, contains(false, ClaimSamples.claim("job-1", "b", 2), true));
     }
 
     /*
@@ -213,21 +213,21 @@
      * one that an entry found when it started nothing is known.
      */
     @Test
-    void claimIsNeverTakenForYoungerThanItMayBe() {
+    void claimAgeIsNeverUnderestimated() {
         ScriptedLog viewOfB = log.view();
         LogClaims a = start("a", log);
         LogClaims b = start("b", viewOfB);
-        viewOfB.down(true);
-        pass(STEP);
-        long cutOff = clock.nanos();
+        viewOfB.setDown(true);
+        advance(STEP);
+        long disconnectedNanos = clock.nanos();
         claim(a, "job-1");
-        pass(LAPSE);
-        viewOfB.down(false);
-        pass(NOTICED);
+        advance(LAPSE);
+        viewOfB.setDown(false);
+        advance(DETECTION_TIME);
         assertThat(join(b.find(KEY)).isPresent(), is(true));
         JobId job = new JobId("job-1");
-        assertThat(join(b.claimedAfter(job)).orElseThrow(), lessThanOrEqualTo(cutOff));
-        assertThat(join(a.claimedAfter(job)).orElseThrow(), greaterThan(cutOff - LAPSE.toNanos()));
+        assertThat(join(b.claimedAfter(job)).orElseThrow(), lessThanOrEqualTo(disconnectedNanos));
+        assertThat(join(a.claimedAfter(job)).orElseThrow(), greaterThan(disconnectedNanos - LAPSE.toNanos()));
         assertThat(join(start("c", log.view()).claimedAfter(job)), is(OptionalLong.empty()));
     }
 
@@ -239,7 +239,7 @@
      * job. All readers refuse it, as it names an earlier renewal as the last one that its sender had read.
      */
     @Test
-    void takeoverThatLandsAfterAnUnreadRenewalLoses() {
+    void takeoverWrittenAfterUnreadRenewalLoses() {
         List<Claim> replaced = Collections.synchronizedList(new ArrayList<>());
         ScriptedLog viewOfA = log.view();
         LogClaims a = start("a", viewOfA);
@@ -247,15 +247,15 @@
         a.onReplaced(replaced::add);
         claim(a, "job-1");
         Claim claim = ClaimSamples.claim("job-1", "a", 1);
-        viewOfA.down(true);
-        pass(LAPSE.plus(SETTINGS.renewalInterval()));
-        log.holdAppends(true);
+        viewOfA.setDown(true);
+        advance(LAPSE.plus(SETTINGS.renewalInterval()));
+        log.setHoldAppends(true);
         CompletionStage<ClaimDecision> takeOver = b.takeOver(claim);
-        settle();
-        viewOfA.down(false);
-        pass(NOTICED);
+        processMessages();
+        viewOfA.setDown(false);
+        advance(DETECTION_TIME);
         assertThat(a.holdsLease(), is(true));
-        log.land(log.heldAppends().getLast());
+        log.deliver(log.heldAppends().getLast());
         assertThat(join(takeOver), is(new ClaimDecision.Attached(claim)));
         assertThat(join(a.find(KEY)), is(Optional.of(claim)));
         assertThat(replaced, is(empty()));
@@ -268,19 +268,19 @@
      * resubmission isn't attached to the withdrawn claim, but follows the withdrawal.
      */
     @Test
-    void givenUpClaimThatTurnsUpIsReleased() {
+    void abandonedClaimIsReleasedWhenItAppears() {
         LogClaims a = start("a", log);
         LogClaims b = start("b", log.view());
-        log.holdAppends(true);
+        log.setHoldAppends(true);
         CompletionStage<ClaimDecision> decision = a.claim(KEY, BODY, new JobId("job-1"));
-        pass(SETTINGS.claimTimeout().plus(STEP));
+        advance(SETTINGS.claimTimeout().plus(STEP));
         assertThat(join(decision), instanceOf(ClaimDecision.LogUnavailable.class));
-        log.holdAppends(false);
-        log.land(log.heldAppends().getFirst());
-        settle();
+        log.setHoldAppends(false);
+        log.deliver(log.heldAppends().getFirst());
+        processMessages();
         assertThat(join(b.find(KEY)), is(Optional.of(ClaimSamples.claim("job-1", "a", 1))));
         CompletionStage<ClaimDecision> second = a.claim(KEY, BODY, new JobId("job-2"));
-        pass(RECOVERED);
+        advance(RECOVERY_TIME);
         Claim claim = ClaimSamples.claim("job-2", "a", 1);
         assertThat(join(second), is(new ClaimDecision.Won(claim)));
         assertThat(claim(b, "job-3"), is(new ClaimDecision.Attached(claim)));
@@ -293,16 +293,16 @@
     @Test
     void resubmissionWaitsForTheRelease() {
         LogClaims a = start("a", log);
-        log.holdAppends(true);
+        log.setHoldAppends(true);
         CompletionStage<ClaimDecision> givenUp = a.claim(KEY, BODY, new JobId("job-1"));
-        pass(SETTINGS.claimTimeout().minus(STEP));
+        advance(SETTINGS.claimTimeout().minus(STEP));
         CompletionStage<ClaimDecision> second = a.claim(KEY, BODY, new JobId("job-2"));
-        pass(STEP);
+        advance(STEP);
         assertThat(join(givenUp), instanceOf(ClaimDecision.LogUnavailable.class));
         log.heldAppends().forEach(held -> held.answer().complete(new AppendOutcome.Unknown("lost")));
-        log.holdAppends(false);
-        log.land(log.heldAppends().getFirst());
-        pass(SETTINGS.commit().settleTime().plus(STEP));
+        log.setHoldAppends(false);
+        log.deliver(log.heldAppends().getFirst());
+        advance(SETTINGS.commit().settleTime().plus(STEP));
         assertThat(join(second), is(new ClaimDecision.Won(ClaimSamples.claim("job-2", "a", 1))));
     }
 
@@ -312,16 +312,16 @@
      * writer is void for every reader.
      */
     @Test
-    void givenUpClaimThatLandsAfterLaterRecordsIsVoid() {
+    void abandonedClaimWrittenAfterLaterRecordsIsIgnored() {
         LogClaims a = start("a", log);
-        log.holdAppends(true);
+        log.setHoldAppends(true);
         CompletionStage<ClaimDecision> decision = a.claim(KEY, BODY, new JobId("job-1"));
-        pass(SETTINGS.claimTimeout().plus(STEP));
+        advance(SETTINGS.claimTimeout().plus(STEP));
         assertThat(join(decision), instanceOf(ClaimDecision.LogUnavailable.class));
-        log.holdAppends(false);
-        pass(RECOVERED);
-        log.land(log.heldAppends().getFirst());
-        settle();
+        log.setHoldAppends(false);
+        advance(RECOVERY_TIME);
+        log.deliver(log.heldAppends().getFirst());
+        processMessages();
         assertThat(join(a.find(KEY)), is(Optional.empty()));
         assertThat(join(start("b", log.view()).find(KEY)), is(Optional.empty()));
     }
@@ -332,22 +332,22 @@
      * tasks. The claim stays, of nobody, so that the next resubmission can take it over at once and inquire first.
      */
     @Test
-    void givenUpTakeoverThatTurnsUpIsLeftToNobody() {
+    void abandonedTakeoverLeavesClaimWithoutCoordinator() {
         LogClaims dead = start("a", log.view());
         LogClaims b = start("b", log);
         LogClaims c = start("c", log.view());
         claim(dead, "job-1");
         dead.stop();
-        pass(LAPSE.plus(SETTINGS.renewalInterval()));
-        log.holdAppends(true);
+        advance(LAPSE.plus(SETTINGS.renewalInterval()));
+        log.setHoldAppends(true);
         CompletionStage<ClaimDecision> takeOver = b.takeOver(ClaimSamples.claim("job-1", "a", 1));
-        pass(SETTINGS.claimTimeout().plus(STEP));
+        advance(SETTINGS.claimTimeout().plus(STEP));
         assertThat(join(takeOver), instanceOf(ClaimDecision.LogUnavailable.class));
-        log.holdAppends(false);
-        log.land(log.heldAppends().getFirst());
-        pass(RECOVERED);
+        log.setHoldAppends(false);
+        log.deliver(log.heldAppends().getFirst());
+        advance(RECOVERY_TIME);
         Claim abandoned = join(c.find(KEY)).orElseThrow();
-        assertThat(abandoned, is(new Claim(KEY, BODY, new JobId("job-1"), Coordinator.NOBODY, 2, false)));
+        assertThat(abandoned, is(new Claim(KEY, BODY, new JobId("job-1"), Coordinator.NONE, 2, false)));
         assertThat(c.hasLapsed(abandoned.coordinator()), is(true));
         assertThat(join(c.takeOver(abandoned)), is(new ClaimDecision.Won(ClaimSamples.claim("job-1", "c", 3))));
     }
@@ -359,24 +359,24 @@
      * the next process that takes it over.
      */
     @Test
-    void takeoverAskedForAgainDoesNotWinWhatIsGivenUp() {
+    void repeatedTakeoverDoesNotWinAbandonedClaim() {
         LogClaims dead = start("a", log.view());
         LogClaims b = start("b", log);
         claim(dead, "job-1");
         dead.stop();
-        pass(LAPSE.plus(SETTINGS.renewalInterval()));
+        advance(LAPSE.plus(SETTINGS.renewalInterval()));
         Claim claim = ClaimSamples.claim("job-1", "a", 1);
-        log.holdAppends(true);
+        log.setHoldAppends(true);
         CompletionStage<ClaimDecision> first = b.takeOver(claim);
-        pass(SETTINGS.claimTimeout().plus(STEP));
+        advance(SETTINGS.claimTimeout().plus(STEP));
         assertThat(join(first), instanceOf(ClaimDecision.LogUnavailable.class));
         CompletionStage<ClaimDecision> second = b.takeOver(claim);
-        settle();
+        processMessages();
         log.heldAppends().getLast().answer().complete(new AppendOutcome.Unknown("lost"));
-        pass(SETTINGS.commit().settleTime().plus(STEP));
-        log.holdAppends(false);
-        log.heldAppends().forEach(log::land);
-        pass(RECOVERED);
+        advance(SETTINGS.commit().settleTime().plus(STEP));
+        log.setHoldAppends(false);
+        log.heldAppends().forEach(log::deliver);
+        advance(RECOVERY_TIME);
         assertThat(join(second), not(instanceOf(ClaimDecision.Won.class)));
     }
 
@@ -391,9 +391,9 @@
         join(a.depart());
         assertThat(a.holdsLease(), is(false));
         assertThat(claim(a, "job-1"), instanceOf(ClaimDecision.LogUnavailable.class));
-        pass(SETTINGS.longestTicketAge());
+        advance(SETTINGS.longestTicketAge());
         assertThat(b.hasLapsed(ClaimSamples.process("a")), is(false));
-        pass(STEP);
+        advance(STEP);
         assertThat(b.hasLapsed(ClaimSamples.process("a")), is(true));
     }
 
@@ -402,17 +402,17 @@
      * other entries attach to it.
      */
     @Test
-    void claimInMemoryIsAppendedLate() {
+    void claimInMemoryIsAppendedAfterOutage() {
         ScriptedLog viewOfA = log.view();
         LogClaims a = start("a", viewOfA);
         LogClaims b = start("b", log);
-        viewOfA.down(true);
-        settle();
+        viewOfA.setDown(true);
+        processMessages();
         Claim claim = ClaimSamples.claim("job-1", "a", 1);
         assertThat(claimInMemory(a, "job-1"), is(new ClaimDecision.Won(claim)));
         assertThat(claimInMemory(a, "job-2"), is(new ClaimDecision.Attached(claim)));
-        viewOfA.down(false);
-        pass(SETTINGS.renewalInterval().plus(NOTICED));
+        viewOfA.setDown(false);
+        advance(SETTINGS.renewalInterval().plus(DETECTION_TIME));
         assertThat(claim(b, "job-3"), is(new ClaimDecision.Attached(claim)));
     }
 
@@ -425,13 +425,13 @@
         ScriptedLog viewOfA = log.view();
         LogClaims a = start("a", viewOfA);
         LogClaims b = start("b", log);
-        viewOfA.down(true);
-        settle();
+        viewOfA.setDown(true);
+        processMessages();
         assertThat(claimInMemory(a, "job-a"), is(new ClaimDecision.Won(ClaimSamples.claim("job-a", "a", 1))));
         Claim first = ClaimSamples.claim("job-b", "b", 1);
         assertThat(claim(b, "job-b"), is(new ClaimDecision.Won(first)));
-        viewOfA.down(false);
-        pass(SETTINGS.renewalInterval().plus(NOTICED));
+        viewOfA.setDown(false);
+        advance(SETTINGS.renewalInterval().plus(DETECTION_TIME));
         assertThat(claimInMemory(a, "job-c"), is(new ClaimDecision.Attached(first)));
     }
 
@@ -440,14 +440,14 @@
      * The refusing entry has given its claim up in the log, so the key is free for all; before that it is not.
      */
     @Test
-    void releasedClaimFreesItsKeyForAll() {
+    void releasedClaimFreesItsKeyForAllEntries() {
         LogClaims a = start("a", log);
         LogClaims b = start("b", log.view());
         claim(a, "job-1");
         Claim released = ClaimSamples.claim("job-1", "a", 1);
         assertThat(claim(b, "job-2"), is(new ClaimDecision.Attached(released)));
         a.release(released);
-        pass(NOTICED);
+        advance(DETECTION_TIME);
         assertThat(claim(b, "job-3"), is(new ClaimDecision.Won(ClaimSamples.claim("job-3", "b", 1))));
     }
 
@@ -456,17 +456,17 @@
      * and the record of the first claim, which is still to be written, takes no key when the log is back.
      */
     @Test
-    void releasedClaimInMemoryFreesItsKeyNowAndLater() {
+    void releasedClaimInMemoryFreesItsKeyDuringAndAfterOutage() {
         ScriptedLog viewOfA = log.view();
         LogClaims a = start("a", viewOfA);
         LogClaims b = start("b", log);
-        viewOfA.down(true);
-        settle();
+        viewOfA.setDown(true);
+        processMessages();
         claimInMemory(a, "job-1");
         a.release(ClaimSamples.claim("job-1", "a", 1));
         assertThat(join(a.find(KEY)), is(Optional.empty()));
-        viewOfA.down(false);
-        pass(SETTINGS.renewalInterval().plus(NOTICED).plus(NOTICED));
+        viewOfA.setDown(false);
+        advance(SETTINGS.renewalInterval().plus(DETECTION_TIME).plus(DETECTION_TIME));
         assertThat(claim(b, "job-2"), is(new ClaimDecision.Won(ClaimSamples.claim("job-2", "b", 1))));
     }
 
@@ -479,7 +479,7 @@
         LogClaims a = start("a", log);
         claim(a, "job-1");
         CompletionStage<LogRecord> written = log.nextRecord(LogClaims.SNAPSHOT_STREAM);
-        pass(SNAPSHOT_INTERVAL);
+        advance(SNAPSHOT_INTERVAL);
         join(written);
         log.expire(LogClaims.STREAM, log.records(LogClaims.STREAM).size());
         LogClaims b = start("b", log.view());
@@ -491,23 +491,23 @@
      * snapshot, and knows claims that were made meanwhile.
      */
     @Test
-    void processCutOffForLongGoesOnFromSnapshot() {
+    void processResumesFromSnapshotAfterLongDisconnection() {
         ScriptedLog viewOfA = log.view();
         LogClaims a = start("a", viewOfA);
         LogClaims b = start("b", log);
         claim(a, "job-1");
-        viewOfA.down(true);
+        viewOfA.setDown(true);
         Claim missed = new Claim(ClaimSamples.OTHER_KEY, BODY, new JobId("job-2"), ClaimSamples.process("b"), 1, false);
         join(b.claim(missed.key(), BODY, missed.job()));
         CompletionStage<LogRecord> written = log.nextRecord(LogClaims.SNAPSHOT_STREAM);
-        pass(SNAPSHOT_INTERVAL);
+        advance(SNAPSHOT_INTERVAL);
         join(written);
         log.expire(LogClaims.STREAM, log.records(LogClaims.STREAM).size());
-        viewOfA.down(false);
+        viewOfA.setDown(false);
         CompletionStage<LogRecord> renewed = log.nextRecord(LogClaims.STREAM);
-        pass(NOTICED);
+        advance(DETECTION_TIME);
         join(renewed);
-        settleUntil(() -> join(a.find(missed.key())).isPresent());
+        awaitCondition(() -> join(a.find(missed.key())).isPresent());
         assertThat(join(a.find(missed.key())), is(Optional.of(missed)));
         assertThat(join(a.find(KEY)), is(Optional.of(ClaimSamples.claim("job-1", "a", 1))));
     }
@@ -516,8 +516,8 @@
         Coordinator self = ClaimSamples.process(process);
         LogClaims claims = LogClaims.start(kit.system(), view, SETTINGS, self, clock, new SimpleMeterRegistry());
         started.add(claims);
-        settleUntil(claims::caughtUp);
-        pass(STEP);
+        awaitCondition(claims::caughtUp);
+        advance(STEP);
         return claims;
     }
 
@@ -550,29 +550,29 @@
     }
 
     /** Lets time pass in steps; before each the log answers reads that it held back, after it all processes work. */
-    private void pass(Duration duration) {
+    private void advance(Duration duration) {
         for (Duration passed = Duration.ZERO; passed.compareTo(duration) < 0; passed = passed.plus(STEP)) {
             log.answerPolls();
-            settle();
+            processMessages();
             clock.advance(STEP);
             time.timePasses(STEP);
-            settle();
+            processMessages();
         }
     }
 
     /** Waits until every process has handled what it has got, and what followed from it. */
-    private void settle() {
+    private void processMessages() {
         for (int round = 0; round < 5; round++) {
             started.forEach(claims -> join(claims.find(KEY)));
         }
     }
 
     /** Snapshots are read on another thread, whose work no message tells the end of. */
-    private void settleUntil(BooleanSupplier condition) {
+    private void awaitCondition(BooleanSupplier condition) {
         long start = System.nanoTime();
         while (!condition.getAsBoolean()) {
             assertThat("not within 10 s", System.nanoTime() - start < TimeUnit.SECONDS.toNanos(10));
-            settle();
+            processMessages();
         }
     }
 
--- a/library/src/test/java/org/chivetally/claim/MemoryClaimsTest.java
+++ b/library/src/test/java/org/chivetally/claim/MemoryClaimsTest.java
@@ -15,7 +15,7 @@
     private final Claim first = ClaimSamples.claim("job-1", "a", 1);
 
     @Test
-    void followsTheRulesOfTheLog() {
+    void appliesSameRulesAsLogClaims() {
         assertThat(claim(ClaimSamples.BODY, "job-1"), is(new ClaimDecision.Won(first)));
         assertThat(claim(ClaimSamples.BODY, "job-2"), is(new ClaimDecision.Attached(first)));
         assertThat(claim(ClaimSamples.OTHER_BODY, "job-3"), is(new ClaimDecision.KeyReused(first)));
--- a/library/src/test/java/org/chivetally/claim/OwnLeaseTest.java
+++ b/library/src/test/java/org/chivetally/claim/OwnLeaseTest.java
@@ -12,31 +12,31 @@
     private final OwnLease lease = new OwnLease(Duration.ofNanos(10));
 
     @Test
-    void isHeldFromTheFirstSendingOnceReadBack() {
-        lease.sending(1, SENT);
-        lease.sending(1, SENT + 8);
+    void isHeldFromFirstSendOnceConfirmed() {
+        lease.recordSending(1, SENT);
+        lease.recordSending(1, SENT + 8);
         assertThat(lease.isHeldAt(SENT + 8), is(false));
-        lease.readBack(1);
+        lease.confirmRenewal(1);
         assertThat(lease.isHeldAt(SENT + 9), is(true));
         assertThat(lease.isHeldAt(SENT + 10), is(false));
     }
 
     @Test
-    void olderRenewalReadLateDoesNotShortenIt() {
-        lease.sending(1, SENT);
-        lease.sending(2, SENT + 5);
-        lease.readBack(2);
-        lease.readBack(1);
+    void lateOlderRenewalDoesNotShortenLease() {
+        lease.recordSending(1, SENT);
+        lease.recordSending(2, SENT + 5);
+        lease.confirmRenewal(2);
+        lease.confirmRenewal(1);
         assertThat(lease.remainingNanos(SENT + 10), is(5L));
     }
 
     @Test
-    void isNeverHeldAfterItsEnd() {
-        lease.sending(1, SENT);
-        lease.readBack(1);
-        lease.end();
-        lease.sending(2, SENT + 1);
-        lease.readBack(2);
+    void isNotHeldAfterRelinquishing() {
+        lease.recordSending(1, SENT);
+        lease.confirmRenewal(1);
+        lease.relinquish();
+        lease.recordSending(2, SENT + 1);
+        lease.confirmRenewal(2);
         assertThat(lease.isHeldAt(SENT + 1), is(false));
     }
 }
--- a/library/src/test/java/org/chivetally/claim/ReadTimelineTest.java
+++ b/library/src/test/java/org/chivetally/claim/ReadTimelineTest.java
@@ -19,34 +19,34 @@
     private final ReadTimeline timeline = new ReadTimeline();
 
     @Test
-    void recordsFromBeforeTheFirstReadMayBeOfAnyAge() {
+    void ageIsUnknownForRecordsBeforeFirstRead() {
         assertThat(timeline.writtenAfter(0), is(OptionalLong.empty()));
-        timeline.endSeen(5, SECOND);
+        timeline.recordEnd(5, SECOND);
         assertThat(timeline.writtenAfter(4), is(OptionalLong.empty()));
         assertThat(timeline.writtenAfter(5), is(OptionalLong.of(SECOND)));
     }
 
     @Test
-    void theLastReadThatDidNotSeeTheRecordCounts() {
-        timeline.endSeen(5, SECOND);
-        timeline.endSeen(5, 9 * SECOND);
-        timeline.endSeen(7, 20 * SECOND);
+    void lastReadBeforeRecordBoundsItsAge() {
+        timeline.recordEnd(5, SECOND);
+        timeline.recordEnd(5, 9 * SECOND);
+        timeline.recordEnd(7, 20 * SECOND);
         assertThat(timeline.writtenAfter(5), is(OptionalLong.of(9 * SECOND)));
         assertThat(timeline.writtenAfter(6), is(OptionalLong.of(9 * SECOND)));
         assertThat(timeline.writtenAfter(7), is(OptionalLong.of(20 * SECOND)));
     }
 
     @Test
-    void anEndThatGoesBackIsPassedOver() {
-        timeline.endSeen(7, SECOND);
-        timeline.endSeen(5, 9 * SECOND);
+    void lowerEndOffsetIsIgnored() {
+        timeline.recordEnd(7, SECOND);
+        timeline.recordEnd(5, 9 * SECOND);
         assertThat(timeline.writtenAfter(5), is(OptionalLong.empty()));
         assertThat(timeline.writtenAfter(7), is(OptionalLong.of(SECOND)));
     }
 
     /** Whatever the order of appends and reads, no record is said to be younger than it is. */
     @Property(tries = 300)
-    void neverYounger(@ForAll @Size(max = 60) List<@IntRange(max = 2_000) Integer> millis) {
+    void ageIsNeverUnderestimated(@ForAll @Size(max = 60) List<@IntRange(max = 2_000) Integer> millis) {
         ReadTimeline fresh = new ReadTimeline();
         List<Long> written = new ArrayList<>();
         long now = 0;
@@ -57,7 +57,7 @@
                 written.add(now);
                 continue;
             }
-            fresh.endSeen(written.size(), now);
+            fresh.recordEnd(written.size(), now);
             firstRead = Math.min(firstRead, now);
         }
         for (int offset = 0; offset < written.size(); offset++) {
--- a/library/src/test/java/org/chivetally/claim/ScriptedLog.java
+++ b/library/src/test/java/org/chivetally/claim/ScriptedLog.java
@@ -22,7 +22,7 @@
     private final SharedStreams shared;
     private final List<HeldAppend> heldAppends = new ArrayList<>();
     private boolean down;
-    private boolean holdsAppends;
+    private boolean holdingAppends;
     private int answersToLose;
     private int appends;
 
@@ -46,7 +46,7 @@
             if (down) {
                 return CompletableFuture.completedFuture(new AppendOutcome.Refused("down"));
             }
-            if (holdsAppends) {
+            if (holdingAppends) {
                 HeldAppend held = new HeldAppend(stream, records, new CompletableFuture<>());
                 heldAppends.add(held);
                 return held.answer();
@@ -79,7 +79,7 @@
     }
 
     /** Cuts this view off, or connects it again; reads that the log holds back fail. */
-    void down(boolean isDown) {
+    void setDown(boolean isDown) {
         synchronized (shared) {
             down = isDown;
             if (isDown) {
@@ -96,9 +96,9 @@
     }
 
     /** Keeps appends back, neither written nor answered, from now on or no longer. */
-    void holdAppends(boolean holds) {
+    void setHoldAppends(boolean holds) {
         synchronized (shared) {
-            holdsAppends = holds;
+            holdingAppends = holds;
         }
     }
 
@@ -110,7 +110,7 @@
     }
 
     /** Writes records as if they arrived now; may be called again with the same ones. */
-    void land(HeldAppend held) {
+    void deliver(HeldAppend held) {
         synchronized (shared) {
             shared.write(held.stream(), held.records());
         }
@@ -137,7 +137,7 @@
     void answerPolls() {
         synchronized (shared) {
             shared.answer(
-                    poll -> poll.longest().compareTo(LONGEST_POLL) < 0,
+                    poll -> poll.timeout().compareTo(LONGEST_POLL) < 0,
                     poll -> shared.read(poll.stream(), poll.from(), poll.limit()));
         }
     }
@@ -168,7 +168,7 @@
             String stream,
             long from,
             int limit,
-            Duration longest,
+            Duration timeout,
             CompletableFuture<ReadOutcome> answer) {}
 
     private static final class SharedStreams {
--- a/library/src/test/java/org/chivetally/claim/SnapshotReaderTest.java
+++ b/library/src/test/java/org/chivetally/claim/SnapshotReaderTest.java
@@ -27,13 +27,13 @@
     }
 
     @Test
-    void logThatIsDownIsTold() {
-        log.down(true);
+    void unavailableLogIsReported() {
+        log.setDown(true);
         assertThat(load(), instanceOf(SnapshotLoadResult.Unavailable.class));
     }
 
     @Test
-    void newestWholeSnapshotIsReadFromManyParts() {
+    void newestCompleteSnapshotIsReadFromManyChunks() {
         List<NewRecord> chunks = chunks(table(4_000), "a");
         assertThat(chunks.size(), greaterThan(32));
         chunks.forEach(chunk -> assertThat(chunk.payload().length, lessThanOrEqualTo(CHUNK_BYTES)));
@@ -47,7 +47,7 @@
      * Its writer died between two chunks; a reader that took the parts for the whole would let keys be claimed again.
      */
     @Test
-    void snapshotCutHalfWayIsPassedOver() {
+    void incompleteSnapshotIsIgnored() {
         write(chunks(table(500), "a"));
         List<NewRecord> newer = chunks(table(1_000), "b");
         write(newer.subList(0, newer.size() / 2));
@@ -55,7 +55,7 @@
     }
 
     @Test
-    void damagedSnapshotIsPassedOver() {
+    void damagedSnapshotIsIgnored() {
         write(chunks(table(300), "a"));
         List<NewRecord> newer = chunks(table(1_000), "b");
         newer.getLast().payload()[newer.getLast().payload().length / 2]++;
@@ -76,7 +76,7 @@
         assertThat(load(), is(new SnapshotLoadResult.Found(table(300).image())));
         SnapshotAssembler assembler = new SnapshotAssembler();
         log.records(STREAM).forEach(assembler::add);
-        assertThat(assembler.otherFormats(), contains(1));
+        assertThat(assembler.unsupportedFormats(), contains(1));
     }
 
     /*
@@ -84,7 +84,7 @@
      * Chunks name their snapshot and part, so that those of the two can't be taken for each other's.
      */
     @Test
-    void twoWritersDoNoHarm() {
+    void interleavedSnapshotsAreReadSeparately() {
         List<NewRecord> older = chunks(table(900), "a");
         List<NewRecord> newer = chunks(table(1_000), "b");
         for (int part = 0; part < newer.size(); part++) {
@@ -94,7 +94,7 @@
     }
 
     @Test
-    void snapshotWhoseFirstPartsExpiredIsPassedOver() {
+    void snapshotWithExpiredChunksIsIgnored() {
         List<NewRecord> only = chunks(table(1_000), "a");
         write(only);
         log.expire(STREAM, 1);
--- a/library/src/test/java/org/chivetally/claim/SnapshotScheduleTest.java
+++ b/library/src/test/java/org/chivetally/claim/SnapshotScheduleTest.java
@@ -14,8 +14,8 @@
     private final SnapshotSchedule schedule = new SnapshotSchedule(SETTINGS, "entry-1");
 
     @Test
-    void isDueByTimeOrByRecordsWhenThereIsSomethingNew() {
-        schedule.covered(10, 5_000);
+    void isDueByTimeOrRecordCountWhenNewRecordsExist() {
+        schedule.recordSnapshot(10, 5_000);
         assertThat(schedule.isDue(10, 5_000 + INTERVAL), is(false));
         assertThat(schedule.isDue(11, 5_000 + INTERVAL), is(true));
         assertThat(schedule.isDue(11, 5_000 + INTERVAL / 2), is(false));
@@ -23,21 +23,21 @@
     }
 
     @Test
-    void leavesItToASnapshotThatIsWritten() {
-        assertThat(schedule.shallWrite(tail(1, 0, 1, 10, INTERVAL), 11, INTERVAL), is(false));
-        assertThat(schedule.shallWrite(tail(1, 0, 1, 10, INTERVAL), 20, 2 * INTERVAL), is(true));
+    void writesNothingWhenRecentSnapshotExists() {
+        assertThat(schedule.shouldWrite(tail(1, 0, 1, 10, INTERVAL), 11, INTERVAL), is(false));
+        assertThat(schedule.shouldWrite(tail(1, 0, 1, 10, INTERVAL), 20, 2 * INTERVAL), is(true));
     }
 
     @Test
-    void leavesItToAWriterUntilThatOneStops() {
-        assertThat(schedule.shallWrite(tail(1, 0, 3, 10, INTERVAL), 11, INTERVAL), is(false));
-        assertThat(schedule.shallWrite(tail(2, 1, 3, 10, INTERVAL), 11, INTERVAL), is(false));
-        assertThat(schedule.shallWrite(tail(2, 1, 3, 10, INTERVAL), 11, INTERVAL), is(true));
+    void waitsForOtherWriterUntilItStops() {
+        assertThat(schedule.shouldWrite(tail(1, 0, 3, 10, INTERVAL), 11, INTERVAL), is(false));
+        assertThat(schedule.shouldWrite(tail(2, 1, 3, 10, INTERVAL), 11, INTERVAL), is(false));
+        assertThat(schedule.shouldWrite(tail(2, 1, 3, 10, INTERVAL), 11, INTERVAL), is(true));
     }
 
     @Test
-    void writesWhenThereIsNoneOrADamagedOne() {
-        assertThat(schedule.shallWrite(new SnapshotTail(0, Optional.empty()), 1, INTERVAL), is(true));
+    void writesWhenNoValidSnapshotExists() {
+        assertThat(schedule.shouldWrite(new SnapshotTail(0, Optional.empty()), 1, INTERVAL), is(true));
     }
 
     private static SnapshotTail tail(long end, int part, int parts, long covers, long millis) {
--- a/library/src/test/java/org/chivetally/claim/StreamTimeTest.java
+++ b/library/src/test/java/org/chivetally/claim/StreamTimeTest.java
@@ -20,8 +20,8 @@
     @Test
     void estimateGrowsWithTheClockFromTheHighestKnownTime() {
         StreamTime time = new StreamTime(nanos(0));
-        time.reached(500, nanos(100));
-        time.reached(400, nanos(100));
+        time.advanceTo(500, nanos(100));
+        time.advanceTo(400, nanos(100));
         assertThat(time.estimate(nanos(150)), is(550L));
     }
 
@@ -31,7 +31,7 @@
      * random times and reads what is there; its records land after a random delay.
      */
     @Property
-    void streamsTimeNeverRunsAhead(@ForAll @Size(max = 60) List<@IntRange(max = 100_000) Integer> choices) {
+    void streamTimeNeverRunsAhead(@ForAll @Size(max = 60) List<@IntRange(max = 100_000) Integer> choices) {
         List<StreamTime> processes = new ArrayList<>();
         for (int process = 0; process < PROCESSES; process++) {
             processes.add(new StreamTime(nanos(0)));
@@ -45,7 +45,7 @@
             now += choice % LONGEST_DELAY;
             streamMillis = Math.max(streamMillis, composed);
             stream.add(new long[] {now, streamMillis});
-            processes.get(choice / PROCESSES % PROCESSES).reached(streamMillis, nanos(now));
+            processes.get(choice / PROCESSES % PROCESSES).advanceTo(streamMillis, nanos(now));
         }
         for (long[] earlier : stream) {
             for (long[] later : stream.subList(stream.indexOf(earlier), stream.size())) {
--- a/library/src/test/java/org/chivetally/entry/NoLog.java
+++ b/library/src/test/java/org/chivetally/entry/NoLog.java
@@ -36,7 +36,7 @@
     }
 
     @Override
-    public void finished(Claim claim) {}
+    public void markFinished(Claim claim) {}
 
     @Override
     public boolean holdsLease() {
--- a/library/src/test/java/org/chivetally/entry/submission/UnavailableClaims.java
+++ b/library/src/test/java/org/chivetally/entry/submission/UnavailableClaims.java
@@ -41,7 +41,7 @@
     }
 
     @Override
-    public void finished(Claim claim) {}
+    public void markFinished(Claim claim) {}
 
     @Override
     public boolean holdsLease() {
