--- a/scripts/class-archives.sh
+++ b/scripts/class-archives.sh
@@ -1,21 +1,21 @@
 #!/usr/bin/env bash
-# Makes an archive of classes for each role beside the packaged jars: entry.jsa and agent.jsa.
+# Creates a class data sharing (CDS) archive for each role beside the packaged jars: entry.jsa and agent.jsa.
 #
 #   scripts/class-archives.sh JDK FOLDER
 #
-# FOLDER holds chivetally.jar and its libraries in lib. Each archive comes from a process of its role alone that serves some
-# jobs: classes of the other role would only cost time at a start. Its classes are linked already, which saves each process
-# work. Logs are beside the archives.
+# FOLDER contains chivetally.jar and its libraries in lib. The class list of each archive comes from a training run, in which a
+# process of that role serves some jobs: classes of the other role would only slow down the start. The classes in the archive
+# are already linked, which saves each process work. The logs are written beside the archives.
 set -euo pipefail
 readonly ATTEMPTS=3
 java=$1/bin/java
 folder=$2
 
-# The options are those of deploy/system.toml that decide what is loaded.
+# The options of deploy/system.toml that affect which classes are loaded.
 options=(-XX:+UseSerialGC -XX:TieredStopAtLevel=1 --sun-misc-unsafe-memory-access=allow -Dio.netty.jfr.enabled=false
     -Djdk.reflect.useNativeAccessorOnly=true -Djava.lang.invoke.MethodHandle.CUSTOMIZE_THRESHOLD=-1)
 
-# Runs a process of a role, with everything around it in a second one, and leaves the list of its classes.
+# Runs a process of a role, with its environment in a second process, and writes the list of its loaded classes.
 train() {
     local role=$1 settings=$folder/$1.yaml training_run process result=0
     rm -f "$settings"
@@ -36,7 +36,7 @@
     "$java" "${options[@]}" -Xshare:dump "-XX:SharedClassListFile=$folder/$1.classes" \
         "-XX:SharedArchiveFile=$folder/$1.jsa" -XX:+AOTClassLinking -jar "$folder/chivetally.jar"
 }
-# A port that was free can be taken until the process listens, so a training run that fails is repeated.
+# A failed training run is repeated: another process may take a free port before the process binds it.
 prepare() {
     local attempt
     for ((attempt = 1; attempt <= ATTEMPTS; attempt++)); do
--- a/scripts/faults.sh
+++ b/scripts/faults.sh
@@ -1,15 +1,15 @@
 #!/usr/bin/env bash
-# Starts a deployment of separate processes, runs a load plan with faults against it, and prints what came of it.
+# Starts a deployment of separate processes, runs a load plan with faults against it, and prints the results.
 #
 #   scripts/faults.sh [--plan PLAN] [--seed NUMBER] [--folder FOLDER] [LAYOUT OPTION...]
 #
-# PLAN is examples/load-faults.yaml by default, FOLDER a new one under the temporary folder; it takes settings, logs,
-# requests and the report. LAYOUT OPTIONs go to `chivetally layout`; without any it is --deployment jylland --agent-relays.
-# The end is non-zero when a promise was broken, a goal was missed or a planned fault did not come. Only processes that
-# were started here are stopped. docs/operations/faults.md describes the table and the plan.
+# PLAN is examples/load-faults.yaml by default, FOLDER a new temporary folder; it receives settings, logs, requests and the
+# report. LAYOUT OPTIONs are passed to `chivetally layout`; the default is --deployment jylland --agent-relays. Exits with a
+# non-zero status if a guarantee was violated, a goal was missed or a planned fault did not occur. Stops only processes that
+# it has started. docs/operations/faults.md describes the table and the plan.
 #
-# The load tool starts and signals no process: this script carries out the plan's actions on processes beside it, at times
-# counted from the beginning that the tool writes to FOLDER/faults/begin, and notes them in FOLDER/faults/done.
+# The load tool itself neither starts nor signals processes. This script carries out the plan's actions on processes, at times
+# relative to the start time that the tool writes to FOLDER/faults/begin, and records them in FOLDER/faults/done.
 set -euo pipefail
 
 root=$(cd "$(dirname "${BASH_SOURCE[0]}")/.." && pwd)
@@ -39,7 +39,7 @@
     local deadline=$((SECONDS + BEGIN_SECONDS))
     until [[ -s "$folder/faults/begin" ]]; do
         ((SECONDS < deadline)) || fail "the load did not begin within $BEGIN_SECONDS s"
-        kill -0 "$load" 2>/dev/null || fail "the load ended before it began"
+        kill -0 "$load" 2>/dev/null || fail "the load tool exited before the load began"
         sleep 0.05
     done
 }
@@ -51,13 +51,13 @@
     fi
 }
 
-# Ends a process and notes its end, which bounds the time in which a closed connection counts as a cut request.
+# Stops a process and records its end; connections closed after it do not count as cut requests.
 stop() {
     processes stop-one "$2" "$1"
     note ended "$2"
 }
 
-# Starts a process again once its earlier one has ended; two at one port would leave neither.
+# Restarts a process once the previous one has ended; two processes cannot listen on the same port.
 start() {
     while [[ -n "${2:-}" ]] && kill -0 "$2" 2>/dev/null; do
         sleep 0.05
@@ -66,7 +66,7 @@
     processes start-one "$1"
 }
 
-# Each step is a job of its own: a process that takes long to end must not delay the faults of others.
+# Stops and starts run in the background, so that a process that stops slowly does not delay the faults of others.
 carry_out() {
     local what=$1 name=$2
     case "$what" in
@@ -83,7 +83,7 @@
     esac
 }
 
-# A paused process takes no SIGTERM, and one that is being started would come after the others were stopped.
+# Waits for pending starts, whose processes would otherwise survive, and resumes suspended processes, which ignore SIGTERM.
 clean_up() {
     local name
     if [[ -n "$load" ]]; then
@@ -141,5 +141,5 @@
 result=0
 wait "$load" || result=$?
 load=
-echo "settings, logs, requests and the notes of what was done are in $folder"
+echo "settings, logs, requests and the record of actions are in $folder"
 exit "$result"
--- a/scripts/process-cost.sh
+++ b/scripts/process-cost.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# Prints what a start and the first jobs cost an entry and an agent in processor time, with the options and archives of
-# the deployment: until ready, until the first caller, and for the first 1, 20, 50, 100 and 400 jobs, by thread. A last run
-# also logs the classes that are loaded, by source, and the methods that are compiled, by package; its times are higher.
+# Prints the processor time of an entry and an agent by thread, with the options and archives of the deployment: until the
+# process is ready, until the first caller, and for the first 1, 20, 50, 100 and 400 jobs. A last run also logs loaded classes
+# by source and compiled methods by package, which increases its times.
 #
 #   scripts/process-cost.sh [RUNS]
 set -euo pipefail
@@ -14,7 +14,7 @@
 mvn --batch-mode -q -pl linkage,wire,library,platform -DskipTests test-compile dependency:build-classpath \
     -Dmdep.outputFile="$class_path" -Dmdep.includeScope=test
 
-# Prints the command of a role.
+# Prints the command line of a role.
 command_of() {
     sed -n "/^\[roles.$1\]/,/^\$/s/^run = \"\(.*\)\"/\1/p" deploy/system.toml
 }
--- a/scripts/processes.sh
+++ b/scripts/processes.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Runs a whole deployment as separate processes on this machine: log stand-in, minions, entries, agents.
+# Runs a deployment as separate processes on this machine: log stand-in, minions, entries and agents.
 #
 #   scripts/processes.sh start FOLDER [--deployment NAME] [--first-port PORT] [--minions-in-one] [--relays]
 #   scripts/processes.sh start-one FOLDER NAME
@@ -7,8 +7,8 @@
 #   scripts/processes.sh signal-one FOLDER NAME SIGNAL
 #   scripts/processes.sh stop FOLDER
 #
-# FOLDER is made anew and holds settings, logs (NAME.log), process ids (NAME.pid) and addresses (targets.yaml).
-# Stopping ends only processes whose ids stand in FOLDER and that still run a command of FOLDER's own list.
+# 'start' writes settings, logs (NAME.log), process ids (NAME.pid) and addresses (targets.yaml) to FOLDER. Only processes
+# whose ids are in FOLDER and that still run a command of FOLDER are stopped.
 # CHIVETALLY_PROCESS_OPTIONS replaces the JVM options of each process.
 set -euo pipefail
 
@@ -35,19 +35,19 @@
     local folder=$1 name=$2 words
     words=$(command_of "$folder" "$name")
     [[ -n "$words" ]] || fail "no process $name in $folder/processes"
-    # A token in the command line tells this folder's processes from any other that gets the same id later.
-    # shellcheck disable=SC2086 # the command is made of words
+    # A token in the command line distinguishes the process from another one that gets the same id later.
+    # shellcheck disable=SC2086 # the command consists of words
     CHIVETALLY_JAVA_OPTIONS="${CHIVETALLY_PROCESS_OPTIONS:-$DEFAULT_OPTIONS} -Dchivetally.process=$folder/$name" \
         setsid "$root/bin/chivetally" $words >>"$folder/$name.log" 2>&1 </dev/null &
     echo $! >"$folder/$name.pid"
 }
 
-# Prints the id of a process that was started from the folder and still runs.
+# Prints the id of a process of the folder if it is still running.
 running_id() {
     local folder=$1 name=$2 id
     [[ -r "$folder/$name.pid" ]] || return 0
     id=$(<"$folder/$name.pid")
-    # The id may have gone to a stranger since; without this check stop would end the stranger.
+    # The id may have been reused; without this check, stop would end an unrelated process.
     if tr '\0' '\n' 2>/dev/null <"/proc/$id/cmdline" | grep -qxF -- "-Dchivetally.process=$folder/$name"; then
         echo "$id"
     fi
@@ -78,7 +78,7 @@
     await_end "$1" "$2"
 }
 
-# Entries first, which drain while agents and minions still answer; the log last.
+# Stops entries first, so that they can drain while agents and minions are available, and the log last.
 stop_all() {
     local folder=$1 kind name
     for kind in entry agent minion relay log; do
@@ -95,15 +95,15 @@
     sed -n '/^  entries:/,/^  minions:/s/.*url: "\(.*\)".*/\1/p' "$1/targets.yaml"
 }
 
-# Fails when a process has ended by itself, as one does whose port is taken: another deployment may answer there.
+# Fails if a process has exited, for instance because its port is in use; another deployment may then answer on that port.
 require_running() {
     local folder=$1 name
     for name in $(names "$folder"); do
-        kill -0 "$(<"$folder/$name.pid")" 2>/dev/null || fail "$name ended at its start; see $folder/$name.log"
+        kill -0 "$(<"$folder/$name.pid")" 2>/dev/null || fail "$name exited during its start; see $folder/$name.log"
     done
 }
 
-# An entry is ready for load once it has a connection to every agent.
+# An entry is ready for load once it is connected to all agents.
 is_ready() {
     local url=$1 agents=$2 usable
     curl --silent --fail --max-time 2 --output /dev/null "$url/readyz" || return 1
@@ -128,7 +128,7 @@
     local folder=$1 name
     shift
     mkdir -p "$folder"
-    [[ ! -e "$folder/processes" ]] || fail "$folder holds a deployment already"
+    [[ ! -e "$folder/processes" ]] || fail "$folder already contains a deployment"
     "$root/bin/chivetally" layout "$@" "$folder"
     for name in $(names "$folder"); do
         start_one "$folder" "$name"
--- a/scripts/regression.sh
+++ b/scripts/regression.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Scores deployments one after the other with the bench and prints each day's worth beside that of the last committed score of the
-# same deployment and size. Fewer jobs at once leave the processes more of the machine; a whole large day wants one.
+# Scores deployments with the bench, one after the other, and compares the worth of each day with the latest committed score of the
+# same deployment and size. With fewer concurrent JOBS the processes get more of the machine; a whole large day requires JOBS = 1.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 if [[ $# -lt 4 ]]; then
@@ -15,12 +15,12 @@
     small) options=(--small) ;;
     whole) options=() ;;
     *)
-        echo "scripts/regression.sh: $size: neither small nor whole" >&2
+        echo "scripts/regression.sh: invalid size $size: must be small or whole" >&2
         exit 2
         ;;
 esac
 
-# Prints "DAY WORTH" lines of the newest committed score of a site, or nothing when there is none.
+# Prints "DAY WORTH" lines of the latest committed score of a site, or nothing if there is none.
 committed() {
     local site=$1
     git ls-files 'journal/*.json' | sort -r | while read -r entry; do
@@ -32,7 +32,7 @@
 }
 
 if ! command -v jq >/dev/null; then
-    echo "scripts/regression.sh: jq is needed to read the journal" >&2
+    echo "scripts/regression.sh: jq is required to read the journal" >&2
     exit 2
 fi
 for site in "$@"; do
--- a/scripts/soak.sh
+++ b/scripts/soak.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Plays seeds of the soak of the platform's processes; docs/operations/soak.md tells what it does.
+# Runs the soak test of the platform's processes for a range of seeds; see docs/operations/soak.md.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 if [[ $# -lt 2 ]]; then
--- a/scripts/start-cost.sh
+++ b/scripts/start-cost.sh
@@ -1,11 +1,11 @@
 #!/usr/bin/env bash
-# Measures the processor time of a start by role: runs a load plan at several loads against separate processes and fits a
-# line through the processor time of each role against the starts a second.
+# Measures the processor time per start by role: runs a load plan at several loads against separate processes and fits, for
+# each role, a line to the processor time as a function of the starts per second.
 #
 #   scripts/start-cost.sh PLAN FOLDER [SHARE...]
 #
-# FOLDER takes the reports and start-cost.md. A line's slope is the cost of a start, its intercept what a process of the
-# role uses without any.
+# FOLDER receives the reports and start-cost.md. The slope of a line is the cost of a start, the intercept the cost of an idle
+# process. Each SHARE is a fraction of the slots.
 set -euo pipefail
 
 root=$(cd "$(dirname "${BASH_SOURCE[0]}")/.." && pwd)
@@ -25,7 +25,7 @@
 trap '"$root/scripts/processes.sh" stop "$folder/run"' EXIT
 "$root/scripts/processes.sh" start "$folder/run" >/dev/null
 
-# Prints role, processes, seconds of processor time a second and starts a second of one report, one role a line.
+# Prints for each role of a report: role, number of processes, processor time per second in seconds, starts per second.
 figures() {
     awk -v duration="$DURATION" '
         /"starts" :/ { gsub(/[^0-9]/, ""); starts = $0 }
@@ -39,7 +39,7 @@
         /"violations"/ { inside = 0 }' "$1"
 }
 
-# Runs the plan at a share of the slots and leaves its report in the folder.
+# Runs the plan at a share of the slots and writes its report to the folder.
 run_at() {
     local share=$1
     sed -e "s/slotShare: [0-9.]*/slotShare: $share/" -e "s/^duration: .*/duration: ${DURATION}s/" \
@@ -48,7 +48,7 @@
         --json "$folder/report-$share.json" "$folder/plan-$share.yaml" >"$folder/report-$share.txt" 2>/dev/null || true
 }
 
-# The first run only has the processes' code compiled, which would count as a cost of the first share measured.
+# The first run only warms up the JIT compiler, whose work would otherwise count towards the first measured share.
 run_at 0.5
 for share in "$@"; do
     run_at "$share"
