--- a/library/src/main/java/org/chivetally/queue/JobAnswer.java
+++ b/library/src/main/java/org/chivetally/queue/JobAnswer.java
@@ -11,7 +11,7 @@
     /**
      * The job was not accepted, and this request will not cause it to run.
      *
-     * @param reason reason for logs and the caller
+     * @param reason why the job was refused, for logs and the caller
      * @param retryAfter time after which a retry is more likely to succeed
      */
     record Refused(RefusalReason reason, Duration retryAfter) implements JobAnswer {
@@ -25,14 +25,14 @@
     /**
      * Whether the job was stored could not be determined in time.
      *
-     * @param reason reason for logs
+     * @param reason why it could not be determined, for logs and the caller
      */
     record Undecided(String reason) implements JobAnswer {}
 
     /**
      * The state of the job can't be read at present.
      *
-     * @param reason reason for logs
+     * @param reason why it can't be read, for logs and the caller
      */
     record Unavailable(String reason) implements JobAnswer {}
 
--- a/library/src/main/java/org/chivetally/queue/QueueRoute.java
+++ b/library/src/main/java/org/chivetally/queue/QueueRoute.java
@@ -9,9 +9,11 @@
  * @param prefix prefix of the path, ending in a slash
  * @param terms parameters of the queue, which apply to jobs submitted by this route
  * @param timeoutMillis default timeout of a request, in milliseconds
- * @param advised whether only an external recommendation service can determine which workers may run its steps
+ * @param hasRecommendationPolicy whether only the recommendation service of the queue knows which workers may run its
+ *     steps
  */
-public record QueueRoute(String host, String prefix, QueueTerms terms, long timeoutMillis, boolean advised) {
+public record QueueRoute(
+        String host, String prefix, QueueTerms terms, long timeoutMillis, boolean hasRecommendationPolicy) {
     /** Requires a host, a prefix and terms. */
     public QueueRoute {
         Objects.requireNonNull(host, "host");
--- a/library/src/main/java/org/chivetally/queue/link/LinkListener.java
+++ b/library/src/main/java/org/chivetally/queue/link/LinkListener.java
@@ -16,7 +16,7 @@
      * The link is closed.
      *
      * @param link the link
-     * @param reason reason for log lines
+     * @param reason why the link was closed, for log lines
      */
     void down(PeerLink link, String reason);
 }
--- a/library/src/main/java/org/chivetally/queue/log/AppendOutcome.java
+++ b/library/src/main/java/org/chivetally/queue/log/AppendOutcome.java
@@ -22,14 +22,14 @@
     /**
      * The log rejected the append, and nothing was written.
      *
-     * @param reason reason for log lines
+     * @param reason why the log rejected the append, for log lines
      */
     record Refused(String reason) implements AppendOutcome {}
 
     /**
      * It is unknown whether the records have been written or still will be.
      *
-     * @param reason reason for log lines
+     * @param reason why the outcome is unknown, for log lines
      */
     record Unknown(String reason) implements AppendOutcome {}
 }
--- a/library/src/main/java/org/chivetally/queue/log/OwnershipGroup.java
+++ b/library/src/main/java/org/chivetally/queue/log/OwnershipGroup.java
@@ -42,7 +42,7 @@
         /**
          * The platform did not respond, or sent an unusable response.
          *
-         * @param reason reason for log lines
+         * @param reason why there is no usable response, for log lines
          */
         record Unavailable(String reason) implements JoinOutcome {}
     }
--- a/library/src/main/java/org/chivetally/queue/log/ReadOutcome.java
+++ b/library/src/main/java/org/chivetally/queue/log/ReadOutcome.java
@@ -23,7 +23,7 @@
     /**
      * The log did not respond, or sent an unusable response.
      *
-     * @param reason reason for log lines
+     * @param reason why there is no usable response, for log lines
      */
     record Unavailable(String reason) implements ReadOutcome {}
 }
--- a/library/src/main/java/org/chivetally/queue/warmup/EntryWarmUpLoad.java
+++ b/library/src/main/java/org/chivetally/queue/warmup/EntryWarmUpLoad.java
@@ -77,7 +77,7 @@
 
     /** Reports the end of each run to the entry, a short time after its start. */
     private final class ScriptedAgent implements LinkListener {
-        private static final String BOOT = "warm-up-boot";
+        private static final String MINION_ID = "warm-up-boot";
 
         private final LinkTable links = new LinkTable(
                 new Peer("warm-up-agent", 1, true, "warm-up", "model", 2),
@@ -108,7 +108,7 @@
 
         private WorkerReport report() {
             return WorkerReport.newBuilder()
-                    .setMinion(BOOT)
+                    .setMinion(MINION_ID)
                     .setService(TERMS.service())
                     .setCapacity(JobCodec.encode(CAPACITY))
                     .setFree(JobCodec.encode(CAPACITY))
@@ -136,7 +136,7 @@
 
         private void sendRunEnd(PeerLink link, RunKey run) {
             ends++;
-            EndedRun end = new EndedRun(BOOT, ends, run, RunOutcome.DONE, "");
+            EndedRun end = new EndedRun(MINION_ID, ends, run, RunOutcome.DONE, "");
             link.send(Frame.newBuilder()
                     .setRunEnds(RunEnds.newBuilder().setReport(report()).addEnds(EndCodec.encode(end)))
                     .build());
--- a/library/src/main/java/org/chivetally/queue/warmup/SimulatedMinion.java
+++ b/library/src/main/java/org/chivetally/queue/warmup/SimulatedMinion.java
@@ -30,7 +30,7 @@
     }
 
     @Override
-    public void start(String boot, StartRequest request, Consumer<StartResult> callback) {
+    public void start(String minionId, StartRequest request, Consumer<StartResult> callback) {
         running.add(request.run());
         timers.after(RUN_DURATION, () -> finishRun(request.run()));
         timers.after(RESPONSE_DELAY, () -> callback.accept(new StartResult.Started(clockMillis())));
@@ -44,13 +44,13 @@
     }
 
     @Override
-    public void stop(String boot, RunKey run, long token, Consumer<Boolean> callback) {
+    public void stop(String minionId, RunKey run, long token, Consumer<Boolean> callback) {
         running.remove(run);
         timers.after(RESPONSE_DELAY, () -> callback.accept(true));
     }
 
     @Override
-    public void poll(String boot, PollRequest request, Consumer<PollResult> callback) {
+    public void poll(String minionId, PollRequest request, Consumer<PollResult> callback) {
         ends.headMap(request.acknowledgedThrough(), true).clear();
         Duration wait = request.maximumWait().isZero() ? RESPONSE_DELAY : RUN_DURATION;
         timers.after(
--- a/library/src/test/java/org/chivetally/queue/log/ScriptedKeyedLog.java
+++ b/library/src/test/java/org/chivetally/queue/log/ScriptedKeyedLog.java
@@ -207,7 +207,7 @@
                 memberExpiries.put(member, timers.nanos() + timeToLive.toNanos());
                 reassign();
                 if (knownGeneration >= generation) {
-                    // The member has received the current generation and released what it lost to the new owners.
+                    // The member knows the current assignment, so partitions that it lost can pass to their new owners.
                     owners.replaceAll((partition, owner) -> owner.equals(member) ? assignment.get(partition) : owner);
                 }
                 Set<Integer> assigned = new HashSet<>();
