--- a/library/src/main/java/org/chivetally/claim/Claim.java
+++ b/library/src/main/java/org/chivetally/claim/Claim.java
@@ -4,25 +4,28 @@
 import org.chivetally.job.JobId;
 
 /**
- * The claim in force for a key.
+ * The claim in force for an idempotency key.
  *
+ * @param key the team's idempotency key
  * @param bodyDigest SHA-256 of the submission's content, in hexadecimal
- * @param generation 1 for the first coordinator, one more at each takeover
- * @param finished whether the job is known to have reached its final outcome
+ * @param job id of the job that the key belongs to
+ * @param coordinator process that coordinates the job
+ * @param generation 1 for the first coordinator, incremented by each takeover
+ * @param finished whether the job has a recorded final outcome
  */
 public record Claim(
         SubmissionKey key, String bodyDigest, JobId job, Coordinator coordinator, int generation, boolean finished) {
-    /** Generation of a claim that nobody has taken over. */
+    /** Generation of a claim that has never been taken over. */
     public static final int FIRST_GENERATION = 1;
 
-    /** Refuses missing parts and generations below one. */
+    /** Rejects null components and generations below 1. */
     public Claim {
         Objects.requireNonNull(key, "key");
         Objects.requireNonNull(bodyDigest, "bodyDigest");
         Objects.requireNonNull(job, "job");
         Objects.requireNonNull(coordinator, "coordinator");
         if (generation < FIRST_GENERATION) {
-            throw new IllegalArgumentException("generations begin at 1");
+            throw new IllegalArgumentException("generation must be at least 1");
         }
     }
 }
--- a/library/src/main/java/org/chivetally/claim/ClaimDecision.java
+++ b/library/src/main/java/org/chivetally/claim/ClaimDecision.java
@@ -1,16 +1,19 @@
 package org.chivetally.claim;
 
-/** What the log decided about a claim or a takeover. */
+/** Outcome of a claim or a takeover. */
 public sealed interface ClaimDecision {
-    /** This process coordinates the job now. */
+    /** This process is now the coordinator of the job. */
     record Won(Claim claim) implements ClaimDecision {}
 
-    /** Another claim of the same key and body came first, or another takeover did; it is the one in force. */
+    /**
+     * Another claim with the same key and body, or another takeover, precedes this one in the log; it is the one in
+     * force.
+     */
     record Attached(Claim claim) implements ClaimDecision {}
 
-    /** The key belongs to a submission with another body. */
+    /** The key is already claimed by a submission with a different body. */
     record KeyReused(Claim claim) implements ClaimDecision {}
 
-    /** The log can't be reached; nothing was claimed that this process will act on. */
+    /** The log is unavailable. This process starts nothing for the claim, even if its record is in the log. */
     record LogUnavailable(String reason) implements ClaimDecision {}
 }
--- a/library/src/main/java/org/chivetally/claim/ClaimEffect.java
+++ b/library/src/main/java/org/chivetally/claim/ClaimEffect.java
@@ -3,27 +3,35 @@
 import java.util.concurrent.CompletableFuture;
 import org.chivetally.logging.EventLine;
 
-/** What a {@link ClaimStateMachine} wants done. */
+/** Side effects that {@link ClaimStateMachine} requests from its actor. */
 sealed interface ClaimEffect {
-    /** Answer a claim or takeover, which waited for this long. */
+    /**
+     * Completes a claim or takeover with its decision.
+     *
+     * @param waitedNanos time since the caller's request, in nanoseconds
+     */
     record Decide(CompletableFuture<ClaimDecision> reply, ClaimDecision decision, long waitedNanos)
             implements ClaimEffect {}
 
-    /** Tell whoever listens that the lease was gained or lost. */
+    /** Notifies the listeners that the lease was gained or lost. */
     record NotifyLeaseChanged(boolean held) implements ClaimEffect {}
 
-    /** Tell whoever listens until when, by the clock, the lease is held. */
+    /**
+     * Notifies the listeners of the lease's new end.
+     *
+     * @param untilNanos monotonic clock reading at which the lease ends, in nanoseconds
+     */
     record NotifyLeaseExtended(long untilNanos) implements ClaimEffect {}
 
-    /** Tell whoever listens that another process coordinates a job of this one now. */
+    /** Notifies the listeners that another process has taken over a job of this one. */
     record NotifyReplaced(Claim successor) implements ClaimEffect {}
 
-    /** The departure is written, or given up on. */
+    /** Completes the pending departures: the departure record was read back, or timed out. */
     record ConfirmDeparture() implements ClaimEffect {}
 
-    /** Count a record that could not be read. */
+    /** Counts a record that could not be decoded. */
     record CountSkipped() implements ClaimEffect {}
 
-    /** Write one line. */
+    /** Logs one event line. */
     record WriteLine(EventLine line) implements ClaimEffect {}
 }
--- a/library/src/main/java/org/chivetally/claim/ClaimLines.java
+++ b/library/src/main/java/org/chivetally/claim/ClaimLines.java
@@ -5,11 +5,11 @@
 import org.chivetally.log.AppendOutcome;
 import org.chivetally.logging.EventLine;
 
-/** Log lines about claims. */
+/** Creates the log event lines about claims. */
 final class ClaimLines {
     private ClaimLines() {}
 
-    /** Begins a line about a job's claim. */
+    /** Starts an event line with the team, key and job of a claim. */
     static EventLine of(String event, SubmissionKey key, JobId job) {
         return EventLine.of(event)
                 .with("team", key.team())
@@ -17,7 +17,7 @@
                 .with("job", job);
     }
 
-    /** Returns the line of a decision. */
+    /** Returns the event line of a claim's decision. */
     static EventLine of(SubmissionKey key, ClaimDecision decision) {
         return switch (decision) {
             case ClaimDecision.Won won -> of("claim-won", won.claim());
@@ -31,7 +31,7 @@
         };
     }
 
-    /** Returns the line of an append that failed, or whose outcome is in doubt. */
+    /** Returns the event line of an append that was refused or whose outcome is unknown; empty for a successful one. */
     static Optional<EventLine> of(AppendOutcome outcome) {
         return switch (outcome) {
             case AppendOutcome.Appended ignored -> Optional.empty();
@@ -40,7 +40,7 @@
         };
     }
 
-    /** Begins a line about a claim and its coordinator. */
+    /** Starts an event line with a claim's key, job, coordinator and generation. */
     static EventLine of(String event, Claim claim) {
         return of(event, claim.key(), claim.job())
                 .with("coordinator", claim.coordinator().processId())
--- a/library/src/main/java/org/chivetally/claim/ClaimMeters.java
+++ b/library/src/main/java/org/chivetally/claim/ClaimMeters.java
@@ -9,7 +9,7 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import org.chivetally.time.NanoClock;
 
-/** Meters of one process's claims. */
+/** Metrics of the claims of one process. */
 final class ClaimMeters {
     private static final double NANOS_PER_SECOND = TimeUnit.SECONDS.toNanos(1);
 
@@ -19,7 +19,11 @@
     private final Counter skipped;
     private final AtomicInteger tableSize = new AtomicInteger();
 
-    /** Registers the meters. */
+    /**
+     * Registers the meters.
+     *
+     * @param lease this process's lease, whose remaining time is published as a gauge
+     */
     ClaimMeters(MeterRegistry meters, OwnLease lease, NanoClock clock) {
         this.appends = Counter.builder("chivetally.claims.appends")
                 .description("appends to the claims stream")
@@ -45,23 +49,23 @@
                 .register(meters);
     }
 
-    /** Counts an append. */
+    /** Counts an append and the number of its records. */
     void recordAppend(int records) {
         appends.increment();
         recordsPerAppend.record(records);
     }
 
-    /** Counts a decision. */
+    /** Records the time from a claim to its decision, in nanoseconds. */
     void recordDecision(long waitedNanos) {
         latency.record(waitedNanos, TimeUnit.NANOSECONDS);
     }
 
-    /** Counts a record that could not be read. */
+    /** Counts a record that could not be decoded. */
     void recordSkipped() {
         skipped.increment();
     }
 
-    /** Notes how many claims are in force. */
+    /** Sets the number of claims in force. */
     void setTableSize(int claims) {
         tableSize.set(claims);
     }
--- a/library/src/main/java/org/chivetally/claim/ClaimRecord.java
+++ b/library/src/main/java/org/chivetally/claim/ClaimRecord.java
@@ -5,93 +5,101 @@
 import java.util.regex.Pattern;
 import org.chivetally.job.JobId;
 
-/** What a process writes to the claims stream. */
+/** A record of the claims stream. */
 public sealed interface ClaimRecord {
     /**
-     * A submission claims its key; the first one of a key counts.
+     * Claims a key for a submission; the first such record of a key in the log wins.
      *
+     * @param key the team's idempotency key
      * @param bodyDigest SHA-256 of the submission's content, 64 lower case hexadecimal digits
-     * @param window how long the key stays taken
+     * @param job id of the submitted job
+     * @param coordinator process that wrote the record
+     * @param window how long the key stays claimed, in stream time
      */
     record Claimed(SubmissionKey key, String bodyDigest, JobId job, Coordinator coordinator, Duration window)
             implements ClaimRecord {
         private static final Pattern DIGEST = Pattern.compile("[0-9a-f]{64}");
 
-        /** Refuses missing parts, other digests than SHA-256 in lower case hexadecimal, and windows of no length. */
+        /** Rejects null components, digests other than SHA-256 in lower case hexadecimal, and windows below 1 ms. */
         public Claimed {
             Objects.requireNonNull(key, "key");
             Objects.requireNonNull(job, "job");
             Objects.requireNonNull(coordinator, "coordinator");
             if (!DIGEST.matcher(bodyDigest).matches()) {
-                throw new IllegalArgumentException("a body digest has 64 lower case hexadecimal digits");
+                throw new IllegalArgumentException("bodyDigest must be 64 lower case hexadecimal digits");
             }
             if (window.toMillis() < 1) {
-                throw new IllegalArgumentException("a window lasts at least a millisecond");
+                throw new IllegalArgumentException("window must be at least 1 ms");
             }
         }
     }
 
     /**
-     * Another process wants to coordinate a job whose coordinator's lease has lapsed.
+     * Makes another process the coordinator of a job whose coordinator's lease has lapsed.
      *
-     * <p>It may land long after it was sent, and its coordinator-to-be may not have read the newest renewal. Won then,
-     * it would take a job from a process that holds its lease. It therefore names the last renewal that its sender had
-     * read, and loses to every later one that stands before it.
+     * <p>The record may be written long after it was sent, and its sender may not have read the coordinator's latest
+     * renewal. If it won then, it would take the job from a process that holds its lease. It therefore carries the
+     * offset of the last renewal that its sender had read, and loses if a later renewal precedes it in the log.
      *
+     * @param key the team's idempotency key
+     * @param job the job to take over
+     * @param coordinator the new coordinator, which wrote the record
      * @param generation one more than that of the claim in force
      * @param lastRenewal offset of the last renewal by the coordinator in force that the sender had read;
-     *     {@link #NO_RENEWAL} when there was none, {@link #UNSPECIFIED} in records of the first format
+     *     {@link #NO_RENEWAL} if it had read none, {@link #UNSPECIFIED} in records of format 1
      */
     record TakenOver(SubmissionKey key, JobId job, Coordinator coordinator, int generation, long lastRenewal)
             implements ClaimRecord {
-        /** Stands for no renewal at all. */
+        /** The sender had read no renewal of the coordinator in force. */
         public static final long NO_RENEWAL = -1;
 
-        /** Stands in records that name none, and that are judged by their generation alone, as they always were. */
+        /** Value for records of format 1, which carry no renewal offset and are decided by their generation alone. */
         public static final long UNSPECIFIED = Long.MAX_VALUE;
 
-        /** Refuses missing parts, generations that no takeover has, and offsets that no record has. */
+        /** Rejects null components, generations below 2 and negative offsets other than {@link #NO_RENEWAL}. */
         public TakenOver {
             Objects.requireNonNull(key, "key");
             Objects.requireNonNull(job, "job");
             Objects.requireNonNull(coordinator, "coordinator");
             if (generation < 2) {
-                throw new IllegalArgumentException("takeovers begin at generation 2");
+                throw new IllegalArgumentException("generation of a takeover must be at least 2");
             }
             if (lastRenewal < NO_RENEWAL) {
-                throw new IllegalArgumentException("offsets begin at 0");
+                throw new IllegalArgumentException("lastRenewal must be an offset or NO_RENEWAL");
             }
         }
 
         /**
-         * Tells whether another takeover is of the same job to the same generation, so that one of them at most wins.
+         * Returns whether the other takeover is of the same job to the same generation, so that at most one of the two
+         * wins.
          */
         boolean competesWith(TakenOver other) {
             return key.equals(other.key) && job.equals(other.job) && generation == other.generation;
         }
 
-        /** Tells whether the record names a renewal, or that there was none. */
+        /** Returns whether the record carries a renewal offset or {@link #NO_RENEWAL}. */
         boolean specifiesRenewal() {
             return lastRenewal != UNSPECIFIED;
         }
     }
 
     /**
-     * A process holds its lease.
+     * Renews a process's lease.
      *
-     * @param lease length of the lease by the settings of its holder
+     * @param coordinator holder of the lease
+     * @param lease duration of the lease according to its holder's settings
      */
     record Renewed(Coordinator coordinator, Duration lease) implements ClaimRecord {
-        /** Refuses missing parts and leases of no length. */
+        /** Rejects null components and leases below 1 ms. */
         public Renewed {
             Objects.requireNonNull(coordinator, "coordinator");
             if (lease.toMillis() < 1) {
-                throw new IllegalArgumentException("a lease lasts at least a millisecond");
+                throw new IllegalArgumentException("lease must be at least 1 ms");
             }
         }
     }
 
-    /** A process gives its lease up for good. */
+    /** Ends a process's lease permanently. */
     record Departed(Coordinator coordinator) implements ClaimRecord {
         /** Refuses missing parts. */
         public Departed {
@@ -99,7 +107,7 @@
         }
     }
 
-    /** A job reached its final outcome. */
+    /** Records that a job has its final outcome. */
     record Finished(SubmissionKey key, JobId job) implements ClaimRecord {
         /** Refuses missing parts. */
         public Finished {
@@ -109,26 +117,27 @@
     }
 
     /**
-     * A process gave up on its claim or takeover before it knew that it had won, and will never act on it.
+     * Releases a claim or takeover of which its process has started nothing and will start nothing: because it
+     * abandoned it before reading that it had won, or refused the job afterwards.
      *
-     * <p>The caller was told that nothing ran, and that must stay true though the claim turned up in the log as the
-     * winner. It does: only the process that the claim names may start tasks of that generation, and it writes this
-     * record only for a claim that it never reported as won. A takeover that came before this record has a higher
-     * generation, so the record doesn't match and changes nothing; one that comes after it finds no claim. A late
-     * repeat of the claim is dropped by its record id. Freeing the key is therefore the same as if the claim had never
-     * been written.
+     * <p>The caller was answered that nothing has run, and that must stay true even if the claim is later read as the
+     * winner. Only the process named in a claim may start tasks of its generation, and it writes this record only if it
+     * has started none. If a takeover precedes this record, the generation no longer matches and the record changes
+     * nothing; a takeover that follows it finds no claim. A late duplicate of the claim is dropped by its record id.
+     * Releasing the key therefore has the same effect as if the claim had never been written.
      *
-     * <p>A takeover that is given up can't free the key, as the coordinator before it may have started tasks: the claim
-     * stays, of {@link Coordinator#NONE}, whose lease has always lapsed, and the next takeover inquires first.
+     * <p>Releasing a takeover does not free the key, as the previous coordinator may have started tasks. The claim
+     * stays in force with {@link Coordinator#NONE}, whose lease has always lapsed, and the next process that takes it
+     * over inquires at the agents first.
      */
     record Released(SubmissionKey key, JobId job, Coordinator coordinator, int generation) implements ClaimRecord {
-        /** Refuses missing parts and generations below one. */
+        /** Rejects null components and generations below 1. */
         public Released {
             Objects.requireNonNull(key, "key");
             Objects.requireNonNull(job, "job");
             Objects.requireNonNull(coordinator, "coordinator");
             if (generation < 1) {
-                throw new IllegalArgumentException("generations begin at 1");
+                throw new IllegalArgumentException("generation must be at least 1");
             }
         }
     }
--- a/library/src/main/java/org/chivetally/claim/ClaimRecordCodec.java
+++ b/library/src/main/java/org/chivetally/claim/ClaimRecordCodec.java
@@ -13,12 +13,12 @@
 import tools.jackson.core.ObjectWriteContext;
 import tools.jackson.core.json.JsonFactory;
 
-/** Writes records of the claims stream as flat JSON objects, and reads them. */
+/** Encodes and decodes records of the claims stream as flat JSON objects. */
 final class ClaimRecordCodec {
-    /** Format version of all records but those of {@link #TAKEOVER_FORMAT}. */
+    /** Format version of all records except those of {@link #TAKEOVER_FORMAT}. */
     static final int FORMAT = 1;
 
-    /** Format version of takeovers that name the last renewal read; they had the first version before. */
+    /** Format version of takeovers that carry the last renewal read; older takeovers have version 1. */
     static final int TAKEOVER_FORMAT = 2;
 
     private static final JsonFactory JSON = new JsonFactory();
@@ -28,8 +28,9 @@
     private ClaimRecordCodec() {}
 
     /**
-     * Returns the bytes of a record.
+     * Encodes a record.
      *
+     * @param entry the record and its stream time
      * @param written wall-clock time of writing, for operators only
      */
     static byte[] encode(TimestampedRecord entry, Instant written) {
@@ -46,7 +47,10 @@
         return bytes.toByteArray();
     }
 
-    /** Reads a record; whatever can't be understood is a value, so that one bad record stops no reader. */
+    /**
+     * Decodes a record. A record that can't be decoded is returned as {@link DecodedRecord.Skipped} instead of an
+     * exception, so that one malformed record doesn't stop all readers.
+     */
     static DecodedRecord decode(byte[] payload) {
         try {
             return decodeFields(readFields(payload));
@@ -57,8 +61,8 @@
     }
 
     private static int formatOf(ClaimRecord content) {
-        boolean naming = content instanceof ClaimRecord.TakenOver taken && taken.specifiesRenewal();
-        return naming ? TAKEOVER_FORMAT : FORMAT;
+        boolean hasRenewal = content instanceof ClaimRecord.TakenOver taken && taken.specifiesRenewal();
+        return hasRenewal ? TAKEOVER_FORMAT : FORMAT;
     }
 
     private static String typeOf(ClaimRecord content) {
@@ -119,7 +123,7 @@
         try (JsonParser json = JSON.createParser(ObjectReadContext.empty(), payload)) {
             Fields fields = new Fields();
             if (json.nextToken() != JsonToken.START_OBJECT) {
-                throw new IllegalArgumentException("not an object");
+                throw new IllegalArgumentException("record is not a JSON object");
             }
             while (json.nextToken() == JsonToken.PROPERTY_NAME) {
                 String name = json.currentName();
@@ -132,11 +136,11 @@
 
     private static DecodedRecord decodeFields(Fields fields) {
         if (fields.type == null) {
-            return new DecodedRecord.Skipped("no type");
+            return new DecodedRecord.Skipped("missing type");
         }
-        boolean naming = fields.type.equals(TAKEOVER) && fields.format == TAKEOVER_FORMAT;
-        if (fields.format != FORMAT && !naming) {
-            return new DecodedRecord.Skipped("format " + fields.format);
+        boolean hasRenewal = fields.type.equals(TAKEOVER) && fields.format == TAKEOVER_FORMAT;
+        if (fields.format != FORMAT && !hasRenewal) {
+            return new DecodedRecord.Skipped("unsupported format " + fields.format);
         }
         return switch (fields.type) {
             case "claim" ->
@@ -152,7 +156,7 @@
                         fields.jobId(),
                         fields.coordinator(),
                         fields.generation,
-                        naming ? fields.lastRenewal() : ClaimRecord.TakenOver.UNSPECIFIED));
+                        hasRenewal ? fields.lastRenewal() : ClaimRecord.TakenOver.UNSPECIFIED));
             case "renewal" ->
                 fields.valid(new ClaimRecord.Renewed(fields.coordinator(), Duration.ofMillis(fields.lease)));
             case "departed" -> fields.valid(new ClaimRecord.Departed(fields.coordinator()));
@@ -160,11 +164,11 @@
             case "released" ->
                 fields.valid(new ClaimRecord.Released(
                         fields.submissionKey(), fields.jobId(), fields.coordinator(), fields.generation));
-            default -> new DecodedRecord.Skipped("type " + fields.type);
+            default -> new DecodedRecord.Skipped("unknown type " + fields.type);
         };
     }
 
-    /** The fields of one record while it is read; names that this version doesn't know are passed over. */
+    /** Collects the fields of one record while it is parsed; unknown fields are ignored. */
     private static final class Fields {
         private int format;
         private String type;
--- a/library/src/main/java/org/chivetally/claim/ClaimSettings.java
+++ b/library/src/main/java/org/chivetally/claim/ClaimSettings.java
@@ -4,17 +4,17 @@
 import java.util.Objects;
 
 /**
- * Settings of claims; all entries of an installation share them.
+ * Settings of claims; all entries of an installation use the same ones.
  *
- * @param window how long a key stays taken, counted from its first submission
- * @param logRetention how long the log keeps records at least
- * @param lease how long an entry may start tasks after its last renewal
- * @param renewalInterval pause between renewals
- * @param longestTicketAge how old a start's ticket may be at an agent
- * @param claimTimeout how long a claim waits for the log before it is given up as not run
- * @param commit how records are gathered into appends
- * @param tail how the stream is followed
- * @param snapshots when snapshots are written
+ * @param window how long a key stays claimed after its first submission
+ * @param logRetention minimum time for which the log keeps records
+ * @param lease how long an entry may start tasks after sending its last renewal
+ * @param renewalInterval time between two renewals
+ * @param longestTicketAge maximum age of a start's ticket that an agent accepts
+ * @param claimTimeout how long a claim waits for the log before it is refused as not run
+ * @param commit how records are batched into appends
+ * @param tail how the stream is read
+ * @param snapshots when and in which chunks snapshots are written
  */
 public record ClaimSettings(
         Duration window,
@@ -32,7 +32,7 @@
     private static final int RENEWALS_PER_LEASE = 3;
     private static final int SNAPSHOTS_PER_RETENTION = 4;
 
-    /** Refuses times that are not positive, and windows and leases that the rest can't keep. */
+    /** Rejects durations that are not positive, and combinations that can't guarantee the window or the lease. */
     public ClaimSettings {
         requirePositive(window, "window");
         requirePositive(logRetention, "logRetention");
@@ -44,18 +44,17 @@
         Objects.requireNonNull(tail, "tail");
         Objects.requireNonNull(snapshots, "snapshots");
         if (window.plus(lease).plus(claimTimeout).compareTo(logRetention) > 0) {
-            throw new IllegalArgumentException(
-                    "window + lease + claimTimeout may not be longer than what the log keeps, logRetention");
+            throw new IllegalArgumentException("window + lease + claimTimeout must not exceed logRetention");
         }
         if (renewalInterval.multipliedBy(2).compareTo(lease) > 0) {
-            throw new IllegalArgumentException("renewalInterval may be at most half of lease");
+            throw new IllegalArgumentException("renewalInterval must be at most half of lease");
         }
         if (snapshots.interval().multipliedBy(2).compareTo(logRetention) > 0) {
-            throw new IllegalArgumentException("snapshots.interval may be at most half of logRetention");
+            throw new IllegalArgumentException("snapshots.interval must be at most half of logRetention");
         }
     }
 
-    /** Returns the usual settings for a window and the time that the log keeps records. */
+    /** Returns the default settings for a window and a log retention. */
     public static ClaimSettings defaults(Duration window, Duration logRetention) {
         return new ClaimSettings(
                 window,
@@ -70,8 +69,9 @@
     }
 
     /**
-     * Returns the window as it is written: a little longer, as the stream's time at a claim may lag behind by one
-     * renewal and one append, and a key must never come free before the promised window is over.
+     * Returns the window that is written to claim records: the configured one plus the lease and the claim timeout. The
+     * stream time at a claim may lag by one renewal and one append, and a key must not become free before the
+     * configured window is over.
      */
     Duration recordedWindow() {
         return window.plus(lease).plus(claimTimeout);
--- a/library/src/main/java/org/chivetally/claim/ClaimStateMachine.java
+++ b/library/src/main/java/org/chivetally/claim/ClaimStateMachine.java
@@ -18,10 +18,11 @@
 import org.chivetally.time.NanoClock;
 
 /**
- * The claims of one process: what it decides from the stream, and what it writes there.
+ * The claim protocol of one process: decides claims and leases from the records of the claims stream, and determines
+ * which records are appended to it.
  *
- * <p>Free of threads, timers and the log itself; its shell hands in what happens with the reading of the clock, then
- * takes the effects and the next append.
+ * <p>Uses no threads, no timers and no log of its own. {@link ClaimsActor} passes in events with the current clock
+ * reading, then drains the effects and sends the next append.
  */
 final class ClaimStateMachine {
     private final ClaimSettings settings;
@@ -43,9 +44,12 @@
     private long readSequence;
 
     /**
-     * Creates the claims of a process that has read nothing yet.
+     * Creates the state machine of a process that has read nothing yet.
      *
-     * @param clock read only by claims that are made in memory
+     * @param self this process
+     * @param leases leases of other coordinators, shared with other threads
+     * @param lease this process's lease, shared with other threads
+     * @param clock read only for claims that are decided in memory
      */
     ClaimStateMachine(ClaimSettings settings, Coordinator self, LeaseTable leases, OwnLease lease, NanoClock clock) {
         long nanos = clock.nanos();
@@ -59,26 +63,28 @@
         this.memoryClaims = new PendingMemoryClaims(self, settings.window(), clock);
     }
 
-    /** Claims a key; the reply comes as an effect, now or later. */
+    /** Claims a key; the decision is returned as an effect, now or later. */
     void claim(ClaimRecord.Claimed claimed, ClaimMode mode, CompletableFuture<ClaimDecision> reply, long nanos) {
-        Optional<ClaimDecision> known = decideFromTable(claimed);
-        if (known.isPresent()) {
-            decide(claimed.key(), reply, known.get());
+        Optional<ClaimDecision> decision = decideFromClaimInForce(claimed);
+        if (decision.isPresent()) {
+            decide(claimed.key(), reply, decision.get());
             return;
         }
         if (mode == ClaimMode.MEMORY && logHealth.isDown()) {
             decide(claimed.key(), reply, claimInMemory(claimed));
             return;
         }
-        Optional<String> obstacle = mode == ClaimMode.MEMORY ? departureReason() : refusalReason();
-        if (obstacle.isPresent()) {
-            decide(claimed.key(), reply, unavailable(obstacle.get()));
+        Optional<String> refusal = mode == ClaimMode.MEMORY ? departureReason() : refusalReason();
+        if (refusal.isPresent()) {
+            decide(claimed.key(), reply, unavailable(refusal.get()));
             return;
         }
         enqueue(new PendingClaim(claimed, mode, reply, nanos));
     }
 
-    /** Takes a job over from a coordinator whose lease has lapsed; the reply comes as an effect, now or later. */
+    /**
+     * Takes a job over from a coordinator whose lease has lapsed; the decision is returned as an effect, now or later.
+     */
     void takeOver(Claim current, CompletableFuture<ClaimDecision> reply, long nanos) {
         Optional<Claim> inForce = table.find(current.key());
         if (inForce.isEmpty()) {
@@ -86,14 +92,14 @@
             return;
         }
         Claim claim = inForce.get();
-        boolean same = claim.job().equals(current.job()) && claim.generation() == current.generation();
-        if (!same || claim.coordinator().equals(self) || !leases.hasLapsed(claim.coordinator(), nanos)) {
+        boolean unchanged = claim.job().equals(current.job()) && claim.generation() == current.generation();
+        if (!unchanged || claim.coordinator().equals(self) || !leases.hasLapsed(claim.coordinator(), nanos)) {
             decide(current.key(), reply, new ClaimDecision.Attached(claim));
             return;
         }
-        Optional<String> obstacle = refusalReason();
-        if (obstacle.isPresent()) {
-            decide(current.key(), reply, unavailable(obstacle.get()));
+        Optional<String> refusal = refusalReason();
+        if (refusal.isPresent()) {
+            decide(current.key(), reply, unavailable(refusal.get()));
             return;
         }
         long lastRenewal = table.lastRenewalOf(claim.coordinator());
@@ -102,12 +108,15 @@
         enqueue(new PendingClaim(taken, ClaimMode.LOG, reply, nanos));
     }
 
-    /** Notes that a job has its final outcome. */
+    /** Queues the record that a job has its final outcome. */
     void markFinished(Claim claim) {
         commit.addLazy(new ClaimRecord.Finished(claim.key(), claim.job()));
     }
 
-    /** Gives the lease up: this process starts nothing from now on, and others may take its jobs over at once. */
+    /**
+     * Ends the lease. From now on this process starts nothing, and once the record is read, others wait only for the
+     * longest ticket age before they may take over its jobs.
+     */
     void depart(long nanos) {
         if (leaseManager.isDeparting()) {
             return;
@@ -118,10 +127,11 @@
     }
 
     /**
-     * Takes in what a read returned.
+     * Applies the records that a read returned.
      *
-     * @param endOffset end of the stream when it was read
-     * @param sentNanos reading of the clock before the read was sent
+     * @param endOffset end of the stream at the time of the read
+     * @param sentNanos monotonic clock reading before the read was sent, in nanoseconds
+     * @param nanos current monotonic clock reading in nanoseconds
      */
     void recordsRead(List<LogRecord> records, long endOffset, long sentNanos, long nanos) {
         logHealth.readSucceeded();
@@ -137,14 +147,14 @@
         resolveReadRecords(nanos);
     }
 
-    /** Learns that a read failed. */
+    /** Handles a failed read. */
     void readFailed(String reason) {
         if (logHealth.readFailed()) {
             write(EventLine.of("claims-log-unreadable").with("reason", reason));
         }
     }
 
-    /** Learns the outcome of an append. */
+    /** Handles the outcome of an append. */
     void appendCompleted(long number, AppendOutcome outcome, long nanos) {
         if (!commit.appendCompleted(number, outcome, nanos)) {
             return;
@@ -153,31 +163,34 @@
         ClaimLines.of(outcome).ifPresent(this::write);
     }
 
-    /** Replaces the table by a snapshot's, unless the table is further. */
+    /** Replaces the table by a snapshot, unless the table already covers as many records. */
     void restore(TableImage image, long nanos) {
         if (image.nextOffset() <= table.nextOffset()) {
             return;
         }
         table = ClaimTable.of(image);
-        image.claims().forEach(held -> leases.track(held.coordinator(), nanos));
+        image.claims().forEach(claim -> leases.track(claim.coordinator(), nanos));
         streamTime.advanceTo(table.streamMillis(), nanos);
         resolveReadRecords(nanos);
     }
 
-    /** Passes over records that the log no longer keeps; their windows are over, as no window is longer than that. */
+    /**
+     * Skips records that have expired in the log. Their windows have ended, as no window is longer than the log's
+     * retention.
+     */
     void skipTo(long offset) {
         write(EventLine.of("claims-expired").with("from", table.nextOffset()).with("to", offset));
         table.skipTo(offset);
     }
 
-    /** Refuses whatever waits, as this process stops. */
+    /** Ends the lease and refuses all pending claims, as this process stops. */
     void abandonAll(long nanos) {
         leaseManager.depart(nanos);
         List.copyOf(pendingClaims.values()).forEach(claim -> abandon(claim, nanos));
         pendingClaims.clear();
     }
 
-    /** Lets time pass: gives up what waits too long, renews the lease, notices its loss. */
+    /** Handles the periodic timer: abandons claims that have timed out, renews the lease and detects its loss. */
     void tick(long nanos) {
         abandonTimedOut(nanos);
         renew(nanos);
@@ -187,18 +200,21 @@
         }
     }
 
-    /** Returns the next append, if one may be sent now; {@code nanos} must be read before it is sent. */
+    /**
+     * Returns the next append if one may be sent now. The lease is measured from {@code nanos}, which must be read
+     * before sending.
+     */
     Optional<GroupCommit.Batch> nextAppend(long nanos) {
         Optional<GroupCommit.Batch> batch = commit.poll(nanos, streamTime.estimate(nanos));
         batch.ifPresent(sent -> sent.records().forEach(outgoing -> recordSending(outgoing, nanos)));
         return batch;
     }
 
-    /** Returns the effects since the last call, in order. */
+    /** Returns and removes the effects since the last call, in order. */
     List<ClaimEffect> drainEffects() {
-        List<ClaimEffect> taken = effects;
+        List<ClaimEffect> drained = effects;
         effects = new ArrayList<>();
-        return taken;
+        return drained;
     }
 
     /** Returns the claim in force for a key. */
@@ -211,7 +227,10 @@
         return table.find(job).or(() -> memoryClaims.find(job));
     }
 
-    /** Returns a reading of the clock after which a job was claimed in the log; empty when none is known. */
+    /**
+     * Returns a monotonic clock reading, in nanoseconds, after which a job was claimed in the log; empty if none is
+     * known.
+     */
     OptionalLong claimedAfter(JobId job) {
         OptionalLong offset = table.offsetOf(job);
         return offset.isPresent() ? readTimeline.writtenAfter(offset.getAsLong()) : OptionalLong.empty();
@@ -222,7 +241,7 @@
         return table.image();
     }
 
-    /** Returns how many claims stand in the table. */
+    /** Returns the number of claims in the table. */
     int tableSize() {
         return table.size();
     }
@@ -232,17 +251,17 @@
         return table.nextOffset();
     }
 
-    /** Returns the stream's time in milliseconds. */
+    /** Returns the stream time in milliseconds. */
     long streamMillis() {
         return table.streamMillis();
     }
 
-    /** Tells whether there is nothing to hurry for: the log may hold a read back until there is a record. */
+    /** Returns whether the log may hold the next read back until there is a record. */
     boolean mayLongPoll() {
         return caughtUp && logHealth.isReadable();
     }
 
-    /** Tells whether the log was read to its end at least once. */
+    /** Returns whether the log was read to its end at least once. */
     boolean caughtUp() {
         return caughtUp;
     }
@@ -261,13 +280,13 @@
         return caughtUp ? Optional.empty() : Optional.of("the log is not read to its end yet");
     }
 
-    private Optional<ClaimDecision> decideFromTable(ClaimRecord.Claimed claimed) {
+    private Optional<ClaimDecision> decideFromClaimInForce(ClaimRecord.Claimed claimed) {
         return find(claimed.key())
                 .filter(this::isRetained)
                 .map(inForce -> decideAgainst(inForce, claimed.bodyDigest()));
     }
 
-    /** Tells whether a claim is not one that this process gave up and is about to release. */
+    /** Returns whether a claim is not about to be released by this process. */
     private boolean isRetained(Claim claim) {
         return !releasingJobs.contains(claim.job());
     }
@@ -279,9 +298,9 @@
     }
 
     private void enqueue(PendingClaim claim) {
-        Optional<PendingClaim> same = findEquivalent(claim.content());
-        if (same.isPresent()) {
-            same.get().addFollower(claim.reply());
+        Optional<PendingClaim> equivalent = findEquivalent(claim.content());
+        if (equivalent.isPresent()) {
+            equivalent.get().addFollower(claim.reply());
             return;
         }
         if (commit.offer(claim.content())) {
@@ -291,7 +310,10 @@
         decide(claim.key(), claim.reply(), unavailable("too many claims wait for the log"));
     }
 
-    /** Returns what waits for the same; takeovers to one generation are, though they name other renewals. */
+    /**
+     * Returns the pending claim or takeover of equal effect. Takeovers of one job to the same generation are equivalent
+     * even if they specify different renewals.
+     */
     private Optional<PendingClaim> findEquivalent(ClaimRecord content) {
         if (!(content instanceof ClaimRecord.TakenOver taken)) {
             return Optional.ofNullable(pendingClaims.get(content));
@@ -320,7 +342,7 @@
                 ? ClaimRecordCodec.decode(logRecord.payload())
                 : new DecodedRecord.Skipped("id of another kind");
         switch (decoded) {
-            case DecodedRecord.Valid known -> apply(table.fold(logRecord.offset(), id.get(), known.entry()), nanos);
+            case DecodedRecord.Valid valid -> apply(table.fold(logRecord.offset(), id.get(), valid.entry()), nanos);
             case DecodedRecord.Skipped skipped -> skip(logRecord, skipped.reason());
         }
     }
@@ -378,7 +400,7 @@
         caughtUp = true;
     }
 
-    /** Decides what waits for records of this process that have been read, or can't count any more. */
+    /** Decides pending claims whose records have been read or are void, and releases abandoned ones that have won. */
     private void resolveReadRecords(long nanos) {
         long sequence = table.sequenceOf(writer);
         if (sequence > readSequence) {
@@ -406,13 +428,13 @@
         }
     }
 
-    /** Gives a claim of this process up, of which nothing was started. */
+    /** Releases a claim of this process of which nothing was started. */
     void release(Claim claim) {
         memoryClaims.release(claim.job());
         ownClaim(claim.key(), claim.job(), claim.generation()).ifPresent(this::releaseOwn);
     }
 
-    /** Frees what a given-up record won; see {@link ClaimRecord.Released} for why that is safe. */
+    /** Releases what an abandoned record has won; see {@link ClaimRecord.Released} for why that is safe. */
     private void release(ClaimRecord content) {
         ownClaimOf(content).ifPresent(this::releaseOwn);
     }
@@ -448,7 +470,8 @@
     private void decideOne(PendingClaim claim, long nanos) {
         Optional<Claim> inForce = table.find(claim.key());
         if (claim.isSubmission() && inForce.filter(this::isRetained).isEmpty()) {
-            // Lost to a claim that was given up, and is released by now or soon: after that the next one wins.
+            // The record lost to a claim that this process abandoned, whose release is queued or already read. It is
+            // sent again after the release, so that it can win.
             claim.resetForResend();
             commit.add(claim.content());
             return;
@@ -456,8 +479,8 @@
         pendingClaims.remove(claim.content());
         Optional<Claim> own = ownClaimOf(claim.content());
         if (own.isPresent() && !isRetained(own.get())) {
-            // An equal takeover stands before this one, and was given up: won here, the job would be left to nobody by
-            // the release while this process goes on with it.
+            // An equivalent, abandoned takeover of this process precedes this one and won. Its release leaves the claim
+            // without a coordinator; if this one were reported as won, the process would continue the job nevertheless.
             decide(claim, unavailable("an earlier takeover of this process was given up"), nanos);
             return;
         }
@@ -503,8 +526,8 @@
         ClaimDecision decision = claim.memoryFallback()
                 .map(this::claimInMemory)
                 .orElseGet(() -> unavailable("no answer of the log in time"));
-        boolean goesOn = decision instanceof ClaimDecision.Won;
-        if (claim.wasSent() && !goesOn) {
+        boolean wonInMemory = decision instanceof ClaimDecision.Won;
+        if (claim.wasSent() && !wonInMemory) {
             abandonedSequences.put(claim.content(), claim.sequence());
         }
         decide(claim, decision, nanos);
@@ -512,7 +535,8 @@
 
     private void renew(long nanos) {
         leaseManager.pollRenewal(nanos).ifPresent(renewed -> {
-            // One that waits or is in doubt counts from its first sending; the new one lasts longer.
+            // An earlier renewal that is queued or unconfirmed would be measured from its first send; the new one ends
+            // later.
             commit.withdraw(renewed);
             commit.addUrgent(renewed);
         });
--- a/library/src/main/java/org/chivetally/claim/ClaimTable.java
+++ b/library/src/main/java/org/chivetally/claim/ClaimTable.java
@@ -15,10 +15,13 @@
 /**
  * The claims in force after a prefix of the claims stream; a pure function of that prefix.
  *
- * <p>Several 100,000 claims stand in it, so one claim is kept as one {@link CompactClaim} that both indexes share.
+ * <p>The table may hold several 100,000 claims, so each is stored as one {@link CompactClaim} that both indexes share.
  */
 final class ClaimTable {
-    /** How long a silent writer's count is kept, in the stream's time; far longer than any late repeat takes. */
+    /**
+     * How long the sequence number of an inactive writer is kept, in stream time; far longer than any append is
+     * delayed.
+     */
     private static final long WRITER_RETENTION_MILLIS = TimeUnit.HOURS.toMillis(24);
 
     private final Map<SubmissionKey, CompactClaim> byKey = new LinkedHashMap<>();
@@ -29,28 +32,33 @@
     private long nextOffset;
     private long streamMillis;
 
-    /** Returns a table with the content of an image. */
+    /** Returns a table with the content of a snapshot. */
     static ClaimTable of(TableImage image) {
         ClaimTable table = new ClaimTable();
         table.nextOffset = image.nextOffset();
         table.streamMillis = image.streamMillis();
         image.writers().forEach(writer -> table.writers.put(writer.name(), writer));
-        for (CompactClaim held : image.claims()) {
-            table.put(table.intern(held));
+        for (CompactClaim stored : image.claims()) {
+            table.put(table.intern(stored));
         }
         return table;
     }
 
-    /** Returns what is in force now, in an order that is the same for all readers. */
+    /** Returns the current content, in the same order for all readers. */
     TableImage image() {
         List<TableImage.Writer> sortedWriters = new ArrayList<>(writers.values());
         sortedWriters.sort(Comparator.comparing(TableImage.Writer::name));
-        List<CompactClaim> held =
+        List<CompactClaim> claims =
                 byKey.values().stream().filter(this::isInForce).toList();
-        return new TableImage(nextOffset, streamMillis, sortedWriters, held);
+        return new TableImage(nextOffset, streamMillis, sortedWriters, claims);
     }
 
-    /** Takes the stream's next record in; one before {@link #nextOffset} was taken in already and changes nothing. */
+    /**
+     * Applies the stream's next record. Records before {@link #nextOffset} have been applied already and change
+     * nothing.
+     *
+     * @param offset offset of the record in the stream
+     */
     FoldResult fold(long offset, RecordId id, TimestampedRecord entry) {
         if (offset < nextOffset) {
             return new FoldResult.Unchanged();
@@ -73,7 +81,10 @@
         };
     }
 
-    /** Passes over records up to an offset: unreadable ones, or ones that have expired in the log. */
+    /**
+     * Advances to an offset without applying the records before it, because they can't be decoded or have expired in
+     * the log.
+     */
     void skipTo(long offset) {
         nextOffset = Math.max(nextOffset, offset);
     }
@@ -88,54 +99,55 @@
         return Optional.ofNullable(byJob.get(job)).filter(this::isInForce).map(CompactClaim::claim);
     }
 
-    /** Returns the offset of the record that claimed a job's key; empty when no claim of the job is in force. */
+    /** Returns the offset of the record that claimed a job's key; empty if no claim of the job is in force. */
     OptionalLong offsetOf(JobId job) {
-        CompactClaim held = byJob.get(job);
-        return held == null || !isInForce(held) ? OptionalLong.empty() : OptionalLong.of(held.offset());
+        CompactClaim stored = byJob.get(job);
+        return stored == null || !isInForce(stored) ? OptionalLong.empty() : OptionalLong.of(stored.offset());
     }
 
-    /** Returns the offset of the first record not taken in. */
+    /** Returns the offset of the next record to apply. */
     long nextOffset() {
         return nextOffset;
     }
 
-    /** Returns the stream's time in milliseconds. */
+    /** Returns the stream time in milliseconds. */
     long streamMillis() {
         return streamMillis;
     }
 
-    /** Returns the count of the newest record taken in of a writer, zero when there is none. */
+    /** Returns the sequence number of a writer's last applied record, 0 if there is none. */
     long sequenceOf(String writer) {
-        TableImage.Writer known = writers.get(writer);
-        return known == null ? 0 : known.sequence();
+        TableImage.Writer state = writers.get(writer);
+        return state == null ? 0 : state.sequence();
     }
 
     /**
-     * Returns the offset of a coordinator's newest renewal that was taken in, {@link ClaimRecord.TakenOver#NO_RENEWAL}
-     * when there is none.
+     * Returns the offset of a coordinator's last applied renewal, {@link ClaimRecord.TakenOver#NO_RENEWAL} if there is
+     * none.
      */
     long lastRenewalOf(Coordinator coordinator) {
         return lastRenewalOf(RecordId.writerOf(coordinator));
     }
 
-    /** Returns how many claims stand in the table. */
+    /** Returns the number of claims in the table. */
     int size() {
         return byKey.size();
     }
 
     /**
-     * Tells whether a record is the first of its id.
+     * Returns whether a record is not a duplicate.
      *
-     * <p>An append whose answer was lost is repeated, and the first may land late: the record stands twice. Folded
-     * twice it could claim a key again that was released in between, and nobody would work on it.
+     * <p>An append whose answer was lost is repeated, and the original may still be written later, so a record may
+     * appear twice. Applied twice, it could claim a key again that was released in between, for a job that no process
+     * works on.
      */
     private boolean isNew(RecordId id) {
-        TableImage.Writer known = writers.get(id.writer());
-        if (known == null) {
+        TableImage.Writer state = writers.get(id.writer());
+        if (state == null) {
             writers.values().removeIf(writer -> writer.lastMillis() + WRITER_RETENTION_MILLIS < streamMillis);
             return true;
         }
-        return id.sequence() > known.sequence();
+        return id.sequence() > state.sequence();
     }
 
     private void updateWriter(RecordId id, long offset, ClaimRecord content) {
@@ -144,8 +156,8 @@
     }
 
     private long lastRenewalOf(String writer) {
-        TableImage.Writer known = writers.get(writer);
-        return known == null ? ClaimRecord.TakenOver.NO_RENEWAL : known.lastRenewal();
+        TableImage.Writer state = writers.get(writer);
+        return state == null ? ClaimRecord.TakenOver.NO_RENEWAL : state.lastRenewal();
     }
 
     private FoldResult foldClaimed(ClaimRecord.Claimed claimed, long offset) {
@@ -165,84 +177,86 @@
     }
 
     private FoldResult foldTakenOver(ClaimRecord.TakenOver taken) {
-        CompactClaim held = inForce(taken.key());
-        if (held == null || !held.job().equals(taken.job()) || held.generation() + 1 != taken.generation()) {
+        CompactClaim stored = inForce(taken.key());
+        if (stored == null || !stored.job().equals(taken.job()) || stored.generation() + 1 != taken.generation()) {
             return new FoldResult.Unchanged();
         }
-        if (lastRenewalOf(held.coordinator()) > taken.lastRenewal()) {
+        if (lastRenewalOf(stored.coordinator()) > taken.lastRenewal()) {
             return new FoldResult.Unchanged();
         }
-        CompactClaim successor = held.withCoordinator(coordinators.intern(taken.coordinator()), taken.generation());
+        CompactClaim successor = stored.withCoordinator(coordinators.intern(taken.coordinator()), taken.generation());
         put(successor);
-        return new FoldResult.TakenOver(successor.claim(), held.coordinator());
+        return new FoldResult.TakenOver(successor.claim(), stored.coordinator());
     }
 
-    /** A coordinator that lost its job has an outcome of its own for it; the job's is that of its successor. */
+    /**
+     * A coordinator that was replaced may record an outcome of its own; only that of the coordinator in force counts.
+     */
     private FoldResult foldFinished(ClaimRecord.Finished finished, String writer) {
-        CompactClaim held = inForce(finished.key());
-        if (held == null
-                || !held.job().equals(finished.job())
-                || !RecordId.writerOf(held.coordinator()).equals(writer)
-                || held.finished()) {
+        CompactClaim stored = inForce(finished.key());
+        if (stored == null
+                || !stored.job().equals(finished.job())
+                || !RecordId.writerOf(stored.coordinator()).equals(writer)
+                || stored.finished()) {
             return new FoldResult.Unchanged();
         }
-        CompactClaim marked = held.asFinished();
+        CompactClaim marked = stored.asFinished();
         put(marked);
         return new FoldResult.Finished(marked.claim());
     }
 
     private FoldResult foldReleased(ClaimRecord.Released released) {
-        CompactClaim held = inForce(released.key());
-        if (held == null
-                || !held.job().equals(released.job())
-                || !held.coordinator().equals(released.coordinator())
-                || held.generation() != released.generation()) {
+        CompactClaim stored = inForce(released.key());
+        if (stored == null
+                || !stored.job().equals(released.job())
+                || !stored.coordinator().equals(released.coordinator())
+                || stored.generation() != released.generation()) {
             return new FoldResult.Unchanged();
         }
-        if (held.generation() == Claim.FIRST_GENERATION) {
-            remove(held);
+        if (stored.generation() == Claim.FIRST_GENERATION) {
+            remove(stored);
         } else {
-            put(held.withCoordinator(Coordinator.NONE, held.generation()));
+            put(stored.withCoordinator(Coordinator.NONE, stored.generation()));
         }
-        return new FoldResult.Released(held.claim());
+        return new FoldResult.Released(stored.claim());
     }
 
     private CompactClaim inForce(SubmissionKey key) {
-        CompactClaim held = byKey.get(key);
-        return held != null && isInForce(held) ? held : null;
+        CompactClaim stored = byKey.get(key);
+        return stored != null && isInForce(stored) ? stored : null;
     }
 
-    private boolean isInForce(CompactClaim held) {
-        return held.endMillis() > streamMillis;
+    private boolean isInForce(CompactClaim stored) {
+        return stored.endMillis() > streamMillis;
     }
 
-    private void put(CompactClaim held) {
-        byKey.put(held.key(), held);
-        byJob.put(held.job(), held);
+    private void put(CompactClaim stored) {
+        byKey.put(stored.key(), stored);
+        byJob.put(stored.job(), stored);
     }
 
-    private CompactClaim intern(CompactClaim held) {
-        return held.withShared(teams.intern(held.key().team()), coordinators.intern(held.coordinator()));
+    private CompactClaim intern(CompactClaim stored) {
+        return stored.withShared(teams.intern(stored.key().team()), coordinators.intern(stored.coordinator()));
     }
 
-    private void remove(CompactClaim held) {
-        if (held == null) {
+    private void remove(CompactClaim stored) {
+        if (stored == null) {
             return;
         }
-        byKey.remove(held.key());
-        byJob.remove(held.job(), held);
+        byKey.remove(stored.key());
+        byJob.remove(stored.job(), stored);
     }
 
-    /** Frees the memory of ended claims; oldest first, so that each is looked at once. */
+    /** Removes claims whose window has ended; stops at the first one in force, as claims are ordered by age. */
     private void removeEnded() {
         Iterator<CompactClaim> oldest = byKey.values().iterator();
         while (oldest.hasNext()) {
-            CompactClaim held = oldest.next();
-            if (isInForce(held)) {
+            CompactClaim stored = oldest.next();
+            if (isInForce(stored)) {
                 return;
             }
             oldest.remove();
-            byJob.remove(held.job(), held);
+            byJob.remove(stored.job(), stored);
         }
     }
 }
--- a/library/src/main/java/org/chivetally/claim/Claims.java
+++ b/library/src/main/java/org/chivetally/claim/Claims.java
@@ -9,17 +9,22 @@
 import org.chivetally.job.JobId;
 import org.chivetally.job.ServicePolicy;
 
-/** Claims of submissions, as one process sees them. Stages never complete exceptionally. */
+/** The claims of submissions, as seen by one process. Returned stages never complete exceptionally. */
 public interface Claims {
-    /** Claims a key for a job of this process; completes once the log's order is known or the log is given up on. */
+    /**
+     * Claims a key for a job of this process. Completes when the order of claims in the log is known, or the claim has
+     * timed out.
+     *
+     * @param bodyDigest SHA-256 of the submission's content, 64 lower case hexadecimal digits
+     */
     CompletionStage<ClaimDecision> claim(SubmissionKey key, String bodyDigest, JobId job);
 
     /**
-     * Claims a key for a job of this process, in the way that the job's service declares.
+     * Claims a key for a job of this process in the mode that the job's service declares.
      *
-     * <p>With {@link ServicePolicy.ClaimMode#MEMORY} an unavailable log doesn't refuse the claim: this process's memory
-     * decides it at once, and the claim is written when the log is back. If another process's claim of the key stands
-     * before it then, both jobs go on.
+     * <p>With {@link ServicePolicy.ClaimMode#MEMORY} a claim is not refused while the log is unavailable: it is decided
+     * immediately in this process's memory, and its record is appended when the log is available again. If another
+     * process's claim of the key precedes that record, both jobs continue.
      */
     default CompletionStage<ClaimDecision> claim(
             SubmissionKey key, String bodyDigest, JobId job, ServicePolicy.ClaimMode mode) {
@@ -29,64 +34,65 @@
     /** Takes a claim over from a coordinator whose lease has lapsed. */
     CompletionStage<ClaimDecision> takeOver(Claim current);
 
-    /** Returns the claim in force for a job, as far as this process has read. */
+    /** Returns the claim in force for a job, as far as this process has read the log. */
     CompletionStage<Optional<Claim>> find(JobId job);
 
-    /** Returns the claim in force for a key, as far as this process has read. */
+    /** Returns the claim in force for a key, as far as this process has read the log. */
     CompletionStage<Optional<Claim>> find(SubmissionKey key);
 
     /**
-     * Returns a reading of the clock in nanoseconds after which a job was claimed in the log, whoever claimed it. Empty
-     * when none is known, as of claims that stood in the log before this process first read it.
+     * Returns a monotonic clock reading, in nanoseconds, after which a job was claimed in the log by any process. Empty
+     * if none is known, for example for claims that were in the log before this process first read it.
      */
     default CompletionStage<OptionalLong> claimedAfter(JobId job) {
         return CompletableFuture.completedFuture(OptionalLong.empty());
     }
 
-    /** Records, with a later append, that a job has its final outcome. */
+    /** Records that a job has its final outcome; the record is sent with a later append. */
     void markFinished(Claim claim);
 
     /**
-     * Gives a claim of this process up with a later append; its key can be claimed anew afterwards.
+     * Releases a claim of this process with a later append; then its key can be claimed again.
      *
-     * <p>Only for a job of which nothing was started, and of which this process will start nothing.
+     * <p>Allowed only for a job of which nothing was started, and of which this process will start nothing.
      */
     default void release(Claim claim) {}
 
-    /** Tells whether this process holds its lease, so that it may start tasks. Safe from any thread. */
+    /** Returns whether this process holds its lease, so that it may start tasks. Thread-safe. */
     boolean holdsLease();
 
-    /** Tells whether another coordinator's lease has lapsed beyond doubt. Safe from any thread. */
+    /** Returns whether another coordinator's lease has certainly lapsed. Thread-safe. */
     boolean hasLapsed(Coordinator coordinator);
 
-    /** Tells whether this process has read the log to its end at least once. Safe from any thread. */
+    /** Returns whether this process has read the log to its end at least once. Thread-safe. */
     boolean caughtUp();
 
     /**
-     * Returns a reading of the clock in nanoseconds: whatever stood in the log then has been read. Empty before the log
-     * was first read to its end. Safe from any thread.
+     * Returns the monotonic clock reading, in nanoseconds, up to which all records in the log have been read. Empty
+     * until the log has been read to its end for the first time. Thread-safe.
      */
     default OptionalLong readToEndAt() {
         return OptionalLong.empty();
     }
 
-    /** Ends this process's lease in the log; completes when that is written or given up on. */
+    /** Ends this process's lease in the log; completes when the record has been read back or has timed out. */
     CompletionStage<Void> depart();
 
-    /** Calls back, from a thread of the claims, whenever this process gains or loses its lease. */
+    /** Adds a listener that is called, on a thread of the claims, whenever this process gains or loses its lease. */
     default void onLeaseChange(Consumer<Boolean> listener) {}
 
     /**
-     * Calls back, from a thread of the claims, when another process took a job of this one over.
+     * Adds a listener that is called, on a thread of the claims, when another process has taken over a job of this one.
      *
-     * <p>Calls of this and of {@link #onLeaseExtended} come in the order of the log: a job that was taken over before
-     * the lease was renewed is told of before the renewal.
+     * <p>Calls to this listener and to that of {@link #onLeaseExtended} follow the order of the log: a takeover that
+     * precedes a renewal is reported before the renewal.
      */
     default void onReplaced(Consumer<Claim> listener) {}
 
     /**
-     * Calls back, from a thread of the claims, with the reading of the clock in nanoseconds until which the lease is
-     * held, at once if it is held and then whenever it is renewed. {@link #holdsLease} may turn false earlier.
+     * Adds a listener that is called, on a thread of the claims, with the monotonic clock reading in nanoseconds until
+     * which the lease is held: immediately if it is held, and whenever it is renewed. {@link #holdsLease} may return
+     * false earlier.
      */
     default void onLeaseExtended(LongConsumer listener) {}
 }
--- a/library/src/main/java/org/chivetally/claim/ClaimsActor.java
+++ b/library/src/main/java/org/chivetally/claim/ClaimsActor.java
@@ -81,7 +81,7 @@
         this.snapshots = new SnapshotManager(context, log, settings, self, readNotBeforeNanos);
     }
 
-    /** Returns the behaviour; the first tick sets it going. */
+    /** Returns the actor's behavior; the initial tick starts reading. */
     static Behavior<ClaimsCommand> create(
             ClaimStateMachine stateMachine,
             PlatformLog log,
@@ -124,9 +124,9 @@
             case ClaimsCommand.Finish finish -> stateMachine.markFinished(finish.claim());
             case ClaimsCommand.Release release -> stateMachine.release(release.claim());
             case ClaimsCommand.Depart depart -> depart(depart.reply(), nanos);
-            case ClaimsCommand.AddLeaseListener listen -> addLeaseListener(listen.listener());
-            case ClaimsCommand.AddLeaseExtendedListener listen -> addLeaseExtendedListener(listen.listener());
-            case ClaimsCommand.AddReplacedListener listen -> replacedListeners.add(listen.listener());
+            case ClaimsCommand.AddLeaseListener add -> addLeaseListener(add.listener());
+            case ClaimsCommand.AddLeaseExtendedListener add -> addLeaseExtendedListener(add.listener());
+            case ClaimsCommand.AddReplacedListener add -> replacedListeners.add(add.listener());
             case ClaimsCommand.ReadAnswered answered -> readAnswered(answered, nanos);
             case ClaimsCommand.AppendAnswered answered -> appendAnswered(answered.number(), answered.outcome(), nanos);
             case ClaimsCommand.SnapshotLoaded loaded -> snapshotLoaded(loaded, nanos);
@@ -137,7 +137,10 @@
         }
     }
 
-    /** Ends the work on the log; the actor stays until its system ends, so that late callers get an answer. */
+    /**
+     * Stops reading and appending. The actor keeps running until its actor system terminates, so that later calls are
+     * still answered.
+     */
     private void stop(long nanos) {
         stopped = true;
         timers.cancelAll();
@@ -256,7 +259,7 @@
     private void recordsRead(ReadOutcome.Records found, long nanos) {
         stateMachine.recordsRead(found.records(), found.endOffset(), readSentNanos, nanos);
         if (found.records().isEmpty() && (readMayWait || !stateMachine.mayLongPoll())) {
-            // A log that doesn't hold empty reads back would otherwise be asked without a pause.
+            // Without a pause, a log that answers empty reads immediately would be polled in a busy loop.
             readNotBeforeNanos = readSentNanos + EMPTY_READ_PAUSE.toNanos();
         }
     }
@@ -309,16 +312,16 @@
                 meters.recordDecision(decide.waitedNanos());
                 decide.reply().complete(decide.decision());
             }
-            case ClaimEffect.NotifyLeaseChanged tell -> {
-                leaseHeld = tell.held();
-                leaseListeners.forEach(listener -> listener.accept(tell.held()));
+            case ClaimEffect.NotifyLeaseChanged notification -> {
+                leaseHeld = notification.held();
+                leaseListeners.forEach(listener -> listener.accept(notification.held()));
             }
-            case ClaimEffect.NotifyLeaseExtended tell -> {
-                leaseEndNanos = tell.untilNanos();
-                leaseExtendedListeners.forEach(listener -> listener.accept(tell.untilNanos()));
+            case ClaimEffect.NotifyLeaseExtended notification -> {
+                leaseEndNanos = notification.untilNanos();
+                leaseExtendedListeners.forEach(listener -> listener.accept(notification.untilNanos()));
             }
-            case ClaimEffect.NotifyReplaced tell ->
-                replacedListeners.forEach(listener -> listener.accept(tell.successor()));
+            case ClaimEffect.NotifyReplaced notification ->
+                replacedListeners.forEach(listener -> listener.accept(notification.successor()));
             case ClaimEffect.ConfirmDeparture ignored -> {
                 departed = true;
                 completeDepartures();
--- a/library/src/main/java/org/chivetally/claim/ClaimsCommand.java
+++ b/library/src/main/java/org/chivetally/claim/ClaimsCommand.java
@@ -12,58 +12,76 @@
 
 /** Messages of the actor behind {@link LogClaims}. */
 sealed interface ClaimsCommand {
-    /** Claim a key. */
+    /** Claims a key. */
     record MakeClaim(ClaimRecord.Claimed claimed, ClaimMode mode, CompletableFuture<ClaimDecision> reply)
             implements ClaimsCommand {}
 
-    /** Take a claim over. */
+    /** Takes a claim over. */
     record TakeOver(Claim current, CompletableFuture<ClaimDecision> reply) implements ClaimsCommand {}
 
-    /** Look a key up. */
+    /** Returns the claim in force for a key. */
     record FindKey(SubmissionKey key, CompletableFuture<Optional<Claim>> reply) implements ClaimsCommand {}
 
-    /** Look a job up. */
+    /** Returns the claim in force for a job. */
     record FindJob(JobId job, CompletableFuture<Optional<Claim>> reply) implements ClaimsCommand {}
 
-    /** Note a final outcome. */
+    /** Records that a job has its final outcome. */
     record Finish(Claim claim) implements ClaimsCommand {}
 
-    /** Give a claim up. */
+    /** Releases a claim. */
     record Release(Claim claim) implements ClaimsCommand {}
 
-    /** Tell after when a job was claimed. */
+    /** Returns a lower bound of the time at which a job was claimed. */
     record FindClaimedAfter(JobId job, CompletableFuture<OptionalLong> reply) implements ClaimsCommand {}
 
-    /** Give the lease up. */
+    /** Ends this process's lease. */
     record Depart(CompletableFuture<Void> reply) implements ClaimsCommand {}
 
-    /** Tell this listener of changes of the lease. */
+    /** Adds a listener for gain and loss of the lease. */
     record AddLeaseListener(Consumer<Boolean> listener) implements ClaimsCommand {}
 
-    /** Tell this listener until when the lease is held. */
+    /** Adds a listener for the end of the lease. */
     record AddLeaseExtendedListener(LongConsumer listener) implements ClaimsCommand {}
 
-    /** Tell this listener of jobs that others took over. */
+    /** Adds a listener for jobs that other processes have taken over. */
     record AddReplacedListener(Consumer<Claim> listener) implements ClaimsCommand {}
 
-    /** A read was answered. */
+    /**
+     * A read was answered.
+     *
+     * @param number number of the read, counted by the actor
+     */
     record ReadAnswered(long number, ReadOutcome outcome) implements ClaimsCommand {}
 
-    /** An append was answered. */
+    /**
+     * An append was answered.
+     *
+     * @param number number of the append, counted by {@link GroupCommit}
+     */
     record AppendAnswered(long number, AppendOutcome outcome) implements ClaimsCommand {}
 
-    /** The newest snapshot was looked for. */
+    /**
+     * The search for the newest snapshot has ended.
+     *
+     * @param number number of the search, counted by {@link SnapshotManager}
+     */
     record SnapshotLoaded(long number, SnapshotLoadResult load) implements ClaimsCommand {}
 
-    /** The end of the snapshot stream was looked at; nothing when the log can't be reached. */
+    /** The end of the snapshot stream was read; empty if the log is unavailable. */
     record SnapshotTailRead(Optional<SnapshotTail> tail) implements ClaimsCommand {}
 
-    /** A snapshot of this process is written, or given up on. */
+    /**
+     * The writer of this process's snapshot has ended.
+     *
+     * @param covers offset of the first record of the claims stream that is not in the snapshot
+     * @param streamMillis the stream time at that offset, in milliseconds
+     * @param complete whether all chunks were written
+     */
     record SnapshotDone(long covers, long streamMillis, boolean complete) implements ClaimsCommand {}
 
-    /** Time passed. */
+    /** Periodic timer. */
     record Tick() implements ClaimsCommand {}
 
-    /** End the work on the log. */
+    /** Stops reading and appending. */
     record Stop() implements ClaimsCommand {}
 }
--- a/library/src/main/java/org/chivetally/claim/CompactClaim.java
+++ b/library/src/main/java/org/chivetally/claim/CompactClaim.java
@@ -4,9 +4,9 @@
 import org.chivetally.job.JobId;
 
 /**
- * A claim in the form in which a table keeps it; the digest as four numbers takes a third of the memory of its text.
+ * Memory-saving form of a {@link Claim}: the digest as four longs takes a third of the memory of its text.
  *
- * @param endMillis the stream's time at which its window ends
+ * @param endMillis stream time at which the window ends, in milliseconds
  * @param offset offset of the record that claimed the key
  */
 record CompactClaim(
@@ -23,7 +23,7 @@
         long offset) {
     private static final int DIGITS_PER_PART = 16;
 
-    /** Packs a claim. */
+    /** Returns the compact form of a claim. */
     static CompactClaim of(Claim claim, long endMillis, long offset) {
         return new CompactClaim(
                 claim.key(),
@@ -39,18 +39,18 @@
                 offset);
     }
 
-    /** Returns the claim unpacked. */
+    /** Returns the claim in its usual form. */
     Claim claim() {
         return new Claim(key, bodyDigest(), job, coordinator, generation, finished);
     }
 
-    /** Returns the same claim of another coordinator. */
+    /** Returns this claim with another coordinator and generation. */
     CompactClaim withCoordinator(Coordinator successor, int newGeneration) {
         return new CompactClaim(
                 key, digest1, digest2, digest3, digest4, job, successor, newGeneration, finished, endMillis, offset);
     }
 
-    /** Returns the same claim with shared instances of its parts. */
+    /** Returns this claim with shared instances of its team name and coordinator. */
     CompactClaim withShared(String team, Coordinator sharedCoordinator) {
         SubmissionKey sharedKey = new SubmissionKey(team, key.key());
         return new CompactClaim(
@@ -67,7 +67,7 @@
                 offset);
     }
 
-    /** Returns the same claim, marked as finished. */
+    /** Returns this claim, marked as finished. */
     CompactClaim asFinished() {
         return new CompactClaim(
                 key, digest1, digest2, digest3, digest4, job, coordinator, generation, true, endMillis, offset);
@@ -77,7 +77,7 @@
         return HexFormat.fromHexDigitsToLong(digest, number * DIGITS_PER_PART, (number + 1) * DIGITS_PER_PART);
     }
 
-    /** Returns the digest as text. */
+    /** Returns the digest as 64 hexadecimal digits. */
     String bodyDigest() {
         HexFormat format = HexFormat.of();
         return format.toHexDigits(digest1)
--- a/library/src/main/java/org/chivetally/claim/Coordinator.java
+++ b/library/src/main/java/org/chivetally/claim/Coordinator.java
@@ -2,12 +2,19 @@
 
 import java.util.Objects;
 
-/** One incarnation of an entry, and the address of its frames' listener. */
+/**
+ * One incarnation of an entry.
+ *
+ * @param processId name of the process, the same for all its incarnations
+ * @param incarnation id of this start of the process
+ * @param host host on which it listens for frames
+ * @param port port on which it listens for frames
+ */
 public record Coordinator(String processId, String incarnation, String host, int port) {
-    /** Stands in a claim whose takeover was given up before anything started; its lease has always lapsed. */
+    /** Coordinator of a claim whose takeover was abandoned before anything was started; its lease has always lapsed. */
     public static final Coordinator NONE = new Coordinator("-", "-", "-", 0);
 
-    /** Refuses missing parts. */
+    /** Rejects null components. */
     public Coordinator {
         Objects.requireNonNull(processId, "processId");
         Objects.requireNonNull(incarnation, "incarnation");
--- a/library/src/main/java/org/chivetally/claim/DecodedChunk.java
+++ b/library/src/main/java/org/chivetally/claim/DecodedChunk.java
@@ -1,13 +1,13 @@
 package org.chivetally.claim;
 
-/** What a record of the snapshot stream turned out to be. */
+/** Result of decoding a record of the snapshot stream. */
 sealed interface DecodedChunk {
     /** A valid chunk. */
     record Valid(SnapshotChunk chunk) implements DecodedChunk {}
 
-    /** A whole chunk of a format version that this program does not read. */
+    /** An undamaged chunk of a format version that this version of the program can't read. */
     record UnsupportedFormat(int format) implements DecodedChunk {}
 
-    /** Cut off, changed, or never a chunk. */
+    /** A truncated or corrupted chunk, or a record that is not a chunk. */
     record Damaged() implements DecodedChunk {}
 }
--- a/library/src/main/java/org/chivetally/claim/DecodedRecord.java
+++ b/library/src/main/java/org/chivetally/claim/DecodedRecord.java
@@ -1,10 +1,10 @@
 package org.chivetally.claim;
 
-/** What the bytes of a record turned out to be. */
+/** Result of decoding a record of the claims stream. */
 sealed interface DecodedRecord {
-    /** A record that this version understands. */
+    /** A record that this version of the program can read. */
     record Valid(TimestampedRecord entry) implements DecodedRecord {}
 
-    /** A record of an unknown type or format version, or a damaged one; every reader of this version passes over it. */
+    /** A malformed record, or one of an unknown type or format version. All readers of this version ignore it. */
     record Skipped(String reason) implements DecodedRecord {}
 }
--- a/library/src/main/java/org/chivetally/claim/GroupCommit.java
+++ b/library/src/main/java/org/chivetally/claim/GroupCommit.java
@@ -12,11 +12,13 @@
 import org.chivetally.log.AppendOutcome;
 
 /**
- * Gathers this process's records into appends: one in flight, within a budget, repeated when their fate is in doubt.
+ * Batches this process's records into appends. At most one append is in flight, appends stay within a rate limit, and
+ * those whose outcome is unknown are repeated.
  *
- * <p>Records get their count when they are first sent. Those of an append in doubt go before newer ones, with the same
- * counts, so that counts first stand in the stream in order; see {@link RecordId}. A given-up record is not sent again:
- * the next count that is read makes it void for good if it did not stand before.
+ * <p>Records get their sequence numbers when they are first sent. The records of an append with unknown outcome are
+ * sent again before newer ones, with the same sequence numbers, so that the first occurrences of all records are in the
+ * order of their sequence numbers; see {@link RecordId}. An abandoned record is not sent again: unless it is already in
+ * the stream, the next record of this writer that is read makes it void.
  */
 final class GroupCommit {
     private final GroupCommitSettings settings;
@@ -32,14 +34,18 @@
     private long lastSequence;
     private long readSequence;
 
-    /** Creates an empty queue. */
+    /**
+     * Creates an empty queue.
+     *
+     * @param nanos monotonic clock reading in nanoseconds
+     */
     GroupCommit(GroupCommitSettings settings, long nanos) {
         this.settings = settings;
         this.budget = new TokenBucket(settings.appendsPerSecond(), settings.burst(), nanos);
         this.earliestSendNanos = nanos;
     }
 
-    /** Queues a record whose sender is told at once when there is no room; returns whether there was. */
+    /** Queues a record unless the queue is full; returns whether it was queued. */
     boolean offer(ClaimRecord content) {
         if (normal.size() >= settings.maximumQueued()) {
             return false;
@@ -48,22 +54,25 @@
         return true;
     }
 
-    /** Queues a record of the process itself, which is never refused, after claims that wait already. */
+    /** Queues a record even if the queue is full, after the claims that are queued already. */
     void add(ClaimRecord content) {
         normal.add(content);
     }
 
-    /** Queues a record that goes before all others; an equal one that waits already is enough. */
+    /** Queues a record to be sent before all others, unless an equal one is queued already. */
     void addUrgent(ClaimRecord content) {
         urgent.add(content);
     }
 
-    /** Queues a record that may wait until there is room in an append that is sent for others. */
+    /**
+     * Queues a record that needs no append of its own: it is sent with other records, or once such records fill an
+     * append.
+     */
     void addLazy(ClaimRecord content) {
         lazy.add(content);
     }
 
-    /** Drops a record that waits, or that would be repeated; one in flight may still stand in the stream. */
+    /** Removes a record that is queued or would be sent again; one that is in flight may still be written. */
     void withdraw(ClaimRecord content) {
         normal.remove(content);
         if (inFlight) {
@@ -74,9 +83,10 @@
     }
 
     /**
-     * Returns the next append, if one may be sent now; it counts as in flight from then on.
+     * Returns the next append if one may be sent now; from then on it is in flight.
      *
-     * @param streamMillis the stream's time, for records that are sent for the first time
+     * @param nanos monotonic clock reading in nanoseconds
+     * @param streamMillis the stream time in milliseconds, for records that are sent for the first time
      */
     Optional<Batch> poll(long nanos, long streamMillis) {
         if (inFlight || nanos - earliestSendNanos < 0 || !hasWork()) {
@@ -97,9 +107,9 @@
     }
 
     /**
-     * Learns the outcome of an append.
+     * Handles the outcome of an append.
      *
-     * @return whether it was waited for; that of one which was settled by reading is passed over
+     * @return whether the append was in flight; false if its records had already been read back
      */
     boolean appendCompleted(long number, AppendOutcome outcome, long nanos) {
         if (!inFlight || number != appendNumber) {
@@ -116,20 +126,20 @@
         return true;
     }
 
-    /** Learns the count of this process's newest record that was read. */
+    /** Handles the sequence number of this process's last record that was read from the stream. */
     void recordRead(long sequence, long nanos) {
         readSequence = Math.max(readSequence, sequence);
         if (unconfirmed.isEmpty() || unconfirmed.getLast().sequence() > readSequence) {
             return;
         }
-        // Read back is better than answered: a lost answer costs no waiting, and a late one no second append.
+        // Reading the records confirms the append: a lost answer causes no delay, and a late one no second append.
         unconfirmed = List.of();
         inFlight = false;
         withdrawnInFlight.clear();
         earliestSendNanos = nanos;
     }
 
-    /** Returns how many records wait to be sent for the first time. */
+    /** Returns the number of records that are queued to be sent for the first time. */
     int queued() {
         return urgent.size() + normal.size() + lazy.size();
     }
@@ -163,10 +173,14 @@
         return taken;
     }
 
-    /** One append. */
+    /**
+     * One append.
+     *
+     * @param number number of the append, counted from 1
+     */
     record Batch(long number, List<Outgoing> records) {}
 
-    /** A record with the count that it was given. */
+    /** A record with its sequence number. */
     record Outgoing(long sequence, TimestampedRecord entry) {
         /** Returns the record itself. */
         ClaimRecord content() {
--- a/library/src/main/java/org/chivetally/claim/GroupCommitSettings.java
+++ b/library/src/main/java/org/chivetally/claim/GroupCommitSettings.java
@@ -3,13 +3,13 @@
 import java.time.Duration;
 
 /**
- * How records are gathered into appends.
+ * Settings for batching records into appends.
  *
- * @param appendsPerSecond this process's share of the log's budget of appends
- * @param burst most appends at once after a quiet time
- * @param maximumQueued most claims and takeovers that wait to be sent; more are refused at once
- * @param maximumBatch most records of one append, besides those that an append in doubt carried
- * @param settleTime how long the log is read for the records of an append without an answer before they are sent again
+ * @param appendsPerSecond this process's share of the log's append rate
+ * @param burst maximum number of appends in immediate succession after an idle period
+ * @param maximumQueued maximum number of queued claims and takeovers; further ones are refused immediately
+ * @param maximumBatch maximum number of new records in one append, in addition to those that are sent again
+ * @param settleTime how long the stream is read for the records of an unanswered append before they are sent again
  * @param retryInterval pause after an append that the log refused
  */
 public record GroupCommitSettings(
@@ -19,17 +19,17 @@
         int maximumBatch,
         Duration settleTime,
         Duration retryInterval) {
-    /** Refuses rates, sizes and times that are not positive. */
+    /** Rejects rates, sizes and durations that are not positive. */
     public GroupCommitSettings {
         if (!(appendsPerSecond > 0) || burst < 1 || maximumQueued < 1 || maximumBatch < 1) {
-            throw new IllegalArgumentException("rates and sizes of the group commit are positive");
+            throw new IllegalArgumentException("rates and sizes of the group commit must be positive");
         }
         if (!settleTime.isPositive() || !retryInterval.isPositive()) {
-            throw new IllegalArgumentException("times of the group commit are positive");
+            throw new IllegalArgumentException("durations of the group commit must be positive");
         }
     }
 
-    /** Returns settings that fit nine entries which share 300 appends a second. */
+    /** Returns settings for nine entries that share 300 appends per second. */
     public static GroupCommitSettings defaults() {
         return new GroupCommitSettings(30, 3, 10_000, 500, Duration.ofMillis(500), Duration.ofMillis(200));
     }
--- a/library/src/main/java/org/chivetally/claim/Interner.java
+++ b/library/src/main/java/org/chivetally/claim/Interner.java
@@ -3,17 +3,20 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** Lets equal values share one instance, for values of which there are few; beyond a bound it returns what it gets. */
+/**
+ * Replaces equal values by one shared instance, to save memory. Up to {@value #MAXIMUM_VALUES} distinct values are
+ * shared; further ones are returned unchanged.
+ */
 final class Interner<T> {
     private static final int MAXIMUM_VALUES = 10_000;
 
     private final Map<T, T> instances = new HashMap<>();
 
-    /** Returns the first instance that was equal to this one. */
+    /** Returns the shared instance that equals a value. */
     T intern(T value) {
-        T first = instances.get(value);
-        if (first != null) {
-            return first;
+        T existing = instances.get(value);
+        if (existing != null) {
+            return existing;
         }
         if (instances.size() < MAXIMUM_VALUES) {
             instances.put(value, value);
--- a/library/src/main/java/org/chivetally/claim/LeaseManager.java
+++ b/library/src/main/java/org/chivetally/claim/LeaseManager.java
@@ -2,7 +2,7 @@
 
 import java.util.Optional;
 
-/** Decides when this process renews its lease, and notices when it is gained, lost or given up. */
+/** Schedules the renewals of this process's lease, and detects when the lease is gained or lost. */
 final class LeaseManager {
     private final ClaimSettings settings;
     private final Coordinator self;
@@ -14,14 +14,14 @@
     private boolean departureConfirmed;
     private long departedNanos;
 
-    /** Creates the keeper of a lease. */
+    /** Creates a manager without a lease; the first renewal is due immediately. */
     LeaseManager(ClaimSettings settings, Coordinator self, OwnLease lease) {
         this.settings = settings;
         this.self = self;
         this.lease = lease;
     }
 
-    /** Returns a renewal if one is due; it counts as queued then. */
+    /** Returns a renewal if one is due; the caller then queues it. */
     Optional<ClaimRecord.Renewed> pollRenewal(long nanos) {
         boolean due = !renewedOnce
                 || nanos - lastRenewalNanos >= settings.renewalInterval().toNanos();
@@ -33,17 +33,20 @@
         return Optional.of(new ClaimRecord.Renewed(self, settings.lease()));
     }
 
-    /** Notes that a renewal is about to be sent for the first time. */
+    /** Records the time at which a renewal is about to be sent. */
     void recordSending(long sequence, long nanos) {
         lease.recordSending(sequence, nanos);
     }
 
-    /** Learns of a renewal that was read; returns the end of this process's lease if it is later now. */
+    /**
+     * Handles a renewal that was read from the stream. Returns the end of this process's lease, a monotonic clock
+     * reading in nanoseconds, if the renewal extended it.
+     */
     Optional<Long> renewalRead(FoldResult.Renewed renewed) {
         return renewed.coordinator().equals(self) ? lease.confirmRenewal(renewed.sequence()) : Optional.empty();
     }
 
-    /** Returns whether the lease is held now, if that has changed since the last call. */
+    /** Returns whether the lease is held, if that has changed since the last call. */
     Optional<Boolean> pollChange(long nanos) {
         boolean now = lease.isHeldAt(nanos);
         if (now == held) {
@@ -53,26 +56,26 @@
         return Optional.of(now);
     }
 
-    /** Gives the lease up for good. */
+    /** Ends the lease permanently. */
     void depart(long nanos) {
         departing = true;
         departedNanos = nanos;
         lease.relinquish();
     }
 
-    /** Tells whether the lease was given up. */
+    /** Returns whether the lease was ended. */
     boolean isDeparting() {
         return departing;
     }
 
-    /** Learns that the departure stands in the log; returns whether that is news. */
+    /** Marks the departure as confirmed; returns whether it was not confirmed before. */
     boolean confirmDeparture() {
         boolean isNew = departing && !departureConfirmed;
         departureConfirmed = departureConfirmed || departing;
         return isNew;
     }
 
-    /** Tells whether the log had its time to take the departure. */
+    /** Returns whether the departure has not been confirmed within the claim timeout. */
     boolean isDepartureOverdue(long nanos) {
         return departing && nanos - departedNanos >= settings.claimTimeout().toNanos();
     }
--- a/library/src/main/java/org/chivetally/claim/LeaseTable.java
+++ b/library/src/main/java/org/chivetally/claim/LeaseTable.java
@@ -6,12 +6,13 @@
 import java.util.concurrent.ConcurrentHashMap;
 
 /**
- * Leases of other coordinators, as the reader of the stream knows them. One thread writes, any thread asks.
+ * Leases of other coordinators, as read from the stream. One thread writes, any thread may query.
  *
- * <p>A lease is counted from when its last renewal was <em>read</em>, which is after it was written, which is after the
- * holder began to count; so the holder stops first. On top come the longest ticket age, as starts sent just before may
- * still be accepted that long, and a look at the log's end later than all that: a reader that was cut off or paused
- * would otherwise take its own silence for that of the holder, and two would coordinate one job.
+ * <p>A lease is measured from the time at which its last renewal was <em>read</em>. That is after the renewal was
+ * written, and hence after the time from which the holder measures, so the holder stops first. The longest ticket age
+ * is added, as starts sent just before the end may still be accepted for that long. A lease counts as lapsed only when
+ * the log has been read to its end after all that: otherwise a reader that was disconnected or paused would mistake its
+ * own gap for the holder's, and two processes would coordinate one job.
  */
 final class LeaseTable {
     private final Map<Coordinator, Lease> leases = new ConcurrentHashMap<>();
@@ -20,9 +21,9 @@
     private volatile Long readToEndNanos;
 
     /**
-     * Creates a table without leases.
+     * Creates an empty table.
      *
-     * @param usualLease lease of coordinators that were never heard of
+     * @param defaultLease assumed lease of coordinators of which no renewal was read
      * @param longestTicketAge how long after its lease a coordinator's starts may still be accepted
      */
     LeaseTable(Duration defaultLease, Duration longestTicketAge) {
@@ -30,42 +31,50 @@
         this.ticketAgeNanos = longestTicketAge.toNanos();
     }
 
-    /** Learns of a renewal that was read when the clock stood at {@code nanos}. */
+    /**
+     * Records a renewal.
+     *
+     * @param nanos monotonic clock reading at which it was read, in nanoseconds
+     */
     void recordRenewal(Coordinator coordinator, Duration lease, long nanos) {
         Lease renewed = new Lease(nanos, lease.toNanos(), false);
-        leases.compute(coordinator, (ignored, known) -> known != null && known.departed() ? known : renewed);
+        leases.compute(
+                coordinator, (ignored, previous) -> previous != null && previous.departed() ? previous : renewed);
     }
 
-    /** Learns that a coordinator gave its lease up. */
+    /** Records that a coordinator ended its lease. */
     void recordDeparture(Coordinator coordinator, long nanos) {
         leases.put(coordinator, new Lease(nanos, 0, true));
     }
 
-    /** Counts a coordinator from now on, unless it is counted already. */
+    /** Starts to track a coordinator with the default lease, unless it is tracked already. */
     void track(Coordinator coordinator, long nanos) {
         leases.putIfAbsent(coordinator, new Lease(nanos, defaultLeaseNanos, false));
     }
 
-    /** Learns that everything was read which stood in the log when the clock was at {@code nanos}; comes last. */
+    /**
+     * Records that everything was read that was in the log at a clock reading. Called after the renewals of that read
+     * have been recorded.
+     */
     void recordReadToEnd(long nanos) {
-        Long known = readToEndNanos;
-        if (known == null || nanos - known > 0) {
+        Long previous = readToEndNanos;
+        if (previous == null || nanos - previous > 0) {
             readToEndNanos = nanos;
         }
     }
 
-    /** Returns the reading of the clock up to which everything in the log was read; empty before the first. */
+    /** Returns the monotonic clock reading up to which the log was read; empty until its end was first reached. */
     OptionalLong readToEndAt() {
         Long end = readToEndNanos;
         return end == null ? OptionalLong.empty() : OptionalLong.of(end);
     }
 
-    /** Tells whether a coordinator's lease has lapsed beyond doubt. */
+    /** Returns whether a coordinator's lease has certainly lapsed. */
     boolean hasLapsed(Coordinator coordinator, long nanos) {
         if (coordinator.equals(Coordinator.NONE)) {
             return true;
         }
-        // Read before the lease: a renewal that stood before this end is then seen below, never an older one.
+        // Must be read before the lease: then the lease includes every renewal up to this end of the log.
         Long end = readToEndNanos;
         Lease lease = leases.get(coordinator);
         if (lease == null) {
@@ -75,6 +84,11 @@
         return end != null && end - lease.startNanos() - lease.durationNanos() - ticketAgeNanos >= 0;
     }
 
-    /** A lease as counted by this process. */
+    /**
+     * A lease, measured by this process's clock.
+     *
+     * @param startNanos monotonic clock reading from which it is measured
+     * @param departed whether the holder ended it; later renewals are ignored
+     */
     private record Lease(long startNanos, long durationNanos, boolean departed) {}
 }
--- a/library/src/main/java/org/chivetally/claim/LogClaims.java
+++ b/library/src/main/java/org/chivetally/claim/LogClaims.java
@@ -19,16 +19,16 @@
 import org.chivetally.time.NanoClock;
 
 /**
- * Claims that the platform's log decides.
+ * Claims that are decided by the order of records in the platform log.
  *
- * <p>An actor follows the stream {@value #STREAM} and appends this process's records to it. Safe from any thread;
- * stages complete on the actor's thread, so what hangs on them must not block.
+ * <p>An actor reads the stream {@value #STREAM} and appends this process's records to it. Thread-safe. Stages complete
+ * on the actor's thread, so dependent actions must not block.
  */
 public final class LogClaims implements Claims {
-    /** The stream of claims. */
+    /** Name of the stream of claim records. */
     public static final String STREAM = "claims";
 
-    /** The stream of snapshots of the claims. */
+    /** Name of the stream of snapshots of the claim table. */
     public static final String SNAPSHOT_STREAM = "claim-snapshots";
 
     private final ActorRef<ClaimsCommand> actor;
@@ -57,7 +57,7 @@
     }
 
     /**
-     * Starts to follow the stream and to hold a lease.
+     * Starts reading the stream and acquiring the lease.
      *
      * @param self this process; its incarnation must never have been used before
      */
@@ -175,7 +175,10 @@
         actor.tell(new ClaimsCommand.AddLeaseExtendedListener(listener));
     }
 
-    /** Ends the work on the log; what waits is refused as not run, and the lease is given up without a record. */
+    /**
+     * Stops reading and appending. Pending claims are refused as not run, and the lease ends without a record in the
+     * log.
+     */
     public void stop() {
         lease.relinquish();
         actor.tell(new ClaimsCommand.Stop());
--- a/library/src/main/java/org/chivetally/claim/LogHealth.java
+++ b/library/src/main/java/org/chivetally/claim/LogHealth.java
@@ -2,46 +2,49 @@
 
 import org.chivetally.log.AppendOutcome;
 
-/** Whether the log is known to be down: the last read or append failed, and none has succeeded since. */
+/**
+ * Tracks whether the log is available. It counts as down when the last read failed, or when an append was refused or
+ * {@value #OUTAGE_FAILURES} appends in succession had unknown outcomes.
+ */
 final class LogHealth {
     private static final int OUTAGE_FAILURES = 2;
 
     private boolean readFailing;
     private int appendFailures;
 
-    /** Learns that a read was answered. */
+    /** Records that a read was answered. */
     void readSucceeded() {
         readFailing = false;
     }
 
-    /** Learns that a read failed; returns whether the one before had not. */
+    /** Records that a read failed; returns whether the previous one had succeeded. */
     boolean readFailed() {
         boolean isNew = !readFailing;
         readFailing = true;
         return isNew;
     }
 
-    /** Learns that records of this process were appended. */
+    /** Records that an append of this process was successful. */
     void appendSucceeded() {
         appendFailures = 0;
     }
 
-    /** Learns the outcome of an append. */
+    /** Records the outcome of an append. */
     void appended(AppendOutcome outcome) {
         switch (outcome) {
             case AppendOutcome.Appended ignored -> appendSucceeded();
             case AppendOutcome.Refused ignored -> appendFailures = OUTAGE_FAILURES;
-            // One lost answer may be just that: the records are looked for before claims are refused.
+            // A single lost answer is no outage: the stream is read for the records before claims are refused.
             case AppendOutcome.Unknown ignored -> appendFailures++;
         }
     }
 
-    /** Tells whether reads succeed. */
+    /** Returns whether the last read succeeded. */
     boolean isReadable() {
         return !readFailing;
     }
 
-    /** Tells whether the log is known to be down. */
+    /** Returns whether the log counts as down. */
     boolean isDown() {
         return readFailing || appendFailures >= OUTAGE_FAILURES;
     }
--- a/library/src/main/java/org/chivetally/claim/MemoryClaims.java
+++ b/library/src/main/java/org/chivetally/claim/MemoryClaims.java
@@ -15,9 +15,10 @@
 import org.chivetally.time.NanoClock;
 
 /**
- * Claims in the memory of one process: the same rules of repeats and reuse, but no other process knows of them.
+ * Claims in the memory of one process. Attaching and key reuse follow the same rules as in the log, but claims are not
+ * visible to other processes.
  *
- * <p>For tests, and for services that go on in memory while the log is down. Safe from any thread.
+ * <p>Used in tests, and for services that accept claims in memory while the log is unavailable. Thread-safe.
  */
 public final class MemoryClaims implements Claims {
     private static final long UNBOUNDED_LEASE_NANOS = Long.MAX_VALUE / 2;
@@ -29,7 +30,12 @@
     private final Map<JobId, SubmissionKey> keysByJob = new HashMap<>();
     private boolean departed;
 
-    /** Creates an empty set of claims of one process; a key stays taken for the window. */
+    /**
+     * Creates an empty set of claims.
+     *
+     * @param self the coordinator of all claims
+     * @param window how long a key stays claimed, by the monotonic clock
+     */
     public MemoryClaims(Coordinator self, Duration window, NanoClock clock) {
         this.self = Objects.requireNonNull(self, "self");
         this.windowNanos = window.toNanos();
@@ -43,16 +49,16 @@
 
     @Override
     public synchronized CompletionStage<ClaimDecision> takeOver(Claim current) {
-        StoredClaim held = inForce(current.key());
-        if (held == null || !held.claim().equals(current)) {
-            ClaimDecision decision = held == null
+        StoredClaim stored = inForce(current.key());
+        if (stored == null || !stored.claim().equals(current)) {
+            ClaimDecision decision = stored == null
                     ? new ClaimDecision.LogUnavailable("the claim is no longer in force")
-                    : new ClaimDecision.Attached(held.claim());
+                    : new ClaimDecision.Attached(stored.claim());
             return CompletableFuture.completedFuture(decision);
         }
         Claim successor =
                 new Claim(current.key(), current.bodyDigest(), current.job(), self, current.generation() + 1, false);
-        byKey.put(current.key(), new StoredClaim(successor, held.endNanos()));
+        byKey.put(current.key(), new StoredClaim(successor, stored.endNanos()));
         return CompletableFuture.completedFuture(new ClaimDecision.Won(successor));
     }
 
@@ -68,14 +74,14 @@
 
     @Override
     public synchronized void markFinished(Claim claim) {
-        StoredClaim held = inForce(claim.key());
-        if (held == null || !held.claim().job().equals(claim.job())) {
+        StoredClaim stored = inForce(claim.key());
+        if (stored == null || !stored.claim().job().equals(claim.job())) {
             return;
         }
-        Claim known = held.claim();
-        Claim marked =
-                new Claim(known.key(), known.bodyDigest(), known.job(), known.coordinator(), known.generation(), true);
-        byKey.put(claim.key(), new StoredClaim(marked, held.endNanos()));
+        Claim current = stored.claim();
+        Claim marked = new Claim(
+                current.key(), current.bodyDigest(), current.job(), current.coordinator(), current.generation(), true);
+        byKey.put(claim.key(), new StoredClaim(marked, stored.endNanos()));
     }
 
     @Override
@@ -114,22 +120,22 @@
         return CompletableFuture.completedFuture(null);
     }
 
-    /** Decides a claim at once. */
+    /** Decides a claim. */
     synchronized ClaimDecision decide(SubmissionKey key, String bodyDigest, JobId job) {
         if (departed) {
             return new ClaimDecision.LogUnavailable("this process departs");
         }
         removeEnded();
-        StoredClaim held = inForce(key);
-        if (held == null) {
+        StoredClaim stored = inForce(key);
+        if (stored == null) {
             Claim claim = new Claim(key, bodyDigest, job, self, Claim.FIRST_GENERATION, false);
             byKey.put(key, new StoredClaim(claim, clock.nanos() + windowNanos));
             keysByJob.put(job, key);
             return new ClaimDecision.Won(claim);
         }
-        return held.claim().bodyDigest().equals(bodyDigest)
-                ? new ClaimDecision.Attached(held.claim())
-                : new ClaimDecision.KeyReused(held.claim());
+        return stored.claim().bodyDigest().equals(bodyDigest)
+                ? new ClaimDecision.Attached(stored.claim())
+                : new ClaimDecision.KeyReused(stored.claim());
     }
 
     /** Returns the claim in force for a key. */
@@ -142,7 +148,7 @@
         return Optional.ofNullable(keysByJob.get(job)).flatMap(this::lookUp);
     }
 
-    /** Drops a job's claim, as another place holds it now. */
+    /** Removes a job's claim, because it was released or is now recorded in the log. */
     synchronized void remove(JobId job) {
         SubmissionKey key = keysByJob.remove(job);
         if (key != null) {
@@ -151,22 +157,26 @@
     }
 
     private StoredClaim inForce(SubmissionKey key) {
-        StoredClaim held = byKey.get(key);
-        return held != null && held.endNanos() - clock.nanos() > 0 ? held : null;
+        StoredClaim stored = byKey.get(key);
+        return stored != null && stored.endNanos() - clock.nanos() > 0 ? stored : null;
     }
 
     private void removeEnded() {
         Iterator<StoredClaim> oldest = byKey.values().iterator();
         while (oldest.hasNext()) {
-            StoredClaim held = oldest.next();
-            if (held.endNanos() - clock.nanos() > 0) {
+            StoredClaim stored = oldest.next();
+            if (stored.endNanos() - clock.nanos() > 0) {
                 return;
             }
             oldest.remove();
-            keysByJob.remove(held.claim().job());
+            keysByJob.remove(stored.claim().job());
         }
     }
 
-    /** A claim and the reading of the clock at which its window ends. */
+    /**
+     * A claim and the end of its window.
+     *
+     * @param endNanos monotonic clock reading at which the window ends, in nanoseconds
+     */
     private record StoredClaim(Claim claim, long endNanos) {}
 }
--- a/library/src/main/java/org/chivetally/claim/OwnLease.java
+++ b/library/src/main/java/org/chivetally/claim/OwnLease.java
@@ -6,10 +6,11 @@
 import java.util.TreeMap;
 
 /**
- * This process's own lease. One thread writes, any thread asks.
+ * This process's own lease. One thread writes, any thread may query.
  *
- * <p>It runs from before the renewal was first sent, and only once the renewal was read back: others begin to count
- * when they read it, which is later, so a holder that was paused sees its lease over before anyone takes its jobs.
+ * <p>The lease runs from the time at which its renewal was first sent, but is held only once the renewal was read back.
+ * Other processes measure from the time at which they read the renewal, which is later, so a holder that was paused
+ * sees its lease end before another process takes over its jobs.
  */
 final class OwnLease {
     private final long lengthNanos;
@@ -22,12 +23,20 @@
         this.lengthNanos = length.toNanos();
     }
 
-    /** Notes when a renewal was about to be sent; a second sending of the same record changes nothing. */
+    /**
+     * Records the time at which a renewal is about to be sent; sending the same record again changes nothing.
+     *
+     * @param sequence sequence number of the renewal's record
+     */
     void recordSending(long sequence, long nanos) {
         sentNanosBySequence.putIfAbsent(sequence, nanos);
     }
 
-    /** Holds the lease by a renewal that was read back; returns its end if that is later now. */
+    /**
+     * Extends the lease by a renewal that was read back.
+     *
+     * @return the lease's new end, a monotonic clock reading in nanoseconds; empty if it did not become later
+     */
     Optional<Long> confirmRenewal(long sequence) {
         Long sent = sentNanosBySequence.get(sequence);
         sentNanosBySequence.keySet().removeIf(earlier -> earlier <= sequence);
@@ -38,17 +47,17 @@
         return Optional.of(endNanos);
     }
 
-    /** Gives the lease up for good. */
+    /** Ends the lease permanently. */
     void relinquish() {
         relinquished = true;
     }
 
-    /** Tells whether the lease is held at a reading of the clock. */
+    /** Returns whether the lease is held at a monotonic clock reading. */
     boolean isHeldAt(long nanos) {
         return remainingNanos(nanos) > 0;
     }
 
-    /** Returns what is left of the lease in nanoseconds, zero when it is not held. */
+    /** Returns the remaining time of the lease in nanoseconds, 0 if it is not held. */
     long remainingNanos(long nanos) {
         Long end = endNanos;
         return relinquished || end == null ? 0 : Math.max(0, end - nanos);
--- a/library/src/main/java/org/chivetally/claim/PendingClaim.java
+++ b/library/src/main/java/org/chivetally/claim/PendingClaim.java
@@ -6,7 +6,7 @@
 import java.util.concurrent.CompletableFuture;
 import org.chivetally.job.ServicePolicy.ClaimMode;
 
-/** A claim or takeover whose caller waits. */
+/** A claim or takeover whose caller waits for the decision. */
 final class PendingClaim {
     private final ClaimRecord content;
     private final ClaimMode mode;
@@ -15,7 +15,11 @@
     private final List<CompletableFuture<ClaimDecision>> followers = new ArrayList<>();
     private long sequence;
 
-    /** Creates one that is not sent yet; {@code startedNanos} is the reading of the clock when the caller asked. */
+    /**
+     * Creates a pending claim that has not been sent yet.
+     *
+     * @param requestedNanos monotonic clock reading of the caller's request, in nanoseconds
+     */
     PendingClaim(ClaimRecord content, ClaimMode mode, CompletableFuture<ClaimDecision> reply, long startedNanos) {
         this.content = content;
         this.mode = mode;
@@ -23,72 +27,72 @@
         this.requestedNanos = startedNanos;
     }
 
-    /** Returns the record that is to decide. */
+    /** Returns the record whose position in the log decides. */
     ClaimRecord content() {
         return content;
     }
 
-    /** Tells whether this is the claim of a submission, not a takeover. */
+    /** Returns whether this is the claim of a submission, not a takeover. */
     boolean isSubmission() {
         return content instanceof ClaimRecord.Claimed;
     }
 
-    /** Returns the claim that may be made in memory instead, if its service allows that. */
+    /** Returns the claim to decide in memory instead, if its service allows that. */
     Optional<ClaimRecord.Claimed> memoryFallback() {
         boolean allowed = mode == ClaimMode.MEMORY;
         return allowed && content instanceof ClaimRecord.Claimed claimed ? Optional.of(claimed) : Optional.empty();
     }
 
-    /** Returns where the decision goes. */
+    /** Returns the future that receives the decision. */
     CompletableFuture<ClaimDecision> reply() {
         return reply;
     }
 
-    /** Lets another caller, who asked for the very same, wait for the decision; at most one of them may win. */
+    /** Adds a caller with an equal request; of all callers at most one may be answered that it has won. */
     void addFollower(CompletableFuture<ClaimDecision> other) {
         followers.add(other);
     }
 
-    /** Returns the callers besides the first one. */
+    /** Returns the futures of the callers other than the first one. */
     List<CompletableFuture<ClaimDecision>> followers() {
         return followers;
     }
 
-    /** Returns the reading of the clock when the caller asked. */
+    /** Returns the monotonic clock reading of the caller's request, in nanoseconds. */
     long requestedNanos() {
         return requestedNanos;
     }
 
-    /** Tells whether the record may stand in the stream. */
+    /** Returns whether the record was sent, so that it may be in the stream. */
     boolean wasSent() {
         return sequence > 0;
     }
 
-    /** Returns the record's count, zero before it is sent. */
+    /** Returns the record's sequence number, 0 before it is sent. */
     long sequence() {
         return sequence;
     }
 
-    /** Notes the count with which the record is sent. */
+    /** Records the sequence number with which the record is sent. */
     void markSent(long newSequence) {
         this.sequence = newSequence;
     }
 
-    /** Notes that the record is sent anew, with another count. */
+    /** Resets the sequence number, because the record will be sent again as a new one. */
     void resetForResend() {
         this.sequence = 0;
     }
 
-    /** Returns the key. */
+    /** Returns the claimed key. */
     SubmissionKey key() {
         return switch (content) {
             case ClaimRecord.Claimed claimed -> claimed.key();
             case ClaimRecord.TakenOver taken -> taken.key();
-            default -> throw new IllegalStateException("nobody waits for this record");
+            default -> throw new IllegalStateException("only claims and takeovers can be pending");
         };
     }
 
-    /** Returns the digest of the submission; a takeover has none. */
+    /** Returns the digest of the submission's content; a takeover has none. */
     Optional<String> bodyDigest() {
         return content instanceof ClaimRecord.Claimed claimed ? Optional.of(claimed.bodyDigest()) : Optional.empty();
     }
--- a/library/src/main/java/org/chivetally/claim/PendingMemoryClaims.java
+++ b/library/src/main/java/org/chivetally/claim/PendingMemoryClaims.java
@@ -12,7 +12,9 @@
 import org.chivetally.job.JobId;
 import org.chivetally.time.NanoClock;
 
-/** Claims that this process made in its memory while the log was down, until they stand in the log. */
+/**
+ * Claims that this process decided in memory while the log was unavailable, until their records are read from the log.
+ */
 final class PendingMemoryClaims {
     private static final int MAXIMUM_CLAIMS = 100_000;
     private static final long NOT_SENT = 0;
@@ -21,12 +23,16 @@
     private final Map<ClaimRecord.Claimed, Long> sequences = new LinkedHashMap<>();
     private final Set<JobId> releasedJobs = new HashSet<>();
 
-    /** Creates an empty set; claims count for the window, by the clock. */
+    /**
+     * Creates an empty set.
+     *
+     * @param window how long a key stays claimed, by the monotonic clock
+     */
     PendingMemoryClaims(Coordinator self, Duration window, NanoClock clock) {
         this.claims = new MemoryClaims(self, window, clock);
     }
 
-    /** Decides a claim in memory; one that is won is to be appended. */
+    /** Decides a claim in memory; the caller appends the record of a claim that is won. */
     ClaimDecision decide(ClaimRecord.Claimed claimed) {
         if (sequences.size() >= MAXIMUM_CLAIMS) {
             return new ClaimDecision.LogUnavailable("too many claims in memory wait for the log");
@@ -38,7 +44,10 @@
         return decision;
     }
 
-    /** Frees the key of a claim at once; its record, which may be under way, is to be given up once it is read. */
+    /**
+     * Frees the key of a claim immediately. Its record may already be in flight, so the claim must be released in the
+     * log once it has been read.
+     */
     void release(JobId job) {
         if (claims.lookUp(job).isPresent()) {
             claims.remove(job);
@@ -46,31 +55,35 @@
         }
     }
 
-    /** Tells whether a claim that has landed was given up before, and forgets that. */
+    /** Returns whether a claim whose record was read had been released before, and removes the mark. */
     boolean removeReleased(JobId job) {
         return releasedJobs.remove(job);
     }
 
-    /** Notes the count with which a claim is first sent. */
+    /** Records the sequence number with which a claim is first sent. */
     void recordSequence(ClaimRecord.Claimed claimed, long sequence) {
         sequences.replace(claimed, NOT_SENT, sequence);
     }
 
-    /** Drops and returns the claims whose records have been read, as the log decides about their keys from now on. */
+    /**
+     * Removes and returns the claims whose records have been read; from then on the log decides about their keys.
+     *
+     * @param readSequence sequence number of this process's last record that was read
+     */
     List<ClaimRecord.Claimed> removeWritten(long readSequence) {
-        List<ClaimRecord.Claimed> landed = new ArrayList<>();
+        List<ClaimRecord.Claimed> written = new ArrayList<>();
         Iterator<Map.Entry<ClaimRecord.Claimed, Long>> oldest =
                 sequences.entrySet().iterator();
         while (oldest.hasNext()) {
             Map.Entry<ClaimRecord.Claimed, Long> entry = oldest.next();
             if (entry.getValue() == NOT_SENT || entry.getValue() > readSequence) {
-                return landed;
+                return written;
             }
             oldest.remove();
             claims.remove(entry.getKey().job());
-            landed.add(entry.getKey());
+            written.add(entry.getKey());
         }
-        return landed;
+        return written;
     }
 
     /** Returns the claim in force for a key. */
--- a/library/src/main/java/org/chivetally/claim/ReadTimeline.java
+++ b/library/src/main/java/org/chivetally/claim/ReadTimeline.java
@@ -6,20 +6,26 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * When the stream was known to end where; tells how old a record can be at most, by this process's clock alone.
+ * Records where the stream ended at which time, to bound the age of a record by this process's clock alone.
  *
- * <p>A record that stands behind the end which a read saw was written after that read was sent. Neither the wall clock
- * of its writer nor the time at which it was read here bounds its age from above: the one may be wrong, and the other
- * is late when this process was cut off. Of records that stood there before this process first read, nothing is known.
+ * <p>A record at or after the end offset returned by a read was written after that read was sent. Neither its writer's
+ * wall clock nor the time at which this process read the record gives an upper bound of its age: the former may be
+ * wrong, and the latter is too late if this process was disconnected. The age of records from before the first read is
+ * unknown.
  */
 final class ReadTimeline {
     private static final long MINIMUM_SPACING_NANOS = TimeUnit.SECONDS.toNanos(1);
-    /** Reaches back more than an hour, longer than any agent remembers. */
+    /** At one entry per second this covers more than an hour, longer than any agent keeps its state. */
     private static final int MAXIMUM_ENTRIES = 4_096;
 
     private final TreeMap<Long, Long> sentNanosByEnd = new TreeMap<>();
 
-    /** Learns that the stream ended at an offset when the clock was at {@code sentNanos} at the earliest. */
+    /**
+     * Records the end of the stream as returned by a read.
+     *
+     * @param endOffset offset of the next record that will be written
+     * @param sentNanos monotonic clock reading when the read was sent, in nanoseconds
+     */
     void recordEnd(long endOffset, long sentNanos) {
         Map.Entry<Long, Long> newest = sentNanosByEnd.lastEntry();
         boolean older = newest != null && (endOffset < newest.getKey() || sentNanos - newest.getValue() <= 0);
@@ -37,9 +43,12 @@
         }
     }
 
-    /** Returns a reading of the clock after which the record at an offset was written; empty when none is known. */
+    /**
+     * Returns a monotonic clock reading, in nanoseconds, after which the record at an offset was written; empty if none
+     * is known.
+     */
     OptionalLong writtenAfter(long offset) {
-        Map.Entry<Long, Long> before = sentNanosByEnd.floorEntry(offset);
-        return before == null ? OptionalLong.empty() : OptionalLong.of(before.getValue());
+        Map.Entry<Long, Long> preceding = sentNanosByEnd.floorEntry(offset);
+        return preceding == null ? OptionalLong.empty() : OptionalLong.of(preceding.getValue());
     }
 }
--- a/library/src/main/java/org/chivetally/claim/RecordId.java
+++ b/library/src/main/java/org/chivetally/claim/RecordId.java
@@ -4,10 +4,14 @@
 import java.util.Optional;
 
 /**
- * Id of a record of the claims stream: its writer and the writer's own count.
+ * Id of a record of the claims stream: its writer and the writer's sequence number.
  *
- * <p>A writer has one append in flight and repeats what is in doubt before anything newer, so its records first stand
- * in the stream in the order of their counts. One number for each writer is therefore enough to drop every repeat.
+ * <p>A writer has one append in flight and repeats those with unknown outcome before sending newer records, so the
+ * first occurrences of its records are in the order of their sequence numbers. Readers can therefore drop all
+ * duplicates by keeping one number per writer.
+ *
+ * @param writer name of the writing process's incarnation
+ * @param sequence sequence number of the record, counted from 1 by its writer
  */
 record RecordId(String writer, long sequence) {
     private static final char SEPARATOR = '#';
@@ -15,16 +19,16 @@
     RecordId {
         Objects.requireNonNull(writer, "writer");
         if (sequence < 1) {
-            throw new IllegalArgumentException("counts begin at 1");
+            throw new IllegalArgumentException("sequence must be at least 1");
         }
     }
 
-    /** Returns the name under which a process writes. */
+    /** Returns the writer name of a process. */
     static String writerOf(Coordinator coordinator) {
         return coordinator.processId() + '/' + coordinator.incarnation();
     }
 
-    /** Returns the parts of an id, or nothing when a writer of another kind made it. */
+    /** Parses a record id; empty if the text is not one. */
     static Optional<RecordId> parse(String text) {
         int separator = text.lastIndexOf(SEPARATOR);
         if (separator < 1) {
@@ -38,7 +42,7 @@
         }
     }
 
-    /** Returns the id as it stands in the log. */
+    /** Returns the id in the form in which it is stored in the log. */
     String text() {
         return writer + SEPARATOR + sequence;
     }
--- a/library/src/main/java/org/chivetally/claim/SnapshotAssembler.java
+++ b/library/src/main/java/org/chivetally/claim/SnapshotAssembler.java
@@ -13,30 +13,30 @@
 import org.chivetally.log.LogRecord;
 
 /**
- * Finds the newest whole snapshot among chunks.
+ * Finds the newest complete snapshot among chunks.
  *
- * <p>Chunks of several writers may lie between each other, stand twice, be damaged or be missing: a snapshot counts
- * only when all its parts are there and valid, so that a half-written one can't hide claims.
+ * <p>The chunks of several writers may be interleaved, duplicated, damaged or missing. A snapshot is used only if all
+ * its chunks are present and valid, so that a partly written one can't hide claims.
  */
 final class SnapshotAssembler {
     private final Map<String, Parts> snapshots = new HashMap<>();
     private final Set<Integer> unsupportedFormats = new TreeSet<>();
 
-    /** Takes a record of the snapshot stream in. */
+    /** Adds a record of the snapshot stream. */
     void add(LogRecord logRecord) {
         switch (SnapshotChunk.decode(logRecord.payload())) {
-            case DecodedChunk.Valid known -> add(known.chunk());
-            case DecodedChunk.UnsupportedFormat other -> unsupportedFormats.add(other.format());
+            case DecodedChunk.Valid valid -> add(valid.chunk());
+            case DecodedChunk.UnsupportedFormat unsupported -> unsupportedFormats.add(unsupported.format());
             case DecodedChunk.Damaged ignored -> {}
         }
     }
 
-    /** Returns the format versions of the chunks that were refused for them. */
+    /** Returns the unsupported format versions among the added chunks. */
     Set<Integer> unsupportedFormats() {
         return unsupportedFormats;
     }
 
-    /** Returns the newest whole snapshot's content. */
+    /** Returns the content of the newest complete snapshot. */
     Optional<TableImage> newest() {
         List<Parts> complete = new ArrayList<>(
                 snapshots.values().stream().filter(Parts::isComplete).toList());
@@ -57,7 +57,7 @@
         parts.add(chunk);
     }
 
-    /** The parts of one snapshot. */
+    /** The chunks of one snapshot. */
     private static final class Parts {
         private final SnapshotHeader header;
         private final byte[][] bodies;
@@ -69,10 +69,10 @@
 
         private void add(SnapshotChunk chunk) {
             SnapshotHeader other = chunk.header();
-            boolean same = other.parts() == header.parts()
+            boolean sameSnapshot = other.parts() == header.parts()
                     && other.covers() == header.covers()
                     && other.streamMillis() == header.streamMillis();
-            if (same) {
+            if (sameSnapshot) {
                 bodies[other.part()] = chunk.body();
             }
         }
--- a/library/src/main/java/org/chivetally/claim/SnapshotChunk.java
+++ b/library/src/main/java/org/chivetally/claim/SnapshotChunk.java
@@ -16,15 +16,16 @@
  * One record of the snapshot stream: a line with the checksum of the rest, a line with the header as JSON, and the
  * rows.
  *
- * @param body rows of the snapshot, each a JSON array on a line of its own
+ * @param header identifies the chunk
+ * @param body rows of the snapshot, each a JSON array on its own line
  */
 record SnapshotChunk(SnapshotHeader header, byte[] body) {
     /**
      * Format version of the chunks that this class writes, and the only one that it reads.
      *
-     * <p>Chunks of version 1 say nothing of renewals. A reader that began with one would let takeovers win that all
-     * others refuse, so it reads the claims stream from its first kept record instead, which holds every claim in
-     * force.
+     * <p>Chunks of version 1 contain no renewals. A reader that started from one would accept takeovers that all other
+     * readers refuse, so it reads the claims stream from its first retained record instead, which includes every claim
+     * in force.
      */
     static final int FORMAT = 2;
 
@@ -32,7 +33,7 @@
     private static final int CHECKSUM_DIGITS = 8;
     private static final byte NEW_LINE = '\n';
 
-    /** Returns the chunk's bytes. */
+    /** Encodes the chunk. */
     byte[] encode() {
         ByteArrayOutputStream content = new ByteArrayOutputStream(body.length + 256);
         try (JsonGenerator json = JSON.createGenerator(ObjectWriteContext.empty(), content)) {
@@ -48,14 +49,14 @@
         content.write(NEW_LINE);
         content.writeBytes(body);
         byte[] checked = content.toByteArray();
-        ByteArrayOutputStream whole = new ByteArrayOutputStream(checked.length + CHECKSUM_DIGITS + 1);
-        whole.writeBytes(checksum(checked, 0).getBytes(StandardCharsets.US_ASCII));
-        whole.write(NEW_LINE);
-        whole.writeBytes(checked);
-        return whole.toByteArray();
+        ByteArrayOutputStream encoded = new ByteArrayOutputStream(checked.length + CHECKSUM_DIGITS + 1);
+        encoded.writeBytes(checksum(checked, 0).getBytes(StandardCharsets.US_ASCII));
+        encoded.write(NEW_LINE);
+        encoded.writeBytes(checked);
+        return encoded.toByteArray();
     }
 
-    /** Reads a chunk; whatever can't be used is a value. */
+    /** Decodes a chunk; an unusable one is returned as a value instead of an exception. */
     static DecodedChunk decode(byte[] payload) {
         int start = CHECKSUM_DIGITS + 1;
         int headerEnd = indexOfNewLine(payload, start);
--- a/library/src/main/java/org/chivetally/claim/SnapshotCodec.java
+++ b/library/src/main/java/org/chivetally/claim/SnapshotCodec.java
@@ -18,9 +18,10 @@
 import tools.jackson.core.json.JsonFactory;
 
 /**
- * Cuts the content of a table into chunks, and puts it together again.
+ * Splits the content of a table into chunks, and restores it from them.
  *
- * <p>Rows are JSON arrays that begin with their kind. Coordinators come before the claims that name them by number.
+ * <p>Rows are JSON arrays whose first element is their kind. A coordinator's row precedes the claims that refer to it
+ * by index.
  */
 final class SnapshotCodec {
     private static final JsonFactory JSON = new JsonFactory();
@@ -33,10 +34,11 @@
     private SnapshotCodec() {}
 
     /**
-     * Returns the records of a snapshot, in the order of their parts.
+     * Returns the records of a snapshot, in the order of its chunks.
      *
-     * @param writer name under which this process writes
-     * @param chunkBytes most bytes of one record
+     * @param image content of the table
+     * @param writer writer name of this process
+     * @param chunkBytes maximum size of one record in bytes
      */
     static List<NewRecord> encode(TableImage image, String writer, int chunkBytes) {
         List<byte[]> bodies = new BodyWriter(chunkBytes - HEADER_BYTES).write(image);
@@ -51,12 +53,12 @@
         return records;
     }
 
-    /** Returns the content of a whole snapshot, or nothing when its rows can't be understood. */
+    /** Returns the content of a complete snapshot; empty if its rows can't be decoded. */
     static Optional<TableImage> decode(SnapshotHeader header, List<byte[]> bodies) {
         try {
             RowReader rows = new RowReader(header.streamMillis());
             bodies.forEach(rows::read);
-            return Optional.of(new TableImage(header.covers(), header.streamMillis(), rows.writers, rows.held));
+            return Optional.of(new TableImage(header.covers(), header.streamMillis(), rows.writers, rows.claims));
         } catch (JacksonException | IllegalArgumentException | IndexOutOfBoundsException | NullPointerException e) {
             return Optional.empty();
         }
@@ -67,7 +69,7 @@
         private final int limit;
         private final List<byte[]> full = new ArrayList<>();
         private final ByteArrayOutputStream open = new ByteArrayOutputStream();
-        private final Map<Coordinator, Integer> numbers = new LinkedHashMap<>();
+        private final Map<Coordinator, Integer> indexes = new LinkedHashMap<>();
 
         private BodyWriter(int limit) {
             this.limit = limit;
@@ -75,22 +77,22 @@
 
         private List<byte[]> write(TableImage image) {
             image.writers().forEach(writer -> add(json -> writeWriter(json, writer)));
-            for (CompactClaim held : image.claims()) {
-                int number = numberOf(held.coordinator());
-                add(json -> writeClaim(json, held, number, held.endMillis() - image.streamMillis()));
+            for (CompactClaim claim : image.claims()) {
+                int index = indexOf(claim.coordinator());
+                add(json -> writeClaim(json, claim, index, claim.endMillis() - image.streamMillis()));
             }
             full.add(open.toByteArray());
             return full;
         }
 
-        private int numberOf(Coordinator coordinator) {
-            Integer known = numbers.get(coordinator);
-            if (known != null) {
-                return known;
+        private int indexOf(Coordinator coordinator) {
+            Integer existing = indexes.get(coordinator);
+            if (existing != null) {
+                return existing;
             }
             add(json -> writeCoordinator(json, coordinator));
-            numbers.put(coordinator, numbers.size());
-            return numbers.size() - 1;
+            indexes.put(coordinator, indexes.size());
+            return indexes.size() - 1;
         }
 
         private void add(Consumer<JsonGenerator> content) {
@@ -124,17 +126,17 @@
             json.writeNumber(coordinator.port());
         }
 
-        private static void writeClaim(JsonGenerator json, CompactClaim held, int coordinator, long millisLeft) {
+        private static void writeClaim(JsonGenerator json, CompactClaim claim, int coordinator, long millisLeft) {
             json.writeString(CLAIM);
-            json.writeString(held.key().team());
-            json.writeString(held.key().key());
-            json.writeString(held.bodyDigest());
-            json.writeString(held.job().text());
+            json.writeString(claim.key().team());
+            json.writeString(claim.key().key());
+            json.writeString(claim.bodyDigest());
+            json.writeString(claim.job().text());
             json.writeNumber(coordinator);
-            json.writeNumber(held.generation());
-            json.writeBoolean(held.finished());
+            json.writeNumber(claim.generation());
+            json.writeBoolean(claim.finished());
             json.writeNumber(millisLeft);
-            json.writeNumber(held.offset());
+            json.writeNumber(claim.offset());
         }
     }
 
@@ -143,7 +145,7 @@
         private final long streamMillis;
         private final List<TableImage.Writer> writers = new ArrayList<>();
         private final List<Coordinator> coordinators = new ArrayList<>();
-        private final List<CompactClaim> held = new ArrayList<>();
+        private final List<CompactClaim> claims = new ArrayList<>();
 
         private RowReader(long streamMillis) {
             this.streamMillis = streamMillis;
@@ -162,11 +164,11 @@
                 case WRITER -> writers.add(readWriter(json));
                 case COORDINATOR ->
                     coordinators.add(new Coordinator(text(json), text(json), text(json), (int) number(json)));
-                case CLAIM -> held.add(readClaim(json));
+                case CLAIM -> claims.add(readClaim(json));
                 default -> throw new IllegalArgumentException("unknown kind of row");
             }
             if (json.nextToken() != JsonToken.END_ARRAY) {
-                throw new IllegalArgumentException("row too long");
+                throw new IllegalArgumentException("row has too many elements");
             }
         }
 
--- a/library/src/main/java/org/chivetally/claim/SnapshotLoadResult.java
+++ b/library/src/main/java/org/chivetally/claim/SnapshotLoadResult.java
@@ -1,13 +1,13 @@
 package org.chivetally.claim;
 
-/** What the snapshot stream holds. */
+/** Result of searching the snapshot stream. */
 sealed interface SnapshotLoadResult {
-    /** A whole, valid snapshot. */
+    /** The newest complete, valid snapshot. */
     record Found(TableImage image) implements SnapshotLoadResult {}
 
-    /** No whole, valid snapshot. */
+    /** The stream contains no complete, valid snapshot. */
     record None() implements SnapshotLoadResult {}
 
-    /** The log can't be reached. */
+    /** The log is unavailable. */
     record Unavailable(String reason) implements SnapshotLoadResult {}
 }
--- a/library/src/main/java/org/chivetally/claim/SnapshotManager.java
+++ b/library/src/main/java/org/chivetally/claim/SnapshotManager.java
@@ -9,7 +9,9 @@
 import org.apache.pekko.actor.typed.javadsl.ActorContext;
 import org.chivetally.log.PlatformLog;
 
-/** What an actor of claims does about snapshots: reads the newest one when it has to, and writes one when it is due. */
+/**
+ * Loads the newest snapshot on request, and writes a snapshot when one is due, on behalf of the {@link ClaimsActor}.
+ */
 final class SnapshotManager {
     private static final Duration LOAD_TIMEOUT = Duration.ofSeconds(60);
     private static final int CHECKS_PER_INTERVAL = 8;
@@ -27,7 +29,7 @@
     private boolean inProgress;
     private long nextCheckNanos;
 
-    /** Creates the duty of a process; chunks are made and read on the blocking dispatcher. */
+    /** Creates the manager of a process; chunks are encoded and decoded on the blocking dispatcher. */
     SnapshotManager(
             ActorContext<ClaimsCommand> context,
             PlatformLog log,
@@ -44,7 +46,7 @@
         this.nextCheckNanos = nanos;
     }
 
-    /** Looks for the newest snapshot; the actor gets {@link ClaimsCommand.SnapshotLoaded}. */
+    /** Searches for the newest snapshot; the actor receives {@link ClaimsCommand.SnapshotLoaded}. */
     void load(long nanos) {
         loading = true;
         loadNumber++;
@@ -57,17 +59,17 @@
                         number, failure == null ? found : new SnapshotLoadResult.Unavailable(failure.toString())));
     }
 
-    /** Tells whether a snapshot is looked for. */
+    /** Returns whether a search is in progress. */
     boolean isLoading() {
         return loading;
     }
 
-    /** Tells whether the search takes longer than it may. */
+    /** Returns whether the search has timed out. */
     boolean isLoadOverdue(long nanos) {
         return loading && nanos - loadSentNanos > LOAD_TIMEOUT.toNanos();
     }
 
-    /** Ends a search; the answer to an earlier one is passed over. */
+    /** Ends a search; returns false for the result of an earlier search, which is ignored. */
     boolean endLoading(long number) {
         if (!loading || number != loadNumber) {
             return false;
@@ -76,17 +78,20 @@
         return true;
     }
 
-    /** Stops waiting for a search. */
+    /** Cancels the search; its result will be ignored. */
     void cancelLoading() {
         loading = false;
     }
 
-    /** Learns of a whole snapshot. */
+    /** Records that a complete snapshot covers the claims stream up to an offset. */
     void recordSnapshot(long offset, long streamMillis) {
         schedule.recordSnapshot(offset, streamMillis);
     }
 
-    /** Looks at the snapshot stream when one is due; the actor gets {@link ClaimsCommand.SnapshotTailRead}. */
+    /**
+     * Reads the end of the snapshot stream if a snapshot is due; the actor receives
+     * {@link ClaimsCommand.SnapshotTailRead}.
+     */
     void tick(ClaimStateMachine stateMachine, long nanos) {
         if (inProgress || loading || !stateMachine.caughtUp() || nanos - nextCheckNanos < 0) {
             return;
@@ -100,7 +105,9 @@
                 (tail, failure) -> new ClaimsCommand.SnapshotTailRead(failure == null ? tail : Optional.empty()));
     }
 
-    /** Writes a snapshot unless another process does; the actor gets {@link ClaimsCommand.SnapshotDone}. */
+    /**
+     * Writes a snapshot unless another process is writing one; the actor receives {@link ClaimsCommand.SnapshotDone}.
+     */
     void write(Optional<SnapshotTail> tail, ClaimStateMachine stateMachine, long nanos) {
         boolean write = tail.isPresent()
                 && schedule.shouldWrite(tail.get(), stateMachine.nextOffset(), stateMachine.streamMillis());
@@ -115,12 +122,12 @@
                 image,
                 writer,
                 executor,
-                whole -> context.getSelf()
-                        .tell(new ClaimsCommand.SnapshotDone(image.nextOffset(), image.streamMillis(), whole)));
+                complete -> context.getSelf()
+                        .tell(new ClaimsCommand.SnapshotDone(image.nextOffset(), image.streamMillis(), complete)));
         context.spawnAnonymous(behavior);
     }
 
-    /** Learns that the writer ended. */
+    /** Handles the end of the snapshot writer. */
     void snapshotDone(ClaimsCommand.SnapshotDone done, long nanos) {
         if (done.complete()) {
             schedule.recordSnapshot(done.covers(), done.streamMillis());
--- a/library/src/main/java/org/chivetally/claim/SnapshotReader.java
+++ b/library/src/main/java/org/chivetally/claim/SnapshotReader.java
@@ -10,7 +10,7 @@
 import org.chivetally.log.ReadOutcome;
 import org.chivetally.logging.EventLine;
 
-/** Reads the snapshot stream from its end backwards, as far as is needed for one whole snapshot. */
+/** Reads the snapshot stream backwards from its end until it finds a complete snapshot. */
 final class SnapshotReader {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
     private static final int RECORDS_PER_READ = 16;
@@ -20,13 +20,13 @@
     private final PlatformLog log;
     private final Executor executor;
 
-    /** Creates a reader; chunks are put together on the executor. */
+    /** Creates a reader; chunks are assembled on the executor. */
     SnapshotReader(PlatformLog log, Executor executor) {
         this.log = log;
         this.executor = executor;
     }
 
-    /** Returns the newest whole, valid snapshot. */
+    /** Returns the newest complete, valid snapshot. */
     CompletionStage<SnapshotLoadResult> load() {
         return bounds().thenCompose(bounds -> switch (bounds) {
             case Bounds.Known known -> load(known, INITIAL_RECORD_COUNT);
@@ -34,7 +34,7 @@
         });
     }
 
-    /** Returns the end of the stream, or nothing when the log can't be reached. */
+    /** Returns the end of the stream; empty if the log is unavailable. */
     CompletionStage<Optional<SnapshotTail>> tail() {
         return bounds().thenCompose(bounds -> switch (bounds) {
             case Bounds.Known known -> tail(known);
@@ -58,8 +58,8 @@
         if (found.records().isEmpty()) {
             return Optional.empty();
         }
-        return SnapshotChunk.decode(found.records().getLast().payload()) instanceof DecodedChunk.Valid known
-                ? Optional.of(known.chunk().header())
+        return SnapshotChunk.decode(found.records().getLast().payload()) instanceof DecodedChunk.Valid valid
+                ? Optional.of(valid.chunk().header())
                 : Optional.empty();
     }
 
@@ -122,12 +122,12 @@
         return CompletableFuture.completedFuture(value);
     }
 
-    /** Where the stream begins and ends. */
+    /** The retained range of the stream. */
     private sealed interface Bounds {
-        /** The oldest kept offset, and the one that the next record will get. */
+        /** The earliest retained offset, and the offset of the next record that will be written. */
         record Known(long earliest, long end) implements Bounds {}
 
-        /** The log can't be reached. */
+        /** The log is unavailable. */
         record Unknown(String reason) implements Bounds {}
     }
 }
--- a/library/src/main/java/org/chivetally/claim/SnapshotSchedule.java
+++ b/library/src/main/java/org/chivetally/claim/SnapshotSchedule.java
@@ -3,9 +3,10 @@
 /**
  * Decides when this process writes a snapshot.
  *
- * <p>Ages are counted in the stream's time, so that processes which are all replaced more often than snapshots are due
- * still write them. Each process waits a little longer by its name, looks at the stream first, and leaves the work to
- * another that is at it; two writers do no harm but cost.
+ * <p>Ages are measured in stream time, so that snapshots are written even if every process is restarted more often than
+ * snapshots are due. Each process has a different due time, derived from its name, and reads the end of the snapshot
+ * stream first to leave the work to a process that is already writing. Two concurrent writers do no harm except for the
+ * additional load.
  */
 final class SnapshotSchedule {
     private static final int JITTER_STEPS = 100;
@@ -17,7 +18,11 @@
     private long coveredMillis;
     private long lastEndOffset = -1;
 
-    /** Creates a schedule for a process by its name. */
+    /**
+     * Creates the schedule of a process.
+     *
+     * @param processId name of the process, which determines its share of the jitter
+     */
     SnapshotSchedule(SnapshotSettings settings, String processId) {
         double share = Math.floorMod(processId.hashCode(), JITTER_STEPS) / (double) JITTER_STEPS;
         double factor = 1 - (1 - share) / JITTER_DIVISOR;
@@ -25,7 +30,7 @@
         this.dueRecords = Math.max(1, Math.round(settings.records() * factor));
     }
 
-    /** Learns that a whole snapshot covers the stream up to an offset. */
+    /** Records that a complete snapshot covers the claims stream up to an offset. */
     void recordSnapshot(long offset, long streamMillis) {
         if (offset > coveredOffset) {
             coveredOffset = offset;
@@ -33,13 +38,18 @@
         }
     }
 
-    /** Tells whether a snapshot is wanted. */
+    /**
+     * Returns whether a snapshot is due.
+     *
+     * @param nextOffset offset of the next record of the claims stream
+     * @param streamMillis the stream time in milliseconds
+     */
     boolean isDue(long nextOffset, long streamMillis) {
         boolean isNew = nextOffset > coveredOffset;
         return isNew && (streamMillis - coveredMillis >= dueMillis || nextOffset - coveredOffset >= dueRecords);
     }
 
-    /** Decides, by the end of the snapshot stream, whether this process writes the snapshot that is due. */
+    /** Decides by the end of the snapshot stream whether this process writes the snapshot that is due. */
     boolean shouldWrite(SnapshotTail tail, long nextOffset, long streamMillis) {
         boolean grew = tail.endOffset() != lastEndOffset;
         lastEndOffset = tail.endOffset();
@@ -51,7 +61,8 @@
             recordSnapshot(newest.covers(), newest.streamMillis());
             return isDue(nextOffset, streamMillis);
         }
-        // Another process is at it, unless it stopped half way: then the stream has not grown since the last look.
+        // Another process is writing a snapshot, unless it stopped before the last chunk: then the stream has not grown
+        // since the last check.
         return !grew;
     }
 }
--- a/library/src/main/java/org/chivetally/claim/SnapshotTail.java
+++ b/library/src/main/java/org/chivetally/claim/SnapshotTail.java
@@ -6,8 +6,8 @@
 /**
  * The end of the snapshot stream.
  *
- * @param endOffset offset that its next record will get
- * @param newest header of its last record, if that is a valid chunk
+ * @param endOffset offset of the next record that will be written
+ * @param newest header of the last record, if that is a valid chunk
  */
 record SnapshotTail(long endOffset, Optional<SnapshotHeader> newest) {
     SnapshotTail {
--- a/library/src/main/java/org/chivetally/claim/SnapshotWriter.java
+++ b/library/src/main/java/org/chivetally/claim/SnapshotWriter.java
@@ -17,7 +17,10 @@
 import org.chivetally.log.PlatformLog;
 import org.chivetally.logging.EventLine;
 
-/** Appends one snapshot, chunk by chunk with pauses, and stops. A chunk in doubt is repeated; readers drop repeats. */
+/**
+ * Actor that appends one snapshot, chunk by chunk with pauses, and then stops. A chunk whose append failed or timed out
+ * is sent again; readers tolerate duplicates.
+ */
 final class SnapshotWriter extends AbstractBehavior<SnapshotWriter.Command> {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
     private static final int MAXIMUM_FAILURES = 20;
@@ -48,10 +51,10 @@
     }
 
     /**
-     * Returns the behaviour.
+     * Returns the actor's behavior.
      *
-     * @param executor makes the chunks, which takes long for a large table
-     * @param whenDone told whether the whole snapshot was written
+     * @param executor encodes the chunks, which takes long for a large table
+     * @param completionListener called with true if all chunks were written, otherwise with false
      */
     static Behavior<Command> create(
             PlatformLog log,
@@ -135,12 +138,16 @@
     /** Messages of the writer. */
     sealed interface Command {}
 
-    /** The chunks are made; none when that failed. */
+    /** The chunks are encoded; empty if encoding failed. */
     record Encoded(List<NewRecord> chunks) implements Command {}
 
-    /** Append the next chunk. */
+    /** Appends the next chunk. */
     record Send() implements Command {}
 
-    /** An append was answered, or not in time. */
+    /**
+     * An append was answered or has timed out.
+     *
+     * @param attempt number of the append, so that late answers are ignored
+     */
     record Answered(int attempt, AppendOutcome outcome) implements Command {}
 }
--- a/library/src/main/java/org/chivetally/claim/StreamTime.java
+++ b/library/src/main/java/org/chivetally/claim/StreamTime.java
@@ -3,26 +3,30 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * One process's estimate of the stream's time: milliseconds that have passed in the life of the claims stream.
+ * One process's estimate of the stream time: the milliseconds that have passed since the claims stream began.
  *
- * <p>Every record carries its writer's estimate, and the fold keeps the highest one it has met; windows end by that. If
- * each reader ended windows by its own clock instead, a reader that lags would still hold a key when another has
- * already let it be claimed anew; it would pass over the new claim, forget the key later, and let a third claim start
- * the same tasks again within the second one's window. With the time in the stream all readers agree.
+ * <p>Every record carries its writer's estimate, and the fold keeps the maximum, by which deduplication windows end. If
+ * each reader ended windows by its own clock instead, a lagging reader would still hold a key that another has already
+ * allowed to be claimed again. It would ignore the new claim, remove the old one later, and accept a third claim, whose
+ * tasks would run a second time within the window of the second claim. With the time in the stream all readers agree.
  *
- * <p>An estimate never runs ahead: it is a time that the stream was known to have reached, plus what has passed since
- * on the monotonic clock. While nobody writes, the stream's time stands still, and keys stay taken a little longer.
+ * <p>An estimate is never ahead of real time: it is the last known stream time plus the time since then by the
+ * monotonic clock. While no process writes, the stream time does not advance, and keys stay claimed a little longer.
  */
 final class StreamTime {
     private long baseMillis;
     private long baseNanos;
 
-    /** Begins at zero, at the given reading of the clock. */
+    /**
+     * Starts with stream time 0.
+     *
+     * @param nanos monotonic clock reading in nanoseconds
+     */
     StreamTime(long nanos) {
         this.baseNanos = nanos;
     }
 
-    /** Learns that the stream had reached a time when the clock was read. */
+    /** Advances the estimate to a stream time that was read at a clock reading; a lower time changes nothing. */
     void advanceTo(long streamMillis, long nanos) {
         if (streamMillis > estimate(nanos)) {
             baseMillis = streamMillis;
@@ -30,7 +34,7 @@
         }
     }
 
-    /** Returns the least that the stream's time can be, in milliseconds. */
+    /** Returns a lower bound of the stream time at a clock reading, in milliseconds. */
     long estimate(long nanos) {
         return baseMillis + TimeUnit.NANOSECONDS.toMillis(nanos - baseNanos);
     }
--- a/library/src/main/java/org/chivetally/claim/TableImage.java
+++ b/library/src/main/java/org/chivetally/claim/TableImage.java
@@ -6,9 +6,9 @@
 /**
  * The content of a {@link ClaimTable} at one offset.
  *
- * @param nextOffset offset of the first record that is not in it
- * @param streamMillis the stream's time at that offset
- * @param writers how far each writer has got, by name
+ * @param nextOffset offset of the first record that is not included
+ * @param streamMillis the stream time at that offset, in milliseconds
+ * @param writers the last known state of each writer, sorted by name
  * @param claims the claims in force, oldest first
  */
 record TableImage(long nextOffset, long streamMillis, List<Writer> writers, List<CompactClaim> claims) {
@@ -18,11 +18,12 @@
     }
 
     /**
-     * How far one writer has got.
+     * The last known state of one writer.
      *
-     * @param sequence count of its newest record
-     * @param lastMillis the stream's time when that record was folded
-     * @param lastRenewal offset of its newest renewal, {@link ClaimRecord.TakenOver#NO_RENEWAL} when there is none
+     * @param name writer name, see {@link RecordId#writerOf}
+     * @param sequence sequence number of its last record
+     * @param lastMillis stream time when that record was applied, in milliseconds
+     * @param lastRenewal offset of its last renewal, {@link ClaimRecord.TakenOver#NO_RENEWAL} if there is none
      */
     record Writer(String name, long sequence, long lastMillis, long lastRenewal) {
         Writer {
--- a/library/src/main/java/org/chivetally/claim/TailSettings.java
+++ b/library/src/main/java/org/chivetally/claim/TailSettings.java
@@ -3,25 +3,25 @@
 import java.time.Duration;
 
 /**
- * How a stream is followed.
+ * How the claims stream is read.
  *
- * @param pollWait how long the log may hold a read back when there is nothing new
- * @param answerTimeout how long beyond that an answer of the log is waited for
+ * @param pollWait how long the log may hold a read back while there is no new record
+ * @param answerTimeout how long an append, or a read beyond {@code pollWait}, may remain unanswered
  * @param retryInterval pause after a failed read
- * @param readLimit most records of one read
+ * @param readLimit maximum number of records of one read
  */
 public record TailSettings(Duration pollWait, Duration answerTimeout, Duration retryInterval, int readLimit) {
-    /** Refuses times and sizes that are not positive. */
+    /** Rejects durations and sizes that are not positive. */
     public TailSettings {
         if (!pollWait.isPositive() || !answerTimeout.isPositive() || !retryInterval.isPositive()) {
-            throw new IllegalArgumentException("times of the tail are positive");
+            throw new IllegalArgumentException("pollWait, answerTimeout and retryInterval must be positive");
         }
         if (readLimit < 1) {
-            throw new IllegalArgumentException("a read fetches at least one record");
+            throw new IllegalArgumentException("readLimit must be at least 1");
         }
     }
 
-    /** Returns the usual settings. */
+    /** Returns the default settings. */
     public static TailSettings defaults() {
         return new TailSettings(Duration.ofSeconds(1), Duration.ofSeconds(1), Duration.ofMillis(200), 1_000);
     }
--- a/library/src/main/java/org/chivetally/claim/TokenBucket.java
+++ b/library/src/main/java/org/chivetally/claim/TokenBucket.java
@@ -2,14 +2,19 @@
 
 import java.time.Duration;
 
-/** Bounds a rate: tokens come in steadily, up to a burst, and each use takes one. */
+/** Token bucket rate limiter: tokens are added at a constant rate up to the burst size, and each use takes one. */
 final class TokenBucket {
     private final long nanosPerToken;
     private final long capacityNanos;
     private long creditNanos;
     private long refilledNanos;
 
-    /** Creates a full bucket. */
+    /**
+     * Creates a full bucket.
+     *
+     * @param burst capacity of the bucket, in tokens
+     * @param nanos monotonic clock reading in nanoseconds
+     */
     TokenBucket(double tokensPerSecond, int burst, long nanos) {
         this.nanosPerToken = Math.max(1, Math.round(Duration.ofSeconds(1).toNanos() / tokensPerSecond));
         this.capacityNanos = nanosPerToken * burst;
@@ -17,7 +22,7 @@
         this.refilledNanos = nanos;
     }
 
-    /** Takes a token if there is one. */
+    /** Takes a token if one is available; returns whether it was. */
     boolean tryAcquire(long nanos) {
         creditNanos = Math.min(capacityNanos, creditNanos + (nanos - refilledNanos));
         refilledNanos = nanos;
--- a/library/src/main/java/org/chivetally/claim/package-info.java
+++ b/library/src/main/java/org/chivetally/claim/package-info.java
@@ -1,15 +1,17 @@
 /**
- * Which submission of a key counts, and which process coordinates its job, as the platform's log decides it.
+ * Claims of idempotency keys: which submission of a key is accepted, and which process coordinates its job, as decided
+ * by the order of records in the platform log.
  *
- * <p>{@link org.chivetally.claim.LogClaims} is the way in. Behind it an actor hands what happens to a
- * {@link org.chivetally.claim.Claimant}, which decides without threads, timers or the log: it folds the stream into a
- * {@link org.chivetally.claim.ClaimTable}, counts leases in a {@link org.chivetally.claim.LeaseTable} and an
- * {@link org.chivetally.claim.OwnLease}, and gathers records in a {@link org.chivetally.claim.GroupCommit}.
+ * <p>{@link org.chivetally.claim.LogClaims} is the entry point. Its actor passes events to a
+ * {@link org.chivetally.claim.ClaimStateMachine}, which uses no threads, no timers and no log of its own: it folds the
+ * stream into a {@link org.chivetally.claim.ClaimTable}, tracks leases in a {@link org.chivetally.claim.LeaseTable} and
+ * an {@link org.chivetally.claim.OwnLease}, and batches records in a {@link org.chivetally.claim.GroupCommit}.
  *
- * <p>Three rules make the fold the same for all readers. A record id is its writer and the writer's count; a record
- * whose count is not higher than the writer's last one is dropped, so that late repeats never count and what was given
- * up is void once anything newer of its writer stands ({@link org.chivetally.claim.RecordId}). Windows end by the
- * stream's own time, which records carry ({@link org.chivetally.claim.StreamTime}). A claim that its process gave up is
- * released ({@link org.chivetally.claim.ClaimRecord.Released}).
+ * <p>Three rules make the fold return the same result for all readers. A record id consists of its writer and the
+ * writer's sequence number; a record whose sequence number is not higher than the writer's last one is dropped, so that
+ * late duplicates have no effect, and neither has an abandoned record once a newer one of its writer has been read
+ * ({@link org.chivetally.claim.RecordId}). Deduplication windows end by the stream time that records carry
+ * ({@link org.chivetally.claim.StreamTime}). A claim that its process abandoned is released
+ * ({@link org.chivetally.claim.ClaimRecord.Released}).
  */
 package org.chivetally.claim;
