--- a/library/src/test/java/org/chivetally/claim/ClaimRecordCodecTest.java
+++ b/library/src/test/java/org/chivetally/claim/ClaimRecordCodecTest.java
@@ -15,6 +15,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
+/** Records of running installations must stay readable, and malformed ones must not stop a reader. */
 class ClaimRecordCodecTest {
     private static final Instant WRITTEN = Instant.parse("2026-03-01T08:00:00Z");
     private static final List<ClaimRecord> RECORDS = List.of(
@@ -27,7 +28,10 @@
             ClaimSamples.takenOver("job-1", "b", 2, 17),
             ClaimSamples.takenOver("job-1", "b", 2));
 
-    /** The file holds what is in the logs of running installations: it may grow, but no line may change. */
+    /**
+     * Guards against changes of the stored format. The file contains records as they are in the logs of running
+     * installations: lines may be added, but none may change.
+     */
     @Test
     void encodingMatchesStoredRecords() throws IOException {
         List<String> lines = RECORDS.stream()
@@ -37,6 +41,7 @@
         assertThat(lines, is(storedLines()));
     }
 
+    /** Guards against a version that can't read the records of earlier versions. */
     @Test
     void storedRecordsAreDecoded() throws IOException {
         List<DecodedRecord> decoded = storedLines().stream()
@@ -48,6 +53,7 @@
         assertThat(decoded, is(expected));
     }
 
+    /** A later version may add fields; an earlier one must not skip such a record, or their tables would differ. */
     @Test
     void unknownFieldsAreIgnored() {
         String line =
@@ -73,6 +79,7 @@
                 "{\"format\":1,\"type\":\"finished\",\"team\":\"t\",\"key\":\"k\",\"job\":\"j\",\"time\":\"x\"}",
                 "{\"format\":1,\"type\":\"finished\",\"team\":\"t\",\"key\":\"k\",\"job\":\"j\""
             })
+    /** A malformed record, or one of an unknown type or format, must not fail the reader with an exception. */
     void unreadableRecordIsSkipped(String line) {
         DecodedRecord decoded = ClaimRecordCodec.decode(line.getBytes(StandardCharsets.UTF_8));
         assertThat(decoded, instanceOf(DecodedRecord.Skipped.class));
--- a/library/src/test/java/org/chivetally/claim/ClaimSamples.java
+++ b/library/src/test/java/org/chivetally/claim/ClaimSamples.java
@@ -5,7 +5,7 @@
 import org.chivetally.job.JobId;
 import org.chivetally.log.NewRecord;
 
-/** Values that the tests of this package share. */
+/** Sample values shared by the tests of this package. */
 final class ClaimSamples {
     static final SubmissionKey KEY = new SubmissionKey("team", "key");
     static final SubmissionKey OTHER_KEY = new SubmissionKey("team", "other");
@@ -39,7 +39,7 @@
         return new Claim(KEY, BODY, new JobId(job), process(process), generation, false);
     }
 
-    static NewRecord written(String process, long sequence, ClaimRecord content, long streamMillis) {
+    static NewRecord newRecord(String process, long sequence, ClaimRecord content, long streamMillis) {
         return new NewRecord(
                 id(process, sequence).text(),
                 ClaimRecordCodec.encode(new TimestampedRecord(content, streamMillis), Instant.EPOCH));
--- a/library/src/test/java/org/chivetally/claim/ClaimStateMachinePropertiesTest.java
+++ b/library/src/test/java/org/chivetally/claim/ClaimStateMachinePropertiesTest.java
@@ -25,12 +25,13 @@
 import org.chivetally.log.LogRecord;
 import org.chivetally.log.NewRecord;
 
+/** Runs several claim state machines against a simulated log with random faults. */
 class ClaimStateMachinePropertiesTest {
     /**
-     * Whatever the log does to appends and answers, and however long processes stand still: a key and generation is won
-     * once, each caller gets a decision, all processes agree in the end, no key belongs to a process that told its
-     * caller "not run", and no process gives up what it was told to have won. Appends land late, several times or
-     * never; answers are lost or come late; processes race.
+     * Checks that for random log faults and pauses of processes a key and generation is won at most once, each caller
+     * gets a decision, all processes finally agree, no key belongs to a process that answered "not run", and no process
+     * abandons a claim that it was reported to have won. Appends are written late, several times or never, answers are
+     * lost or late, and processes race.
      */
     @Property(tries = 2_000)
     void oneWinnerAndNoOrphans(@ForAll("schedules") List<Step> schedule) {
@@ -49,7 +50,10 @@
         }
     }
 
-    /** A snapshot that covers less than was read changes nothing: claims known once are never forgotten early. */
+    /**
+     * A snapshot that covers fewer records than were read must change nothing, or claims would be removed before the
+     * end of their windows.
+     */
     @Example
     void olderSnapshotDoesNotReplaceNewerTable() {
         Simulation simulation = new Simulation();
@@ -166,7 +170,7 @@
             });
         }
 
-        /** All others stand still for longer than their leases. */
+        /** Runs one process alone for longer than the leases of all others. */
         private void runAlone(Process process) {
             for (int round = 0; round < 4; round++) {
                 clock.advance(Duration.ofSeconds(3));
@@ -192,7 +196,7 @@
             perform(process);
             process.stateMachine().nextAppend(clock.nanos()).ifPresent(batch -> {
                 List<NewRecord> records = batch.records().stream()
-                        .map(outgoing -> ClaimSamples.written(
+                        .map(outgoing -> ClaimSamples.newRecord(
                                 process.self().processId(),
                                 outgoing.sequence(),
                                 outgoing.content(),
@@ -213,9 +217,9 @@
         private void answer(InFlightAppend flight, int number) {
             boolean refuse = number % 3 == 0 && !flight.written;
             flight.refused = flight.refused || refuse;
-            AppendOutcome known = flight.written ? new AppendOutcome.Appended(0) : new AppendOutcome.Unknown("late");
+            AppendOutcome truthful = flight.written ? new AppendOutcome.Appended(0) : new AppendOutcome.Unknown("late");
             AppendOutcome lost = refuse ? new AppendOutcome.Refused("down") : new AppendOutcome.Unknown("lost");
-            flight.sender.appendCompleted(flight.number, number % 3 == 1 ? known : lost, clock.nanos());
+            flight.sender.appendCompleted(flight.number, number % 3 == 1 ? truthful : lost, clock.nanos());
         }
 
         private void read(Process process) {
@@ -232,7 +236,7 @@
             processes.forEach(this::read);
         }
 
-        /** The log works again, and whatever was under way either lands or never does. */
+        /** Ends all faults; appends in flight are either written or never will be. */
         private void quiesce() {
             appends.forEach(flight -> answer(flight, 2));
             appends.forEach(flight -> flight.written = true);
--- a/library/src/test/java/org/chivetally/claim/ClaimStateMachineTest.java
+++ b/library/src/test/java/org/chivetally/claim/ClaimStateMachineTest.java
@@ -11,6 +11,7 @@
 import org.chivetally.log.NewRecord;
 import org.junit.jupiter.api.Test;
 
+/** Checks orders of events that are rare in a running installation. */
 class ClaimStateMachineTest {
     private static final Duration LAPSE = Duration.ofSeconds(1);
     private static final ClaimSettings SETTINGS = settingsWithLongClaimTimeout();
@@ -25,8 +26,9 @@
             clock);
 
     /*
-     * A takeover waits for the log for so long that the lease is renewed and lapses again, and is then asked for anew.
-     * The two name different renewals; written both, the second would be told the first one's victory as its own.
+     * A takeover waits for the log for so long that the lease is renewed and lapses again, and is then requested a
+     * second time. The two requests specify different renewals; if both were written, the second one would be reported
+     * as won although the first one had won.
      */
     @Test
     void takeoversToOneGenerationShareARecord() {
@@ -50,7 +52,7 @@
     }
 
     private void write(long sequence, ClaimRecord content) {
-        NewRecord record = ClaimSamples.written("a", sequence, content, 0);
+        NewRecord record = ClaimSamples.newRecord("a", sequence, content, 0);
         stream.add(new LogRecord(stream.size(), record.id(), record.payload()));
         stateMachine.recordsRead(List.of(stream.getLast()), stream.size(), clock.nanos(), clock.nanos());
         clock.advance(LAPSE);
--- a/library/src/test/java/org/chivetally/claim/ClaimTablePropertiesTest.java
+++ b/library/src/test/java/org/chivetally/claim/ClaimTablePropertiesTest.java
@@ -18,13 +18,14 @@
 import org.chivetally.log.LogRecord;
 import org.chivetally.log.NewRecord;
 
+/** Properties of the claim table for random streams with duplicated records. */
 class ClaimTablePropertiesTest {
     private static final int PROCESSES = 3;
-    private static final long WINDOW = ClaimSamples.WINDOW.toMillis();
+    private static final long WINDOW_MILLIS = ClaimSamples.WINDOW.toMillis();
 
     /**
-     * All readers get the same table: one that reads every record, one that reads overlapping stretches, and one that
-     * begins with a snapshot, whatever the snapshot cuts in two.
+     * All readers get the same table: one that reads every record once, one that reads some records twice, and one that
+     * starts from a snapshot at a random offset. If they differed, two processes could coordinate one job.
      */
     @Property
     void allReadersGetTheSameTable(@ForAll("streams") List<Written> stream, @ForAll @IntRange(max = 100) int percent) {
@@ -42,8 +43,8 @@
     }
 
     /**
-     * A key and generation have at most one winner: a key is won again only after its release or its window, and
-     * generations of a claim grow one by one.
+     * A key and generation have at most one winner: a key is won again only after its release or the end of its window,
+     * and the generations of a claim increase by one.
      */
     @Property
     void keyAndGenerationHaveOneWinner(@ForAll("streams") List<Written> stream) {
@@ -54,8 +55,8 @@
             FoldResult folded = written.fold(table);
             if (folded instanceof FoldResult.Won won) {
                 SubmissionKey key = won.claim().key();
-                long since = table.streamMillis() - wonMillis.getOrDefault(key, -WINDOW);
-                assertThat(!generations.containsKey(key) || since >= WINDOW, is(true));
+                long since = table.streamMillis() - wonMillis.getOrDefault(key, -WINDOW_MILLIS);
+                assertThat(!generations.containsKey(key) || since >= WINDOW_MILLIS, is(true));
                 generations.put(key, 1);
                 wonMillis.put(key, table.streamMillis());
             }
@@ -70,7 +71,10 @@
         }
     }
 
-    /** Streams as processes write them: counts grow by writer, and any earlier record may land again at any place. */
+    /**
+     * Streams as processes write them: each writer's sequence numbers increase, and any earlier record may be written
+     * again at any later position.
+     */
     @Provide
     Arbitrary<List<Written>> streams() {
         Arbitrary<Step> step = Combinators.combine(
@@ -78,7 +82,7 @@
                         Arbitraries.integers().between(0, 9),
                         Arbitraries.integers().between(0, 4),
                         Arbitraries.integers().between(1, 3),
-                        Arbitraries.longs().between(0, WINDOW / 3))
+                        Arbitraries.longs().between(0, WINDOW_MILLIS / 3))
                 .as(Step::new);
         return step.list().ofMaxSize(60).map(ClaimTablePropertiesTest::toStream);
     }
--- a/library/src/test/java/org/chivetally/claim/ClaimTableTest.java
+++ b/library/src/test/java/org/chivetally/claim/ClaimTableTest.java
@@ -8,12 +8,14 @@
 import org.chivetally.job.JobId;
 import org.junit.jupiter.api.Test;
 
+/** Checks how single records change the claim table. */
 class ClaimTableTest {
-    private static final long END = ClaimSamples.WINDOW.toMillis();
+    private static final long WINDOW_MILLIS = ClaimSamples.WINDOW.toMillis();
 
     private final ClaimTable table = new ClaimTable();
     private long sequence;
 
+    /** If a second claim won as well, the job would run twice. */
     @Test
     void firstClaimOfKeyWins() {
         assertThat(fold(claimed("job-1", "a")), is(new FoldResult.Won(ClaimSamples.claim("job-1", "a", 1))));
@@ -23,6 +25,7 @@
         assertThat(table.find(new JobId("job-2")), is(Optional.empty()));
     }
 
+    /** Equal keys of two teams must not attach one team's caller to the other team's job. */
     @Test
     void keysAreScopedByTeam() {
         fold(claimed("job-1", "a"));
@@ -31,6 +34,7 @@
         assertThat(folded, instanceOf(FoldResult.Won.class));
     }
 
+    /** Of several takeovers of one job only one may win, and none of an outdated generation or of another job. */
     @Test
     void onlyTakeoverByTheNextGenerationWins() {
         fold(claimed("job-1", "a"));
@@ -45,8 +49,9 @@
     }
 
     /*
-     * A process renewed its lease, and another one sent a takeover before it had read that: the job stays where it is.
-     * A takeover that names this renewal, or that follows a renewal of a process that has no part in the claim, wins.
+     * A process renewed its lease, and another one sent a takeover before reading that: the job must stay where it is.
+     * A takeover that specifies this renewal wins, and a renewal of a process that does not coordinate the job makes no
+     * difference.
      */
     @Test
     void takeoverLosesToRenewalItDoesNotSpecify() {
@@ -62,6 +67,10 @@
         assertThat(fold(ClaimSamples.takenOver("job-1", "b", 2, second)), instanceOf(FoldResult.TakenOver.class));
     }
 
+    /**
+     * Records of earlier versions carry no renewal offset; deciding them in another way than those versions did would
+     * change existing tables.
+     */
     @Test
     void formatOneTakeoverIsDecidedByGenerationAlone() {
         fold(claimed("job-1", "a"));
@@ -70,6 +79,7 @@
         assertThat(fold(takenOver), instanceOf(FoldResult.TakenOver.class));
     }
 
+    /** A release must not free the key of another job, coordinator or generation, whose tasks may be running. */
     @Test
     void releaseFreesOnlyTheClaimItNames() {
         fold(claimed("job-1", "a"));
@@ -83,8 +93,8 @@
     }
 
     /*
-     * A claim was released, and its key is free; then the append that carried the claim lands a second time.
-     * The repeat must not claim the key again: its process gave it up, and nobody would work on the job.
+     * A claim was released and its key is free; then the append that carried the claim is written a second time. The
+     * duplicate must not claim the key again: its process abandoned it, and no process would work on the job.
      */
     @Test
     void repeatOfReleasedClaimIsDropped() {
@@ -96,25 +106,31 @@
         assertThat(inForce(), is(Optional.empty()));
     }
 
+    /** A key must stay claimed for its whole window and be free afterwards, in the same way for all readers. */
     @Test
     void keyIsFreeAfterItsWindowInStreamTime() {
         fold(claimed("job-1", "a"), 1_000);
-        assertThat(fold(claimed("job-2", "b"), 1_000 + END - 1), is(new FoldResult.Unchanged()));
-        FoldResult folded = fold(claimed("job-3", "b"), 1_000 + END);
+        assertThat(fold(claimed("job-2", "b"), 1_000 + WINDOW_MILLIS - 1), is(new FoldResult.Unchanged()));
+        FoldResult folded = fold(claimed("job-3", "b"), 1_000 + WINDOW_MILLIS);
         assertThat(folded, is(new FoldResult.Won(ClaimSamples.claim("job-3", "b", 1))));
         assertThat(table.find(new JobId("job-1")), is(Optional.empty()));
         assertThat(table.size(), is(1));
     }
 
+    /**
+     * A record of a process whose estimate lags must not set the stream time back, as that would extend the windows of
+     * all claims.
+     */
     @Test
     void streamTimeNeverGoesBack() {
-        fold(claimed("job-1", "a"), END);
+        fold(claimed("job-1", "a"), WINDOW_MILLIS);
         fold(ClaimSamples.takenOver("job-1", "b", 2), 1);
-        assertThat(table.streamMillis(), is(END));
-        fold(ClaimSamples.takenOver("job-1", "c", 3), 2 * END - 1);
+        assertThat(table.streamMillis(), is(WINDOW_MILLIS));
+        fold(ClaimSamples.takenOver("job-1", "c", 3), 2 * WINDOW_MILLIS - 1);
         assertThat(inForce(), is(Optional.of(ClaimSamples.claim("job-1", "c", 3))));
     }
 
+    /** A finished job must keep its key, or a resubmission would run it again. */
     @Test
     void finishedJobStaysClaimed() {
         fold(claimed("job-1", "a"));
@@ -126,7 +142,8 @@
     }
 
     /*
-     * A coordinator that lost its job says that it is finished, as far as it is concerned. The job goes on elsewhere.
+     * A replaced coordinator records an outcome of its own although the job continues at its successor: it must not
+     * mark the job as finished.
      */
     @Test
     void onlyTheCoordinatorInForceFinishesAJob() {
@@ -138,10 +155,12 @@
         assertThat(inForce().orElseThrow().finished(), is(true));
     }
 
+    /** A read that overlaps with an earlier one must not apply the same records twice. */
     @Test
     void foldedRecordsAreNotFoldedAgain() {
         fold(claimed("job-1", "a"));
-        FoldResult again = table.fold(0, ClaimSamples.id("a", 99), new TimestampedRecord(claimed("job-9", "a"), END));
+        FoldResult again =
+                table.fold(0, ClaimSamples.id("a", 99), new TimestampedRecord(claimed("job-9", "a"), WINDOW_MILLIS));
         assertThat(again, is(new FoldResult.Unchanged()));
         assertThat(table.nextOffset(), is(1L));
         assertThat(table.streamMillis(), is(0L));
--- a/library/src/test/java/org/chivetally/claim/GroupCommitTest.java
+++ b/library/src/test/java/org/chivetally/claim/GroupCommitTest.java
@@ -12,18 +12,20 @@
 import org.chivetally.log.AppendOutcome;
 import org.junit.jupiter.api.Test;
 
+/** Checks the order, rate and repetition of appends. */
 class GroupCommitTest {
     private static final GroupCommitSettings SETTINGS =
             new GroupCommitSettings(10, 2, 3, 4, Duration.ofMillis(500), Duration.ofMillis(200));
-    private static final long START = Long.MAX_VALUE - 5;
+    private static final long START_NANOS = Long.MAX_VALUE - 5;
     private static final AppendOutcome APPENDED = new AppendOutcome.Appended(0);
     private static final AppendOutcome UNKNOWN = new AppendOutcome.Unknown("lost");
     private static final AppendOutcome REFUSED = new AppendOutcome.Refused("full");
     private static final ClaimRecord RENEWAL =
             new ClaimRecord.Renewed(ClaimSamples.process("a"), Duration.ofSeconds(6));
 
-    private final GroupCommit commit = new GroupCommit(SETTINGS, START);
+    private final GroupCommit commit = new GroupCommit(SETTINGS, START_NANOS);
 
+    /** A renewal that waited for queued claims could be written after the lease has ended. */
     @Test
     void queuedRecordsShareOneAppendWithRenewalsFirst() {
         commit.offer(claim(1));
@@ -35,6 +37,7 @@
         assertThat(sequences(batch), contains(1L, 2L, 3L, 4L));
     }
 
+    /** With two appends in flight, records could be written out of sequence and be dropped as duplicates. */
     @Test
     void onlyOneAppendIsInFlight() {
         commit.offer(claim(1));
@@ -45,6 +48,7 @@
         assertThat(contents(poll(100).orElseThrow()), contains(claim(2)));
     }
 
+    /** Records that are not urgent must not use up the append rate of claims, and must not queue without bound. */
     @Test
     void lazyRecordsWaitForOthersUntilTheyFillAnAppend() {
         commit.addLazy(finished(1));
@@ -55,6 +59,7 @@
         assertThat(contents(poll(60_000).orElseThrow()), contains(finished(1), finished(2), finished(3), finished(4)));
     }
 
+    /** Guards against an entry that exceeds its share of the log's append rate. */
     @Test
     void appendsStayWithinBurstAndRate() {
         List<Long> sentMillis = new ArrayList<>();
@@ -69,6 +74,7 @@
         assertThat(sentMillis, contains(0L, 10L, 100L, 200L, 300L, 400L, 500L, 600L, 700L, 800L, 900L, 1_000L));
     }
 
+    /** Releases and renewals must be sent even while claims are refused, or keys stay taken and leases lapse. */
     @Test
     void fullQueueRefusesClaimsButNotOwnRecords() {
         assertThat(commit.offer(claim(1)) && commit.offer(claim(2)) && commit.offer(claim(3)), is(true));
@@ -79,10 +85,9 @@
     }
 
     /*
-     * The caller's claim is decided once though the answer to its append was lost.
-     * Nothing is sent while the log is read for the records; when they don't turn up, the same records go out
-     * again with
-     * the same counts, before newer ones, so that readers can tell repeats by a single number.
+     * The answer to an append is lost. Nothing is sent while the log is read for its records; if they don't appear, the
+     * same records are sent again with the same sequence numbers, before newer ones, so that readers recognize
+     * duplicates by a single number and the claim is decided once.
      */
     @Test
     void appendInDoubtIsRepeatedBeforeNewerRecords() {
@@ -98,6 +103,7 @@
         assertThat(sequences(second), contains(1L, 2L, 3L));
     }
 
+    /** Records that were read back must not be sent again, although the answer to their append was lost. */
     @Test
     void appendInDoubtIsSettledByReading() {
         commit.offer(claim(1));
@@ -107,6 +113,7 @@
         assertThat(contents(poll(60).orElseThrow()), contains(claim(2)));
     }
 
+    /** A late answer to an append that was read back must not be taken for the answer to the next one. */
     @Test
     void answerAfterReadingIsIgnored() {
         commit.offer(claim(1));
@@ -118,6 +125,7 @@
         assertThat(commit.appendCompleted(second.number(), APPENDED, at(20)), is(true));
     }
 
+    /** A refused append must be sent again, but must not add load to a failing log without a pause. */
     @Test
     void refusedAppendIsRepeatedAfterAPause() {
         commit.offer(claim(1));
@@ -126,6 +134,7 @@
         assertThat(contents(poll(200).orElseThrow()), contains(claim(1)));
     }
 
+    /** An abandoned claim must not be sent after its caller was answered that nothing has run. */
     @Test
     void withdrawnRecordsAreNotSentAgain() {
         commit.offer(claim(1));
@@ -155,7 +164,7 @@
     }
 
     private static long at(long millis) {
-        return START + Duration.ofMillis(millis).toNanos();
+        return START_NANOS + Duration.ofMillis(millis).toNanos();
     }
 
     private static List<ClaimRecord> contents(GroupCommit.Batch batch) {
--- a/library/src/test/java/org/chivetally/claim/LeaseTableTest.java
+++ b/library/src/test/java/org/chivetally/claim/LeaseTableTest.java
@@ -8,68 +8,79 @@
 import org.jetbrains.lincheck.datastructures.Operation;
 import org.junit.jupiter.api.Test;
 
+/** Checks when another coordinator's lease counts as lapsed; if that is too early, two processes coordinate one job. */
 class LeaseTableTest {
     private static final Duration LEASE = Duration.ofSeconds(6);
     private static final Duration TICKET_AGE = Duration.ofSeconds(3);
-    private static final long LAPSE = LEASE.plus(TICKET_AGE).toNanos();
-    private static final long READ = Long.MAX_VALUE - LAPSE / 2;
+    private static final long LAPSE_NANOS = LEASE.plus(TICKET_AGE).toNanos();
+    private static final long READ_NANOS = Long.MAX_VALUE - LAPSE_NANOS / 2;
     private static final Coordinator OTHER = ClaimSamples.process("a");
 
     private final LeaseTable leases = new LeaseTable(LEASE, TICKET_AGE);
 
+    /** Until the ticket age has passed after the lease, an agent may still accept a start of the old coordinator. */
     @Test
     void lapsesOnlyWhenReadToEndAfterLeaseAndTicketAge() {
-        leases.recordRenewal(OTHER, LEASE, READ);
-        assertThat(hasLapsedWhenReadToEndAt(READ + LAPSE - 1), is(false));
-        assertThat(hasLapsedWhenReadToEndAt(READ + LAPSE), is(true));
+        leases.recordRenewal(OTHER, LEASE, READ_NANOS);
+        assertThat(hasLapsedWhenReadToEndAt(READ_NANOS + LAPSE_NANOS - 1), is(false));
+        assertThat(hasLapsedWhenReadToEndAt(READ_NANOS + LAPSE_NANOS), is(true));
     }
 
+    /** A reader that is disconnected from the log can't see renewals and must not take the holder for gone. */
     @Test
     void doesNotLapseWhileTheLogCannotBeRead() {
-        leases.recordRenewal(OTHER, LEASE, READ);
-        leases.recordReadToEnd(READ);
-        assertThat(leases.hasLapsed(OTHER, READ + 100 * LAPSE), is(false));
+        leases.recordRenewal(OTHER, LEASE, READ_NANOS);
+        leases.recordReadToEnd(READ_NANOS);
+        assertThat(leases.hasLapsed(OTHER, READ_NANOS + 100 * LAPSE_NANOS), is(false));
     }
 
+    /** A holder that renews its lease must keep its jobs. */
     @Test
     void renewalExtendsLease() {
-        leases.recordRenewal(OTHER, LEASE, READ);
-        leases.recordRenewal(OTHER, LEASE, READ + 5);
-        assertThat(hasLapsedWhenReadToEndAt(READ + LAPSE), is(false));
-        assertThat(hasLapsedWhenReadToEndAt(READ + LAPSE + 5), is(true));
+        leases.recordRenewal(OTHER, LEASE, READ_NANOS);
+        leases.recordRenewal(OTHER, LEASE, READ_NANOS + 5);
+        assertThat(hasLapsedWhenReadToEndAt(READ_NANOS + LAPSE_NANOS), is(false));
+        assertThat(hasLapsedWhenReadToEndAt(READ_NANOS + LAPSE_NANOS + 5), is(true));
     }
 
+    /** The holder's settings may differ from the reader's while new settings are rolled out. */
     @Test
     void holderSetsLeaseDuration() {
-        leases.recordRenewal(OTHER, LEASE.multipliedBy(2), READ);
-        assertThat(hasLapsedWhenReadToEndAt(READ + LAPSE), is(false));
-        assertThat(hasLapsedWhenReadToEndAt(READ + LAPSE + LEASE.toNanos()), is(true));
+        leases.recordRenewal(OTHER, LEASE.multipliedBy(2), READ_NANOS);
+        assertThat(hasLapsedWhenReadToEndAt(READ_NANOS + LAPSE_NANOS), is(false));
+        assertThat(hasLapsedWhenReadToEndAt(READ_NANOS + LAPSE_NANOS + LEASE.toNanos()), is(true));
     }
 
+    /**
+     * A renewal that is written after the departure must not revive the lease, or the jobs of the departed process
+     * would wait for it.
+     */
     @Test
     void departureEndsLeaseImmediatelyAndPermanently() {
-        leases.recordDeparture(OTHER, READ);
-        leases.recordRenewal(OTHER, LEASE, READ + 1);
-        assertThat(hasLapsedWhenReadToEndAt(READ + TICKET_AGE.toNanos() - 1), is(false));
-        assertThat(hasLapsedWhenReadToEndAt(READ + TICKET_AGE.toNanos()), is(true));
+        leases.recordDeparture(OTHER, READ_NANOS);
+        leases.recordRenewal(OTHER, LEASE, READ_NANOS + 1);
+        assertThat(hasLapsedWhenReadToEndAt(READ_NANOS + TICKET_AGE.toNanos() - 1), is(false));
+        assertThat(hasLapsedWhenReadToEndAt(READ_NANOS + TICKET_AGE.toNanos()), is(true));
     }
 
+    /** A coordinator of which no renewal was read may still be running and must get a full lease. */
     @Test
     void unknownCoordinatorIsTrackedFromFirstQuery() {
-        leases.recordReadToEnd(READ + LAPSE);
-        assertThat(leases.hasLapsed(OTHER, READ + 7), is(false));
-        assertThat(leases.hasLapsed(OTHER, READ + 2 * LAPSE), is(false));
-        assertThat(hasLapsedWhenReadToEndAt(READ + LAPSE + 7), is(true));
+        leases.recordReadToEnd(READ_NANOS + LAPSE_NANOS);
+        assertThat(leases.hasLapsed(OTHER, READ_NANOS + 7), is(false));
+        assertThat(leases.hasLapsed(OTHER, READ_NANOS + 2 * LAPSE_NANOS), is(false));
+        assertThat(hasLapsedWhenReadToEndAt(READ_NANOS + LAPSE_NANOS + 7), is(true));
     }
 
+    /** A claim without a coordinator must be open to takeover immediately. */
     @Test
     void missingCoordinatorHasAlwaysLapsed() {
-        assertThat(leases.hasLapsed(Coordinator.NONE, READ), is(true));
+        assertThat(leases.hasLapsed(Coordinator.NONE, READ_NANOS), is(true));
     }
 
     /*
-     * An entry asks whether a lease has lapsed while the reader takes in a renewal and then the log's end. The answer
-     * must never be "lapsed" from the new end and the old renewal: two entries would coordinate one job.
+     * One thread queries a lease while the reader records a renewal and then the log's end. Combining the new end with
+     * the old renewal would report a lapsed lease, and two entries would coordinate one job.
      */
     @Test
     void concurrentReadsAndQueriesAreLinearizable() {
@@ -81,7 +92,7 @@
         return leases.hasLapsed(OTHER, endNanos);
     }
 
-    /** One reader, many that ask. */
+    /** One reader and several threads that query. */
     public static class ConcurrentReadsAndQueries {
         private final LeaseTable leases = new LeaseTable(Duration.ofNanos(1), Duration.ofNanos(1));
         private long nanos;
--- a/library/src/test/java/org/chivetally/claim/LogClaimsTest.java
+++ b/library/src/test/java/org/chivetally/claim/LogClaimsTest.java
@@ -29,6 +29,7 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
+/** Checks claims, leases, takeovers and recovery of several processes on one log with faults. */
 class LogClaimsTest {
     private static final SubmissionKey KEY = ClaimSamples.KEY;
     private static final String BODY = ClaimSamples.BODY;
@@ -50,6 +51,7 @@
         kit.shutdownTestKit();
     }
 
+    /** A repeated submission must attach to the first job, and one with a different body must be refused. */
     @Test
     void claimOfFreeKeyIsWonAndLaterOnesAttach() {
         LogClaims claims = start("a", log);
@@ -61,8 +63,8 @@
     }
 
     /*
-     * Two callers submit one key at two entries at once, and each gets a decision: one wins, one attaches.
-     * Both entries append before either reads the other's record; the log's order decides, the same for both.
+     * Two callers submit one key at two entries at once: one wins, the other attaches. Both entries append before
+     * either reads the other's record; the order in the log decides, in the same way for both.
      */
     @Test
     void twoEntriesRaceOnOneKey() {
@@ -82,8 +84,8 @@
     }
 
     /*
-     * The caller's job is accepted as usual though the log's answer to the append was lost after the write.
-     * The entry reads its own record back, so the answer isn't needed, and nothing is appended a second time.
+     * The log's answer to an append is lost after the write. The entry reads its own record back and accepts the job as
+     * usual, without a second append.
      */
     @Test
     void claimIsWonWhenAppendAnswerIsLost() {
@@ -96,9 +98,9 @@
     }
 
     /*
-     * The caller's job is accepted once, though its claim stands three times in the log.
-     * The append is not answered and doesn't land; it is sent again with the same record ids and lands; then the first
-     * sending lands late, twice. All readers drop records whose ids they have folded.
+     * A claim is written three times but accepted once. The append is neither answered nor written; it is sent again
+     * with the same record ids and written; then the first one is written late, twice. All readers drop records whose
+     * ids they have already applied.
      */
     @Test
     void retriedAppendIsWrittenLateAndTwice() {
@@ -121,8 +123,9 @@
     }
 
     /*
-     * While the log is down callers hear "not run" at once instead of waiting; when it is back they are served again.
-     * No time passes between the claim and its refusal, as the failed read is known already.
+     * While the log is unavailable, callers are answered "not run" immediately instead of after a timeout; when it is
+     * available again, claims are accepted. No time passes between the claim and its refusal, as the failed read is
+     * already known.
      */
     @Test
     void claimsAreRefusedAtOnceWhileTheLogIsDown() {
@@ -137,9 +140,9 @@
     }
 
     /*
-     * An entry that was paused past its lease starts nothing, even before any of its timers has run.
-     * The clock jumps while the process stands still; the lease is a reading of the clock, so it is over at once, the
-     * listener hears of it with the first tick, and a renewal regains it.
+     * An entry that was paused past the end of its lease must start nothing, even before any of its timers has run. The
+     * clock jumps while the process is paused: the lease has ended immediately, the listener is called at the first
+     * tick, and a renewal regains the lease.
      */
     @Test
     void pausedProcessLosesExpiredLease() {
@@ -155,9 +158,9 @@
     }
 
     /*
-     * A job's coordinator dies and the caller resubmits at two other entries: exactly one goes on with the job.
-     * Before the lease has lapsed both attach to the dead one. Afterwards both append a takeover to generation 2; the
-     * first in the log's order wins, the other attaches to it.
+     * A job's coordinator dies and the caller resubmits at two other entries: exactly one continues the job. Before the
+     * lease has lapsed, both attach to the dead coordinator. Afterwards both append a takeover to generation 2; the
+     * first in the log wins, and the other attaches to it.
      */
     @Test
     void twoEntriesRaceToTakeOver() {
@@ -172,20 +175,20 @@
         advance(LAPSE.plus(SETTINGS.renewalInterval()));
         assertThat(b.hasLapsed(claim.coordinator()), is(true));
         log.setHoldAppends(true);
-        CompletionStage<ClaimDecision> early = b.takeOver(claim);
-        CompletionStage<ClaimDecision> same = b.takeOver(claim);
+        CompletionStage<ClaimDecision> takeover = b.takeOver(claim);
+        CompletionStage<ClaimDecision> duplicate = b.takeOver(claim);
         processMessages();
         Claim winner = ClaimSamples.claim("job-1", "c", 2);
         assertThat(join(c.takeOver(claim)), is(new ClaimDecision.Won(winner)));
         log.deliver(log.heldAppends().getFirst());
-        assertThat(join(early), is(new ClaimDecision.Attached(winner)));
-        assertThat(join(same), is(new ClaimDecision.Attached(winner)));
+        assertThat(join(takeover), is(new ClaimDecision.Attached(winner)));
+        assertThat(join(duplicate), is(new ClaimDecision.Attached(winner)));
     }
 
     /*
-     * An entry was cut off, lost its lease, and its job was taken over: when it is back it hears who has the job now.
-     * Its agents refuse its starts by generation anyway; hearing of it lets it drop the job. It hears of that before it
-     * hears that it holds its lease again, so that it starts nothing of the job in between.
+     * An entry was disconnected, lost its lease, and its job was taken over: after reconnecting it is notified of the
+     * successor, so that it drops the job, which agents would refuse to start for its outdated generation. The
+     * notification precedes that of the regained lease, so that it starts nothing of the job in between.
      */
     @Test
     void replacedCoordinatorIsNotified() {
@@ -208,9 +211,9 @@
     }
 
     /*
-     * A job's age is what a takeover goes by when agents say that they know nothing of it. One that another entry
-     * claimed while this one was cut off for long may be as old as the last read before that, whenever it was read; of
-     * one that an entry found when it started nothing is known.
+     * A takeover relies on a job's age when agents answer that they don't know the job, so the age must not be
+     * underestimated. A job that another entry claimed while this one was disconnected may be as old as the last read
+     * before the disconnection. For a job claimed before an entry started, the age is unknown.
      */
     @Test
     void claimAgeIsNeverUnderestimated() {
@@ -232,11 +235,10 @@
     }
 
     /*
-     * An entry was cut off for longer than its lease, renews it and goes on with its job; its callers get their answer.
-     * Before that another entry had counted the lease as lapsed and sent a takeover, which lands only after
-     * the renewal.
-     * Were it to win, a process that holds its lease, and says "not run" of what it did not start, would have lost the
-     * job. All readers refuse it, as it names an earlier renewal as the last one that its sender had read.
+     * An entry was disconnected for longer than its lease, then renews the lease and continues its job. Meanwhile
+     * another entry counted the lease as lapsed and sent a takeover, which is written only after the renewal. If it
+     * won, a process that holds its lease, and answers "not run" for what it did not start, would have lost the job.
+     * All readers refuse it, as it specifies an earlier renewal as the last one read.
      */
     @Test
     void takeoverWrittenAfterUnreadRenewalLoses() {
@@ -262,10 +264,10 @@
     }
 
     /*
-     * The caller hears "not run"; the claim lands in the log afterwards, as the winner; a resubmission is served.
-     * The entry gave the claim up after its time, will never act on it, and so withdraws it as soon as it reads it.
-     * Without that the key would belong, for the whole window, to a live process that doesn't know the job. The
-     * resubmission isn't attached to the withdrawn claim, but follows the withdrawal.
+     * The caller is answered "not run", the claim is then written and wins, and a resubmission is accepted. The entry
+     * abandoned the claim at its timeout and will never act on it, so it releases it as soon as it reads it. Otherwise
+     * the key would belong, for the whole window, to a live process that doesn't know the job. The resubmission does
+     * not attach to the abandoned claim but follows its release.
      */
     @Test
     void abandonedClaimIsReleasedWhenItAppears() {
@@ -287,18 +289,18 @@
     }
 
     /*
-     * As above, but the caller resubmits at the same entry before the withdrawal stands in the log.
-     * The new claim isn't attached to the withdrawn one, which nobody works on; it follows the withdrawal and wins.
+     * The caller resubmits at the same entry before the release of its abandoned claim is in the log. The new claim
+     * must not attach to the abandoned one, which no process works on; it follows the release and wins.
      */
     @Test
     void resubmissionWaitsForTheRelease() {
         LogClaims a = start("a", log);
         log.setHoldAppends(true);
-        CompletionStage<ClaimDecision> givenUp = a.claim(KEY, BODY, new JobId("job-1"));
+        CompletionStage<ClaimDecision> abandoned = a.claim(KEY, BODY, new JobId("job-1"));
         advance(SETTINGS.claimTimeout().minus(STEP));
         CompletionStage<ClaimDecision> second = a.claim(KEY, BODY, new JobId("job-2"));
         advance(STEP);
-        assertThat(join(givenUp), instanceOf(ClaimDecision.LogUnavailable.class));
+        assertThat(join(abandoned), instanceOf(ClaimDecision.LogUnavailable.class));
         log.heldAppends().forEach(held -> held.answer().complete(new AppendOutcome.Unknown("lost")));
         log.setHoldAppends(false);
         log.deliver(log.heldAppends().getFirst());
@@ -307,9 +309,8 @@
     }
 
     /*
-     * The caller hears "not run", and no record of the claim ever counts, though the append lands much later.
-     * A later record of the same process stands before it by then, and a record that comes after a later one of its
-     * writer is void for every reader.
+     * The caller is answered "not run", and the append of the claim is written much later. By then a later record of
+     * the same process precedes it, and a record that follows a later one of its writer is ignored by all readers.
      */
     @Test
     void abandonedClaimWrittenAfterLaterRecordsIsIgnored() {
@@ -327,9 +328,9 @@
     }
 
     /*
-     * A takeover is given up and turns up as the winner: the key is not freed, as the first coordinator may
-     * have started
-     * tasks. The claim stays, of nobody, so that the next resubmission can take it over at once and inquire first.
+     * An abandoned takeover is written and wins. Its release must not free the key, as the first coordinator may have
+     * started tasks. The claim stays without a coordinator, so that the next resubmission can take it over immediately
+     * and inquire at the agents first.
      */
     @Test
     void abandonedTakeoverLeavesClaimWithoutCoordinator() {
@@ -353,10 +354,9 @@
     }
 
     /*
-     * A takeover is given up, asked for again, and then both stand in the log. The first wins, and its sender
-     * gives it up
-     * as soon as it reads it; told that the second had won, it would go on with a job that it leaves to nobody, beside
-     * the next process that takes it over.
+     * A takeover is abandoned and requested again, and then both records are written. The first one wins and is
+     * released by its sender as soon as it reads it; if the second one were reported as won, the sender would continue
+     * a job that it leaves without a coordinator, beside the next process that takes it over.
      */
     @Test
     void repeatedTakeoverDoesNotWinAbandonedClaim() {
@@ -381,8 +381,8 @@
     }
 
     /*
-     * After a departure other entries may take jobs over without waiting for the lease, once no start of the departed
-     * one can be accepted any more.
+     * After a departure other entries may take jobs over without waiting for the lease, as soon as no start of the
+     * departed process can be accepted any more.
      */
     @Test
     void departedCoordinatorLapsesAfterTheTicketAge() {
@@ -398,8 +398,8 @@
     }
 
     /*
-     * With claims in memory, callers are served while the log is down; afterwards the claim stands in the log, so that
-     * other entries attach to it.
+     * With claims in memory, submissions are accepted while the log is unavailable; afterwards the claim is in the log,
+     * so that other entries attach to it.
      */
     @Test
     void claimInMemoryIsAppendedAfterOutage() {
@@ -417,8 +417,8 @@
     }
 
     /*
-     * Two entries claimed one key, one of them in memory during its outage: both jobs go on, as the service allows, and
-     * from then on all resubmissions attach to the one that came first in the log.
+     * Two entries claim one key, one of them in memory during its outage: both jobs continue, as the service allows,
+     * and from then on all resubmissions attach to the claim that is first in the log.
      */
     @Test
     void claimInMemoryLosesToAnEarlierOneInTheLog() {
@@ -436,8 +436,9 @@
     }
 
     /*
-     * A caller was refused as not run for lack of room and submits again, here or elsewhere, when there is room.
-     * The refusing entry has given its claim up in the log, so the key is free for all; before that it is not.
+     * A job is refused as not run for lack of capacity, and the caller submits it again at any entry when there is
+     * capacity. The refusing entry releases its claim in the log, so the key becomes free for all entries, but not
+     * before.
      */
     @Test
     void releasedClaimFreesItsKeyForAllEntries() {
@@ -452,8 +453,9 @@
     }
 
     /*
-     * The same while the log is down, for a service that is claimed in memory: the key is free at once at this entry,
-     * and the record of the first claim, which is still to be written, takes no key when the log is back.
+     * The same while the log is unavailable, for a service whose claims are decided in memory: the key is free
+     * immediately at this entry, and the record of the first claim, which is written later, must not take the key
+     * again.
      */
     @Test
     void releasedClaimInMemoryFreesItsKeyDuringAndAfterOutage() {
@@ -471,8 +473,8 @@
     }
 
     /*
-     * The records of claims have expired in the log, yet a fresh entry attaches resubmissions to them.
-     * A snapshot was written before; the fresh entry reads it and then the stream from where it ends.
+     * The records of claims have expired in the log, yet a new entry attaches resubmissions to them. It reads a
+     * snapshot that was written before, and then the stream from the snapshot's offset.
      */
     @Test
     void freshProcessReadsSnapshotWhenRecordsExpired() {
@@ -487,8 +489,8 @@
     }
 
     /*
-     * An entry was cut off for so long that the records it has to read next have expired: it goes on from a
-     * snapshot, and knows claims that were made meanwhile.
+     * An entry was disconnected for so long that the records it has to read next have expired: it continues from a
+     * snapshot that includes claims made meanwhile.
      */
     @Test
     void processResumesFromSnapshotAfterLongDisconnection() {
@@ -549,7 +551,10 @@
                 .toList();
     }
 
-    /** Lets time pass in steps; before each the log answers reads that it held back, after it all processes work. */
+    /**
+     * Advances time in steps. Before each step the log answers the reads that it holds back; after it all processes
+     * handle their messages.
+     */
     private void advance(Duration duration) {
         for (Duration passed = Duration.ZERO; passed.compareTo(duration) < 0; passed = passed.plus(STEP)) {
             log.answerPolls();
@@ -560,18 +565,21 @@
         }
     }
 
-    /** Waits until every process has handled what it has got, and what followed from it. */
+    /** Waits until every process has handled its messages and those that resulted from them. */
     private void processMessages() {
         for (int round = 0; round < 5; round++) {
             started.forEach(claims -> join(claims.find(KEY)));
         }
     }
 
-    /** Snapshots are read on another thread, whose work no message tells the end of. */
+    /**
+     * Waits for a condition that depends on another thread: snapshots are read on one, and no message marks the end of
+     * its work.
+     */
     private void awaitCondition(BooleanSupplier condition) {
         long start = System.nanoTime();
         while (!condition.getAsBoolean()) {
-            assertThat("not within 10 s", System.nanoTime() - start < TimeUnit.SECONDS.toNanos(10));
+            assertThat("condition not met within 10 s", System.nanoTime() - start < TimeUnit.SECONDS.toNanos(10));
             processMessages();
         }
     }
--- a/library/src/test/java/org/chivetally/claim/MemoryClaimsTest.java
+++ b/library/src/test/java/org/chivetally/claim/MemoryClaimsTest.java
@@ -9,11 +9,13 @@
 import org.chivetally.job.JobId;
 import org.junit.jupiter.api.Test;
 
+/** Checks claims that are kept in the memory of one process. */
 class MemoryClaimsTest {
     private final ManualClock clock = new ManualClock();
     private final MemoryClaims claims = new MemoryClaims(ClaimSamples.process("a"), ClaimSamples.WINDOW, clock);
     private final Claim first = ClaimSamples.claim("job-1", "a", 1);
 
+    /** While the log is unavailable, repeated and reused keys must be decided as they are by the log. */
     @Test
     void appliesSameRulesAsLogClaims() {
         assertThat(claim(ClaimSamples.BODY, "job-1"), is(new ClaimDecision.Won(first)));
@@ -23,6 +25,7 @@
         assertThat(join(claims.find(new JobId("job-2"))), is(Optional.empty()));
     }
 
+    /** A key must stay claimed for its whole window and be free afterwards. */
     @Test
     void keyIsFreeAfterItsWindow() {
         claim(ClaimSamples.BODY, "job-1");
@@ -33,6 +36,7 @@
         assertThat(claim(ClaimSamples.BODY, "job-2"), instanceOf(ClaimDecision.Won.class));
     }
 
+    /** A takeover of an outdated generation must not win. */
     @Test
     void onlyTheClaimInForceIsTakenOver() {
         claim(ClaimSamples.BODY, "job-1");
@@ -41,6 +45,7 @@
         assertThat(join(claims.takeOver(first)), is(new ClaimDecision.Attached(second)));
     }
 
+    /** A departed process must accept no further jobs, as it can't run them. */
     @Test
     void departedProcessClaimsNothing() {
         join(claims.depart());
--- a/library/src/test/java/org/chivetally/claim/ScriptedLog.java
+++ b/library/src/test/java/org/chivetally/claim/ScriptedLog.java
@@ -15,9 +15,9 @@
 import org.chivetally.log.PlatformLog;
 import org.chivetally.log.ReadOutcome;
 
-/** A log in memory whose faults a test switches on and off; all views of one share the streams. */
+/** An in-memory log whose faults are controlled by the test; all views share its streams. */
 final class ScriptedLog implements PlatformLog {
-    private static final Duration LONGEST_POLL = Duration.ofHours(1);
+    private static final Duration MAXIMUM_POLL_WAIT = Duration.ofHours(1);
 
     private final SharedStreams shared;
     private final List<HeldAppend> heldAppends = new ArrayList<>();
@@ -34,7 +34,7 @@
         return new ScriptedLog(new SharedStreams());
     }
 
-    /** Returns another process's access to the same streams, with faults of its own. */
+    /** Returns another process's access to the same streams, with separate faults. */
     ScriptedLog view() {
         return new ScriptedLog(shared);
     }
@@ -78,7 +78,7 @@
         }
     }
 
-    /** Cuts this view off, or connects it again; reads that the log holds back fail. */
+    /** Disconnects or reconnects this view; on disconnection, reads that are held back fail. */
     void setDown(boolean isDown) {
         synchronized (shared) {
             down = isDown;
@@ -88,28 +88,28 @@
         }
     }
 
-    /** Writes the next appends but answers them with Unknown. */
+    /** Writes the next appends but answers them with an unknown outcome. */
     void loseAnswers(int count) {
         synchronized (shared) {
             answersToLose = count;
         }
     }
 
-    /** Keeps appends back, neither written nor answered, from now on or no longer. */
+    /** Sets whether appends are held back, neither written nor answered. */
     void setHoldAppends(boolean holds) {
         synchronized (shared) {
             holdingAppends = holds;
         }
     }
 
-    /** Returns the appends that are kept back. */
+    /** Returns the appends that were held back. */
     List<HeldAppend> heldAppends() {
         synchronized (shared) {
             return List.copyOf(heldAppends);
         }
     }
 
-    /** Writes records as if they arrived now; may be called again with the same ones. */
+    /** Writes the records of a held append now; may be called several times with the same append. */
     void deliver(HeldAppend held) {
         synchronized (shared) {
             shared.write(held.stream(), held.records());
@@ -133,16 +133,16 @@
         }
     }
 
-    /** Answers the reads that the log holds back: nothing new. */
+    /** Answers the reads that are held back, as if their wait had ended. */
     void answerPolls() {
         synchronized (shared) {
             shared.answer(
-                    poll -> poll.timeout().compareTo(LONGEST_POLL) < 0,
+                    poll -> poll.timeout().compareTo(MAXIMUM_POLL_WAIT) < 0,
                     poll -> shared.read(poll.stream(), poll.from(), poll.limit()));
         }
     }
 
-    /** Drops all records of a stream before an offset. */
+    /** Expires all records of a stream before an offset. */
     void expire(String stream, long earliest) {
         synchronized (shared) {
             shared.earliest.put(stream, earliest);
--- a/library/src/test/java/org/chivetally/claim/SnapshotReaderTest.java
+++ b/library/src/test/java/org/chivetally/claim/SnapshotReaderTest.java
@@ -14,6 +14,7 @@
 import org.chivetally.log.NewRecord;
 import org.junit.jupiter.api.Test;
 
+/** Checks which snapshot is read; a wrong or incomplete one would let keys be claimed again. */
 class SnapshotReaderTest {
     private static final String STREAM = LogClaims.SNAPSHOT_STREAM;
     private static final int CHUNK_BYTES = 16 * 1024;
@@ -21,17 +22,20 @@
     private final ScriptedLog log = ScriptedLog.create();
     private final SnapshotReader reader = new SnapshotReader(log, Runnable::run);
 
+    /** A new installation has no snapshot and must start from the claims stream. */
     @Test
     void emptyStreamHasNoSnapshot() {
         assertThat(load(), is(new SnapshotLoadResult.None()));
     }
 
+    /** An unavailable log must not be taken for an empty stream. */
     @Test
     void unavailableLogIsReported() {
         log.setDown(true);
         assertThat(load(), instanceOf(SnapshotLoadResult.Unavailable.class));
     }
 
+    /** A snapshot may have more chunks than the reader fetches at first; none may exceed the maximum size. */
     @Test
     void newestCompleteSnapshotIsReadFromManyChunks() {
         List<NewRecord> chunks = chunks(table(4_000), "a");
@@ -43,8 +47,8 @@
     }
 
     /*
-     * A fresh process starts from the last whole snapshot, though a newer one was cut off half way.
-     * Its writer died between two chunks; a reader that took the parts for the whole would let keys be claimed again.
+     * The writer of the newest snapshot died between two chunks. A new process must start from the last complete one;
+     * with the chunks of the incomplete one it would let keys be claimed again.
      */
     @Test
     void incompleteSnapshotIsIgnored() {
@@ -54,6 +58,7 @@
         assertThat(load(), is(new SnapshotLoadResult.Found(table(500).image())));
     }
 
+    /** A corrupted chunk must make the whole snapshot unusable. */
     @Test
     void damagedSnapshotIsIgnored() {
         write(chunks(table(300), "a"));
@@ -64,14 +69,15 @@
     }
 
     /*
-     * A process of the version before wrote the newest snapshot. It says nothing of renewals, and a reader that began
-     * with it would judge takeovers otherwise than all others; it is refused, and the stream itself is read instead.
+     * A process of an earlier version wrote the newest snapshot, which contains no renewals. A reader that started from
+     * it would decide takeovers differently from all others, so it is refused; the reader uses an older snapshot or the
+     * claims stream itself.
      */
     @Test
     void snapshotOfTheFirstFormatIsRefused() throws IOException {
         write(chunks(table(300), "a"));
-        try (InputStream first = SnapshotReaderTest.class.getResourceAsStream("claim-snapshot-format-1.txt")) {
-            write(List.of(new NewRecord("old", first.readAllBytes())));
+        try (InputStream formatOne = SnapshotReaderTest.class.getResourceAsStream("claim-snapshot-format-1.txt")) {
+            write(List.of(new NewRecord("old", formatOne.readAllBytes())));
         }
         assertThat(load(), is(new SnapshotLoadResult.Found(table(300).image())));
         SnapshotAssembler assembler = new SnapshotAssembler();
@@ -80,8 +86,8 @@
     }
 
     /*
-     * Two processes write snapshots at once, and some of their chunks land twice: a fresh process reads the newer one.
-     * Chunks name their snapshot and part, so that those of the two can't be taken for each other's.
+     * Two processes write snapshots concurrently, and some of their chunks are written twice: a new process reads the
+     * newer one. Chunks carry the id of their snapshot and their index, so those of the two are not mixed up.
      */
     @Test
     void interleavedSnapshotsAreReadSeparately() {
@@ -93,6 +99,7 @@
         assertThat(load(), is(new SnapshotLoadResult.Found(table(1_000).image())));
     }
 
+    /** A snapshot whose first chunks have expired in the log is incomplete. */
     @Test
     void snapshotWithExpiredChunksIsIgnored() {
         List<NewRecord> only = chunks(table(1_000), "a");
--- a/library/src/test/java/org/chivetally/claim/StreamTimeTest.java
+++ b/library/src/test/java/org/chivetally/claim/StreamTimeTest.java
@@ -13,10 +13,12 @@
 import net.jqwik.api.constraints.Size;
 import org.junit.jupiter.api.Test;
 
+/** Checks the estimate of the stream time. */
 class StreamTimeTest {
     private static final int PROCESSES = 3;
-    private static final long LONGEST_DELAY = 2_000;
+    private static final long MAXIMUM_DELAY_MILLIS = 2_000;
 
+    /** A lower stream time that is read later must not set the estimate back. */
     @Test
     void estimateGrowsWithTheClockFromTheHighestKnownTime() {
         StreamTime time = new StreamTime(nanos(0));
@@ -26,9 +28,9 @@
     }
 
     /**
-     * A key never comes free before its window, though processes lag: between two records the stream's time grows by no
-     * more than what really passed, the delay of an append and the pause between two records. Each process writes at
-     * random times and reads what is there; its records land after a random delay.
+     * A key never becomes free before the end of its window, even if processes lag: between two records the stream time
+     * grows by no more than the real time plus the delay of an append and the pause between two records. Each process
+     * writes at random times and reads what is there; its records are written after a random delay.
      */
     @Property
     void streamTimeNeverRunsAhead(@ForAll @Size(max = 60) List<@IntRange(max = 100_000) Integer> choices) {
@@ -42,15 +44,15 @@
         for (int choice : choices) {
             StreamTime writer = processes.get(choice % PROCESSES);
             long composed = writer.estimate(nanos(now));
-            now += choice % LONGEST_DELAY;
+            now += choice % MAXIMUM_DELAY_MILLIS;
             streamMillis = Math.max(streamMillis, composed);
             stream.add(new long[] {now, streamMillis});
             processes.get(choice / PROCESSES % PROCESSES).advanceTo(streamMillis, nanos(now));
         }
         for (long[] earlier : stream) {
             for (long[] later : stream.subList(stream.indexOf(earlier), stream.size())) {
-                long real = later[0] - earlier[0];
-                assertThat(real + LONGEST_DELAY, greaterThanOrEqualTo(later[1] - earlier[1]));
+                long elapsed = later[0] - earlier[0];
+                assertThat(elapsed + MAXIMUM_DELAY_MILLIS, greaterThanOrEqualTo(later[1] - earlier[1]));
             }
         }
     }
