--- a/library/src/main/java/org/chivetally/document/NodeReader.java
+++ b/library/src/main/java/org/chivetally/document/NodeReader.java
@@ -41,7 +41,7 @@
         this.text = text;
     }
 
-    /** The documents of a text up to the first mistake, and that mistake. */
+    /** The documents of a text that precede the first syntax error, and that error. */
     record ParseResult(List<DocumentNode> documents, Optional<Mistake> mistake) {}
 
     static ParseResult read(String place, String text) {
--- a/library/src/main/java/org/chivetally/http/HttpListener.java
+++ b/library/src/main/java/org/chivetally/http/HttpListener.java
@@ -64,7 +64,12 @@
      */
     public record Limits(int headerBytes, int bodyBytes, int idleMillis) {}
 
-    /** Creates a listener that is not bound yet. */
+    /**
+     * Creates a listener that is not bound yet.
+     *
+     * @param loop event loop of the connections, on which the handler runs
+     * @param handler receives the requests and sends their responses
+     */
     public HttpListener(EventLoop loop, Limits limits, Consumer<HttpExchange> handler) {
         this.loop = loop;
         this.limits = limits;
@@ -192,7 +197,7 @@
         private final FullHttpRequest request;
         private final byte[] body;
         private boolean keepAlive;
-        private boolean answered;
+        private boolean responded;
 
         private Exchange(ChannelHandlerContext context, Connection connection, FullHttpRequest request) {
             this.context = context;
@@ -228,15 +233,15 @@
         }
 
         private void text(int status, String text) {
-            answer(status, Map.of(), "text/plain", text.getBytes(StandardCharsets.UTF_8));
+            respond(status, Map.of(), "text/plain", text.getBytes(StandardCharsets.UTF_8));
         }
 
         @Override
-        public void answer(int status, Map<String, String> headers, String contentType, byte[] content) {
-            if (answered) {
+        public void respond(int status, Map<String, String> headers, String contentType, byte[] content) {
+            if (responded) {
                 return;
             }
-            answered = true;
+            responded = true;
             FullHttpResponse response = new DefaultFullHttpResponse(
                     HttpVersion.HTTP_1_1, HttpResponseStatus.valueOf(status), Unpooled.wrappedBuffer(content));
             headers.forEach((name, value) -> response.headers().set(name, value));
--- a/library/src/main/java/org/chivetally/http/PooledHttpClient.java
+++ b/library/src/main/java/org/chivetally/http/PooledHttpClient.java
@@ -46,6 +46,9 @@
     /**
      * Creates a client.
      *
+     * @param loop event loop of the connections, on which all methods must be called
+     * @param timers timers on that event loop
+     * @param target address of the server
      * @param maximumConnections maximum number of open connections; further calls are queued
      */
     public PooledHttpClient(EventLoop loop, Timers timers, HostPort target, int maximumConnections) {
@@ -56,7 +59,11 @@
         this.maximumConnections = maximumConnections;
     }
 
-    /** Makes a call. The callback is invoked exactly once, on the event loop. */
+    /**
+     * Makes a call.
+     *
+     * @param result receives the result exactly once, on the event loop
+     */
     public void call(HttpCall call, Consumer<HttpResult> result) {
         PendingCall pending = new PendingCall(call, result);
         pending.timer = timers.after(call.timeout(), () -> timeOut(pending));
--- a/library/src/main/java/org/chivetally/log/AppendOutcome.java
+++ b/library/src/main/java/org/chivetally/log/AppendOutcome.java
@@ -5,7 +5,7 @@
     /** The records are in the stream, beginning at this offset. */
     record Appended(long firstOffset) implements AppendOutcome {}
 
-    /** The log wrote nothing. */
+    /** The log refused the append or it was not sent; nothing was written. */
     record Refused(String reason) implements AppendOutcome {}
 
     /** The response was lost: the records may already be in the stream, may be written later, or never. */
--- a/library/src/main/java/org/chivetally/log/AppendRateLimiter.java
+++ b/library/src/main/java/org/chivetally/log/AppendRateLimiter.java
@@ -7,7 +7,7 @@
 final class AppendRateLimiter {
     private final long intervalNanos;
     private long nextSlotNanos;
-    private boolean used;
+    private boolean started;
 
     AppendRateLimiter(int appendsPerSecond) {
         this.intervalNanos = appendsPerSecond == 0 ? 0 : TimeUnit.SECONDS.toNanos(1) / appendsPerSecond;
@@ -15,8 +15,8 @@
 
     /** Reserves the next free slot and returns the delay until it. */
     synchronized Duration reserve(long nowNanos) {
-        if (!used || nextSlotNanos - nowNanos < 0) {
-            used = true;
+        if (!started || nextSlotNanos - nowNanos < 0) {
+            started = true;
             nextSlotNanos = nowNanos;
         }
         long delay = nextSlotNanos - nowNanos;
--- a/library/src/main/java/org/chivetally/log/HttpPlatformLog.java
+++ b/library/src/main/java/org/chivetally/log/HttpPlatformLog.java
@@ -46,6 +46,7 @@
     /**
      * Creates a client.
      *
+     * @param system actor system that runs the HTTP client and its timers
      * @param base base URL of the log, such as {@code http://10.0.0.5:8600}
      * @param timeout maximum time until a response, in addition to the wait of a read
      */
--- a/library/src/main/java/org/chivetally/log/InMemoryPlatformLog.java
+++ b/library/src/main/java/org/chivetally/log/InMemoryPlatformLog.java
@@ -28,7 +28,7 @@
 public final class InMemoryPlatformLog implements PlatformLog {
     private static final FluentLogger LOG = FluentLogger.forEnclosingClass();
     private static final String DOWN = "the log is down";
-    private static final String ANSWER_LOST = "the response was lost";
+    private static final String RESPONSE_LOST = "the response was lost";
 
     private final ActorSystem<?> system;
     private final NanoClock clock;
@@ -41,9 +41,14 @@
     private final LongAdder writtenRecords = new LongAdder();
     private final LongAdder reads = new LongAdder();
     private final LongAdder refusedAppends = new LongAdder();
-    private final LongAdder lostAnswers = new LongAdder();
-
-    /** Creates an empty log without faults. */
+    private final LongAdder lostResponses = new LongAdder();
+
+    /**
+     * Creates an empty log without faults.
+     *
+     * @param system actor system whose scheduler runs delayed operations
+     * @param clock clock that determines the age of records
+     */
     public InMemoryPlatformLog(ActorSystem<?> system, NanoClock clock, InMemoryLogSettings settings) {
         this.system = system;
         this.clock = clock;
@@ -63,14 +68,14 @@
         LOG.atInfo().log("%s", EventLine.of("log-faults-set").with("faults", next));
         next.expireUpTo().forEach((stream, upTo) -> stream(stream).expire(upTo));
         if (next.down()) {
-            streams.values().forEach(this::failWaiting);
+            streams.values().forEach(this::completeWaitingReads);
         }
     }
 
     /** Returns the counters since the log was created. */
     public LogStatistics statistics() {
         return new LogStatistics(
-                appends.sum(), writtenRecords.sum(), reads.sum(), refusedAppends.sum(), lostAnswers.sum());
+                appends.sum(), writtenRecords.sum(), reads.sum(), refusedAppends.sum(), lostResponses.sum());
     }
 
     @Override
@@ -90,7 +95,7 @@
     public CompletionStage<ReadOutcome> read(String stream, long from, int limit, Duration wait) {
         reads.increment();
         Duration delay = Duration.ofMillis(faults.get().readDelayMillis());
-        return after(delay, () -> readNow(stream(stream), from, limit, wait));
+        return after(delay, () -> readOrWait(stream(stream), from, limit, wait));
     }
 
     private AppendOutcome apply(String stream, List<NewRecord> records) {
@@ -98,23 +103,23 @@
         if (current.down()) {
             return refuse();
         }
-        if (!takeAnswerLoss()) {
+        if (!losesResponse()) {
             return new AppendOutcome.Appended(write(stream, records));
         }
-        lostAnswers.increment();
-        Duration late = Duration.ofMillis(current.lateWriteMillis());
-        runAfter(late, () -> write(stream, records));
+        lostResponses.increment();
+        Duration delay = Duration.ofMillis(current.lateWriteMillis());
+        runAfter(delay, () -> write(stream, records));
         if (current.lateDuplicateMillis() > 0) {
-            runAfter(late.plusMillis(current.lateDuplicateMillis()), () -> write(stream, records));
+            runAfter(delay.plusMillis(current.lateDuplicateMillis()), () -> write(stream, records));
         }
-        return new AppendOutcome.Unknown(ANSWER_LOST);
+        return new AppendOutcome.Unknown(RESPONSE_LOST);
     }
 
     private long write(String stream, List<NewRecord> records) {
         AppendResult appended = stream(stream).append(records, clock.nanos());
         appends.increment();
         writtenRecords.add(records.size());
-        appended.answered().forEach(read -> answer(stream(stream), read));
+        appended.completableReads().forEach(read -> completeRead(stream(stream), read));
         return appended.firstOffset();
     }
 
@@ -123,7 +128,7 @@
         return new AppendOutcome.Refused(DOWN);
     }
 
-    private boolean takeAnswerLoss() {
+    private boolean losesResponse() {
         LogFaults before = faults.getAndUpdate(current ->
                 current.loseNextAnswers() == 0 ? current : current.withLoseNextAnswers(current.loseNextAnswers() - 1));
         if (before.loseNextAnswers() > 0) {
@@ -132,7 +137,7 @@
         return before.lostAnswerShare() > 0 && random.nextDouble() < before.lostAnswerShare();
     }
 
-    private CompletionStage<ReadOutcome> readNow(RecordStream stream, long from, int limit, Duration wait) {
+    private CompletionStage<ReadOutcome> readOrWait(RecordStream stream, long from, int limit, Duration wait) {
         if (faults.get().down()) {
             return CompletableFuture.completedFuture(new ReadOutcome.Unavailable(DOWN));
         }
@@ -145,50 +150,50 @@
             return CompletableFuture.completedFuture(found.get());
         }
         Cancellable timeout = runAfter(wait, () -> endWait(stream, read));
-        read.answer().whenComplete((outcome, failure) -> timeout.cancel());
+        read.outcome().whenComplete((outcome, failure) -> timeout.cancel());
         // The log may have gone down between the check above and the start of the wait, and the read would then stay
         // open until its wait is over. This second check closes the gap.
         if (faults.get().down()) {
             endWait(stream, read);
         }
-        return read.answer();
+        return read.outcome();
     }
 
     private void endWait(RecordStream stream, WaitingRead read) {
         stream.cancelRead(read);
-        answer(stream, read);
+        completeRead(stream, read);
     }
 
-    private void failWaiting(RecordStream stream) {
-        stream.removeWaiting().forEach(read -> answer(stream, read));
+    private void completeWaitingReads(RecordStream stream) {
+        stream.removeWaiting().forEach(read -> completeRead(stream, read));
     }
 
-    private void answer(RecordStream stream, WaitingRead read) {
+    private void completeRead(RecordStream stream, WaitingRead read) {
         if (faults.get().down()) {
-            read.answer().complete(new ReadOutcome.Unavailable(DOWN));
+            read.outcome().complete(new ReadOutcome.Unavailable(DOWN));
             return;
         }
-        read.answer().complete(stream.read(read.from(), read.limit(), clock.nanos()));
+        read.outcome().complete(stream.read(read.from(), read.limit(), clock.nanos()));
     }
 
     private RecordStream stream(String name) {
         return streams.computeIfAbsent(name, ignored -> new RecordStream(settings));
     }
 
-    private <T> CompletionStage<T> after(Duration delay, Supplier<CompletionStage<T>> step) {
+    private <T> CompletionStage<T> after(Duration delay, Supplier<CompletionStage<T>> task) {
         if (!delay.isPositive()) {
-            return step.get();
+            return task.get();
         }
-        CompletableFuture<Void> passed = new CompletableFuture<>();
-        runAfter(delay, () -> passed.complete(null));
-        return passed.thenCompose(ignored -> step.get());
+        CompletableFuture<Void> elapsed = new CompletableFuture<>();
+        runAfter(delay, () -> elapsed.complete(null));
+        return elapsed.thenCompose(ignored -> task.get());
     }
 
-    private Cancellable runAfter(Duration delay, Runnable step) {
+    private Cancellable runAfter(Duration delay, Runnable task) {
         if (!delay.isPositive()) {
-            step.run();
+            task.run();
             return Cancellable.alreadyCancelled();
         }
-        return system.scheduler().scheduleOnce(delay, step, system.executionContext());
+        return system.scheduler().scheduleOnce(delay, task, system.executionContext());
     }
 }
--- a/library/src/main/java/org/chivetally/log/LogRecord.java
+++ b/library/src/main/java/org/chivetally/log/LogRecord.java
@@ -2,7 +2,13 @@
 
 import java.util.Objects;
 
-/** A record returned by the log; offsets are consecutive within a stream. */
+/**
+ * A record returned by the log.
+ *
+ * @param offset position in the stream; offsets of a stream are consecutive
+ * @param id globally unique id given by the writer
+ * @param payload content
+ */
 public record LogRecord(long offset, String id, byte[] payload) {
     /** Rejects missing components. */
     public LogRecord {
--- a/library/src/main/java/org/chivetally/log/NewRecord.java
+++ b/library/src/main/java/org/chivetally/log/NewRecord.java
@@ -2,7 +2,12 @@
 
 import java.util.Objects;
 
-/** A record to append: a globally unique id, by which readers discard duplicates, and its content. */
+/**
+ * A record to append.
+ *
+ * @param id globally unique id, by which readers discard duplicates
+ * @param payload content
+ */
 public record NewRecord(String id, byte[] payload) {
     /** Rejects missing components. */
     public NewRecord {
--- a/library/src/main/java/org/chivetally/log/RecordStream.java
+++ b/library/src/main/java/org/chivetally/log/RecordStream.java
@@ -30,13 +30,13 @@
             stored.add(new StoredRecord(new LogRecord(endOffset, added.id(), added.payload()), nowNanos));
             endOffset++;
         }
-        expireOld(nowNanos);
+        expireOldRecords(nowNanos);
         return new AppendResult(firstOffset, removeAnswerable());
     }
 
     /** Returns the current outcome of a read, possibly without records. */
     synchronized ReadOutcome read(long from, int limit, long nowNanos) {
-        expireOld(nowNanos);
+        expireOldRecords(nowNanos);
         if (from < earliestOffset()) {
             return new ReadOutcome.Expired(earliestOffset());
         }
@@ -87,14 +87,14 @@
         return answered;
     }
 
-    private void expireOld(long nowNanos) {
-        while (expiredCount < stored.size() && isOld(stored.get(expiredCount), nowNanos)) {
+    private void expireOldRecords(long nowNanos) {
+        while (expiredCount < stored.size() && isExpired(stored.get(expiredCount), nowNanos)) {
             expiredCount++;
         }
         compact();
     }
 
-    private boolean isOld(StoredRecord oldest, long nowNanos) {
+    private boolean isExpired(StoredRecord oldest, long nowNanos) {
         return stored.size() - expiredCount > keptRecords || nowNanos - oldest.writtenNanos() > keptForNanos;
     }
 
@@ -107,13 +107,13 @@
     }
 
     /** Result of an append: the offset of its first record, and the waiting reads that can be completed. */
-    record AppendResult(long firstOffset, List<WaitingRead> answered) {}
+    record AppendResult(long firstOffset, List<WaitingRead> completableReads) {}
 
     /** A read that waits for a record. Equality is identity, as two reads may have the same parameters. */
     static final class WaitingRead {
         private final long from;
         private final int limit;
-        private final CompletableFuture<ReadOutcome> answer = new CompletableFuture<>();
+        private final CompletableFuture<ReadOutcome> outcome = new CompletableFuture<>();
 
         WaitingRead(long from, int limit) {
             this.from = from;
@@ -128,8 +128,8 @@
             return limit;
         }
 
-        CompletableFuture<ReadOutcome> answer() {
-            return answer;
+        CompletableFuture<ReadOutcome> outcome() {
+            return outcome;
         }
     }
 
--- a/library/src/main/java/org/chivetally/logging/BoundedLogHandler.java
+++ b/library/src/main/java/org/chivetally/logging/BoundedLogHandler.java
@@ -37,7 +37,12 @@
         this.out = out;
     }
 
-    /** Replaces all log handlers of the process and starts the writer thread. */
+    /**
+     * Replaces all log handlers of the process and starts the writer thread.
+     *
+     * @param out output for the log lines
+     * @param level minimum level of the lines
+     */
     public static BoundedLogHandler install(PrintStream out, Level level) {
         for (Handler handler : ROOT.getHandlers()) {
             ROOT.removeHandler(handler);
@@ -52,14 +57,14 @@
     }
 
     @Override
-    public void publish(LogRecord entry) {
+    public void publish(LogRecord logRecord) {
         StringBuilder line = new StringBuilder("time=")
-                .append(timestamps.format(entry.getMillis()))
+                .append(timestamps.format(logRecord.getMillis()))
                 .append(" level=")
-                .append(entry.getLevel())
+                .append(logRecord.getLevel())
                 .append(' ')
-                .append(entry.getMessage());
-        for (Throwable cause = entry.getThrown(); cause != null; cause = cause.getCause()) {
+                .append(logRecord.getMessage());
+        for (Throwable cause = logRecord.getThrown(); cause != null; cause = cause.getCause()) {
             appendCause(line, cause);
         }
         if (Thread.currentThread() != suppressedThread && !lines.offer(line.toString())) {
@@ -83,8 +88,8 @@
     private static void appendCause(StringBuilder line, Throwable cause) {
         line.append(" cause=\"").append(cause).append('"');
         StackTraceElement[] frames = cause.getStackTrace();
-        for (int place = 0; place < Math.min(6, frames.length); place++) {
-            line.append(" at=").append(frames[place]);
+        for (int index = 0; index < Math.min(6, frames.length); index++) {
+            line.append(" at=").append(frames[index]);
         }
     }
 
@@ -106,9 +111,9 @@
             batch.append(next).append('\n');
             next = lines.poll();
         }
-        long lost = dropped.getAndSet(0);
-        if (lost > 0) {
-            batch.append("event=log-lines-dropped lines=").append(lost).append('\n');
+        long droppedLines = dropped.getAndSet(0);
+        if (droppedLines > 0) {
+            batch.append("event=log-lines-dropped lines=").append(droppedLines).append('\n');
         }
         out.print(batch);
         out.flush();
--- a/library/src/main/java/org/chivetally/logging/EventLine.java
+++ b/library/src/main/java/org/chivetally/logging/EventLine.java
@@ -66,8 +66,8 @@
     }
 
     private static boolean isPlain(String value) {
-        for (int place = 0; place < value.length(); place++) {
-            char character = value.charAt(place);
+        for (int index = 0; index < value.length(); index++) {
+            char character = value.charAt(index);
             if (character <= ' ' || character == '"' || character == '=') {
                 return false;
             }
--- a/library/src/main/java/org/chivetally/settings/EntryDaemonSettings.java
+++ b/library/src/main/java/org/chivetally/settings/EntryDaemonSettings.java
@@ -51,8 +51,8 @@
                 section.duration("agentRetention", SECOND, HOUR, DEFAULT_AGENT_RETENTION),
                 section.duration("claimTimeout", MINIMUM_CLAIM_TIMEOUT, MINUTE, DEFAULT_CLAIM_TIMEOUT),
                 (int) section.integer("appendsPerSecond", 1, MAXIMUM_APPENDS_PER_SECOND, DEFAULT_APPENDS_PER_SECOND));
-        Duration needed = claims.window().plus(claims.lease()).plus(claims.claimTimeout());
-        if (needed.compareTo(claims.logRetention()) > 0) {
+        Duration minimumRetention = claims.window().plus(claims.lease()).plus(claims.claimTimeout());
+        if (minimumRetention.compareTo(claims.logRetention()) > 0) {
             section.mistake("logRetention", "must not be shorter than window, lease and claimTimeout together");
         }
         if (claims.agentRetention().compareTo(claims.ticketAge().multipliedBy(2)) < 0) {
--- a/library/src/main/java/org/chivetally/time/Timers.java
+++ b/library/src/main/java/org/chivetally/time/Timers.java
@@ -7,13 +7,21 @@
     /** Returns the wall-clock time in milliseconds since 1970; it may jump forwards or backwards. */
     long epochMillis();
 
-    /** Runs an action once after a delay. */
+    /**
+     * Runs an action once after a delay.
+     *
+     * @return timer that can cancel the action
+     */
     Timer after(Duration delay, Runnable action);
 
-    /** Runs an action periodically, for the first time after one interval. */
+    /**
+     * Runs an action periodically, for the first time after one interval.
+     *
+     * @return timer that can cancel all further runs
+     */
     default Timer every(Duration interval, Runnable action) {
         RepeatingTimer repetition = new RepeatingTimer(this, interval, action);
-        repetition.arm();
+        repetition.schedule();
         return repetition;
     }
 
@@ -38,7 +46,7 @@
             this.action = action;
         }
 
-        private void arm() {
+        private void schedule() {
             next = timers.after(interval, this::run);
         }
 
@@ -47,7 +55,7 @@
                 return;
             }
             // Armed first, so that an exception in the action does not end the repetition and with it all heartbeats.
-            arm();
+            schedule();
             action.run();
         }
 
--- a/library/src/main/java/org/chivetally/time/VirtualTimers.java
+++ b/library/src/main/java/org/chivetally/time/VirtualTimers.java
@@ -21,9 +21,9 @@
 
     @Override
     public Timer after(Duration delay, Runnable action) {
-        ScheduledAction entry = new ScheduledAction(nanos + delay.toNanos(), sequence++, action);
-        scheduled.add(entry);
-        return () -> scheduled.remove(entry);
+        ScheduledAction timer = new ScheduledAction(nanos + delay.toNanos(), sequence++, action);
+        scheduled.add(timer);
+        return () -> scheduled.remove(timer);
     }
 
     /** Advances the clocks and runs all actions that become due, in order. */
--- a/library/src/main/java/org/chivetally/transport/FrameTransport.java
+++ b/library/src/main/java/org/chivetally/transport/FrameTransport.java
@@ -60,6 +60,7 @@
     /**
      * Creates a transport on event loops of the caller, which {@link #close} leaves running.
      *
+     * @param eventLoops event loops shared by all connections
      * @param registry registry of the frame and byte counters
      */
     public FrameTransport(EventLoopGroup eventLoops, MeterRegistry registry) {
@@ -72,6 +73,7 @@
      * Accepts connections on an address. The stage completes with the bound address, or exceptionally if the address
      * cannot be bound.
      *
+     * @param host host name or IP address to bind
      * @param port port to bind, or 0 for any free port
      * @param listener receives the events of all accepted connections
      */
@@ -84,7 +86,7 @@
                 .childOption(ChannelOption.TCP_NODELAY, true)
                 .childOption(ChannelOption.SO_KEEPALIVE, true)
                 .childOption(ChannelOption.WRITE_BUFFER_WATER_MARK, waterMark())
-                .childHandler(acceptedChannels(listener));
+                .childHandler(acceptedChannelInitializer(listener));
         CompletableFuture<InetSocketAddress> bound = new CompletableFuture<>();
         bootstrap.bind(host, port).addListener((ChannelFuture attempt) -> {
             if (attempt.isSuccess()) {
@@ -97,7 +99,11 @@
         return bound;
     }
 
-    /** Opens a connection. A failure or a timeout of 500 ms is reported as {@code disconnected}. */
+    /**
+     * Opens a connection. A failure or a timeout of 500 ms is reported as {@code disconnected}.
+     *
+     * @param listener receives the events of the connection
+     */
     public void dial(String host, int port, FrameListener listener) {
         String peer = host + ":" + port;
         NettyFrameConnection connection = new NettyFrameConnection(peer, meters);
@@ -108,7 +114,7 @@
                 .option(ChannelOption.TCP_NODELAY, true)
                 .option(ChannelOption.SO_KEEPALIVE, true)
                 .option(ChannelOption.WRITE_BUFFER_WATER_MARK, waterMark())
-                .handler(dialledChannel(connection, listener));
+                .handler(dialledChannelInitializer(connection, listener));
         bootstrap.connect(host, port).addListener((ChannelFuture attempt) -> {
             if (!attempt.isSuccess()) {
                 listener.disconnected(connection, "dial failed: " + attempt.cause());
@@ -127,25 +133,26 @@
                 .awaitUninterruptibly(2 * SHUTDOWN_SECONDS, TimeUnit.SECONDS);
     }
 
-    private ChannelInitializer<Channel> acceptedChannels(FrameListener listener) {
+    private ChannelInitializer<Channel> acceptedChannelInitializer(FrameListener listener) {
         return new ChannelInitializer<>() {
             @Override
             protected void initChannel(Channel channel) {
-                install(channel, new NettyFrameConnection(remoteAddressOf(channel), meters), listener);
+                addHandlers(channel, new NettyFrameConnection(remoteAddressOf(channel), meters), listener);
             }
         };
     }
 
-    private ChannelInitializer<Channel> dialledChannel(NettyFrameConnection connection, FrameListener listener) {
+    private ChannelInitializer<Channel> dialledChannelInitializer(
+            NettyFrameConnection connection, FrameListener listener) {
         return new ChannelInitializer<>() {
             @Override
             protected void initChannel(Channel channel) {
-                install(channel, connection, listener);
+                addHandlers(channel, connection, listener);
             }
         };
     }
 
-    private void install(Channel channel, NettyFrameConnection connection, FrameListener listener) {
+    private void addHandlers(Channel channel, NettyFrameConnection connection, FrameListener listener) {
         channel.pipeline().addLast(new BoundedFrameDecoder(MAXIMUM_FRAME_BYTES));
         channel.pipeline().addLast(new FrameChannelHandler(connection, listener, meters));
     }
--- a/library/src/main/java/org/chivetally/transport/NettyFrameConnection.java
+++ b/library/src/main/java/org/chivetally/transport/NettyFrameConnection.java
@@ -51,24 +51,24 @@
 
     @Override
     public void send(Frame frame) {
-        Channel open = channel;
-        if (closed || open == null) {
+        Channel openChannel = channel;
+        if (closed || openChannel == null) {
             return;
         }
         outbound.add(frame);
         if (flushScheduled.compareAndSet(false, true)) {
-            execute(open, this::flushOutbound);
+            execute(openChannel, this::flushOutbound);
         }
     }
 
     @Override
     public void close() {
-        Channel open = channel;
-        if (closed || open == null) {
+        Channel openChannel = channel;
+        if (closed || openChannel == null) {
             return;
         }
         closed = true;
-        execute(open, () -> closeAfterFlush(open));
+        execute(openChannel, () -> closeAfterFlush(openChannel));
     }
 
     @Override
@@ -76,20 +76,20 @@
         return peer;
     }
 
-    private void execute(Channel open, Runnable step) {
+    private void execute(Channel openChannel, Runnable task) {
         try {
-            open.eventLoop().execute(step);
+            openChannel.eventLoop().execute(task);
         } catch (RejectedExecutionException e) {
             // The event loop is shutting down, which closes all its connections.
             detach();
         }
     }
 
-    private void closeAfterFlush(Channel open) {
+    private void closeAfterFlush(Channel openChannel) {
         flushOutbound();
-        open.writeAndFlush(Unpooled.EMPTY_BUFFER).addListener(ChannelFutureListener.CLOSE);
+        openChannel.writeAndFlush(Unpooled.EMPTY_BUFFER).addListener(ChannelFutureListener.CLOSE);
         // The flush never completes if the peer has stopped reading; the timeout closes the socket in that case.
-        open.eventLoop().schedule(() -> open.close(), CLOSE_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
+        openChannel.eventLoop().schedule(() -> openChannel.close(), CLOSE_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
     }
 
     private void flushOutbound() {
--- a/library/src/test/java/org/chivetally/http/HttpListenerTest.java
+++ b/library/src/test/java/org/chivetally/http/HttpListenerTest.java
@@ -52,12 +52,12 @@
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS);
     }
 
-    private HttpExchange next() throws InterruptedException {
+    private HttpExchange nextExchange() throws InterruptedException {
         return exchanges.poll(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
     }
 
-    private static void answer(HttpExchange exchange, String text) {
-        exchange.answer(200, Map.of(), "text/plain", text.getBytes(StandardCharsets.UTF_8));
+    private static void respond(HttpExchange exchange, String text) {
+        exchange.respond(200, Map.of(), "text/plain", text.getBytes(StandardCharsets.UTF_8));
     }
 
     private Socket connect(String bytes) throws IOException {
@@ -83,13 +83,13 @@
     @Test
     void answersRequestsOnOneConnectionInTheirOrder() throws Exception {
         try (Socket socket = connect("GET /a HTTP/1.1\r\nHost: h\r\n\r\nGET /b HTTP/1.1\r\nHost: h\r\n\r\n")) {
-            HttpExchange first = next();
+            HttpExchange first = nextExchange();
             assertThat(first.path(), is("/a"));
             assertThat(exchanges.poll(100, TimeUnit.MILLISECONDS) == null, is(true));
-            answer(first, "one!");
-            HttpExchange second = next();
+            respond(first, "one!");
+            HttpExchange second = nextExchange();
             assertThat(second.path(), is("/b"));
-            answer(second, "two!");
+            respond(second, "two!");
             assertThat(read(socket, "one!"), startsWith("HTTP/1.1 200"));
             assertThat(read(socket, "two!"), startsWith("HTTP/1.1 200"));
         }
@@ -114,7 +114,7 @@
     void reportsTheDisconnectOfAClient() throws Exception {
         CountDownLatch disconnected = new CountDownLatch(1);
         try (Socket socket = connect("GET /a HTTP/1.1\r\nHost: h\r\n\r\n")) {
-            next().onDisconnect(disconnected::countDown);
+            nextExchange().onDisconnect(disconnected::countDown);
         }
         assertThat(disconnected.await(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS), is(true));
     }
@@ -122,9 +122,9 @@
     @Test
     void closesConnectionsAfterTheirResponseWhileDraining() throws Exception {
         try (Socket socket = connect("GET /a HTTP/1.1\r\nHost: h\r\n\r\n")) {
-            HttpExchange exchange = next();
+            HttpExchange exchange = nextExchange();
             listener.drain();
-            answer(exchange, "last");
+            respond(exchange, "last");
             String text = read(socket, "never");
             assertThat(text, containsString("connection: close"));
             assertThat(text, containsString("last"));
@@ -137,7 +137,7 @@
         for (String text : new String[] {"one", "two"}) {
             CompletableFuture<HttpResult> result = new CompletableFuture<>();
             loop.execute(() -> client.call(HttpCall.get("/x", Duration.ofSeconds(5)), result::complete));
-            answer(next(), text);
+            respond(nextExchange(), text);
             HttpResult.Response response = (HttpResult.Response) result.get(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
             assertThat(new String(response.body(), StandardCharsets.UTF_8), is(text));
         }
--- a/library/src/test/java/org/chivetally/log/InMemoryPlatformLogTest.java
+++ b/library/src/test/java/org/chivetally/log/InMemoryPlatformLogTest.java
@@ -45,8 +45,8 @@
         CompletionStage<ReadOutcome> first = log.read(STREAM, 0, 10, WAIT);
         CompletionStage<ReadOutcome> second = log.read(STREAM, 1, 10, WAIT);
         append(log, "a");
-        MatcherAssert.assertThat(shown(first), Matchers.is(found(1, "0a")));
-        MatcherAssert.assertThat(shown(second), Matchers.nullValue());
+        MatcherAssert.assertThat(comparable(first), Matchers.is(found(1, "0a")));
+        MatcherAssert.assertThat(comparable(second), Matchers.nullValue());
     }
 
     @Test
@@ -54,9 +54,9 @@
         InMemoryPlatformLog log = log(InMemoryLogSettings.immediate());
         CompletionStage<ReadOutcome> read = log.read(STREAM, 0, 10, WAIT);
         time.timePasses(WAIT.minusMillis(1));
-        MatcherAssert.assertThat(shown(read), Matchers.nullValue());
+        MatcherAssert.assertThat(comparable(read), Matchers.nullValue());
         time.timePasses(Duration.ofMillis(1));
-        MatcherAssert.assertThat(shown(read), Matchers.is(found(0)));
+        MatcherAssert.assertThat(comparable(read), Matchers.is(found(0)));
     }
 
     @Test
@@ -99,9 +99,9 @@
         CompletionStage<ReadOutcome> waiting = log.read(STREAM, 0, 10, WAIT);
         CompletionStage<AppendOutcome> inFlight = log.append(STREAM, records("a"));
         log.setFaults(LogFaults.NONE.withDown(true));
-        MatcherAssert.assertThat(shown(waiting), Matchers.instanceOf(ReadOutcome.Unavailable.class));
+        MatcherAssert.assertThat(comparable(waiting), Matchers.instanceOf(ReadOutcome.Unavailable.class));
         time.timePasses(Duration.ofMillis(4));
-        MatcherAssert.assertThat(now(inFlight), Matchers.instanceOf(AppendOutcome.Refused.class));
+        MatcherAssert.assertThat(getNow(inFlight), Matchers.instanceOf(AppendOutcome.Refused.class));
         MatcherAssert.assertThat(append(log, "b"), Matchers.instanceOf(AppendOutcome.Refused.class));
         log.setFaults(LogFaults.NONE);
         MatcherAssert.assertThat(read(log, 0, 10), Matchers.is(found(0)));
@@ -143,13 +143,13 @@
             appends.add(log.append(STREAM, records("a")));
         }
         time.timePasses(Duration.ofMillis(4));
-        MatcherAssert.assertThat(now(appends.get(0)), Matchers.is(new AppendOutcome.Appended(0)));
-        MatcherAssert.assertThat(now(appends.get(1)), Matchers.nullValue());
+        MatcherAssert.assertThat(getNow(appends.get(0)), Matchers.is(new AppendOutcome.Appended(0)));
+        MatcherAssert.assertThat(getNow(appends.get(1)), Matchers.nullValue());
         time.timePasses(Duration.ofMillis(2));
-        MatcherAssert.assertThat(now(appends.get(1)), Matchers.is(new AppendOutcome.Appended(1)));
-        MatcherAssert.assertThat(now(appends.get(2)), Matchers.nullValue());
+        MatcherAssert.assertThat(getNow(appends.get(1)), Matchers.is(new AppendOutcome.Appended(1)));
+        MatcherAssert.assertThat(getNow(appends.get(2)), Matchers.nullValue());
         time.timePasses(Duration.ofMillis(2));
-        MatcherAssert.assertThat(now(appends.get(2)), Matchers.is(new AppendOutcome.Appended(2)));
+        MatcherAssert.assertThat(getNow(appends.get(2)), Matchers.is(new AppendOutcome.Appended(2)));
     }
 
     @Test
@@ -192,29 +192,33 @@
     }
 
     private static AppendOutcome append(InMemoryPlatformLog log, String... ids) {
-        return now(log.append(STREAM, records(ids)));
+        return getNow(log.append(STREAM, records(ids)));
     }
 
     private static Object read(InMemoryPlatformLog log, long from, int limit) {
-        return shown(log.read(STREAM, from, limit, Duration.ZERO));
+        return comparable(log.read(STREAM, from, limit, Duration.ZERO));
     }
 
     /** Returns the outcome of a read in a form with value equality for payloads, or null while the read waits. */
-    private static Object shown(CompletionStage<ReadOutcome> read) {
-        return now(read) instanceof ReadOutcome.Records(List<LogRecord> records, long endOffset)
-                ? new Found(records.stream().map(InMemoryPlatformLogTest::shown).toList(), endOffset)
-                : now(read);
+    private static Object comparable(CompletionStage<ReadOutcome> read) {
+        return getNow(read) instanceof ReadOutcome.Records(List<LogRecord> records, long endOffset)
+                ? new Found(
+                        records.stream()
+                                .map(InMemoryPlatformLogTest::comparable)
+                                .toList(),
+                        endOffset)
+                : getNow(read);
     }
 
-    private static String shown(LogRecord one) {
-        return one.offset() + new String(one.payload(), StandardCharsets.UTF_8);
+    private static String comparable(LogRecord logRecord) {
+        return logRecord.offset() + new String(logRecord.payload(), StandardCharsets.UTF_8);
     }
 
     private static Object found(long endOffset, String... offsetsAndPayloads) {
         return new Found(List.of(offsetsAndPayloads), endOffset);
     }
 
-    private static <T> T now(CompletionStage<T> stage) {
+    private static <T> T getNow(CompletionStage<T> stage) {
         return stage.toCompletableFuture().getNow(null);
     }
 
--- a/library/src/test/java/org/chivetally/transport/DelayRoundingIoHandlerTest.java
+++ b/library/src/test/java/org/chivetally/transport/DelayRoundingIoHandlerTest.java
@@ -28,7 +28,7 @@
                     executor -> new CountingHandler(NioIoHandler.newFactory().newHandler(executor))));
 
     @AfterEach
-    void end() {
+    void stop() {
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS).awaitUninterruptibly();
     }
 
@@ -63,12 +63,12 @@
 
     @Test
     void neverFiresEarly() throws Exception {
-        long begun = System.nanoTime();
+        long start = System.nanoTime();
         long fired = group.next()
                 .schedule(System::nanoTime, 3_700, TimeUnit.MICROSECONDS)
                 .get();
 
-        assertThat(fired - begun, is(greaterThanOrEqualTo(3_700_000L)));
+        assertThat(fired - start, is(greaterThanOrEqualTo(3_700_000L)));
     }
 
     /** Counts the iterations of the event loop. */
--- a/library/src/test/java/org/chivetally/transport/FrameTransportTest.java
+++ b/library/src/test/java/org/chivetally/transport/FrameTransportTest.java
@@ -78,11 +78,11 @@
 
     @Test
     void reportsAFailedConnectionAttempt() throws Exception {
-        int unused;
-        try (ServerSocket reserved = new ServerSocket(0, 1, InetAddress.getByName(LOOPBACK))) {
-            unused = reserved.getLocalPort();
+        int closedPort;
+        try (ServerSocket socket = new ServerSocket(0, 1, InetAddress.getByName(LOOPBACK))) {
+            closedPort = socket.getLocalPort();
         }
-        transport.dial(LOOPBACK, unused, client);
+        transport.dial(LOOPBACK, closedPort, client);
         assertThat(client.nextDisconnectReason(), startsWith("dial failed"));
     }
 
--- a/library/src/test/java/org/chivetally/transport/RecordingListener.java
+++ b/library/src/test/java/org/chivetally/transport/RecordingListener.java
@@ -9,13 +9,13 @@
 public final class RecordingListener implements FrameListener {
     private static final long WAIT_SECONDS = 20;
 
-    private final BlockingQueue<FrameConnection> opened = new LinkedBlockingQueue<>();
+    private final BlockingQueue<FrameConnection> connections = new LinkedBlockingQueue<>();
     private final BlockingQueue<Frame> frames = new LinkedBlockingQueue<>();
     private final BlockingQueue<String> disconnectReasons = new LinkedBlockingQueue<>();
 
     @Override
     public void connected(FrameConnection connection) {
-        opened.add(connection);
+        connections.add(connection);
     }
 
     @Override
@@ -30,7 +30,7 @@
 
     /** Waits for the next connection. */
     public FrameConnection nextConnection() throws InterruptedException {
-        return next(opened);
+        return next(connections);
     }
 
     /** Waits for the next frame. */
