--- a/command/src/main/java/org/chivetally/command/AgentCommand.java
+++ b/command/src/main/java/org/chivetally/command/AgentCommand.java
@@ -26,10 +26,11 @@
     @Override
     public Integer call() throws InterruptedException {
         AgentDaemonSettings settings = SettingsFile.readAgent(options.settings());
-        DaemonRuntime run = DaemonRuntime.start(settings.process());
-        ActorSystem<Void> system = run.system();
-        AgentDaemon daemon = DaemonRuntime.await(AgentDaemon.start(system, settings, run.log(), NanoClock.system()));
-        run.awaitSignal(daemon.whenStopped(), () -> daemon.drain(SIGNAL));
+        DaemonRuntime runtime = DaemonRuntime.start(settings.process());
+        ActorSystem<Void> system = runtime.system();
+        AgentDaemon daemon =
+                DaemonRuntime.await(AgentDaemon.start(system, settings, runtime.log(), NanoClock.system()));
+        runtime.awaitSignal(daemon.whenStopped(), () -> daemon.drain(SIGNAL));
         return ExitCodes.INTERNAL;
     }
 }
--- a/command/src/main/java/org/chivetally/command/CancelCommand.java
+++ b/command/src/main/java/org/chivetally/command/CancelCommand.java
@@ -33,13 +33,13 @@
     @Override
     public Integer call() {
         Console console = Console.of(command);
-        int worst = ExitCodes.OK;
+        int highestCode = ExitCodes.OK;
         try (EntryClient client = connection.client()) {
             for (String job : jobs) {
-                worst = Math.max(worst, cancel(client, console, job));
+                highestCode = Math.max(highestCode, cancel(client, console, job));
             }
         }
-        return worst;
+        return highestCode;
     }
 
     private static int cancel(EntryClient client, Console console, String job) {
--- a/command/src/main/java/org/chivetally/command/DeleteCommand.java
+++ b/command/src/main/java/org/chivetally/command/DeleteCommand.java
@@ -45,11 +45,12 @@
         Console console = Console.of(command);
         String path = ResourcePath.resource(kind, name);
         try (EntryClient client = connection.client()) {
-            EntryReply read = client.send(EntryRequest.get(path));
-            if (!read.succeeded()) {
-                return console.reportFailure(read);
+            EntryReply current = client.send(EntryRequest.get(path));
+            if (!current.succeeded()) {
+                return console.reportFailure(current);
             }
-            String version = basedOn == null ? read.document().path("version").asString("") : basedOn.toString();
+            String version =
+                    basedOn == null ? current.document().path("version").asString("") : basedOn.toString();
             EntryReply reply = client.send(operator.withOperator(EntryRequest.delete(path + "?basedOn=" + version)));
             if (!reply.succeeded()) {
                 return console.reportFailure(reply);
--- a/command/src/main/java/org/chivetally/command/Demonstration.java
+++ b/command/src/main/java/org/chivetally/command/Demonstration.java
@@ -55,11 +55,11 @@
         if (!second.succeeded()) {
             return console.reportFailure(second);
         }
-        boolean same = first.document().equals(second.document());
-        long started = countStarts(running) - startsBefore;
-        console.line(
-                (same ? "the same answer" : "ANOTHER ANSWER") + "; the minions recorded " + started + " new starts");
-        return same && started == 0 ? ExitCodes.OK : ExitCodes.FAILED;
+        boolean sameAnswer = first.document().equals(second.document());
+        long newStarts = countStarts(running) - startsBefore;
+        console.line((sameAnswer ? "the same answer" : "ANOTHER ANSWER") + "; the minions recorded " + newStarts
+                + " new starts");
+        return sameAnswer && newStarts == 0 ? ExitCodes.OK : ExitCodes.FAILED;
     }
 
     // The example names one deployment's service and team; the other deployment runs it for its own.
--- a/command/src/main/java/org/chivetally/command/EntryCommand.java
+++ b/command/src/main/java/org/chivetally/command/EntryCommand.java
@@ -26,10 +26,11 @@
     @Override
     public Integer call() throws InterruptedException {
         EntryDaemonSettings settings = SettingsFile.readEntry(options.settings());
-        DaemonRuntime run = DaemonRuntime.start(settings.process());
-        ActorSystem<Void> system = run.system();
-        EntryDaemon daemon = DaemonRuntime.await(EntryDaemon.start(system, settings, run.log(), NanoClock.system()));
-        run.awaitSignal(daemon.whenStopped(), () -> daemon.drain(SIGNAL));
+        DaemonRuntime runtime = DaemonRuntime.start(settings.process());
+        ActorSystem<Void> system = runtime.system();
+        EntryDaemon daemon =
+                DaemonRuntime.await(EntryDaemon.start(system, settings, runtime.log(), NanoClock.system()));
+        runtime.awaitSignal(daemon.whenStopped(), () -> daemon.drain(SIGNAL));
         return ExitCodes.INTERNAL;
     }
 }
--- a/command/src/main/java/org/chivetally/command/EntryOptions.java
+++ b/command/src/main/java/org/chivetally/command/EntryOptions.java
@@ -29,8 +29,8 @@
     }
 
     /** Returns a client whose requests may take longer by the time that the entry is asked to hold them. */
-    EntryClient client(Duration held) {
-        return new EntryClient(entry, timeout.plus(held));
+    EntryClient client(Duration serverWait) {
+        return new EntryClient(entry, timeout.plus(serverWait));
     }
 
     URI entry() {
--- a/command/src/main/java/org/chivetally/command/LoadCommand.java
+++ b/command/src/main/java/org/chivetally/command/LoadCommand.java
@@ -81,12 +81,12 @@
 
     @Override
     public Integer call() throws InterruptedException {
-        Optional<Targets> others = Optional.ofNullable(targets).map(LoadCommand::readTargets);
+        Optional<Targets> replacementTargets = Optional.ofNullable(targets).map(LoadCommand::readTargets);
         LoadPlanReader.Reading<LoadPlan> reading =
-                LoadPlanReader.read(plan.toString(), DocumentFile.text(plan), others);
+                LoadPlanReader.read(plan.toString(), DocumentFile.text(plan), replacementTargets);
         reading.mistakes().requireNone();
-        LoadPlan written = reading.content().orElseThrow();
-        LoadPlan content = seed == null ? written : written.withSeed(seed);
+        LoadPlan planInFile = reading.content().orElseThrow();
+        LoadPlan content = seed == null ? planInFile : planInFile.withSeed(seed);
         if (printProcessFaults) {
             content.faults().processSteps().forEach(Console.of(command)::line);
             return ExitCodes.OK;
--- a/command/src/main/java/org/chivetally/command/ResourceFiles.java
+++ b/command/src/main/java/org/chivetally/command/ResourceFiles.java
@@ -33,16 +33,16 @@
      */
     ObjectNode request(Map<String, Long> basedOn, Map<String, String> prune) {
         ObjectNode request = MAPPER.createObjectNode();
-        ArrayNode list = request.putArray("resources");
+        ArrayNode resourceNodes = request.putArray("resources");
         for (DeclaredResource resource : resources) {
-            ObjectNode node = list.addObject();
+            ObjectNode node = resourceNodes.addObject();
             node.put("kind", resource.key().kind().singular());
             node.put("name", resource.key().name());
             resource.content().labels().forEach(node.putObject("labels")::put);
             node.set("spec", MAPPER.readTree(resource.content().spec()));
-            Long seen = basedOn.get(resource.key().toString());
-            if (seen != null) {
-                node.put("basedOn", seen);
+            Long baseVersion = basedOn.get(resource.key().toString());
+            if (baseVersion != null) {
+                node.put("basedOn", baseVersion);
             }
         }
         if (!prune.isEmpty()) {
--- a/command/src/main/java/org/chivetally/command/StandaloneCommand.java
+++ b/command/src/main/java/org/chivetally/command/StandaloneCommand.java
@@ -51,15 +51,15 @@
     @Override
     public Integer call() throws InterruptedException {
         LogSetup.install(verbose ? Level.INFO : Level.WARNING);
-        DeploymentPlan declared = DeploymentCatalogue.read(deployment.name());
-        boolean ends = demo || jobFile != null;
-        DeploymentPlan plan = freePorts || ends ? declared.withFreePorts() : declared;
+        DeploymentPlan planInFile = DeploymentCatalogue.read(deployment.name());
+        boolean endsAfterJob = demo || jobFile != null;
+        DeploymentPlan plan = freePorts || endsAfterJob ? planInFile.withFreePorts() : planInFile;
         RunningDeployment running = RunningDeployment.start(plan);
         Console console = Console.of(command);
         console.line("deployment " + plan.name() + ": " + plan.minions() + " minions of " + plan.slots() + " slots in "
                 + plan.failureDomains().size() + " failure domains");
         console.lines(addresses(running).lines());
-        if (ends) {
+        if (endsAfterJob) {
             return demonstrate(console, running, plan);
         }
         console.line("submit a job: bin/chivetally submit examples/job-small.yaml --entry "
--- a/command/src/main/java/org/chivetally/command/SubmitCommand.java
+++ b/command/src/main/java/org/chivetally/command/SubmitCommand.java
@@ -53,15 +53,16 @@
     @Override
     public Integer call() {
         Console console = Console.of(command);
-        String usedKey = key == null ? UUID.randomUUID().toString() : key;
-        EntryRequest request = request(DocumentFile.readOne(file), usedKey, wait);
-        console.errorLine("key: " + usedKey);
+        String effectiveKey = key == null ? UUID.randomUUID().toString() : key;
+        EntryRequest request = request(DocumentFile.readOne(file), effectiveKey, wait);
+        console.errorLine("key: " + effectiveKey);
         try (EntryClient client = connection.client(wait)) {
             EntryReply reply = client.send(request);
             return reply.succeeded() ? show(console, reply) : console.reportFailure(reply);
         } catch (ChivetallyException failure) {
             if (failure.code() == ErrorCode.OUTCOME_UNKNOWN) {
-                console.errorLine("submit again with --key " + usedKey + " to learn the outcome; nothing starts twice");
+                console.errorLine(
+                        "submit again with --key " + effectiveKey + " to learn the outcome; nothing starts twice");
             }
             throw failure;
         }
--- a/command/src/main/java/org/chivetally/command/WatchCommand.java
+++ b/command/src/main/java/org/chivetally/command/WatchCommand.java
@@ -49,15 +49,15 @@
     @Override
     public Integer call() {
         Console console = Console.of(command);
-        WatchOutput shown = new WatchOutput(console, output.format(), count, from);
+        WatchOutput watchOutput = new WatchOutput(console, output.format(), count, from);
         try (EntryClient client = connection.client()) {
             while (true) {
-                EntryReply reply = client.stream(EntryRequest.get(path(shown)), shown::line);
-                if (shown.isComplete()) {
+                EntryReply reply = client.stream(EntryRequest.get(path(watchOutput)), watchOutput::line);
+                if (watchOutput.isComplete()) {
                     return ExitCodes.OK;
                 }
                 if (isTooOld(reply)) {
-                    reply = list(client, shown);
+                    reply = list(client, watchOutput);
                 }
                 if (!reply.succeeded()) {
                     return console.reportFailure(reply);
@@ -66,9 +66,12 @@
         }
     }
 
-    private String path(WatchOutput shown) {
+    private String path(WatchOutput watchOutput) {
         String watch = ResourcePath.kind(kind) + "?watch=true";
-        return shown.resumeFrom().map(version -> watch + "&from=" + version).orElse(watch);
+        return watchOutput
+                .resumeFrom()
+                .map(version -> watch + "&from=" + version)
+                .orElse(watch);
     }
 
     private static boolean isTooOld(EntryReply reply) {
@@ -77,12 +80,12 @@
                 .isPresent();
     }
 
-    private EntryReply list(EntryClient client, WatchOutput shown) {
+    private EntryReply list(EntryClient client, WatchOutput watchOutput) {
         EntryReply reply = client.send(EntryRequest.get(ResourcePath.kind(kind)));
         if (reply.succeeded()) {
             JsonNode document = reply.document();
-            document.path("items").forEach(shown::showListed);
-            shown.resumeAt(document.path("version").asLong(0));
+            document.path("items").forEach(watchOutput::showListed);
+            watchOutput.resumeAt(document.path("version").asLong(0));
         }
         return reply;
     }
--- a/command/src/main/java/org/chivetally/command/client/EntryClient.java
+++ b/command/src/main/java/org/chivetally/command/client/EntryClient.java
@@ -74,14 +74,15 @@
         client.shutdownNow();
     }
 
-    private <T> HttpResponse<T> exchange(EntryRequest request, Duration limit, HttpResponse.BodyHandler<T> handler) {
+    private <T> HttpResponse<T> exchange(
+            EntryRequest request, Duration responseTimeout, HttpResponse.BodyHandler<T> handler) {
         HttpRequest.Builder builder = HttpRequest.newBuilder(entry.resolve(request.pathAndQuery()))
                 .method(
                         request.method(),
                         request.body().map(BodyPublishers::ofString).orElse(BodyPublishers.noBody()));
         request.headers().forEach(builder::header);
-        if (limit != null) {
-            builder.timeout(limit);
+        if (responseTimeout != null) {
+            builder.timeout(responseTimeout);
         }
         try {
             return client.send(builder.build(), handler);
--- a/command/src/main/java/org/chivetally/command/daemon/DaemonRuntime.java
+++ b/command/src/main/java/org/chivetally/command/daemon/DaemonRuntime.java
@@ -28,9 +28,9 @@
     }
 
     /** Waits for a daemon's start; throws when it failed. */
-    public static <T> T await(CompletionStage<T> start) {
+    public static <T> T await(CompletionStage<T> startup) {
         try {
-            return start.toCompletableFuture().join();
+            return startup.toCompletableFuture().join();
         } catch (CompletionException failed) {
             Throwable cause = failed.getCause();
             if (cause instanceof ChivetallyException known) {
--- a/command/src/main/java/org/chivetally/command/daemon/GracefulStop.java
+++ b/command/src/main/java/org/chivetally/command/daemon/GracefulStop.java
@@ -68,7 +68,7 @@
         try {
             drain.get().toCompletableFuture().get(drainTimeout.toMillis(), TimeUnit.MILLISECONDS);
             return COMPLETE;
-        } catch (TimeoutException slow) {
+        } catch (TimeoutException expired) {
             return "timed-out";
         } catch (ExecutionException failed) {
             return "failed: " + failed.getCause();
--- a/command/src/main/java/org/chivetally/command/deployment/DeploymentFiles.java
+++ b/command/src/main/java/org/chivetally/command/deployment/DeploymentFiles.java
@@ -99,7 +99,7 @@
                 http: {host: %s, port: %d}
                 claims: {appendsPerSecond: %d}
                 """.formatted(
-                        shared(ProcessNames.entry(entry), entry, ports.frames(entry), ports.frames(entry)),
+                        sharedSettings(ProcessNames.entry(entry), entry, ports.frames(entry), ports.frames(entry)),
                         HOST,
                         ports.http(entry),
                         plan.appendsPerSecond());
@@ -119,7 +119,7 @@
                   memory: %s
                   accelerators: %d
                 """.formatted(
-                        shared(ProcessNames.agent(agent), agent, ports.agent(agent), advertised),
+                        sharedSettings(ProcessNames.agent(agent), agent, ports.agent(agent), advertised),
                         ProcessNames.minion(agent),
                         plan.service(),
                         HOST,
@@ -131,7 +131,7 @@
                         plan.worker().accelerators());
     }
 
-    private String shared(String name, int position, int framesPort, int advertisedPort) {
+    private String sharedSettings(String name, int position, int framesPort, int advertisedPort) {
         String domain = plan.failureDomain(position);
         int logPort = ports.log();
         String seedList = seeds();
@@ -169,20 +169,20 @@
     private String targets() {
         StringBuilder text = new StringBuilder("targets:\n  entries:\n");
         entries()
-                .forEach(entry -> text.append(target(
+                .forEach(entry -> text.append(targetItem(
                         ProcessNames.entry(entry),
                         options.entryRelays() ? ports.entryRelay(entry) : ports.http(entry))));
         text.append("  minions:\n");
-        agents().forEach(minion -> text.append(target(ProcessNames.minion(minion), ports.minion(minion))));
-        text.append("  logs:\n").append(target("log", ports.log()));
+        agents().forEach(minion -> text.append(targetItem(ProcessNames.minion(minion), ports.minion(minion))));
+        text.append("  logs:\n").append(targetItem("log", ports.log()));
         if (options.relays()) {
             text.append("  relays:\n");
-            relays().forEach(relay -> text.append(target(relay.name(), relay.controlPort())));
+            relays().forEach(relay -> text.append(targetItem(relay.name(), relay.controlPort())));
         }
         return text.toString();
     }
 
-    private static String target(String name, int port) {
+    private static String targetItem(String name, int port) {
         return "    - {name: %s, url: \"http://%s:%d\"}\n".formatted(name, HOST, port);
     }
 
--- a/command/src/main/java/org/chivetally/command/losses/JobHistory.java
+++ b/command/src/main/java/org/chivetally/command/losses/JobHistory.java
@@ -14,8 +14,8 @@
     private final Instant acceptedAt;
     private final long objectiveMillis;
     private long longestWaitMillis;
-    private boolean failedTask;
-    private boolean lostRun;
+    private boolean taskFailed;
+    private boolean runLost;
     private Optional<Loss> loss = Optional.empty();
 
     /** Begins with the line by which an entry took the job on. */
@@ -36,8 +36,8 @@
 
     void runEnded(LogLine line) {
         switch (line.text("outcome")) {
-            case "FAILED" -> failedTask = true;
-            case "NEVER_STARTED", "LOST", "LAPSED", "STOPPED" -> lostRun = true;
+            case "FAILED" -> taskFailed = true;
+            case "NEVER_STARTED", "LOST", "LAPSED", "STOPPED" -> runLost = true;
             default -> {}
         }
     }
@@ -52,10 +52,10 @@
     }
 
     private Loss lateCause() {
-        if (failedTask) {
+        if (taskFailed) {
             return Loss.FAILED_TASK;
         }
-        if (lostRun) {
+        if (runLost) {
             return Loss.LOST_RUN;
         }
         return longestWaitMillis > LONG_WAIT_SHARE * objectiveMillis ? Loss.WAITED : Loss.SLOW_TASK;
--- a/command/src/main/java/org/chivetally/command/output/TreeDifference.java
+++ b/command/src/main/java/org/chivetally/command/output/TreeDifference.java
@@ -11,9 +11,9 @@
     private TreeDifference() {}
 
     /** Returns lines that begin with {@code -} for values only in the old tree, {@code +} for those only in the new. */
-    public static List<String> lines(JsonNode old, JsonNode renewed) {
+    public static List<String> lines(JsonNode old, JsonNode updated) {
         TreeMap<String, String> before = values(old);
-        TreeMap<String, String> after = values(renewed);
+        TreeMap<String, String> after = values(updated);
         TreeMap<String, String> paths = new TreeMap<>(before);
         paths.putAll(after);
         List<String> lines = new ArrayList<>();
@@ -43,7 +43,8 @@
 
     private static void collect(JsonNode node, String path, TreeMap<String, String> found) {
         if (node.isObject()) {
-            node.properties().forEach(property -> collect(property.getValue(), joined(path, property.getKey()), found));
+            node.properties()
+                    .forEach(property -> collect(property.getValue(), childPath(path, property.getKey()), found));
         } else if (node.isArray()) {
             for (int position = 0; position < node.size(); position++) {
                 collect(node.get(position), path + "[" + position + "]", found);
@@ -53,7 +54,7 @@
         }
     }
 
-    private static String joined(String path, String key) {
+    private static String childPath(String path, String key) {
         return path.isEmpty() ? key : path + "." + key;
     }
 }
--- a/command/src/test/java/org/chivetally/command/CommandTest.java
+++ b/command/src/test/java/org/chivetally/command/CommandTest.java
@@ -38,24 +38,24 @@
     @ParameterizedTest
     @MethodSource("everyCommand")
     void everyCommandHasHelpWithExitCodes(List<String> names) {
-        CommandResult run = run(with(names, "--help"));
-        assertThat(run.code(), is(ExitCodes.OK));
-        assertThat(run.out(), containsString("Usage: " + String.join(" ", with(List.of("chivetally"), names))));
-        assertThat(run.out(), containsString("5    the request may have taken effect"));
+        CommandResult result = run(appended(names, "--help"));
+        assertThat(result.code(), is(ExitCodes.OK));
+        assertThat(result.out(), containsString("Usage: " + String.join(" ", appended(List.of("chivetally"), names))));
+        assertThat(result.out(), containsString("5    the request may have taken effect"));
     }
 
     @ParameterizedTest
     @MethodSource("everyCommand")
     void everyCommandRefusesAnUnknownOption(List<String> names) {
-        CommandResult run = run(with(names, "--no-such-option"));
-        assertThat(run.code(), is(ExitCodes.INVALID_INPUT));
+        CommandResult result = run(appended(names, "--no-such-option"));
+        assertThat(result.code(), is(ExitCodes.INVALID_INPUT));
         // What is required and missing is told first, where there is such.
-        assertThat(run.error(), anyOf(containsString("--no-such-option"), startsWith("Missing required")));
+        assertThat(result.error(), anyOf(containsString("--no-such-option"), startsWith("Missing required")));
         assertThat(commandLine(names).isUnmatchedArgumentsAllowed(), is(false));
     }
 
     @Test
-    void aNameWithoutSubcommandIsRefused() {
+    void aMissingSubcommandIsRefused() {
         assertThat(run(List.of()).code(), is(ExitCodes.INVALID_INPUT));
     }
 
@@ -71,10 +71,10 @@
      * connection is refused before anything is sent.
      */
     @Test
-    void anEntryThatIsNotThereIsUnavailable() throws IOException {
-        CommandResult run = CommandResult.of("get", "services", "--entry", "http://127.0.0.1:" + freePort());
-        assertThat(run.code(), is(ExitCodes.UNAVAILABLE));
-        assertThat(run.error(), containsString("not-ready: no entry answers"));
+    void anUnreachableEntryIsUnavailable() throws IOException {
+        CommandResult result = CommandResult.of("get", "services", "--entry", "http://127.0.0.1:" + freePort());
+        assertThat(result.code(), is(ExitCodes.UNAVAILABLE));
+        assertThat(result.error(), containsString("not-ready: no entry answers"));
     }
 
     /**
@@ -82,47 +82,47 @@
      * request, then closes without an answer: the job may have been accepted before that.
      */
     @Test
-    void aLostAnswerToASubmissionIsUnknown() throws Exception {
+    void aLostAnswerToASubmissionIsOutcomeUnknown() throws Exception {
         try (ServerSocket socket = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             Thread server = Thread.ofVirtual().start(() -> closeAfterRequest(socket));
             String entry = "http://127.0.0.1:" + socket.getLocalPort();
-            CommandResult run =
+            CommandResult result =
                     CommandResult.of("submit", "../examples/job-small.yaml", "--key", "key-1", "--entry", entry);
             server.join();
-            assertThat(run.code(), is(ExitCodes.OUTCOME_UNKNOWN));
-            assertThat(run.error(), containsString("submit again with --key key-1"));
+            assertThat(result.code(), is(ExitCodes.OUTCOME_UNKNOWN));
+            assertThat(result.error(), containsString("submit again with --key key-1"));
         }
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"entry --settings", "agent --settings", "submit", "load", "apply -f"})
-    void aFileThatIsNotThereIsInvalidInput(String command) {
-        CommandResult run = CommandResult.of((command + " no-such-file.yaml").split(" "));
-        assertThat(run.code(), is(ExitCodes.INVALID_INPUT));
-        assertThat(run.error(), containsString("no-such-file.yaml"));
+    void aMissingFileIsInvalidInput(String command) {
+        CommandResult result = CommandResult.of((command + " no-such-file.yaml").split(" "));
+        assertThat(result.code(), is(ExitCodes.INVALID_INPUT));
+        assertThat(result.error(), containsString("no-such-file.yaml"));
     }
 
     /** An operator's editor saved a file in another encoding: the place is told, and no entry is asked. */
     @Test
-    void aFileInAnotherEncodingIsRefusedWithThePlace(@TempDir Path folder) throws IOException {
+    void aFileInAnotherEncodingIsRefusedWithItsPosition(@TempDir Path folder) throws IOException {
         Path file = folder.resolve("team.yaml");
         Files.write(file, "kind: team\nname: ranger\u00e6".getBytes(StandardCharsets.ISO_8859_1));
-        CommandResult run = CommandResult.of("apply", "-f", folder.toString());
-        assertThat(run.code(), is(ExitCodes.INVALID_INPUT));
-        assertThat(run.error(), containsString("team.yaml:2:13: is not UTF-8"));
+        CommandResult result = CommandResult.of("apply", "-f", folder.toString());
+        assertThat(result.code(), is(ExitCodes.INVALID_INPUT));
+        assertThat(result.error(), containsString("team.yaml:2:13: is not UTF-8"));
     }
 
     /** An operator mistypes three keys of a settings file: the daemon does not start and names all three at once. */
     @Test
-    void aDaemonWithMalformedSettingsNamesAllMistakes(@TempDir Path folder) throws IOException {
+    void aDaemonWithMalformedSettingsReportsAllMistakes(@TempDir Path folder) throws IOException {
         String settings = Files.readString(Path.of("../examples/settings/entry.yaml"))
                 .replace("failureDomain:", "domain:")
                 .replace("port: 8080", "port: 80800");
         Path file = Files.writeString(folder.resolve("entry.yaml"), settings);
-        CommandResult run = CommandResult.of("entry", "--settings", file.toString());
-        assertThat(run.code(), is(ExitCodes.INVALID_INPUT));
+        CommandResult result = CommandResult.of("entry", "--settings", file.toString());
+        assertThat(result.code(), is(ExitCodes.INVALID_INPUT));
         assertThat(
-                run.error(),
+                result.error(),
                 allOf(
                         containsString("process.failureDomain: is missing"),
                         containsString("process.domain: unknown key; allowed here: failureDomain, name"),
@@ -131,10 +131,10 @@
 
     /** The layout of a deployment writes settings that the daemons accept. */
     @Test
-    void theLayoutOfADeploymentIsAccepted(@TempDir Path folder) {
-        CommandResult run = CommandResult.of(
+    void theDaemonsAcceptTheGeneratedSettings(@TempDir Path folder) {
+        CommandResult result = CommandResult.of(
                 "layout", folder.toString(), "--deployment", "../examples/deployments/tasmania.yaml", "--relays");
-        assertThat(run.error(), run.code(), is(ExitCodes.OK));
+        assertThat(result.error(), result.code(), is(ExitCodes.OK));
         assertThat(
                 SettingsFile.readEntry(folder.resolve("entry-3.yaml")).process().name(), is("entry-3"));
         assertThat(
@@ -161,8 +161,8 @@
     private static void closeAfterRequest(ServerSocket server) {
         try (var connection = server.accept()) {
             connection.getInputStream().read();
-        } catch (IOException broken) {
-            throw new java.io.UncheckedIOException(broken);
+        } catch (IOException failure) {
+            throw new java.io.UncheckedIOException(failure);
         }
     }
 
@@ -172,18 +172,18 @@
 
     private static void collect(CommandLine commandLine, List<String> names, List<Arguments> found) {
         found.add(Arguments.of(names));
-        commandLine.getSubcommands().forEach((name, child) -> collect(child, with(names, name), found));
+        commandLine.getSubcommands().forEach((name, child) -> collect(child, appended(names, name), found));
     }
 
-    private static List<String> with(List<String> names, List<String> more) {
-        List<String> longer = new ArrayList<>(names);
-        longer.addAll(more);
-        return List.copyOf(longer);
+    private static List<String> appended(List<String> names, List<String> more) {
+        List<String> all = new ArrayList<>(names);
+        all.addAll(more);
+        return List.copyOf(all);
     }
 
-    private static List<String> with(List<String> names, String last) {
-        List<String> longer = new ArrayList<>(names);
-        longer.add(last);
-        return List.copyOf(longer);
+    private static List<String> appended(List<String> names, String last) {
+        List<String> all = new ArrayList<>(names);
+        all.add(last);
+        return List.copyOf(all);
     }
 }
--- a/command/src/test/java/org/chivetally/command/PagesTest.java
+++ b/command/src/test/java/org/chivetally/command/PagesTest.java
@@ -31,21 +31,21 @@
     private static final Pattern FILE = Pattern.compile("(?<![\\w/.-])((?:examples|scripts|docs|bin)/[\\w./-]*\\w)");
 
     @Test
-    void everyLogEventIsOnThePage() throws IOException {
-        Set<String> events = inSources(EVENT);
+    void everyLogEventIsDocumented() throws IOException {
+        Set<String> events = matchesInSources(EVENT);
         assertThat(events, hasItems("placement", "claim-won", "job-final", "lease-gained", "lease-lost"));
-        assertThat(notOnThePage(events), empty());
+        assertThat(undocumented(events), empty());
     }
 
     @Test
-    void everyMetricIsOnThePage() throws IOException {
-        Set<String> metrics = inSources(METRIC);
+    void everyMetricIsDocumented() throws IOException {
+        Set<String> metrics = matchesInSources(METRIC);
         assertThat(metrics, hasItems("chivetally.job.time", "chivetally.transport.frames", "minion.starts"));
-        assertThat(notOnThePage(metrics), empty());
+        assertThat(undocumented(metrics), empty());
     }
 
     @Test
-    void everySettingIsOnThePage() throws IOException {
+    void everySettingIsDocumented() throws IOException {
         Set<String> settings = new TreeSet<>();
         for (String daemon : List.of("entry", "agent")) {
             String example = Files.readString(ROOT.resolve("examples/settings/" + daemon + ".yaml"));
@@ -56,35 +56,35 @@
             }
         }
         assertThat(settings, hasItems("claims.lease", "minion.slots", "drainTimeout", "seeds"));
-        assertThat(notOnThePage(settings), empty());
+        assertThat(undocumented(settings), empty());
     }
 
     @Test
-    void everyFileThatAPageNamesIsThere() throws IOException {
-        Set<String> files = in("README.md", 0, FILE);
-        files.addAll(in("docs", 1, FILE));
+    void everyFileNamedInTheDocumentationExists() throws IOException {
+        Set<String> files = matchesIn("README.md", 0, FILE);
+        files.addAll(matchesIn("docs", 1, FILE));
         assertThat(files, hasItems("bin/chivetally", "examples/job-small.yaml", "docs/ARCHITECTURE.md"));
         files.removeIf(file -> Files.exists(ROOT.resolve(file)));
         assertThat(files, empty());
     }
 
-    private static Set<String> notOnThePage(Set<String> names) throws IOException {
+    private static Set<String> undocumented(Set<String> names) throws IOException {
         String page = Files.readString(ROOT.resolve("docs/OPERATIONS.md"));
         names.removeIf(name -> page.contains('`' + name + '`'));
         return names;
     }
 
-    private static Set<String> inSources(Pattern pattern) throws IOException {
+    private static Set<String> matchesInSources(Pattern pattern) throws IOException {
         Set<String> names = new TreeSet<>();
         for (String module : MODULES) {
-            names.addAll(in(module + "/src/main/java", Integer.MAX_VALUE, pattern));
+            names.addAll(matchesIn(module + "/src/main/java", Integer.MAX_VALUE, pattern));
         }
         return names;
     }
 
-    private static Set<String> in(String place, int depth, Pattern pattern) throws IOException {
+    private static Set<String> matchesIn(String path, int depth, Pattern pattern) throws IOException {
         Set<String> names = new TreeSet<>();
-        try (Stream<Path> files = Files.walk(ROOT.resolve(place), depth)) {
+        try (Stream<Path> files = Files.walk(ROOT.resolve(path), depth)) {
             for (Path file : files.filter(Files::isRegularFile).toList()) {
                 Matcher matcher = pattern.matcher(Files.readString(file));
                 while (matcher.find()) {
--- a/command/src/test/java/org/chivetally/command/StandaloneTest.java
+++ b/command/src/test/java/org/chivetally/command/StandaloneTest.java
@@ -49,14 +49,14 @@
      * each task.
      */
     @Test
-    void aJobIsAnsweredOnceWhateverEntryIsAsked() {
-        long before = Demonstration.countStarts(running);
+    void aResubmissionAtAnotherEntryReturnsTheSameAnswer() {
+        long startsBefore = Demonstration.countStarts(running);
         CommandResult first = atEntry(0, "submit", EXAMPLES + "job-250.yaml", "--key", "once", "-o", "json");
         assertThat(first.error(), first.code(), is(ExitCodes.OK));
         assertThat(first.out(), allOf(containsString("report 1 routed"), containsString("report 250 routed")));
         CommandResult second = atEntry(2, "submit", EXAMPLES + "job-250.yaml", "--key", "once", "-o", "json");
         assertThat(second.out(), is(first.out()));
-        assertThat(Demonstration.countStarts(running) - before, is(250L));
+        assertThat(Demonstration.countStarts(running) - startsBefore, is(250L));
     }
 
     @Test
@@ -84,9 +84,9 @@
         Path job = Files.writeString(
                 folder.resolve("failing.yaml"),
                 "service: trail-report-routing\ntasks: [{payload: {workMillis: 0, fail: true}}]\n");
-        CommandResult run = atEntry(0, "submit", job.toString());
-        assertThat(run.code(), is(ExitCodes.FAILED));
-        assertThat(run.error(), containsString("task-failed (failed)"));
+        CommandResult result = atEntry(0, "submit", job.toString());
+        assertThat(result.code(), is(ExitCodes.FAILED));
+        assertThat(result.error(), containsString("task-failed (failed)"));
     }
 
     @Test
@@ -111,15 +111,15 @@
      * the other's version, as it carries the version it is based on.
      */
     @Test
-    void theLoserOfARaceSeesAConflict() throws Exception {
+    void theSecondOfTwoConcurrentWritesIsAConflict() throws Exception {
         Path team = folder.resolve("team.yaml");
         Files.writeString(team, "kind: team\nname: raced\nspec: {weight: 2}\n");
         String[] basedOnNothing = {"apply", "-f", team.toString(), "--based-on", "team/raced=0"};
         assertThat(atEntry(0, basedOnNothing).code(), is(ExitCodes.OK));
         Files.writeString(team, "kind: team\nname: raced\nspec: {weight: 3}\n");
-        CommandResult loser = atEntry(0, basedOnNothing);
-        assertThat(loser.code(), is(ExitCodes.CONFLICT));
-        assertThat(loser.error(), containsString("team/raced was changed by"));
+        CommandResult secondWrite = atEntry(0, basedOnNothing);
+        assertThat(secondWrite.code(), is(ExitCodes.CONFLICT));
+        assertThat(secondWrite.error(), containsString("team/raced was changed by"));
         assertThat(atEntry(0, "describe", "team", "raced").out(), containsString("weight: 2"));
     }
 
@@ -132,8 +132,8 @@
 
     private static CommandResult atEntry(int position, String... arguments) {
         URI entry = running.entries().get(position);
-        List<String> all = new ArrayList<>(List.of(arguments));
-        all.addAll(List.of("--entry", entry.toString()));
-        return CommandResult.of(all.toArray(String[]::new));
+        List<String> allArguments = new ArrayList<>(List.of(arguments));
+        allArguments.addAll(List.of("--entry", entry.toString()));
+        return CommandResult.of(allArguments.toArray(String[]::new));
     }
 }
--- a/command/src/test/java/org/chivetally/command/daemon/KeyValueFormatterTest.java
+++ b/command/src/test/java/org/chivetally/command/daemon/KeyValueFormatterTest.java
@@ -13,14 +13,14 @@
     private final KeyValueFormatter formatter = new KeyValueFormatter();
 
     @Test
-    void anEventStaysAsItIs() {
+    void leavesAnEventLineUnchanged() {
         assertThat(
                 formatter.format(record("event=placed task=3")),
                 is("time=2026-01-02T03:04:05.000006Z level=info logger=Dispatcher event=placed task=3\n"));
     }
 
     @Test
-    void freeTextAndCausesBecomeOneLine() {
+    void writesFreeTextAndCausesAsOneLine() {
         LogRecord record = record("two\nlines");
         record.setThrown(new IllegalStateException("broken \"pipe\""));
         String line = formatter.format(record);
--- a/command/src/test/java/org/chivetally/command/deployment/DeploymentPlanTest.java
+++ b/command/src/test/java/org/chivetally/command/deployment/DeploymentPlanTest.java
@@ -14,7 +14,7 @@
 class DeploymentPlanTest {
     @ParameterizedTest
     @CsvSource({"jylland, 500, 1000, 64", "tasmania, 1000, 3000, 16"})
-    void theExamplesHaveTheShapeOfTheDeployments(String name, long between, long clients, int processors)
+    void readsTheExampleDeployments(String name, long domainDelayMicros, long clientDelayMicros, int processors)
             throws IOException {
         Path file = Path.of("..", "examples", "deployments", name + ".yaml");
         DeploymentPlan plan = SettingsFile.read(file.toString(), Files.readString(file), DeploymentPlan::read);
@@ -22,8 +22,8 @@
         assertThat(plan.failureDomains(), hasSize(3));
         assertThat(plan.httpPorts(), hasSize(3));
         assertThat(plan.minions() * plan.slots(), is(88));
-        assertThat(plan.delayBetweenFailureDomains().toNanos() / 1000, is(between));
-        assertThat(plan.delayToClients().toNanos() / 1000, is(clients));
+        assertThat(plan.delayBetweenFailureDomains().toNanos() / 1000, is(domainDelayMicros));
+        assertThat(plan.delayToClients().toNanos() / 1000, is(clientDelayMicros));
         assertThat(plan.worker().processorMillis(), is(processors * 1000L));
     }
 }
--- a/command/src/test/java/org/chivetally/command/losses/LossTableTest.java
+++ b/command/src/test/java/org/chivetally/command/losses/LossTableTest.java
@@ -14,20 +14,20 @@
 class LossTableTest {
     private final LossTable table = new LossTable(Duration.ofSeconds(2));
 
-    private void log(double second, String rest) {
+    private void addLine(double second, String rest) {
         table.add("12.5 entry-1 time=2026-01-01T00:00:%06.3fZ level=INFO event=%s".formatted(second, rest));
     }
 
     private void accepted(double second, String job) {
-        log(second, "job-accepted job=" + job + " queue=q reason=unkept age_ms=0 left_ms=600");
+        addLine(second, "job-accepted job=" + job + " queue=q reason=unkept age_ms=0 left_ms=600");
     }
 
     private void ended(double second, String job, String phase, String reason, int ageMillis) {
-        log(second, "job-ended job=%s phase=%s reason=%s age_ms=%d".formatted(job, phase, reason, ageMillis));
+        addLine(second, "job-ended job=%s phase=%s reason=%s age_ms=%d".formatted(job, phase, reason, ageMillis));
     }
 
     /** Returns the counts of the only row, by the columns of the table. */
-    private List<Integer> row() {
+    private List<Integer> onlyRow() {
         List<String> lines = table.lines();
         assertThat(lines, hasSize(2));
         return Arrays.stream(lines.getLast().trim().split("\\s+"))
@@ -36,7 +36,7 @@
                 .toList();
     }
 
-    private List<Integer> only(Loss loss) {
+    private List<Integer> singleCount(Loss loss) {
         Integer[] counts = new Integer[1 + Loss.values().length];
         Arrays.fill(counts, 0);
         counts[1 + loss.ordinal()] = 1;
@@ -46,65 +46,65 @@
     @Test
     void countsAJobThatEndedWithinItsObjective() {
         accepted(1, "a");
-        log(1.01, "run-placed task=a.0.0.0 run=1 waited_ms=3");
+        addLine(1.01, "run-placed task=a.0.0.0 run=1 waited_ms=3");
         ended(1.2, "a", "COMPLETED", "done", 200);
-        assertThat(row(), is(only(Loss.NONE)));
+        assertThat(onlyRow(), is(singleCount(Loss.NONE)));
     }
 
     @Test
-    void tellsAJobThatWaitedForRoomFromOneWhoseTaskWasSlow() {
+    void attributesALateJobToItsLongWait() {
         accepted(1, "a");
-        log(1.1, "run-placed task=a.0.0.0 run=1 waited_ms=60");
+        addLine(1.1, "run-placed task=a.0.0.0 run=1 waited_ms=60");
         ended(1.21, "a", "COMPLETED", "done", 210);
-        assertThat(row(), is(only(Loss.WAITED)));
+        assertThat(onlyRow(), is(singleCount(Loss.WAITED)));
     }
 
     @Test
-    void namesASlowTaskWhenNothingElseWasWrong() {
+    void attributesALateJobToASlowTaskWithoutAnotherCause() {
         accepted(1, "a");
-        log(1.1, "run-placed task=a.0.0.0 run=1 waited_ms=5");
+        addLine(1.1, "run-placed task=a.0.0.0 run=1 waited_ms=5");
         ended(1.21, "a", "COMPLETED", "done", 210);
-        assertThat(row(), is(only(Loss.SLOW_TASK)));
+        assertThat(onlyRow(), is(singleCount(Loss.SLOW_TASK)));
     }
 
     @Test
-    void namesTheFailedTaskOfALateJob() {
+    void attributesALateJobToItsFailedTask() {
         accepted(1, "a");
-        log(1.1, "run-ended task=a.0.0.0 run=1 outcome=FAILED");
+        addLine(1.1, "run-ended task=a.0.0.0 run=1 outcome=FAILED");
         ended(1.4, "a", "COMPLETED", "done", 400);
-        assertThat(row(), is(only(Loss.FAILED_TASK)));
+        assertThat(onlyRow(), is(singleCount(Loss.FAILED_TASK)));
     }
 
     @Test
-    void namesTheLostRunOfALateJob() {
+    void attributesALateJobToItsLostRun() {
         accepted(1, "a");
-        log(1.1, "run-ended task=a.0.0.0 run=1 outcome=NEVER_STARTED");
+        addLine(1.1, "run-ended task=a.0.0.0 run=1 outcome=NEVER_STARTED");
         ended(1.4, "a", "COMPLETED", "done", 400);
-        assertThat(row(), is(only(Loss.LOST_RUN)));
+        assertThat(onlyRow(), is(singleCount(Loss.LOST_RUN)));
     }
 
     @Test
-    void countsWhatIsRefusedAtOnceAndLater() {
-        log(0.5, "job-refused job=b queue=q reason=backlog");
+    void countsARefusedJobApartFromAJobNotStarted() {
+        addLine(0.5, "job-refused job=b queue=q reason=backlog");
         accepted(1, "a");
         ended(1.3, "a", "CANCELLED", "\"not started in time\"", 300);
-        assertThat(row().get(1 + Loss.REFUSED.ordinal()), is(1));
+        assertThat(onlyRow().get(1 + Loss.REFUSED.ordinal()), is(1));
     }
 
     /**
      * The entry loses power with a job in progress; its caller sends the job again, which another entry does in time.
      */
     @Test
-    void aJobThatComesAgainWithoutAnEndWasLostWithItsEntry() {
+    void aResubmittedJobWithoutAnEndCountsAsLostWithItsEntry() {
         accepted(0.1, "a");
-        log(1.1, "started role=entry");
+        addLine(1.1, "started role=entry");
         accepted(1.4, "a");
         ended(1.5, "a", "COMPLETED", "done", 100);
-        assertThat(row(), contains(1, 1, 0, 0, 0, 0, 0, 0, 0, 0, 1));
+        assertThat(onlyRow(), contains(1, 1, 0, 0, 0, 0, 0, 0, 0, 0, 1));
     }
 
     @Test
-    void countsJobsByTheRowInWhichTheyCame() {
+    void countsJobsInTheWindowOfTheirAcceptance() {
         accepted(1.9, "a");
         accepted(2.1, "b");
         ended(2.2, "a", "COMPLETED", "done", 100);
@@ -113,7 +113,7 @@
     }
 
     @Test
-    void saysHowManyLinesItPassedOver() {
+    void reportsTheNumberOfSkippedLines() {
         table.add("no line of ours");
         table.add("time=soon event=started");
         assertThat(table.lines().getLast(), containsString("2 lines passed over"));
--- a/command/src/test/java/org/chivetally/command/output/TreeDifferenceTest.java
+++ b/command/src/test/java/org/chivetally/command/output/TreeDifferenceTest.java
@@ -12,9 +12,9 @@
     @Test
     void showsChangedAddedAndRemovedValues() {
         JsonNode old = tree("{\"limits\": {\"queue\": 5, \"retry\": 1}, \"labels\": [\"a\"]}");
-        JsonNode renewed = tree("{\"limits\": {\"queue\": 6}, \"labels\": [\"a\", \"b\"]}");
+        JsonNode updated = tree("{\"limits\": {\"queue\": 6}, \"labels\": [\"a\", \"b\"]}");
         assertThat(
-                TreeDifference.lines(old, renewed),
+                TreeDifference.lines(old, updated),
                 contains("  + labels[1]: \"b\"", "  - limits.queue: 5", "  + limits.queue: 6", "  - limits.retry: 1"));
         assertThat(TreeDifference.lines(old, old), empty());
     }
--- a/standins/src/main/java/org/chivetally/standins/Minion.java
+++ b/standins/src/main/java/org/chivetally/standins/Minion.java
@@ -41,7 +41,7 @@
     /** Runs a task; the stage completes with its answer, never when the minion is silent. */
     CompletionStage<MinionAnswer> run(MinionTask task) {
         ExecutionPlan plan;
-        int start;
+        int startIndex;
         synchronized (this) {
             if (faults.down()) {
                 return CompletableFuture.completedFuture(new MinionAnswer.Refused(DOWN));
@@ -51,11 +51,11 @@
                 return CompletableFuture.completedFuture(new MinionAnswer.Refused(ALL_SLOTS_TAKEN));
             }
             running++;
-            start = recordStart(task);
-            plan = plan(task);
+            startIndex = recordStart(task);
+            plan = planExecution(task);
         }
         CompletableFuture<MinionAnswer> answer = new CompletableFuture<>();
-        runAfter(plan.duration(), () -> finish(start, task, plan, answer));
+        runAfter(plan.duration(), () -> finish(startIndex, task, plan, answer));
         return answer;
     }
 
@@ -90,13 +90,13 @@
         return faults;
     }
 
-    synchronized void setFaults(MinionFaults next) {
-        faults = next;
+    synchronized void setFaults(MinionFaults newFaults) {
+        faults = newFaults;
         LOG.atInfo().log(
                 "%s",
                 EventLine.of("minion-faults-set")
                         .with("minion", settings.name())
-                        .with("faults", next));
+                        .with("faults", newFaults));
     }
 
     synchronized void drain() {
@@ -116,16 +116,16 @@
                 null,
                 MinionStart.RUNNING,
                 task.work().token()));
-        int position = starts.size() - 1;
-        write(position);
-        return position;
+        int index = starts.size() - 1;
+        write(index);
+        return index;
     }
 
-    private void write(int position) {
-        startFile.ifPresent(record -> record.write(position, starts.get(position)));
+    private void write(int index) {
+        startFile.ifPresent(record -> record.write(index, starts.get(index)));
     }
 
-    private ExecutionPlan plan(MinionTask task) {
+    private ExecutionPlan planExecution(MinionTask task) {
         if (faults.failEveryTask()) {
             return new ExecutionPlan(Duration.ZERO, true, faults.silent());
         }
@@ -135,16 +135,16 @@
         return new ExecutionPlan(duration, fails, faults.silent());
     }
 
-    private boolean isSampled(double share) {
-        return share > 0 && random.nextDouble() < share;
+    private boolean isSampled(double probability) {
+        return probability > 0 && random.nextDouble() < probability;
     }
 
     /** Ends a task. Its slot is free before the answer is out, so that whoever reads the answer may use it. */
-    private void finish(int start, MinionTask task, ExecutionPlan plan, CompletableFuture<MinionAnswer> answer) {
+    private void finish(int startIndex, MinionTask task, ExecutionPlan plan, CompletableFuture<MinionAnswer> answer) {
         synchronized (this) {
             running--;
-            starts.set(start, starts.get(start).asEnded(clock.nanos(), plan.outcome()));
-            write(start);
+            starts.set(startIndex, starts.get(startIndex).asEnded(clock.nanos(), plan.outcome()));
+            write(startIndex);
         }
         if (plan.silent()) {
             return;
@@ -155,12 +155,12 @@
                         : new MinionAnswer.Done(task.index(), task.work().answer(), settings.name()));
     }
 
-    private void runAfter(Duration delay, Runnable step) {
+    private void runAfter(Duration delay, Runnable action) {
         if (!delay.isPositive()) {
-            step.run();
+            action.run();
             return;
         }
-        system.scheduler().scheduleOnce(delay, step, system.executionContext());
+        system.scheduler().scheduleOnce(delay, action, system.executionContext());
     }
 
     /** How one task goes, decided at its start. */
--- a/standins/src/main/java/org/chivetally/standins/MinionStart.java
+++ b/standins/src/main/java/org/chivetally/standins/MinionStart.java
@@ -32,7 +32,7 @@
         return new MinionStart(job, task, attempt, startedNanos, null, LOST, token);
     }
 
-    MinionStart asEnded(long nanos, String how) {
-        return new MinionStart(job, task, attempt, startedNanos, nanos, how, token);
+    MinionStart asEnded(long endNanos, String endOutcome) {
+        return new MinionStart(job, task, attempt, startedNanos, endNanos, endOutcome, token);
     }
 }
--- a/standins/src/main/java/org/chivetally/standins/RelayDirection.java
+++ b/standins/src/main/java/org/chivetally/standins/RelayDirection.java
@@ -98,7 +98,7 @@
     @FunctionalInterface
     interface Timer {
         /** Runs a step on an event loop after a time in nanoseconds. */
-        void runAfter(long nanos, EventExecutor eventLoop, Runnable step);
+        void runAfter(long nanos, EventExecutor eventLoop, Runnable action);
     }
 
     /** What is forwarded. */
--- a/standins/src/main/java/org/chivetally/standins/TcpRelay.java
+++ b/standins/src/main/java/org/chivetally/standins/TcpRelay.java
@@ -99,15 +99,15 @@
     }
 
     /** Replaces the faults; returns once the connections open now are silenced or cut. */
-    public synchronized void setFaults(RelayFaults next) {
-        faults = next;
+    public synchronized void setFaults(RelayFaults newFaults) {
+        faults = newFaults;
         LOG.atInfo().log(
-                "%s", EventLine.of("relay-faults-set").with("port", port()).with("faults", next));
-        List<? extends Future<?>> applied = connections.stream()
-                .map(link -> link.client().eventLoop().submit(() -> link.apply(next)))
+                "%s", EventLine.of("relay-faults-set").with("port", port()).with("faults", newFaults));
+        List<? extends Future<?>> pending = connections.stream()
+                .map(connection -> connection.client().eventLoop().submit(() -> connection.apply(newFaults)))
                 .toList();
-        applied.forEach(Future::awaitUninterruptibly);
-        if (next.cut()) {
+        pending.forEach(Future::awaitUninterruptibly);
+        if (newFaults.cut()) {
             channels.close().awaitUninterruptibly();
         }
     }
@@ -151,8 +151,8 @@
     private void accept(Channel client) {
         accepted.increment();
         channels.add(client);
-        NewConnections fate = faults.newConnections();
-        switch (fate) {
+        NewConnections handling = faults.newConnections();
+        switch (handling) {
             case FORWARDED -> connectToTarget(client);
             // Never read from, and dropped only when the relay closes.
             case SILENT -> {}
@@ -168,10 +168,10 @@
                 .option(ChannelOption.AUTO_READ, false)
                 .option(ChannelOption.TCP_NODELAY, true)
                 .handler(new ChannelInboundHandlerAdapter());
-        ChannelFuture dialled = bootstrap.connect(target.get());
-        dialled.addListener(done -> {
+        ChannelFuture connecting = bootstrap.connect(target.get());
+        connecting.addListener(done -> {
             if (done.isSuccess()) {
-                startForwarding(client, dialled.channel());
+                startForwarding(client, connecting.channel());
             } else {
                 client.close();
             }
@@ -190,10 +190,10 @@
                 new RelayDirection(server, this::delayNanos, this::runAfter, bytesToTarget, bytesWithheld);
         RelayDirection toClient =
                 new RelayDirection(client, this::delayNanos, this::runAfter, bytesToClient, bytesWithheld);
-        RelayedConnection link = new RelayedConnection(client, server, toTarget, toClient);
-        connections.add(link);
-        client.closeFuture().addListener(closed -> removeIfClosed(link));
-        server.closeFuture().addListener(closed -> removeIfClosed(link));
+        RelayedConnection connection = new RelayedConnection(client, server, toTarget, toClient);
+        connections.add(connection);
+        client.closeFuture().addListener(closed -> removeIfClosed(connection));
+        server.closeFuture().addListener(closed -> removeIfClosed(connection));
         client.pipeline().addLast(toTarget);
         server.pipeline().addLast(toClient);
         client.config().setAutoRead(true);
@@ -205,13 +205,13 @@
     }
 
     // An event loop's own timers fire at whole milliseconds only, which would make a distance of 0.5 ms twice as long.
-    private void runAfter(long nanos, EventExecutor eventLoop, Runnable step) {
-        timer.schedule(() -> eventLoop.execute(step), nanos, TimeUnit.NANOSECONDS);
+    private void runAfter(long nanos, EventExecutor eventLoop, Runnable action) {
+        timer.schedule(() -> eventLoop.execute(action), nanos, TimeUnit.NANOSECONDS);
     }
 
-    private void removeIfClosed(RelayedConnection link) {
-        if (link.isClosed()) {
-            connections.remove(link);
+    private void removeIfClosed(RelayedConnection connection) {
+        if (connection.isClosed()) {
+            connections.remove(connection);
         }
     }
 
--- a/standins/src/test/java/org/chivetally/log/HttpPlatformLogTest.java
+++ b/standins/src/test/java/org/chivetally/log/HttpPlatformLogTest.java
@@ -57,12 +57,12 @@
         ReadOutcome.Records found = (ReadOutcome.Records) await(log.read("a stream", 1, 2, Duration.ZERO));
         MatcherAssert.assertThat(found.endOffset(), Matchers.is(4L));
         MatcherAssert.assertThat(
-                found.records().stream().map(HttpPlatformLogTest::shown).toList(),
+                found.records().stream().map(HttpPlatformLogTest::described).toList(),
                 Matchers.contains("1 b ", "2 a \u0000\u00e5"));
     }
 
     @Test
-    void aWaitingReadIsAnsweredByAnAppend() {
+    void anAppendCompletesAWaitingRead() {
         CompletionStage<ReadOutcome> waiting = log.read("claims", 0, 10, HttpPlatformLog.LONGEST_WAIT);
         awaitReads(1);
         await(log.append("claims", List.of(record("a", "x"))));
@@ -71,13 +71,13 @@
     }
 
     @Test
-    void aReadWithoutRecordsEndsWithItsWait() {
+    void aReadWithoutRecordsEndsAfterItsWait() {
         ReadOutcome.Records found = (ReadOutcome.Records) await(log.read("claims", 0, 10, Duration.ofMillis(1)));
         MatcherAssert.assertThat(found.records(), Matchers.empty());
     }
 
     @Test
-    void anExpiredOffsetNamesTheOldest() {
+    void anExpiredOffsetReturnsTheEarliestOffset() {
         await(log.append("claims", List.of(record("a", ""), record("b", ""))));
         backingLog.setFaults(LogFaults.NONE.withExpiry("claims", 1));
         MatcherAssert.assertThat(
@@ -98,7 +98,7 @@
     // The append takes effect and then its answer is lost. The caller must not hear that nothing was written, or it
     // would tell its caller "not run" while the claim stands.
     @Test
-    void aLostAnswerIsUnknownAndTheRecordStands() {
+    void aLostAnswerIsUnknownAndTheRecordIsStored() {
         backingLog.setFaults(LogFaults.NONE.withLoseNextAnswers(1));
         MatcherAssert.assertThat(
                 await(log.append("claims", List.of(record("a", "")))),
@@ -110,11 +110,11 @@
     // The log is slower than the client's patience. The client gives up with Unknown, and the append lands later all
     // the same: the reader that waits for it sees it.
     @Test
-    void aSlowAppendIsUnknownAndLandsLater() {
-        HttpPlatformLog hasty = new HttpPlatformLog(kit.system(), server.uri(), SHORT_TIMEOUT);
+    void aSlowAppendIsUnknownAndTakesEffectLater() {
+        HttpPlatformLog shortTimeoutLog = new HttpPlatformLog(kit.system(), server.uri(), SHORT_TIMEOUT);
         backingLog.setFaults(LogFaults.NONE.withDelays(2 * SHORT_TIMEOUT.toMillis(), 0));
         MatcherAssert.assertThat(
-                await(hasty.append("claims", List.of(record("a", "")))),
+                await(shortTimeoutLog.append("claims", List.of(record("a", "")))),
                 Matchers.instanceOf(AppendOutcome.Unknown.class));
         ReadOutcome.Records found = (ReadOutcome.Records) await(log.read("claims", 0, 10, LONG_TIMEOUT));
         MatcherAssert.assertThat(found.records(), Matchers.hasSize(1));
@@ -123,13 +123,13 @@
     // Nobody listens at the address: the connection is refused before a byte of the append is sent, so the append
     // certainly did not take effect.
     @Test
-    void aRefusedConnectionIsRefused() throws IOException {
-        HttpPlatformLog nowhere = new HttpPlatformLog(kit.system(), closedPort(), LONG_TIMEOUT);
+    void anAppendOverARefusedConnectionIsRefused() throws IOException {
+        HttpPlatformLog unreachableLog = new HttpPlatformLog(kit.system(), closedPort(), LONG_TIMEOUT);
         MatcherAssert.assertThat(
-                await(nowhere.append("claims", List.of(record("a", "")))),
+                await(unreachableLog.append("claims", List.of(record("a", "")))),
                 Matchers.instanceOf(AppendOutcome.Refused.class));
         MatcherAssert.assertThat(
-                await(nowhere.read("claims", 0, 10, Duration.ZERO)),
+                await(unreachableLog.read("claims", 0, 10, Duration.ZERO)),
                 Matchers.instanceOf(ReadOutcome.Unavailable.class));
     }
 
@@ -138,23 +138,23 @@
     void aConnectionClosedAfterSendingIsUnknown() throws IOException {
         try (ServerSocket socket = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             Thread.ofVirtual().start(() -> closeAfterFirstByte(socket));
-            HttpPlatformLog cut = new HttpPlatformLog(kit.system(), address(socket), LONG_TIMEOUT);
+            HttpPlatformLog closingLog = new HttpPlatformLog(kit.system(), address(socket), LONG_TIMEOUT);
             MatcherAssert.assertThat(
-                    await(cut.append("claims", List.of(record("a", "")))),
+                    await(closingLog.append("claims", List.of(record("a", "")))),
                     Matchers.instanceOf(AppendOutcome.Unknown.class));
         }
     }
 
     // Something accepts connections and never answers. Both outcomes come by the client's own timer.
     @Test
-    void aSilentServerIsUnknown() throws IOException {
+    void anAppendWithoutAnAnswerIsUnknown() throws IOException {
         try (ServerSocket socket = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            HttpPlatformLog silent = new HttpPlatformLog(kit.system(), address(socket), SHORT_TIMEOUT);
+            HttpPlatformLog silentLog = new HttpPlatformLog(kit.system(), address(socket), SHORT_TIMEOUT);
             MatcherAssert.assertThat(
-                    await(silent.append("claims", List.of(record("a", "")))),
+                    await(silentLog.append("claims", List.of(record("a", "")))),
                     Matchers.instanceOf(AppendOutcome.Unknown.class));
             MatcherAssert.assertThat(
-                    await(silent.read("claims", 0, 10, Duration.ZERO)),
+                    await(silentLog.read("claims", 0, 10, Duration.ZERO)),
                     Matchers.instanceOf(ReadOutcome.Unavailable.class));
         }
     }
@@ -162,12 +162,12 @@
     // A proxy answers 503 by itself after it handed the append on. Only the log's own word in the body makes a
     // refusal; without it the caller must not be told that nothing was written.
     @Test
-    void aForeignRefusalIsUnknown() throws IOException {
+    void aRefusalByAProxyIsUnknown() throws IOException {
         try (ServerSocket socket = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             Thread.ofVirtual().start(() -> answerOnce(socket, PROXY_REFUSAL));
-            HttpPlatformLog proxied = new HttpPlatformLog(kit.system(), address(socket), LONG_TIMEOUT);
+            HttpPlatformLog proxiedLog = new HttpPlatformLog(kit.system(), address(socket), LONG_TIMEOUT);
             MatcherAssert.assertThat(
-                    await(proxied.append("claims", List.of(record("a", "")))),
+                    await(proxiedLog.append("claims", List.of(record("a", "")))),
                     Matchers.is(new AppendOutcome.Unknown("the log answered 503")));
         }
     }
@@ -175,7 +175,7 @@
     // More reads wait than the client has connections for them. An append of the same client still goes through at
     // once; if it shared their connections, it would queue behind reads that only this append can answer.
     @Test
-    void waitingReadsDoNotHoldUpAppends() {
+    void waitingReadsDoNotBlockAppends() {
         List<CompletionStage<ReadOutcome>> reads = Stream.generate(
                         () -> log.read("claims", 0, 1, HttpPlatformLog.LONGEST_WAIT))
                 .limit(100)
@@ -192,15 +192,15 @@
     @Test
     void silentConnectionsAreReplaced() {
         try (TcpRelay relay = TcpRelay.start(0, "127.0.0.1", server.uri().getPort())) {
-            HttpPlatformLog relayed =
+            HttpPlatformLog relayedLog =
                     new HttpPlatformLog(kit.system(), URI.create("http://127.0.0.1:" + relay.port()), SHORT_TIMEOUT);
             for (int round = 0; round < 20; round++) {
                 AppendOutcome outcome = new AppendOutcome.Unknown("not tried");
                 while (!(outcome instanceof AppendOutcome.Appended)) {
-                    outcome = await(relayed.append("claims", List.of(record("a", ""))));
+                    outcome = await(relayedLog.append("claims", List.of(record("a", ""))));
                 }
                 relay.setFaults(RelayFaults.silencing(RelayFaults.Silence.BOTH));
-                await(relayed.append("claims", List.of(record("b", ""))));
+                await(relayedLog.append("claims", List.of(record("b", ""))));
             }
             MatcherAssert.assertThat(relay.statistics().bytesWithheld(), Matchers.greaterThan(0L));
         }
@@ -244,8 +244,8 @@
         return new NewRecord(id, payload.getBytes(StandardCharsets.UTF_8));
     }
 
-    private static String shown(LogRecord one) {
-        return one.offset() + " " + one.id() + " " + new String(one.payload(), StandardCharsets.UTF_8);
+    private static String described(LogRecord record) {
+        return record.offset() + " " + record.id() + " " + new String(record.payload(), StandardCharsets.UTF_8);
     }
 
     private static <T> T await(CompletionStage<T> stage) {
--- a/standins/src/test/java/org/chivetally/standins/LogStandInTest.java
+++ b/standins/src/test/java/org/chivetally/standins/LogStandInTest.java
@@ -71,7 +71,7 @@
     // The log is slower than the HTTP server's own patience, which is 20 ms here. The append takes effect, so the
     // server must not step in with its 503: the client hears the offset, late.
     @Test
-    void aSlowAppendIsAnsweredByTheLogAlone() {
+    void aSlowAppendIsNotTimedOutByTheServer() {
         server.put("/faults", "{\"appendDelayMillis\":300}");
         MatcherAssert.assertThat(append("{\"records\":[]}"), answered(200, "{\"firstOffset\":0}"));
     }
--- a/standins/src/test/java/org/chivetally/standins/MinionStandInTest.java
+++ b/standins/src/test/java/org/chivetally/standins/MinionStandInTest.java
@@ -46,7 +46,7 @@
     }
 
     @Test
-    void runsTasksAndReportsThem() {
+    void runsTasksAndRecordsThem() {
         MatcherAssert.assertThat(
                 run(task("{\"workMillis\":1,\"answer\":{\"place\":4},\"more\":[]}")),
                 answered(200, "{\"task\":7,\"answer\":{\"place\":4},\"minion\":\"m\"}"));
@@ -85,7 +85,7 @@
     // One task's connection is open and the minion allows one. A task over a second connection is refused and counted,
     // although a slot is free; state and control need none of the allowed connections.
     @Test
-    void aTaskOverOneConnectionTooManyIsRefused() {
+    void aTaskOverTheConnectionLimitIsRefused() {
         server.send(task("{\"workMillis\":%d}".formatted(VERY_LONG_MILLIS)));
         awaitState(Matchers.containsString("\"running\":1"));
         MatcherAssert.assertThat(run(task("{}")), answered(503, "{\"reason\":\"too many connections carry tasks\"}"));
@@ -94,7 +94,7 @@
 
     // A refused task says so, so that the agent may let it run elsewhere although it isn't idempotent.
     @Test
-    void aRefusedTaskSaysThatItDidNotRun() {
+    void aRefusedTaskCarriesTheNotRunHeader() {
         server.put("/faults", "{\"slotsLeft\":0}");
         HttpResponse refused = HttpTester.await(Http.get(kit.system()).singleRequest(task("{}")));
         MatcherAssert.assertThat(
@@ -108,7 +108,7 @@
     // A caller gives up on a silent minion and closes its connection. The minion's only task connection is free again
     // although the task was never answered, so the next caller's task runs.
     @Test
-    void aConnectionClosedWithoutAnswerIsFree() throws IOException {
+    void aConnectionClosedWithoutAnswerIsReleased() throws IOException {
         server.put("/faults", "{\"silent\":true}");
         try (Socket caller =
                 new Socket(InetAddress.getLoopbackAddress(), server.uri().getPort())) {
--- a/standins/src/test/java/org/chivetally/standins/MinionTest.java
+++ b/standins/src/test/java/org/chivetally/standins/MinionTest.java
@@ -34,36 +34,36 @@
         CompletionStage<MinionAnswer> answer = run("a", 300, false);
         MatcherAssert.assertThat(
                 minion.starts(), Matchers.contains(new MinionStart("j", 3, "a", 10, null, "running", "t")));
-        passMillis(299);
-        MatcherAssert.assertThat(now(answer), Matchers.nullValue());
+        advanceMillis(299);
+        MatcherAssert.assertThat(currentResult(answer), Matchers.nullValue());
         clock.set(20);
-        passMillis(1);
-        MatcherAssert.assertThat(now(answer), Matchers.is(DONE));
+        advanceMillis(1);
+        MatcherAssert.assertThat(currentResult(answer), Matchers.is(DONE));
         MatcherAssert.assertThat(
                 minion.starts(), Matchers.contains(new MinionStart("j", 3, "a", 10, 20L, "done", "t")));
     }
 
     @Test
-    void aTaskMayAskToFail() {
+    void aPayloadCanRequestFailure() {
         CompletionStage<MinionAnswer> answer = run("a", 5, true);
-        passMillis(5);
-        MatcherAssert.assertThat(now(answer), Matchers.is(FAILED));
+        advanceMillis(5);
+        MatcherAssert.assertThat(currentResult(answer), Matchers.is(FAILED));
         MatcherAssert.assertThat(minion.starts().getFirst().outcome(), Matchers.is("failed"));
     }
 
     // A minion is killed while a task runs and starts again at the same file. Without the file the next process would
     // know of no start, and a second start of the task would look like the first.
     @Test
-    void theRecordOutlivesTheProcess(@TempDir Path folder) {
+    void theRecordSurvivesARestart(@TempDir Path folder) {
         MinionStandInSettings settings = new MinionStandInSettings("m", 2, 4, Optional.of(folder.resolve("m.starts")));
         Minion killed = new Minion(kit.system(), clock::get, settings);
         killed.run(task("a", 5, false));
         killed.run(task("b", 100, false));
-        passMillis(5);
-        Minion next = new Minion(kit.system(), clock::get, settings);
-        next.run(task("c", 5, false));
+        advanceMillis(5);
+        Minion restarted = new Minion(kit.system(), clock::get, settings);
+        restarted.run(task("c", 5, false));
         MatcherAssert.assertThat(
-                next.starts().stream()
+                restarted.starts().stream()
                         .map(start -> start.attempt() + " " + start.outcome())
                         .toList(),
                 Matchers.contains("a done", "b lost", "c running"));
@@ -75,9 +75,9 @@
     void oneTaskMoreThanSlotsIsAnOverrun() {
         run("a", 5, false);
         run("b", 10, false);
-        MatcherAssert.assertThat(now(run("c", 5, false)), Matchers.instanceOf(MinionAnswer.Refused.class));
+        MatcherAssert.assertThat(currentResult(run("c", 5, false)), Matchers.instanceOf(MinionAnswer.Refused.class));
         MatcherAssert.assertThat(minion.state(), Matchers.is(new MinionState(0, 2, false, true, 1, null)));
-        passMillis(5);
+        advanceMillis(5);
         run("d", 5, false);
         MatcherAssert.assertThat(minion.startCount(), Matchers.is(3));
         MatcherAssert.assertThat(minion.state().overruns(), Matchers.is(1L));
@@ -86,37 +86,37 @@
     // Both slots are taken, and one caller starts its next task as soon as it hears an answer. The slot must be free
     // by then, or a caller that keeps to the limit would be counted as exceeding it.
     @Test
-    void aSlotIsFreeBeforeItsAnswerIsOut() {
+    void aSlotIsFreeBeforeTheAnswerIsSent() {
         run("a", 10, false);
         CompletionStage<MinionAnswer> next = run("b", 5, false).thenCompose(answer -> run("c", 5, false));
-        passMillis(5);
-        passMillis(5);
-        MatcherAssert.assertThat(now(next), Matchers.is(DONE));
+        advanceMillis(5);
+        advanceMillis(5);
+        MatcherAssert.assertThat(currentResult(next), Matchers.is(DONE));
         MatcherAssert.assertThat(minion.state().overruns(), Matchers.is(0L));
     }
 
     @Test
-    void fewerSlotsMayBeLeft() {
+    void aFaultCanReduceTheSlots() {
         minion.setFaults(faults(false, 0, 0, 0, false, false, 1));
         MatcherAssert.assertThat(minion.state().freeSlots(), Matchers.is(1));
         run("a", 5, false);
-        MatcherAssert.assertThat(now(run("b", 5, false)), Matchers.instanceOf(MinionAnswer.Refused.class));
+        MatcherAssert.assertThat(currentResult(run("b", 5, false)), Matchers.instanceOf(MinionAnswer.Refused.class));
     }
 
     @Test
     void failingEveryTaskTakesNoTime() {
         minion.setFaults(faults(true, 0, 0, 0, false, false, null));
-        MatcherAssert.assertThat(now(run("a", 1000, false)), Matchers.is(FAILED));
+        MatcherAssert.assertThat(currentResult(run("a", 1000, false)), Matchers.is(FAILED));
     }
 
     @Test
-    void sharesOfOneFailAndStraggle() {
+    void sharesOfOneSlowAndFailEveryTask() {
         minion.setFaults(faults(false, 1, 1, 4, false, false, null));
         CompletionStage<MinionAnswer> answer = run("a", 10, false);
-        passMillis(39);
-        MatcherAssert.assertThat(now(answer), Matchers.nullValue());
-        passMillis(1);
-        MatcherAssert.assertThat(now(answer), Matchers.is(FAILED));
+        advanceMillis(39);
+        MatcherAssert.assertThat(currentResult(answer), Matchers.nullValue());
+        advanceMillis(1);
+        MatcherAssert.assertThat(currentResult(answer), Matchers.is(FAILED));
     }
 
     // The minion runs the task but its answer never comes. The caller can't know; the record of starts does.
@@ -124,8 +124,8 @@
     void aSilentMinionRunsTasksWithoutAnswering() {
         minion.setFaults(faults(false, 0, 0, 0, true, false, null));
         CompletionStage<MinionAnswer> answer = run("a", 10, false);
-        passMillis(10);
-        MatcherAssert.assertThat(now(answer), Matchers.nullValue());
+        advanceMillis(10);
+        MatcherAssert.assertThat(currentResult(answer), Matchers.nullValue());
         MatcherAssert.assertThat(minion.starts().getFirst().outcome(), Matchers.is("silent"));
         MatcherAssert.assertThat(minion.state().freeSlots(), Matchers.is(2));
     }
@@ -133,13 +133,13 @@
     @Test
     void aDownMinionStartsNothing() {
         minion.setFaults(faults(false, 0, 0, 0, false, true, null));
-        MatcherAssert.assertThat(now(run("a", 10, false)), Matchers.instanceOf(MinionAnswer.Refused.class));
+        MatcherAssert.assertThat(currentResult(run("a", 10, false)), Matchers.instanceOf(MinionAnswer.Refused.class));
         MatcherAssert.assertThat(minion.starts(), Matchers.empty());
     }
 
     // A leaving minion that gets work anyway runs it: no request is cut, and the record shows the late start.
     @Test
-    void aDrainingMinionStillRunsWhatItGets() {
+    void aDrainingMinionStillRunsNewTasks() {
         clock.set(7);
         minion.drain();
         clock.set(9);
@@ -167,11 +167,11 @@
         return new MinionFaults(failEvery, failShare, share, factor, 0, silent, down, false, left);
     }
 
-    private void passMillis(long millis) {
+    private void advanceMillis(long millis) {
         time.timePasses(Duration.ofMillis(millis));
     }
 
-    private static <T> T now(CompletionStage<T> stage) {
+    private static <T> T currentResult(CompletionStage<T> stage) {
         return stage.toCompletableFuture().getNow(null);
     }
 }
--- a/standins/src/test/java/org/chivetally/standins/RelayDirectionTest.java
+++ b/standins/src/test/java/org/chivetally/standins/RelayDirectionTest.java
@@ -32,38 +32,38 @@
     private final EmbeddedChannel source = new EmbeddedChannel(direction);
 
     @Test
-    void forwardsAfterTheDelayAndThenTheEnd() {
+    void forwardsBytesAndCloseAfterTheDelay() {
         source.freezeTime();
         delayMillis.set(5);
         receive("ab");
-        passMillis(4);
-        MatcherAssert.assertThat(sent(), Matchers.is(""));
-        passMillis(1);
-        MatcherAssert.assertThat(sent(), Matchers.is("ab"));
+        advanceMillis(4);
+        MatcherAssert.assertThat(takeForwarded(), Matchers.is(""));
+        advanceMillis(1);
+        MatcherAssert.assertThat(takeForwarded(), Matchers.is("ab"));
         source.pipeline().fireChannelInactive();
-        passMillis(4);
+        advanceMillis(4);
         MatcherAssert.assertThat(sink.isOpen(), Matchers.is(true));
-        passMillis(1);
+        advanceMillis(1);
         MatcherAssert.assertThat(sink.isOpen(), Matchers.is(false));
     }
 
     // The connection falls silent while bytes are under way: these never arrive either, nor does the end.
     @Test
-    void silenceWithholdsWhatIsUnderWay() {
+    void silenceWithholdsBytesInTransit() {
         source.freezeTime();
         delayMillis.set(5);
         receive("ab");
         direction.silence();
         receive("c");
         source.pipeline().fireChannelInactive();
-        passMillis(5);
-        MatcherAssert.assertThat(sent(), Matchers.is(""));
+        advanceMillis(5);
+        MatcherAssert.assertThat(takeForwarded(), Matchers.is(""));
         MatcherAssert.assertThat(sink.isOpen(), Matchers.is(true));
         MatcherAssert.assertThat(withheld.sum(), Matchers.is(3L));
     }
 
     @Property
-    void changesOfTheDelayNeverReorder(
+    void delayChangesNeverReorderBytes(
             @ForAll @Size(max = 30) List<@IntRange(max = MAXIMUM_DELAY_MILLIS) Integer> delays,
             @ForAll @IntRange(max = MAXIMUM_DELAY_MILLIS) int pause) {
         source.freezeTime();
@@ -74,12 +74,12 @@
             String next = Integer.toString(expected.length()) + ' ';
             receive(next);
             expected.append(next);
-            passMillis(pause);
-            seen.append(sent());
+            advanceMillis(pause);
+            seen.append(takeForwarded());
             MatcherAssert.assertThat(expected.toString(), Matchers.startsWith(seen.toString()));
         }
-        passMillis(MAXIMUM_DELAY_MILLIS);
-        seen.append(sent());
+        advanceMillis(MAXIMUM_DELAY_MILLIS);
+        seen.append(takeForwarded());
         MatcherAssert.assertThat(seen.toString(), Matchers.is(expected.toString()));
     }
 
@@ -87,12 +87,12 @@
         source.writeInbound(Unpooled.copiedBuffer(text, StandardCharsets.UTF_8));
     }
 
-    private void passMillis(long millis) {
+    private void advanceMillis(long millis) {
         source.advanceTimeBy(millis, TimeUnit.MILLISECONDS);
         source.runScheduledPendingTasks();
     }
 
-    private String sent() {
+    private String takeForwarded() {
         StringBuilder text = new StringBuilder();
         for (ByteBuf bytes = sink.readOutbound(); bytes != null; bytes = sink.readOutbound()) {
             text.append(bytes.toString(StandardCharsets.UTF_8));
--- a/standins/src/test/java/org/chivetally/standins/RelayStandInTest.java
+++ b/standins/src/test/java/org/chivetally/standins/RelayStandInTest.java
@@ -9,10 +9,10 @@
 import org.junit.jupiter.api.Test;
 
 class RelayStandInTest {
-    private static final int NEVER_DIALLED = 1;
+    private static final int UNUSED_PORT = 1;
 
     private final ActorTestKit kit = ActorTestKit.create();
-    private final TcpRelay relay = TcpRelay.start(0, "127.0.0.1", NEVER_DIALLED);
+    private final TcpRelay relay = TcpRelay.start(0, "127.0.0.1", UNUSED_PORT);
 
     @AfterEach
     void stop() {
--- a/standins/src/test/java/org/chivetally/standins/TcpRelayTest.java
+++ b/standins/src/test/java/org/chivetally/standins/TcpRelayTest.java
@@ -15,7 +15,7 @@
 
 @Timeout(value = 30, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
 class TcpRelayTest {
-    private static final int END = -1;
+    private static final int END_OF_STREAM = -1;
 
     private EchoServer server;
     private TcpRelay relay;
@@ -33,8 +33,8 @@
     }
 
     @Test
-    void forwardsBothWaysAndTheEnd() throws IOException {
-        try (Socket socket = dial()) {
+    void forwardsBothDirectionsAndTheClose() throws IOException {
+        try (Socket socket = connect()) {
             MatcherAssert.assertThat(echo(socket, 'x'), Matchers.is((int) 'x'));
         }
         await(() -> relay.statistics().open() == 0);
@@ -45,13 +45,13 @@
     // A connection opened afterwards works, and the old one stays silent when the fault is taken back.
     @Test
     void silencesOpenConnectionsWhileNewOnesWork() throws IOException {
-        try (Socket old = dial()) {
+        try (Socket old = connect()) {
             echo(old, 'a');
             relay.setFaults(RelayFaults.silencing(Silence.BOTH));
             relay.setFaults(RelayFaults.NONE);
             old.getOutputStream().write('b');
             await(() -> relay.statistics().bytesWithheld() == 1);
-            try (Socket fresh = dial()) {
+            try (Socket fresh = connect()) {
                 MatcherAssert.assertThat(echo(fresh, 'c'), Matchers.is((int) 'c'));
             }
             MatcherAssert.assertThat(server.received(), Matchers.is(2L));
@@ -61,8 +61,8 @@
 
     // Only the way back is silent: the target acts on what the caller sends, and the caller never hears of it.
     @Test
-    void silencesOneWay() throws IOException {
-        try (Socket socket = dial()) {
+    void silencesOneDirection() throws IOException {
+        try (Socket socket = connect()) {
             echo(socket, 'a');
             relay.setFaults(RelayFaults.silencing(Silence.TO_CLIENT));
             socket.getOutputStream().write('b');
@@ -74,10 +74,10 @@
 
     @Test
     void cutsOpenConnections() throws IOException {
-        try (Socket socket = dial()) {
+        try (Socket socket = connect()) {
             echo(socket, 'a');
             relay.setFaults(new RelayFaults(0, Silence.NONE, true, NewConnections.FORWARDED));
-            MatcherAssert.assertThat(socket.getInputStream().read(), Matchers.is(END));
+            MatcherAssert.assertThat(socket.getInputStream().read(), Matchers.is(END_OF_STREAM));
         }
         await(() -> relay.statistics().open() == 0);
     }
@@ -87,15 +87,15 @@
     @Test
     void newConnectionsMayBeSilentOrClosed() throws IOException {
         relay.setFaults(new RelayFaults(0, Silence.NONE, false, NewConnections.SILENT));
-        try (Socket silent = dial()) {
+        try (Socket silent = connect()) {
             silent.getOutputStream().write('a');
             await(() -> relay.statistics().accepted() == 1);
             relay.setFaults(new RelayFaults(0, Silence.NONE, false, NewConnections.CLOSED));
-            try (Socket closed = dial()) {
-                MatcherAssert.assertThat(closed.getInputStream().read(), Matchers.is(END));
+            try (Socket closed = connect()) {
+                MatcherAssert.assertThat(closed.getInputStream().read(), Matchers.is(END_OF_STREAM));
             }
             relay.setFaults(RelayFaults.NONE);
-            try (Socket fresh = dial()) {
+            try (Socket fresh = connect()) {
                 MatcherAssert.assertThat(echo(fresh, 'c'), Matchers.is((int) 'c'));
             }
             MatcherAssert.assertThat(server.received(), Matchers.is(1L));
@@ -105,12 +105,12 @@
     @Test
     void aTargetThatRefusesClosesTheConnection() throws IOException {
         server.close();
-        try (Socket socket = dial()) {
-            MatcherAssert.assertThat(socket.getInputStream().read(), Matchers.is(END));
+        try (Socket socket = connect()) {
+            MatcherAssert.assertThat(socket.getInputStream().read(), Matchers.is(END_OF_STREAM));
         }
     }
 
-    private Socket dial() throws IOException {
+    private Socket connect() throws IOException {
         return new Socket(InetAddress.getLoopbackAddress(), relay.port());
     }
 
