--- a/command/src/main/java/org/chivetally/command/losses/LogLine.java
+++ b/command/src/main/java/org/chivetally/command/losses/LogLine.java
@@ -37,7 +37,7 @@
         }
         try {
             return Optional.of(new LogLine(Instant.parse(time), event, values));
-        } catch (DateTimeParseException notOurs) {
+        } catch (DateTimeParseException malformed) {
             // Other programs write pairs too; the caller counts the lines that it passes over.
             return Optional.empty();
         }
--- a/standins/src/main/java/org/chivetally/standins/MinionStandIn.java
+++ b/standins/src/main/java/org/chivetally/standins/MinionStandIn.java
@@ -81,10 +81,10 @@
     }
 
     private Flow<HttpRequest, HttpResponse, ?> requestFlow(ActorSystem<?> system) {
-        return Flow.fromMaterializer((materializer, attributes) -> requestFlowOfConnection(system));
+        return Flow.fromMaterializer((materializer, attributes) -> connectionFlow(system));
     }
 
-    private Flow<HttpRequest, HttpResponse, NotUsed> requestFlowOfConnection(ActorSystem<?> system) {
+    private Flow<HttpRequest, HttpResponse, NotUsed> connectionFlow(ActorSystem<?> system) {
         TaskConnections.Connection connection = connections.newConnection();
         Function<HttpRequest, CompletionStage<HttpResponse>> handler =
                 routes(connection).function(system);
@@ -188,9 +188,9 @@
 
     private HttpResponse starts(int from) {
         List<MinionStart> starts = minion.starts();
-        List<MinionStart> wanted = starts.subList(Math.clamp(from, 0, starts.size()), starts.size());
+        List<MinionStart> selected = starts.subList(Math.clamp(from, 0, starts.size()), starts.size());
         Source<ByteString, NotUsed> lines =
-                Source.from(wanted).grouped(LINES_PER_CHUNK).map(MinionStandIn::lines);
+                Source.from(selected).grouped(LINES_PER_CHUNK).map(MinionStandIn::lines);
         return HttpResponse.create().withEntity(HttpEntities.create(ContentTypes.TEXT_PLAIN_UTF8, lines));
     }
 
--- a/standins/src/main/java/org/chivetally/standins/TcpRelay.java
+++ b/standins/src/main/java/org/chivetally/standins/TcpRelay.java
@@ -58,9 +58,9 @@
     private volatile RelayFaults faults = RelayFaults.NONE;
     private Channel listener;
 
-    private TcpRelay(Supplier<InetSocketAddress> target, Duration distance) {
+    private TcpRelay(Supplier<InetSocketAddress> target, Duration oneWayDelay) {
         this.target = target;
-        this.oneWayDelayNanos = distance.toNanos();
+        this.oneWayDelayNanos = oneWayDelay.toNanos();
     }
 
     /**
@@ -82,8 +82,8 @@
      * @param target asked at each connection where it is forwarded to, so that the target may listen later
      * @param distance how long each byte is under way in each direction, besides the faults' delay
      */
-    public static TcpRelay start(int listenPort, Supplier<InetSocketAddress> target, Duration distance) {
-        TcpRelay relay = new TcpRelay(target, distance);
+    public static TcpRelay start(int listenPort, Supplier<InetSocketAddress> target, Duration oneWayDelay) {
+        TcpRelay relay = new TcpRelay(target, oneWayDelay);
         relay.listen(listenPort);
         return relay;
     }
--- a/standins/src/test/java/org/chivetally/standins/MinionTest.java
+++ b/standins/src/test/java/org/chivetally/standins/MinionTest.java
@@ -157,14 +157,14 @@
     }
 
     private static MinionFaults faults(
-            boolean failEvery,
+            boolean failEveryTask,
             double failShare,
-            double share,
-            double factor,
+            double straggleShare,
+            double straggleFactor,
             boolean silent,
             boolean down,
-            Integer left) {
-        return new MinionFaults(failEvery, failShare, share, factor, 0, silent, down, false, left);
+            Integer slotsLeft) {
+        return new MinionFaults(failEveryTask, failShare, straggleShare, straggleFactor, 0, silent, down, false, slotsLeft);
     }
 
     private void advanceMillis(long millis) {
--- a/standins/src/test/java/org/chivetally/standins/RelayDirectionTest.java
+++ b/standins/src/test/java/org/chivetally/standins/RelayDirectionTest.java
@@ -65,22 +65,22 @@
     @Property
     void delayChangesNeverReorderBytes(
             @ForAll @Size(max = 30) List<@IntRange(max = MAXIMUM_DELAY_MILLIS) Integer> delays,
-            @ForAll @IntRange(max = MAXIMUM_DELAY_MILLIS) int pause) {
+            @ForAll @IntRange(max = MAXIMUM_DELAY_MILLIS) int pauseMillis) {
         source.freezeTime();
         StringBuilder expected = new StringBuilder();
-        StringBuilder seen = new StringBuilder();
+        StringBuilder received = new StringBuilder();
         for (int delay : delays) {
             delayMillis.set(delay);
-            String next = Integer.toString(expected.length()) + ' ';
-            receive(next);
-            expected.append(next);
-            advanceMillis(pause);
-            seen.append(takeForwarded());
-            MatcherAssert.assertThat(expected.toString(), Matchers.startsWith(seen.toString()));
+            String chunk = Integer.toString(expected.length()) + ' ';
+            receive(chunk);
+            expected.append(chunk);
+            advanceMillis(pauseMillis);
+            received.append(takeForwarded());
+            MatcherAssert.assertThat(expected.toString(), Matchers.startsWith(received.toString()));
         }
         advanceMillis(MAXIMUM_DELAY_MILLIS);
-        seen.append(takeForwarded());
-        MatcherAssert.assertThat(seen.toString(), Matchers.is(expected.toString()));
+        received.append(takeForwarded());
+        MatcherAssert.assertThat(received.toString(), Matchers.is(expected.toString()));
     }
 
     private void receive(String text) {
--- a/standins/src/test/java/org/chivetally/standins/TcpRelayTest.java
+++ b/standins/src/test/java/org/chivetally/standins/TcpRelayTest.java
@@ -45,17 +45,17 @@
     // A connection opened afterwards works, and the old one stays silent when the fault is taken back.
     @Test
     void silencesOpenConnectionsWhileNewOnesWork() throws IOException {
-        try (Socket old = connect()) {
-            echo(old, 'a');
+        try (Socket silenced = connect()) {
+            echo(silenced, 'a');
             relay.setFaults(RelayFaults.silencing(Silence.BOTH));
             relay.setFaults(RelayFaults.NONE);
-            old.getOutputStream().write('b');
+            silenced.getOutputStream().write('b');
             await(() -> relay.statistics().bytesWithheld() == 1);
-            try (Socket fresh = connect()) {
-                MatcherAssert.assertThat(echo(fresh, 'c'), Matchers.is((int) 'c'));
+            try (Socket newSocket = connect()) {
+                MatcherAssert.assertThat(echo(newSocket, 'c'), Matchers.is((int) 'c'));
             }
             MatcherAssert.assertThat(server.received(), Matchers.is(2L));
-            MatcherAssert.assertThat(old.getInputStream().available(), Matchers.is(0));
+            MatcherAssert.assertThat(silenced.getInputStream().available(), Matchers.is(0));
         }
     }
 
@@ -95,8 +95,8 @@
                 MatcherAssert.assertThat(closed.getInputStream().read(), Matchers.is(END_OF_STREAM));
             }
             relay.setFaults(RelayFaults.NONE);
-            try (Socket fresh = connect()) {
-                MatcherAssert.assertThat(echo(fresh, 'c'), Matchers.is((int) 'c'));
+            try (Socket forwarded = connect()) {
+                MatcherAssert.assertThat(echo(forwarded, 'c'), Matchers.is((int) 'c'));
             }
             MatcherAssert.assertThat(server.received(), Matchers.is(1L));
         }
