--- a/command/src/main/java/org/chivetally/command/AgentCommand.java
+++ b/command/src/main/java/org/chivetally/command/AgentCommand.java
@@ -10,12 +10,12 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Mixin;
 
-/** Runs an agent. */
+/** Runs an agent daemon. */
 @Command(
         name = "agent",
         description = {
-            "Run an agent beside one minion: runs tasks on it for the entries.",
-            "SIGTERM stops it gracefully: no request in progress is cut."
+            "Run the agent of one minion, which runs tasks on it for the entries.",
+            "SIGTERM stops it gracefully: requests in progress are completed first."
         })
 final class AgentCommand implements Callable<Integer> {
     private static final String SIGNAL = "signal";
--- a/command/src/main/java/org/chivetally/command/AnswerTable.java
+++ b/command/src/main/java/org/chivetally/command/AnswerTable.java
@@ -4,11 +4,11 @@
 import org.chivetally.command.output.Table;
 import tools.jackson.databind.JsonNode;
 
-/** A job's whole answer as a table: one line for each task, in the order of the submission. */
+/** Formats a job's answer as a table with one row per task, in the order of the submission. */
 final class AnswerTable {
     private AnswerTable() {}
 
-    /** Returns the lines for the document of an answer. */
+    /** Returns the lines of the table for an answer document. */
     static List<String> lines(JsonNode document) {
         Table table = new Table("TASK", "ANSWER");
         int task = 0;
--- a/command/src/main/java/org/chivetally/command/ApplyCommand.java
+++ b/command/src/main/java/org/chivetally/command/ApplyCommand.java
@@ -16,8 +16,8 @@
 @Command(
         name = "apply",
         description = {
-            "Create or change resources from files; all of them are accepted or none is.",
-            "diff shows beforehand what would change."
+            "Create or change resources from files; either all of them are accepted or none.",
+            "Use diff to preview the changes."
         })
 final class ApplyCommand implements Callable<Integer> {
     @Spec
@@ -35,7 +35,7 @@
     @Mixin
     private ApplyOptions resources;
 
-    @Option(names = "--dry-run", description = "Have the entry check everything, and change nothing.")
+    @Option(names = "--dry-run", description = "Let the entry validate everything without changing anything.")
     private boolean dryRun;
 
     @Override
--- a/command/src/main/java/org/chivetally/command/ApplyOptions.java
+++ b/command/src/main/java/org/chivetally/command/ApplyOptions.java
@@ -6,7 +6,7 @@
 import picocli.CommandLine.Option;
 import tools.jackson.databind.node.ObjectNode;
 
-/** What is to be applied. */
+/** Options that select the resources to apply. */
 final class ApplyOptions {
     @Option(
             names = {"-f", "--file"},
@@ -18,17 +18,17 @@
     @Option(
             names = "--prune",
             paramLabel = "LABEL=VALUE",
-            description = "Delete what carries this label and is not declared; may be repeated, then all must fit.")
+            description = "Delete resources with this label that the files don't declare; if repeated, all must match.")
     private Map<String, String> prune = Map.of();
 
     @Option(
             names = "--based-on",
             paramLabel = "KIND/NAME=VERSION",
-            description = "Version that you have seen of a resource, 0 for none; a newer one is a conflict."
-                    + " By default the newest when the request arrives.")
+            description = "Version of a resource that the change is based on, 0 if there was none; a newer version is a"
+                    + " conflict. By default the newest version when the request arrives.")
     private Map<String, Long> basedOn = Map.of();
 
-    /** Returns the request's body; throws with all mistakes in the files. */
+    /** Returns the body of the apply request; throws an exception that lists all mistakes in the files. */
     ObjectNode request() {
         return ResourceFiles.read(files).request(basedOn, prune);
     }
--- a/command/src/main/java/org/chivetally/command/CancelCommand.java
+++ b/command/src/main/java/org/chivetally/command/CancelCommand.java
@@ -15,8 +15,8 @@
 @Command(
         name = "cancel",
         description = {
-            "Cancel jobs: tasks that wait are dropped, tasks that run finish.",
-            "Exit code 3 for a job that was complete before."
+            "Cancel jobs: waiting tasks are discarded, running tasks finish.",
+            "The exit code is 3 if a job had already completed."
         })
 final class CancelCommand implements Callable<Integer> {
     private static final String STATE_COMPLETE = "complete";
--- a/command/src/main/java/org/chivetally/command/ChivetallyCommand.java
+++ b/command/src/main/java/org/chivetally/command/ChivetallyCommand.java
@@ -10,7 +10,7 @@
 import picocli.CommandLine.ScopeType;
 import picocli.CommandLine.Spec;
 
-/** The command line's root. */
+/** Root command of the command line and entry point of the process. */
 @Command(
         name = "chivetally",
         description = "Dispatcher for sub-second tasks.",
@@ -27,9 +27,9 @@
             ExitCodes.FAILED + ":the job failed, the name is not known, or diff found differences",
             ExitCodes.INVALID_INPUT + ":the command line, a settings file or a document is malformed",
             ExitCodes.CONFLICT + ":another write came first, or the key belongs to another submission",
-            ExitCodes.UNAVAILABLE + ":no entry answered, or it refused for now; nothing was done",
+            ExitCodes.UNAVAILABLE + ":no entry answered, or it refused temporarily; nothing was done",
             ExitCodes.OUTCOME_UNKNOWN + ":the request may have taken effect; its outcome is not known",
-            ExitCodes.INTERNAL + ":a fault in chivetally itself"
+            ExitCodes.INTERNAL + ":an internal error of chivetally"
         },
         subcommands = {
             EntryCommand.class,
@@ -63,7 +63,7 @@
         System.exit(commandLine.execute(arguments));
     }
 
-    /** Returns the command line, writing to the process's standard output and standard error unless told otherwise. */
+    /** Returns the command line, which writes to the standard output and standard error of the process by default. */
     public static CommandLine commandLine() {
         CommandLine commandLine = new CommandLine(new ChivetallyCommand());
         commandLine.setCaseInsensitiveEnumValuesAllowed(true);
@@ -76,7 +76,7 @@
         throw new ParameterException(command.commandLine(), "Name a subcommand.");
     }
 
-    // A daemon that can't start leaves threads of Pekko and Netty behind; main's exit ends the process all the same.
+    // Threads of Pekko and Netty keep running after a daemon fails to start; System.exit in main ends the process.
     private static int report(Exception failure, CommandLine failed) {
         PrintWriter error = failed.getErr();
         if (failure instanceof ChivetallyException known) {
--- a/command/src/main/java/org/chivetally/command/ConfigurationCommand.java
+++ b/command/src/main/java/org/chivetally/command/ConfigurationCommand.java
@@ -12,10 +12,10 @@
 import picocli.CommandLine.Spec;
 import tools.jackson.databind.JsonNode;
 
-/** Commands about the configuration as a whole. */
+/** Parent of the commands about the configuration as a whole. */
 @Command(
         name = "config",
-        description = "Show how far the configuration has come.",
+        description = "Show how far the configuration has been distributed.",
         subcommands = ConfigurationCommand.StatusCommand.class)
 final class ConfigurationCommand implements Runnable {
     @Spec
@@ -26,8 +26,8 @@
         throw new ParameterException(command.commandLine(), "Name a subcommand: status.");
     }
 
-    /** Shows which process has which version. */
-    @Command(name = "status", description = "Show which process has which version of the configuration.")
+    /** Shows the configuration version of each process. */
+    @Command(name = "status", description = "Show the configuration version of each process.")
     static final class StatusCommand implements Callable<Integer> {
         @Spec
         private CommandSpec command;
--- a/command/src/main/java/org/chivetally/command/Console.java
+++ b/command/src/main/java/org/chivetally/command/Console.java
@@ -34,7 +34,7 @@
         error.flush();
     }
 
-    /** Writes what went wrong with a failed request and returns the exit code that tells of it. */
+    /** Writes the problem of a failed request to standard error and returns the corresponding exit code. */
     int reportFailure(EntryReply reply) {
         Problem problem = Problem.of(reply);
         errorLine("error: " + problem.line());
--- a/command/src/main/java/org/chivetally/command/DaemonOptions.java
+++ b/command/src/main/java/org/chivetally/command/DaemonOptions.java
@@ -3,7 +3,7 @@
 import java.nio.file.Path;
 import picocli.CommandLine.Option;
 
-/** What each daemon is told on the command line. */
+/** Command line options of every daemon. */
 final class DaemonOptions {
     @Option(
             names = "--settings",
--- a/command/src/main/java/org/chivetally/command/DeleteCommand.java
+++ b/command/src/main/java/org/chivetally/command/DeleteCommand.java
@@ -27,7 +27,7 @@
     @Option(
             names = "--based-on",
             paramLabel = "VERSION",
-            description = "Delete only if this is still the newest version; the one read just before by default.")
+            description = "Delete only if this is still the newest version; by default the version read just before.")
     private Long basedOn;
 
     @Parameters(
--- a/command/src/main/java/org/chivetally/command/Demonstration.java
+++ b/command/src/main/java/org/chivetally/command/Demonstration.java
@@ -15,7 +15,7 @@
 import tools.jackson.databind.JsonNode;
 import tools.jackson.databind.node.ObjectNode;
 
-/** Submits a job twice with one key, and shows that the second submission starts nothing. */
+/** Submits a job twice with the same idempotency key, and checks that the second submission starts no tasks. */
 final class Demonstration {
     private static final Duration TIMEOUT = Duration.ofSeconds(60);
     private static final Duration READINESS_POLL_INTERVAL = Duration.ofMillis(50);
@@ -30,7 +30,7 @@
         this.plan = plan;
     }
 
-    /** Returns the exit code. */
+    /** Runs the demonstration with the job in the given file and returns the exit code. */
     int run(Path file) {
         JsonNode job = forDeployment(DocumentFile.readOne(file));
         String key = "demo-" + UUID.randomUUID();
@@ -62,7 +62,7 @@
         return sameAnswer && newStarts == 0 ? ExitCodes.OK : ExitCodes.FAILED;
     }
 
-    // The example names one deployment's service and team; the other deployment runs it for its own.
+    // The example job names the service and team of one deployment; these are replaced to fit any deployment.
     private JsonNode forDeployment(JsonNode job) {
         ObjectNode copy = job.deepCopy().asObject();
         return copy.put("service", plan.service()).put("team", plan.team());
@@ -74,7 +74,7 @@
         }
     }
 
-    /** Returns how many starts the minions recorded themselves. */
+    /** Returns the number of starts in the minions' own records. */
     static long countStarts(RunningDeployment running) {
         long count = 0;
         for (URI minion : running.minions()) {
@@ -85,13 +85,13 @@
         return count;
     }
 
-    /** Waits until an entry takes jobs; throws when it does not within a minute. */
+    /** Waits until an entry is ready to accept jobs; throws {@link ErrorCode#NOT_READY} if it isn't within a minute. */
     static void awaitReadiness(URI entry) {
         long deadline = System.nanoTime() + TIMEOUT.toNanos();
         try (EntryClient client = new EntryClient(entry, TIMEOUT)) {
             while (!client.send(EntryRequest.get("/readyz")).succeeded()) {
                 if (System.nanoTime() > deadline) {
-                    throw new ChivetallyException(ErrorCode.NOT_READY, entry + " does not become ready");
+                    throw new ChivetallyException(ErrorCode.NOT_READY, entry + " did not become ready in time");
                 }
                 Thread.sleep(READINESS_POLL_INTERVAL);
             }
--- a/command/src/main/java/org/chivetally/command/DeploymentOptions.java
+++ b/command/src/main/java/org/chivetally/command/DeploymentOptions.java
@@ -2,7 +2,7 @@
 
 import picocli.CommandLine.Option;
 
-/** Which deployment a command is about. */
+/** Option that selects the deployment that a command operates on. */
 final class DeploymentOptions {
     @Option(
             names = "--deployment",
--- a/command/src/main/java/org/chivetally/command/DescribeCommand.java
+++ b/command/src/main/java/org/chivetally/command/DescribeCommand.java
@@ -13,7 +13,7 @@
 import picocli.CommandLine.Spec;
 
 /** Shows everything about one resource. */
-@Command(name = "describe", description = "Show everything about one resource, as YAML unless told otherwise.")
+@Command(name = "describe", description = "Show everything about one resource, as YAML by default.")
 final class DescribeCommand implements Callable<Integer> {
     @Spec
     private CommandSpec command;
--- a/command/src/main/java/org/chivetally/command/DocumentFile.java
+++ b/command/src/main/java/org/chivetally/command/DocumentFile.java
@@ -14,28 +14,28 @@
 import tools.jackson.databind.MappingIterator;
 import tools.jackson.dataformat.yaml.YAMLMapper;
 
-/** Files of YAML or JSON documents, parted by {@code ---}. */
+/** Reads files of YAML or JSON documents that are separated by {@code ---}. */
 final class DocumentFile {
     private static final YAMLMapper MAPPER = YAMLMapper.shared();
 
     private DocumentFile() {}
 
-    /** Returns the text of a file. */
+    /** Returns the text of a UTF-8 file. */
     static String text(Path file) {
         return Utf8.read(file);
     }
 
-    /** Returns the one document of a file. */
+    /** Returns the only document of a file; throws {@link ErrorCode#INVALID_INPUT} if there is not exactly one. */
     static JsonNode readOne(Path file) {
         List<JsonNode> documents = documents(file);
         if (documents.size() != 1) {
             throw new ChivetallyException(
-                    ErrorCode.INVALID_INPUT, file + " holds " + documents.size() + " documents, and one is needed");
+                    ErrorCode.INVALID_INPUT, file + " contains " + documents.size() + " documents instead of one");
         }
         return documents.getFirst();
     }
 
-    /** Returns a file itself, or the YAML and JSON files of a folder in the order of their names. */
+    /** Returns the given file, or the YAML and JSON files of the given folder, sorted by name. */
     static List<Path> documentFiles(Path path) {
         return Files.isDirectory(path) ? documentFilesIn(path) : List.of(path);
     }
--- a/command/src/main/java/org/chivetally/command/DurationConverter.java
+++ b/command/src/main/java/org/chivetally/command/DurationConverter.java
@@ -6,7 +6,7 @@
 import picocli.CommandLine.ITypeConverter;
 import picocli.CommandLine.TypeConversionException;
 
-/** Reads durations such as {@code 500ms}, {@code 30s}, {@code 2m} or {@code PT30S}. */
+/** Parses durations such as {@code 500ms}, {@code 30s}, {@code 2m} or {@code PT30S}. */
 final class DurationConverter implements ITypeConverter<Duration> {
     private static final Pattern SHORT_FORM = Pattern.compile("(\\d+)(ms|s|m|h)");
 
@@ -29,7 +29,7 @@
         try {
             return Duration.parse(text);
         } catch (java.time.format.DateTimeParseException malformed) {
-            throw new TypeConversionException("'" + text + "' is no duration such as 500ms, 30s, 2m or PT30S");
+            throw new TypeConversionException("'" + text + "' is not a duration such as 500ms, 30s, 2m or PT30S");
         }
     }
 }
--- a/command/src/main/java/org/chivetally/command/EntryCommand.java
+++ b/command/src/main/java/org/chivetally/command/EntryCommand.java
@@ -10,12 +10,12 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Mixin;
 
-/** Runs an entry. */
+/** Runs an entry daemon. */
 @Command(
         name = "entry",
         description = {
-            "Run an entry: takes jobs of callers, coordinates them, and serves resources to operators.",
-            "SIGTERM stops it gracefully: no request in progress is cut."
+            "Run an entry, which accepts jobs from callers, coordinates them, and serves resources to operators.",
+            "SIGTERM stops it gracefully: requests in progress are completed first."
         })
 final class EntryCommand implements Callable<Integer> {
     private static final String SIGNAL = "signal";
--- a/command/src/main/java/org/chivetally/command/EntryOptions.java
+++ b/command/src/main/java/org/chivetally/command/EntryOptions.java
@@ -5,7 +5,7 @@
 import org.chivetally.command.client.EntryClient;
 import picocli.CommandLine.Option;
 
-/** Which entry a command talks to. */
+/** Options that select the entry that a command connects to, and the request timeout. */
 final class EntryOptions {
     private static final String DEFAULT_ENTRY = "http://127.0.0.1:8080";
 
@@ -21,14 +21,18 @@
             paramLabel = "DURATION",
             defaultValue = "PT30S",
             converter = DurationConverter.class,
-            description = "Longest wait for one answer, such as 500ms, 30s or 2m; 30s by default.")
+            description = "Maximum time to wait for one answer, such as 500ms, 30s or 2m; 30s by default.")
     private Duration timeout;
 
     EntryClient client() {
         return client(Duration.ZERO);
     }
 
-    /** Returns a client whose requests may take longer by the time that the entry is asked to hold them. */
+    /**
+     * Returns a client for requests that the entry may hold before it answers.
+     *
+     * @param serverWait longest time that the entry holds a request, added to the request timeout
+     */
     EntryClient client(Duration serverWait) {
         return new EntryClient(entry, timeout.plus(serverWait));
     }
--- a/command/src/main/java/org/chivetally/command/ExitCodes.java
+++ b/command/src/main/java/org/chivetally/command/ExitCodes.java
@@ -2,9 +2,9 @@
 
 import org.chivetally.errors.ErrorCode;
 
-/** Exit codes of every command; a code never changes its meaning. */
+/** Exit codes of all commands; scripts depend on them, so the meaning of a code never changes. */
 public final class ExitCodes {
-    /** The command did what was asked. */
+    /** The command succeeded. */
     public static final int OK = 0;
 
     /** The job failed, the name is not known, or {@code diff} found differences. */
@@ -16,18 +16,18 @@
     /** Another write came first, or the idempotency key belongs to another submission. */
     public static final int CONFLICT = 3;
 
-    /** No entry answered or it refused for now; nothing was done, and a later try may succeed. */
+    /** No entry answered, or it refused temporarily; nothing was done, and a retry may succeed. */
     public static final int UNAVAILABLE = 4;
 
-    /** The request may have taken effect, and its outcome is not known. */
+    /** The request may have taken effect; its outcome is unknown. */
     public static final int OUTCOME_UNKNOWN = 5;
 
-    /** A broken invariant of chivetally itself. */
+    /** Internal error: an invariant of chivetally was violated. */
     public static final int INTERNAL = 70;
 
     private ExitCodes() {}
 
-    /** Returns the exit code that tells of an error code. */
+    /** Returns the exit code for an error code. */
     public static int of(ErrorCode code) {
         return switch (code) {
             case NOT_FOUND, CANCELLED, TASK_FAILED, DEADLINE_EXCEEDED, ANSWER_EXPIRED -> FAILED;
--- a/command/src/main/java/org/chivetally/command/ExperimentCommand.java
+++ b/command/src/main/java/org/chivetally/command/ExperimentCommand.java
@@ -24,13 +24,16 @@
         name = "experiment",
         description = {
             "Run an experiment within this process and write its tables and plots to a folder.",
-            "policies: placement policies side by side, in model time.",
-            "coordinators: the policy in use with one to nine coordinators, in model time.",
-            "control: frames and bytes a second that entries and agents exchange for control.",
-            "slopes: how costs grow with agents, tasks, teams, claims, resources and members."
+            "policies: compare placement policies, in model time.",
+            "coordinators: run the current policy with one to nine coordinators, in model time.",
+            "control: measure the frames and bytes per second that entries and agents exchange for control.",
+            "slopes: measure how costs grow with agents, tasks, teams, claims, resources and members."
         })
 final class ExperimentCommand implements Callable<Integer> {
-    /** Lines of the product's own decisions would fill the screen and count as their cost. */
+    /**
+     * Logger of all chivetally classes. A log line per decision would flood the terminal, and writing it would count as
+     * part of the measured cost.
+     */
     private static final Logger CHIVETALLY_LOGGER = Logger.getLogger("org.chivetally");
 
     @Spec
@@ -39,7 +42,7 @@
     @Option(
             names = "--plan",
             paramLabel = "FILE",
-            description = "Load plan whose mixture of jobs is offered to policies; examples/load-jylland-50.yaml fits.")
+            description = "Load plan whose job mix the policies are run with, such as examples/load-jylland-50.yaml.")
     private Path plan;
 
     @Option(names = "--folder", paramLabel = "FOLDER", required = true, description = "Folder to write to.")
--- a/command/src/main/java/org/chivetally/command/ExplainCommand.java
+++ b/command/src/main/java/org/chivetally/command/ExplainCommand.java
@@ -11,8 +11,8 @@
 import picocli.CommandLine.Spec;
 import tools.jackson.databind.JsonNode;
 
-/** Reads back the decisions taken for one job. */
-@Command(name = "explain", description = "Show the decisions that its coordinator took for a job, in their order.")
+/** Shows the recorded decisions of a job's coordinator. */
+@Command(name = "explain", description = "Show the decisions that the coordinator of a job made for it, in order.")
 final class ExplainCommand implements Callable<Integer> {
     @Spec
     private CommandSpec command;
--- a/command/src/main/java/org/chivetally/command/GetCommand.java
+++ b/command/src/main/java/org/chivetally/command/GetCommand.java
@@ -40,7 +40,7 @@
     @Option(
             names = {"-l", "--label"},
             paramLabel = "LABEL=VALUE",
-            description = "Only resources with this label; may be repeated, then all must fit.")
+            description = "Only resources with this label; if repeated, all labels must match.")
     private List<String> labels = List.of();
 
     @Override
--- a/command/src/main/java/org/chivetally/command/JobsCommand.java
+++ b/command/src/main/java/org/chivetally/command/JobsCommand.java
@@ -27,7 +27,7 @@
     @Mixin
     private OutputOptions output;
 
-    @Option(names = "--answer", description = "Show the whole answer of the job.")
+    @Option(names = "--answer", description = "Show the complete answer of the job.")
     private boolean answer;
 
     @Parameters(arity = "0..1", paramLabel = "JOB", description = "Name of one job.")
--- a/command/src/main/java/org/chivetally/command/KindConverter.java
+++ b/command/src/main/java/org/chivetally/command/KindConverter.java
@@ -6,13 +6,13 @@
 import picocli.CommandLine.ITypeConverter;
 import picocli.CommandLine.TypeConversionException;
 
-/** Reads kinds of resources in the singular or plural. */
+/** Parses the name of a resource kind, in the singular or plural. */
 final class KindConverter implements ITypeConverter<ResourceKind> {
     @Override
     public ResourceKind convert(String text) {
         return ResourceKind.of(text)
-                .orElseThrow(() ->
-                        new TypeConversionException("'" + text + "' is no kind of resource; there are " + kinds()));
+                .orElseThrow(() -> new TypeConversionException(
+                        "'" + text + "' is not a kind of resource; the kinds are " + kinds()));
     }
 
     private static String kinds() {
--- a/command/src/main/java/org/chivetally/command/LayoutCommand.java
+++ b/command/src/main/java/org/chivetally/command/LayoutCommand.java
@@ -24,9 +24,8 @@
             names = "--first-port",
             paramLabel = "PORT",
             defaultValue = "18600",
-            description =
-                    "First of the ports used; 18600 by default. Ports that the system gives to outgoing connections,"
-                            + " usually those from 32768, may be taken at any time.")
+            description = "First port of the range to use; 18600 by default. Avoid the ephemeral ports of the system,"
+                    + " usually those from 32768, as an outgoing connection may use them at any time.")
     private int firstPort;
 
     @Option(names = "--minions-in-one", description = "Run all minions in one process, to save memory.")
@@ -34,14 +33,14 @@
 
     @Option(
             names = "--relays",
-            description = "Put a relay before each entry and agent, for the deployment's distances and for faults.")
+            description =
+                    "Put a relay in front of each entry and agent, for the deployment's network delays and for faults.")
     private boolean relays;
 
     @Option(
             names = "--agent-relays",
-            description =
-                    "Put a relay before each agent only, so that callers meet a stopped entry as they would without"
-                            + " one: a relay takes their connection before it finds out.")
+            description = "Put a relay in front of each agent only. Callers of a stopped entry then see a refused"
+                    + " connection, whereas a relay would accept it before it tries to connect to the entry.")
     private boolean agentRelays;
 
     @Parameters(paramLabel = "FOLDER", description = "Existing folder to write to.")
--- a/command/src/main/java/org/chivetally/command/LoadCommand.java
+++ b/command/src/main/java/org/chivetally/command/LoadCommand.java
@@ -24,12 +24,13 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** Offers load to a deployment and judges what came of it. */
+/** Runs a load plan against a deployment and evaluates the results. */
 @Command(
         name = "load",
         description = {
-            "Offer load to entries by a schedule that does not slow down with them, and judge what came of it.",
-            "Exit code 1 when a goal of the plan is missed."
+            "Run a load plan against entries and evaluate the results.",
+            "Requests follow a fixed schedule that does not slow down when the entries do.",
+            "The exit code is 1 if a goal of the plan is missed."
         })
 final class LoadCommand implements Callable<Integer> {
     @Spec
@@ -38,19 +39,19 @@
     @Option(
             names = "--targets",
             paramLabel = "FILE",
-            description = "Addresses in place of the plan's own, such as targets.yaml of scripts/processes.sh.")
+            description = "Addresses that replace those of the plan, such as targets.yaml of scripts/processes.sh.")
     private Path targets;
 
     @Option(
             names = "--faults-folder",
             paramLabel = "FOLDER",
-            description = "Folder shared with the script that carries out faults of processes.")
+            description = "Folder shared with the script that executes the process faults.")
     private Path faultsFolder;
 
     @Option(
             names = "--processes",
             paramLabel = "FOLDER",
-            description = "Folder of scripts/processes.sh; processor time and memory are then reported by role.")
+            description = "Working folder of scripts/processes.sh, to report processor time and memory by role.")
     private Path processes;
 
     @Option(names = "--json", paramLabel = "FILE", description = "Write the report as JSON to this file as well.")
@@ -59,24 +60,27 @@
     @Option(
             names = "--markdown",
             paramLabel = "FILE",
-            description = "Add the run as a row to the Markdown table in this file, which is made if there is none.")
+            description = "Append the run as a row to the Markdown table in this file, which is created if missing.")
     private Path markdown;
 
     @Option(
             names = "--requests",
             paramLabel = "FILE",
-            description = "Write every request with its outcome to this file, one JSON object a line.")
+            description = "Write every request with its outcome to this file, one JSON object per line.")
     private Path requests;
 
-    @Option(names = "--seed", paramLabel = "NUMBER", description = "Seed of the schedule in place of the plan's own.")
+    @Option(
+            names = "--seed",
+            paramLabel = "NUMBER",
+            description = "Seed of the schedule, which replaces that of the plan.")
     private Long seed;
 
     @Option(
             names = "--print-process-faults",
-            description = "Print the plan's steps for processes instead of running it: milliseconds, step, name.")
+            description = "Print the process faults of the plan instead of running it: milliseconds, step, name.")
     private boolean printProcessFaults;
 
-    @Parameters(paramLabel = "PLAN", description = "What to offer, as YAML; see examples/load-smoke.yaml.")
+    @Parameters(paramLabel = "PLAN", description = "Load plan as YAML; see examples/load-smoke.yaml.")
     private Path plan;
 
     @Override
--- a/command/src/main/java/org/chivetally/command/LossesCommand.java
+++ b/command/src/main/java/org/chivetally/command/LossesCommand.java
@@ -15,10 +15,10 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** Tells from the logs of entries which jobs were lost or late, when, and why. */
+/** Reports from the logs of entries which jobs were lost or late, when, and why. */
 @Command(
         name = "losses",
-        description = "Count jobs in the logs of entries by when they came and by why they were late or lost.")
+        description = "Count the jobs in the logs of entries by time of acceptance and by cause of being late or lost.")
 final class LossesCommand implements Callable<Integer> {
     @Spec
     private CommandSpec command;
@@ -27,10 +27,13 @@
             names = "--window",
             defaultValue = "2s",
             converter = DurationConverter.class,
-            description = "Length of a row, for example 2s or 1m (default: ${DEFAULT-VALUE}).")
+            description = "Length of the time window of a row, for example 2s or 1m (default: ${DEFAULT-VALUE}).")
     private Duration window;
 
-    @Parameters(paramLabel = "LOG", arity = "1..*", description = "Logs of processes; each read in its order.")
+    @Parameters(
+            paramLabel = "LOG",
+            arity = "1..*",
+            description = "Log files of processes, each read from start to end.")
     private List<Path> logs;
 
     @Override
--- a/command/src/main/java/org/chivetally/command/OperatorOptions.java
+++ b/command/src/main/java/org/chivetally/command/OperatorOptions.java
@@ -3,7 +3,7 @@
 import org.chivetally.command.client.EntryRequest;
 import picocli.CommandLine.Option;
 
-/** Who makes a change. */
+/** Option that names the operator who makes a change. */
 final class OperatorOptions {
     private static final String HEADER = "Chivetally-Operator";
 
@@ -11,7 +11,7 @@
             names = "--as",
             paramLabel = "NAME",
             defaultValue = "${env:CHIVETALLY_OPERATOR:-${env:USER:-unnamed}}",
-            description = "Name that the change is kept under; by default CHIVETALLY_OPERATOR, then USER.")
+            description = "Name recorded with the change; by default CHIVETALLY_OPERATOR, then USER.")
     private String operator;
 
     EntryRequest withOperator(EntryRequest request) {
--- a/command/src/main/java/org/chivetally/command/OutputOptions.java
+++ b/command/src/main/java/org/chivetally/command/OutputOptions.java
@@ -3,7 +3,7 @@
 import org.chivetally.command.output.OutputFormat;
 import picocli.CommandLine.Option;
 
-/** How a command writes what it found. */
+/** Option that selects the output format of a command. */
 final class OutputOptions {
     @Option(
             names = {"-o", "--output"},
--- a/command/src/main/java/org/chivetally/command/RelayCommand.java
+++ b/command/src/main/java/org/chivetally/command/RelayCommand.java
@@ -23,12 +23,12 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
 
-/** Runs relays. */
+/** Runs TCP relays between processes. */
 @Command(
         name = "relay",
         description = {
-            "Run relays between processes, which add distance and lose, cut or hold connections when told.",
-            "PUT /faults at a relay's control port sets its faults."
+            "Run TCP relays between processes, which add network delay and can silence or close connections.",
+            "PUT /faults at the control port of a relay sets its faults."
         })
 final class RelayCommand implements Callable<Integer> {
     private static final Duration STOP_TIMEOUT = Duration.ofSeconds(30);
@@ -41,7 +41,7 @@
             names = "--settings",
             required = true,
             paramLabel = "FILE",
-            description = "Relays as YAML, as layout --relays writes them.")
+            description = "Relays as YAML, in the format that layout --relays writes.")
     private Path settings;
 
     @Override
--- a/command/src/main/java/org/chivetally/command/ResourceFiles.java
+++ b/command/src/main/java/org/chivetally/command/ResourceFiles.java
@@ -10,11 +10,17 @@
 import tools.jackson.databind.node.ArrayNode;
 import tools.jackson.databind.node.ObjectNode;
 
-/** Resources declared in files, checked here already so that mistakes are told with file, line and column. */
+/**
+ * Resources declared in files, which are validated before they are sent so that mistakes are reported with file, line
+ * and column.
+ */
 record ResourceFiles(List<DeclaredResource> resources) {
     private static final JsonMapper MAPPER = JsonMapper.shared();
 
-    /** Reads files, and the YAML and JSON files of folders; throws with all mistakes when there are some. */
+    /**
+     * Reads the given files and the YAML and JSON files of the given folders; throws an exception that lists all
+     * mistakes if there are any.
+     */
     static ResourceFiles read(List<Path> paths) {
         Map<String, String> texts = new LinkedHashMap<>();
         for (Path path : paths) {
@@ -26,10 +32,10 @@
     }
 
     /**
-     * Returns the body of a request that applies them as one.
+     * Returns the body of a request that applies all resources atomically.
      *
-     * @param basedOn versions that the operator has seen, by {@code KIND/NAME}
-     * @param prune labels of resources that are deleted unless declared; empty deletes none
+     * @param basedOn versions that the changes are based on, by {@code KIND/NAME}
+     * @param prune labels of the resources that are deleted unless they are declared; if empty, none are deleted
      */
     ObjectNode request(Map<String, Long> basedOn, Map<String, String> prune) {
         ObjectNode request = MAPPER.createObjectNode();
--- a/command/src/main/java/org/chivetally/command/ResourceTable.java
+++ b/command/src/main/java/org/chivetally/command/ResourceTable.java
@@ -6,13 +6,13 @@
 import org.chivetally.command.output.Table;
 import tools.jackson.databind.JsonNode;
 
-/** Resources as a table: one line each, with its specification and status in short. */
+/** Formats resources as a table with one row per resource, with its status and abbreviated specification. */
 final class ResourceTable {
     private static final int MAXIMUM_CELL_LENGTH = 80;
 
     private ResourceTable() {}
 
-    /** Returns the lines for a list of resources, or for one. */
+    /** Returns the lines of the table for a list of resources, or for a single resource. */
     static List<String> lines(JsonNode document) {
         Table table = new Table("RESOURCE", "VERSION", "STATUS", "CHANGED BY", "SPEC");
         if (document.has("items")) {
@@ -23,7 +23,7 @@
         return table.lines();
     }
 
-    /** Returns kind and name of a resource's document. */
+    /** Returns kind and name of a resource document as {@code KIND/NAME}. */
     static String nameOf(JsonNode resource) {
         return resource.path("kind").asString("") + "/" + resource.path("name").asString("");
     }
--- a/command/src/main/java/org/chivetally/command/StandInCommand.java
+++ b/command/src/main/java/org/chivetally/command/StandInCommand.java
@@ -26,11 +26,12 @@
 import picocli.CommandLine.ParameterException;
 import picocli.CommandLine.Spec;
 
-/** Runs small programs in the place of the platform's log, of minions and of the network between processes. */
+/** Runs stand-ins, which replace the platform's log, minions, or the network between processes in tests. */
 @Command(
         name = "stand-in",
-        description = "Run a small program in the place of the platform's log, of minions or of the network,"
-                + " with settable faults.",
+        description =
+                "Run a stand-in for the platform's log, for minions or for the network, with faults that can be set"
+                        + " at run time.",
         subcommands = {StandInCommand.LogCommand.class, StandInCommand.MinionCommand.class, RelayCommand.class})
 final class StandInCommand implements Runnable {
     private static final Duration STOP_TIMEOUT = Duration.ofSeconds(30);
@@ -60,7 +61,7 @@
                 + binding.localAddress().getPort();
     }
 
-    /** Where a stand-in listens. */
+    /** Options for the address that a stand-in listens on. */
     static final class ListenOptions {
         @Option(names = "--host", defaultValue = "127.0.0.1", description = "Host to listen on; 127.0.0.1 by default.")
         private String host;
@@ -68,11 +69,11 @@
         @Option(
                 names = "--port",
                 defaultValue = "0",
-                description = "Port to listen on; 0, the default, takes a free one.")
+                description = "Port to listen on; 0, the default, selects a free port.")
         private int port;
     }
 
-    /** Runs a log. */
+    /** Runs a stand-in for the platform's log. */
     @Command(name = "log", description = "Run a log that keeps its records in memory; see docs/LOG-PROTOCOL.md.")
     static final class LogCommand implements Callable<Integer> {
         @Spec
@@ -93,14 +94,14 @@
                 names = "--appends-per-second",
                 paramLabel = "NUMBER",
                 defaultValue = "400",
-                description = "Most appends a second; 400 by default, 0 sets no ceiling.")
+                description = "Maximum appends per second; 400 by default, 0 for no limit.")
         private int appendsPerSecond;
 
         @Option(
                 names = "--kept-records",
                 paramLabel = "NUMBER",
                 defaultValue = "1000000",
-                description = "Most records kept per stream; 1000000 by default.")
+                description = "Maximum number of records kept per stream; 1000000 by default.")
         private int keptRecords;
 
         @Option(
@@ -108,7 +109,7 @@
                 paramLabel = "DURATION",
                 defaultValue = "1h",
                 converter = DurationConverter.class,
-                description = "Longest time a record is kept; 1h by default.")
+                description = "Maximum time that a record is kept; 1h by default.")
         private Duration keptFor;
 
         @Override
@@ -123,8 +124,8 @@
         }
     }
 
-    /** Runs minions. */
-    @Command(name = "minion", description = "Run minions that work for as long as each task's payload says.")
+    /** Runs stand-ins for minions. */
+    @Command(name = "minion", description = "Run minions whose tasks take as long as their payloads specify.")
     static final class MinionCommand implements Callable<Integer> {
         @Spec
         private CommandSpec command;
@@ -135,26 +136,32 @@
         @Option(
                 names = "--count",
                 defaultValue = "1",
-                description = "Number of minions, at ports that follow; 1 by default.")
+                description = "Number of minions, on consecutive ports; 1 by default.")
         private int count;
 
         @Option(
                 names = "--first",
                 paramLabel = "NUMBER",
                 defaultValue = "1",
-                description = "Number in the first minion's name, minion-1 by default.")
+                description = "Number in the name of the first minion; 1 by default, for minion-1.")
         private int first;
 
-        @Option(names = "--slots", defaultValue = "8", description = "Most tasks at once; 8 by default.")
+        @Option(
+                names = "--slots",
+                defaultValue = "8",
+                description = "Maximum number of concurrent tasks; 8 by default.")
         private int slots;
 
         @Option(
                 names = "--record",
                 paramLabel = "FOLDER",
-                description = "Folder that keeps each minion's record of starts beyond its process, as NAME.starts.")
+                description = "Folder for the minions' records of starts, as NAME.starts; they survive a restart.")
         private Path recordFolder;
 
-        @Option(names = "--connections", defaultValue = "64", description = "Most connections at once; 64 by default.")
+        @Option(
+                names = "--connections",
+                defaultValue = "64",
+                description = "Maximum number of concurrent connections; 64 by default.")
         private int connections;
 
         @Override
--- a/command/src/main/java/org/chivetally/command/StandaloneCommand.java
+++ b/command/src/main/java/org/chivetally/command/StandaloneCommand.java
@@ -22,7 +22,7 @@
         name = "standalone",
         description = {
             "Run a whole deployment in this process: a log stand-in, entries, and agents with minion stand-ins.",
-            "With --demo or --submit: submit a job, show its whole answer, submit it again, and end."
+            "With --demo or --submit: submit a job, show its complete answer, submit it again, and exit."
         })
 final class StandaloneCommand implements Callable<Integer> {
     private static final String DEMO_JOB = "job-250.yaml";
@@ -36,16 +36,16 @@
 
     @Option(
             names = "--free-ports",
-            description = "Listen on free ports in place of those of the deployment; with --demo and --submit always.")
+            description = "Listen on free ports instead of those of the deployment; implied by --demo and --submit.")
     private boolean freePorts;
 
-    @Option(names = "--submit", paramLabel = "FILE", description = "Submit this job once everything is up, then end.")
+    @Option(names = "--submit", paramLabel = "FILE", description = "Submit this job once all processes run, then exit.")
     private Path jobFile;
 
     @Option(names = "--demo", description = "The same as --submit examples/" + DEMO_JOB + ".")
     private boolean demo;
 
-    @Option(names = "--verbose", description = "Write a line for each decision to standard error.")
+    @Option(names = "--verbose", description = "Write a log line for each decision to standard error.")
     private boolean verbose;
 
     @Override
--- a/command/src/main/java/org/chivetally/command/SubmitCommand.java
+++ b/command/src/main/java/org/chivetally/command/SubmitCommand.java
@@ -21,7 +21,7 @@
 @Command(
         name = "submit",
         description = {
-            "Submit a job and wait for its whole answer.",
+            "Submit a job and wait for its complete answer.",
             "The same key with the same file is the same job: submitting it again starts nothing new."
         })
 final class SubmitCommand implements Callable<Integer> {
@@ -36,7 +36,7 @@
     @Mixin
     private OutputOptions output;
 
-    @Option(names = "--key", description = "Idempotency key; a new one by default, which is shown.")
+    @Option(names = "--key", description = "Idempotency key; by default a new one, which is printed.")
     private String key;
 
     @Option(
@@ -44,7 +44,7 @@
             paramLabel = "DURATION",
             defaultValue = "60s",
             converter = DurationConverter.class,
-            description = "Longest wait for the answer; 60s by default, 0s returns once the job is accepted.")
+            description = "Maximum time to wait for the answer; 60s by default, 0s returns once the job is accepted.")
     private Duration wait;
 
     @Parameters(paramLabel = "FILE", description = "Job as YAML or JSON.")
@@ -68,7 +68,7 @@
         }
     }
 
-    /** Returns the request that submits a job. */
+    /** Returns the request that submits a job and waits for its answer; the wait is rounded down to seconds. */
     static EntryRequest request(JsonNode job, String key, Duration wait) {
         String path = ResourcePath.jobs() + "?wait=" + wait.toSeconds();
         return EntryRequest.post(path, job.toString()).withHeader(KEY_HEADER, key);
--- a/command/src/main/java/org/chivetally/command/WatchCommand.java
+++ b/command/src/main/java/org/chivetally/command/WatchCommand.java
@@ -19,7 +19,7 @@
         name = "watch",
         description = {
             "Follow the changes of one kind of resource until interrupted.",
-            "Where the changes wanted are no longer kept, the resources are listed and watched from there."
+            "If the requested changes are no longer stored, the resources are listed and watched from then on."
         })
 final class WatchCommand implements Callable<Integer> {
     @Spec
@@ -34,10 +34,10 @@
     @Option(
             names = "--from",
             paramLabel = "VERSION",
-            description = "Show all changes after this version; by default those from now on.")
+            description = "Show all changes after this version; by default only new changes.")
     private Long from;
 
-    @Option(names = "--count", paramLabel = "NUMBER", description = "End after this many changes.")
+    @Option(names = "--count", paramLabel = "NUMBER", description = "Exit after this many changes.")
     private Long count;
 
     @Parameters(
--- a/command/src/main/java/org/chivetally/command/WatchOutput.java
+++ b/command/src/main/java/org/chivetally/command/WatchOutput.java
@@ -5,7 +5,7 @@
 import tools.jackson.databind.JsonNode;
 import tools.jackson.databind.json.JsonMapper;
 
-/** Shows the events of a watch and remembers where to resume it. */
+/** Prints the events of a watch and tracks the version from which to resume it. */
 final class WatchOutput {
     private static final String BOOKMARK = "bookmark";
     private static final String ERROR = "error";
@@ -23,7 +23,7 @@
         this.resumeFrom = Optional.ofNullable(from);
     }
 
-    /** Shows one event; returns false to end the watch. */
+    /** Prints one event; returns false if the stream is to be closed. */
     boolean line(String text) {
         JsonNode event = JsonMapper.shared().readTree(text);
         String type = event.path("type").asString("");
@@ -31,7 +31,7 @@
             resumeAt(event.path("resumeFrom").asLong(0));
         }
         if (type.equals(ERROR)) {
-            console.errorLine("the watch ended: " + event.path("detail").asString("") + "; it is resumed");
+            console.errorLine("the watch ended: " + event.path("detail").asString("") + "; resuming it");
             return false;
         }
         if (!type.equals(BOOKMARK)) {
@@ -40,7 +40,7 @@
         return !isComplete();
     }
 
-    /** Shows a resource that was listed because its changes are no longer kept. */
+    /** Prints a resource that was listed because its changes are no longer stored. */
     void showListed(JsonNode resource) {
         show("listed", resource, resource);
     }
--- a/command/src/main/java/org/chivetally/command/client/EntryClient.java
+++ b/command/src/main/java/org/chivetally/command/client/EntryClient.java
@@ -17,10 +17,10 @@
 import org.chivetally.errors.ErrorCode;
 
 /**
- * Blocking client of one entry.
+ * Blocking HTTP client of one entry.
  *
- * <p>A request that certainly did not reach the entry fails with {@link ErrorCode#NOT_READY}; one whose answer was lost
- * fails with {@link ErrorCode#OUTCOME_UNKNOWN}, as it may have taken effect.
+ * <p>A request that could not be sent, or a read whose answer was lost, fails with {@link ErrorCode#NOT_READY}. Any
+ * other request whose answer was lost fails with {@link ErrorCode#OUTCOME_UNKNOWN}, as it may have taken effect.
  */
 public final class EntryClient implements AutoCloseable {
     private static final Duration CONNECT_TIMEOUT = Duration.ofSeconds(5);
@@ -33,7 +33,7 @@
      * Creates a client.
      *
      * @param entry base address, such as {@code http://127.0.0.1:8080}
-     * @param timeout longest wait for the whole answer to one request
+     * @param timeout maximum time to wait for the complete answer to one request
      */
     public EntryClient(URI entry, Duration timeout) {
         this.entry = Objects.requireNonNull(entry, "entry");
@@ -44,14 +44,14 @@
                 .build();
     }
 
-    /** Sends a request and returns the whole answer, whatever its status. */
+    /** Sends a request and returns the complete answer, whatever its status. */
     public EntryReply send(EntryRequest request) {
         HttpResponse<String> response = exchange(request, timeout, BodyHandlers.ofString());
         return new EntryReply(response.statusCode(), response.body());
     }
 
     /**
-     * Sends a request whose answer is a stream of lines.
+     * Sends a request whose answer is a stream of lines; the request has no timeout.
      *
      * @param line called for each line that is not blank; returns false to end the stream
      * @return the answer, with an empty body when it succeeded
@@ -65,7 +65,7 @@
             boolean ignored = lines.filter(text -> !text.isBlank()).allMatch(line);
             return new EntryReply(response.statusCode(), "");
         } catch (java.io.UncheckedIOException lost) {
-            throw new ChivetallyException(ErrorCode.NOT_READY, "the stream from " + entry + " broke off", lost);
+            throw new ChivetallyException(ErrorCode.NOT_READY, "the stream from " + entry + " was interrupted", lost);
         }
     }
 
@@ -96,8 +96,8 @@
         }
     }
 
-    // A connection that breaks after the request was sent says nothing about the write: calling it "not done" would
-    // invite a second one. Reads change nothing, so for them the entry is just unavailable.
+    // If the connection breaks after the request was sent, a write may or may not have been executed. Reporting it as
+    // not done would invite the caller to execute it twice. A read changes nothing, so it is reported as unavailable.
     private ChivetallyException lostAnswer(EntryRequest request, Exception cause) {
         if (request.isRead()) {
             return new ChivetallyException(ErrorCode.NOT_READY, "the answer of " + entry + " was lost", cause);
--- a/command/src/main/java/org/chivetally/command/client/EntryReply.java
+++ b/command/src/main/java/org/chivetally/command/client/EntryReply.java
@@ -17,7 +17,7 @@
     private static final JsonMapper MAPPER = JsonMapper.shared();
     private static final int FIRST_ERROR_STATUS = 400;
 
-    /** Tells whether the entry did what was asked. */
+    /** Returns whether the status is one of success. */
     public boolean succeeded() {
         return status < FIRST_ERROR_STATUS;
     }
@@ -35,7 +35,7 @@
         }
     }
 
-    /** Returns the problem that a failed request was answered with, and nothing for one that succeeded. */
+    /** Returns the problem document of a failed request, or empty if the request succeeded. */
     public Optional<Problem> problem() {
         if (succeeded()) {
             return Optional.empty();
--- a/command/src/main/java/org/chivetally/command/client/Problem.java
+++ b/command/src/main/java/org/chivetally/command/client/Problem.java
@@ -8,16 +8,20 @@
 import tools.jackson.databind.json.JsonMapper;
 
 /**
- * A problem document.
+ * Problem document with which an entry answers a failed request.
  *
  * @param code stable code of the cause
- * @param certainty what is certain about the work: {@code not-run}, {@code failed}, {@code unknown}, or empty
- * @param detail one sentence for a person
+ * @param certainty what is known about the work of the request: {@code not-run}, {@code failed}, {@code unknown}, or
+ *     empty
+ * @param detail human-readable explanation in one sentence
  */
 public record Problem(ErrorCode code, String certainty, String detail) {
     private static final String UNKNOWN = "unknown";
 
-    /** Reads the problem out of an answer; a body that is no problem document is kept as its detail. */
+    /**
+     * Parses the problem document of an answer. Any other body becomes the detail, with a code that fits the HTTP
+     * status.
+     */
     public static Problem of(EntryReply reply) {
         JsonNode document = parsed(reply.body());
         ErrorCode code = codeOf(document.path("code").asString("")).orElseGet(() -> codeOf(reply.status()));
@@ -28,12 +32,12 @@
                 detail);
     }
 
-    /** Tells whether work may have started without a known outcome. */
+    /** Returns whether work may have started whose outcome is unknown. */
     public boolean isOutcomeUnknown() {
         return certainty.equals(UNKNOWN);
     }
 
-    /** Returns one line for a person. */
+    /** Returns the problem as one human-readable line. */
     public String line() {
         String work = certainty.isEmpty() ? "" : " (" + certainty + ")";
         return code.text() + work + ": " + detail;
--- a/command/src/main/java/org/chivetally/command/client/package-info.java
+++ b/command/src/main/java/org/chivetally/command/client/package-info.java
@@ -1,2 +1,2 @@
-/** HTTP client of an entry, as the command line uses it. */
+/** HTTP client of an entry, used by the command line. */
 package org.chivetally.command.client;
--- a/command/src/main/java/org/chivetally/command/daemon/DaemonRuntime.java
+++ b/command/src/main/java/org/chivetally/command/daemon/DaemonRuntime.java
@@ -12,13 +12,14 @@
 import org.chivetally.settings.ProcessSettings;
 
 /**
- * What a daemon's process runs in.
+ * Settings, actor system and log client of a daemon's process.
  *
+ * @param process settings of the process
  * @param system actor system of the process
  * @param log client of the platform's log
  */
 public record DaemonRuntime(ProcessSettings process, ActorSystem<Void> system, PlatformLog log) {
-    /** Sets up log lines, the actor system and the log's client. */
+    /** Configures logging, starts the actor system and creates the client of the platform's log. */
     public static DaemonRuntime start(ProcessSettings process) {
         LogSetup.install(process.logLevel().level());
         ActorSystem<Void> system = DaemonSystem.start(process.name());
@@ -27,7 +28,7 @@
         return new DaemonRuntime(process, system, log);
     }
 
-    /** Waits for a daemon's start; throws when it failed. */
+    /** Waits until a daemon has started; throws {@link ChivetallyException} if its start failed. */
     public static <T> T await(CompletionStage<T> startup) {
         try {
             return startup.toCompletableFuture().join();
@@ -41,9 +42,10 @@
     }
 
     /**
-     * Waits for a signal, drains within the settings' limit, and ends the process.
+     * Waits for SIGTERM or SIGINT, drains the daemon within the drain timeout of its settings, and ends the process.
      *
-     * @param whenStopped fails when a broken invariant ended the daemon; only then this returns
+     * @param whenStopped stage that fails if an internal error ended the daemon; only then this method returns
+     * @param drain starts the drain; its stage completes when no request is in progress any more
      */
     public void awaitSignal(CompletionStage<Void> whenStopped, Supplier<CompletionStage<Void>> drain)
             throws InterruptedException {
--- a/command/src/main/java/org/chivetally/command/daemon/GracefulStop.java
+++ b/command/src/main/java/org/chivetally/command/daemon/GracefulStop.java
@@ -11,7 +11,7 @@
 import java.util.function.Supplier;
 import org.chivetally.logging.EventLine;
 
-/** Drains a process when it is asked to end by SIGTERM or SIGINT. */
+/** Drains the process on SIGTERM or SIGINT before it ends. */
 public final class GracefulStop {
     private static final FluentLogger LOGGER = FluentLogger.forEnclosingClass();
 
@@ -23,9 +23,9 @@
     private final Supplier<CompletionStage<Void>> drain;
 
     /**
-     * Creates a stop.
+     * Creates a graceful stop, which takes effect with {@link #awaitSignal()}.
      *
-     * @param limit longest wait for the drain
+     * @param limit maximum time to wait for the drain
      * @param drain starts the drain; its stage completes when no request is in progress any more
      */
     public GracefulStop(Duration drainTimeout, Supplier<CompletionStage<Void>> drain) {
@@ -33,14 +33,16 @@
         this.drain = drain;
     }
 
-    /** Registers the stop with the process and waits for a signal; never returns, as the process ends in the stop. */
+    /**
+     * Registers a shutdown hook and waits for a signal. Never returns, as the hook ends the process after the drain.
+     */
     public void awaitSignal() throws InterruptedException {
         awaitSignal(new CompletableFuture<Void>());
     }
 
     /**
-     * Registers the stop with the process and waits for a signal; the process then ends in the stop. Returns only when
-     * the given stage fails first: then there is nothing left to drain.
+     * Registers a shutdown hook and waits for a signal, after which the hook drains and ends the process. Returns only
+     * if the given stage fails first, as there is nothing left to drain then.
      */
     public void awaitSignal(CompletionStage<Void> whenStopped) throws InterruptedException {
         Thread hook = new Thread(this::run, "graceful-stop");
@@ -55,8 +57,9 @@
         Runtime.getRuntime().removeShutdownHook(hook);
     }
 
-    // A signal ends the JVM as soon as its hooks return; the hook therefore waits for the drain, or requests in
-    // progress would be cut. The limit keeps a drain that hangs from keeping the machine.
+    // On a signal the JVM ends as soon as its shutdown hooks return. The hook therefore waits for the drain, as
+    // requests
+    // in progress would be aborted otherwise. The timeout keeps a drain that hangs from blocking the machine.
     private void run() {
         LOGGER.atInfo().log("%s", EventLine.of("drain-started").with("limit", drainTimeout));
         String result = awaitDrain();
--- a/command/src/main/java/org/chivetally/command/daemon/KeyValueFormatter.java
+++ b/command/src/main/java/org/chivetally/command/daemon/KeyValueFormatter.java
@@ -7,7 +7,7 @@
 import java.util.logging.LogRecord;
 import org.chivetally.logging.EventLine;
 
-/** Writes each record as one line of key=value pairs: time, level, logger, then the message. */
+/** Formats each log record as one line of key=value pairs: time, level, logger, then the message. */
 public final class KeyValueFormatter extends Formatter {
     private static final DateTimeFormatter TIME = DateTimeFormatter.ofPattern(
                     "yyyy-MM-dd'T'HH:mm:ss.SSSSSS'Z'", Locale.ROOT)
@@ -31,7 +31,7 @@
         return line.append('\n').toString();
     }
 
-    // Libraries log free text; as the value of one pair it can't break the line's form.
+    // Libraries log free text, which becomes the quoted value of a single pair so that the line stays parseable.
     private static String messagePairs(String message) {
         if (message.startsWith(EVENT_PREFIX)) {
             return message;
--- a/command/src/main/java/org/chivetally/command/daemon/LogSetup.java
+++ b/command/src/main/java/org/chivetally/command/daemon/LogSetup.java
@@ -6,7 +6,7 @@
 import java.util.logging.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Sends log lines of one process to standard error. */
+/** Configures logging of the process to standard error. */
 public final class LogSetup {
     private static final Logger ROOT = Logger.getLogger("");
     private static final Logger CHIVETALLY = Logger.getLogger("org.chivetally");
@@ -14,9 +14,9 @@
     private LogSetup() {}
 
     /**
-     * Replaces whatever handlers there are.
+     * Replaces all handlers of the root logger.
      *
-     * @param level least level of chivetally's own lines; libraries are kept at warnings unless this is higher
+     * @param level minimum level of chivetally's loggers; libraries log at warning, or at this level if it is higher
      */
     public static void install(Level level) {
         for (Handler handler : ROOT.getHandlers()) {
@@ -28,7 +28,9 @@
         ROOT.addHandler(standardError);
         ROOT.setLevel(higher(level, Level.WARNING));
         CHIVETALLY.setLevel(level);
-        // Pekko logs from several threads while it starts; SLF4J would warn about lines it had to hold back meanwhile.
+        // Initializes SLF4J before Pekko logs from several threads at its start: SLF4J buffers events that arrive
+        // during
+        // its initialization, and prints a warning about them.
         LoggerFactory.getILoggerFactory();
     }
 
--- a/command/src/main/java/org/chivetally/command/daemon/package-info.java
+++ b/command/src/main/java/org/chivetally/command/daemon/package-info.java
@@ -1,2 +1,2 @@
-/** What every long-running process needs: log lines and a graceful stop. */
+/** Logging, startup and graceful stop of long-running processes. */
 package org.chivetally.command.daemon;
--- a/command/src/main/java/org/chivetally/command/deployment/DeploymentFiles.java
+++ b/command/src/main/java/org/chivetally/command/deployment/DeploymentFiles.java
@@ -12,12 +12,12 @@
 import org.chivetally.errors.ErrorCode;
 import org.chivetally.settings.HostPort;
 
-/** Settings files of a deployment whose processes run separately on one machine, all on loopback. */
+/** Writes the settings files of a deployment whose processes run separately on one machine, on the loopback address. */
 public final class DeploymentFiles {
-    /** File with one line for each process to start: its name, a tab, and the words of its command. */
+    /** File with one line for each process to start: its name, a tab, and the arguments of its command. */
     public static final String PROCESSES_FILE = "processes";
 
-    /** File with the addresses of all processes, as a load plan takes them. */
+    /** File with the addresses of all processes, in the format that a load plan expects. */
     public static final String TARGETS_FILE = "targets.yaml";
 
     private static final String RELAYS_FILE = "relays.yaml";
@@ -30,14 +30,14 @@
     private final Options options;
 
     /**
-     * Prepares the files.
+     * Creates a writer of the settings files.
      *
      * @param folder existing folder to write to
      */
     public DeploymentFiles(DeploymentPlan plan, Path folder, Options options) {
         if (plan.httpPorts().size() > PortPlan.MAXIMUM_ENTRIES) {
             throw new ChivetallyException(
-                    ErrorCode.INVALID_INPUT, "there is room for " + PortPlan.MAXIMUM_ENTRIES + " entries at most");
+                    ErrorCode.INVALID_INPUT, "a deployment has at most " + PortPlan.MAXIMUM_ENTRIES + " entries");
         }
         this.plan = plan;
         this.folder = folder;
@@ -46,12 +46,12 @@
     }
 
     /**
-     * Choices of the layout.
+     * Options of the layout.
      *
-     * @param firstPort first of the ports used
+     * @param firstPort first port of the range to use
      * @param minionsInOneProcess whether one process runs all minions, to save memory
-     * @param relays whether a relay stands before each agent
-     * @param entryRelays whether a relay stands before each entry, for its callers
+     * @param relays whether a relay is in front of each agent
+     * @param entryRelays whether a relay is in front of each entry's HTTP port
      */
     public record Options(int firstPort, boolean minionsInOneProcess, boolean relays, boolean entryRelays) {}
 
--- a/command/src/main/java/org/chivetally/command/deployment/DeploymentPlan.java
+++ b/command/src/main/java/org/chivetally/command/deployment/DeploymentPlan.java
@@ -7,19 +7,19 @@
 import org.chivetally.job.Resources;
 
 /**
- * Shape of a deployment.
+ * Size and topology of a deployment.
  *
- * @param name name in the output
- * @param service service that all minions run
- * @param team team that the demonstration submits for
- * @param failureDomains failure domains, over which entries and minions are spread in turn
+ * @param name name shown in the output
+ * @param service service that all minions serve
+ * @param team team on whose behalf the demonstration submits its job
+ * @param failureDomains failure domains, assigned to entries and minions in round-robin order
  * @param delayBetweenFailureDomains one-way delay of connections between processes
  * @param delayToClients one-way delay of connections from clients
- * @param httpPorts one port for each entry; 0 takes a free one
+ * @param httpPorts HTTP port of each entry; 0 selects a free port
  * @param minions number of minions, each with an agent
- * @param slots slots of each minion
- * @param connections connections of each minion
- * @param worker what each worker gives to its minion
+ * @param slots maximum number of concurrent tasks of each minion
+ * @param connections maximum number of connections to each minion
+ * @param worker processor time, memory and accelerators of each worker
  */
 public record DeploymentPlan(
         String name,
@@ -42,7 +42,7 @@
     private static final int MILLIS_PER_PROCESSOR = 1000;
     private static final Duration MAXIMUM_DELAY = Duration.ofSeconds(1);
 
-    /** Copies the lists and refuses missing parts. */
+    /** Rejects null components and copies the lists. */
     public DeploymentPlan {
         Objects.requireNonNull(name, "name");
         Objects.requireNonNull(service, "service");
@@ -52,7 +52,7 @@
         httpPorts = List.copyOf(httpPorts);
     }
 
-    /** Reads the plan of a document; its mistakes tell whether the plan may be used. */
+    /** Reads the plan of a document; the plan is valid only if the document has no mistakes. */
     public static DeploymentPlan read(Section root) {
         Section delays = root.section("delays");
         Section minions = root.section("minions");
@@ -70,7 +70,7 @@
                 worker(root.section("worker")));
     }
 
-    /** Returns the same plan with free ports. */
+    /** Returns a copy of this plan in which each entry listens on a free port. */
     public DeploymentPlan withFreePorts() {
         List<Integer> free = httpPorts.stream().map(port -> 0).toList();
         return new DeploymentPlan(
@@ -87,12 +87,12 @@
                 worker);
     }
 
-    /** Returns the failure domain of the entry or minion at a position, counted from zero. */
+    /** Returns the failure domain of the entry or minion at a zero-based position. */
     public String failureDomain(int position) {
         return failureDomains.get(position % failureDomains.size());
     }
 
-    /** Returns each entry's share of the log's append budget. */
+    /** Returns each entry's share of the log's append budget, in appends per second. */
     public int appendsPerSecond() {
         return TOTAL_APPENDS_PER_SECOND / httpPorts.size();
     }
--- a/command/src/main/java/org/chivetally/command/deployment/InProcessSettings.java
+++ b/command/src/main/java/org/chivetally/command/deployment/InProcessSettings.java
@@ -12,7 +12,10 @@
 import org.chivetally.settings.MinionSettings;
 import org.chivetally.settings.ProcessSettings;
 
-/** Settings of the daemons of a deployment in one process; each frames' listener takes a free port of loopback. */
+/**
+ * Settings of the daemons of a deployment that runs in one process; each daemon listens for frames on a free loopback
+ * port.
+ */
 final class InProcessSettings {
     static final String HOST = "127.0.0.1";
 
--- a/command/src/main/java/org/chivetally/command/deployment/PortPlan.java
+++ b/command/src/main/java/org/chivetally/command/deployment/PortPlan.java
@@ -1,13 +1,13 @@
 package org.chivetally.command.deployment;
 
 /**
- * Ports of a deployment's separate processes, which follow from the first one.
+ * Ports of a deployment whose processes run separately: one consecutive range for each purpose, from the first port on.
  *
- * @param firstPort first port, that of the log
+ * @param firstPort first port of the plan, used by the log
  * @param minions number of minions
  */
 record PortPlan(int firstPort, int minions) {
-    /** Most entries that the plan has room for. */
+    /** Maximum number of entries; it fixes the size of each range of entry ports. */
     static final int MAXIMUM_ENTRIES = 10;
 
     private static final int HTTP_OFFSET = 10;
--- a/command/src/main/java/org/chivetally/command/deployment/ProcessNames.java
+++ b/command/src/main/java/org/chivetally/command/deployment/ProcessNames.java
@@ -1,6 +1,6 @@
 package org.chivetally.command.deployment;
 
-/** Names of a deployment's processes, by their position counted from zero. */
+/** Names of a deployment's processes by zero-based position; the numbers in the names start at 1. */
 final class ProcessNames {
     private ProcessNames() {}
 
--- a/command/src/main/java/org/chivetally/command/deployment/RelayPlan.java
+++ b/command/src/main/java/org/chivetally/command/deployment/RelayPlan.java
@@ -7,25 +7,25 @@
 import org.chivetally.settings.HostPort;
 
 /**
- * One relay between two processes.
+ * Addresses and delay of one relay between two processes.
  *
  * @param name name in lists of targets
- * @param listenPort port on the loopback address that takes connections
- * @param target where they are forwarded to
- * @param oneWayDelay how long each byte is under way in each direction
- * @param controlPort port on the loopback address at which faults are set
+ * @param listenPort port on the loopback address that accepts connections
+ * @param target address that the connections are forwarded to
+ * @param oneWayDelay delay of each byte in each direction
+ * @param controlPort port on the loopback address for the HTTP requests that set faults
  */
 public record RelayPlan(String name, int listenPort, HostPort target, Duration oneWayDelay, int controlPort) {
     private static final Duration MAXIMUM_ONE_WAY_DELAY = Duration.ofSeconds(1);
 
-    /** Refuses missing parts. */
+    /** Rejects null components. */
     public RelayPlan {
         Objects.requireNonNull(name, "name");
         Objects.requireNonNull(target, "target");
         Objects.requireNonNull(oneWayDelay, "distance");
     }
 
-    /** Reads the relays of a document; its mistakes tell whether they may be used. */
+    /** Reads the relays of a document; they are valid only if the document has no mistakes. */
     public static List<RelayPlan> readAll(Section root) {
         List<Section> sections = root.sections("relays");
         if (sections.isEmpty()) {
@@ -34,7 +34,7 @@
         return sections.stream().map(RelayPlan::read).toList();
     }
 
-    /** Returns the relay as an item of the list that {@link #readAll} reads. */
+    /** Returns the relay as an item of the YAML list that {@link #readAll} reads. */
     String toYamlItem() {
         return "  - {name: %s, listen: %d, target: {host: %s, port: %d}, distance: %dus, control: %d}\n"
                 .formatted(name, listenPort, target.host(), target.port(), oneWayDelay.toNanos() / 1000, controlPort);
--- a/command/src/main/java/org/chivetally/command/deployment/RunningDeployment.java
+++ b/command/src/main/java/org/chivetally/command/deployment/RunningDeployment.java
@@ -26,10 +26,10 @@
 import org.chivetally.time.NanoClock;
 
 /**
- * A whole deployment in this process: log stand-in, minions, entries and agents, on loopback.
+ * A complete deployment in this process, on the loopback address: log stand-in, minion stand-ins, entries and agents.
  *
- * <p>Relays add the distances of the plan. That between failure domains is on every connection of an entry to an agent,
- * also where both are in one failure domain; the log is used without distance.
+ * <p>Relays add the network delays of the plan. The delay between failure domains applies to every connection from an
+ * entry to an agent, even if both are in the same failure domain. Access to the log is not delayed.
  */
 public final class RunningDeployment {
     private static final Duration TERMINATION_TIMEOUT = Duration.ofSeconds(5);
@@ -52,9 +52,7 @@
         this.settings = new InProcessSettings(plan);
     }
 
-    /**
-     * Starts everything and returns once all of it listens; throws {@link ErrorCode#NOT_READY} when a port is taken.
-     */
+    /** Starts all processes and returns once they listen; throws {@link ErrorCode#NOT_READY} if a port is in use. */
     public static RunningDeployment start(DeploymentPlan plan) {
         RunningDeployment deployment = new RunningDeployment(plan);
         try {
@@ -69,7 +67,7 @@
         }
     }
 
-    /** Returns the addresses of the entries, at the clients' distance. */
+    /** Returns the addresses of the relays in front of the entries, which add the delay to clients. */
     public List<URI> entries() {
         return entryRelays.stream().map(relay -> address(relay.port())).toList();
     }
@@ -81,12 +79,15 @@
                 .toList();
     }
 
-    /** Returns the address at which faults of the log can be set. */
+    /** Returns the HTTP address at which faults of the log can be set. */
     public URI log() {
         return address(standIns.getFirst().localAddress().getPort());
     }
 
-    /** Stops without cutting a request: entries, then agents, then stand-ins; completes once all have stopped. */
+    /**
+     * Drains the entries, then the agents, then stops the stand-ins, so that no request is aborted; completes once all
+     * have stopped.
+     */
     public CompletionStage<Void> stop() {
         return allOf(entries.stream().map(entry -> entry.drain(DRAIN_REASON)).toList())
                 .thenCompose(drained -> allOf(
@@ -122,7 +123,7 @@
         entries.add(join(EntryDaemon.start(system, settings.entry(position, log()), log, clock)));
     }
 
-    // Entries learn an agent's address from what it announces; that is its relay's, which stands between all of them.
+    // Each agent announces the address of its relay, so that every entry connects to the agent through the relay.
     private void startAgent(int position) {
         TcpRelay relay =
                 TcpRelay.start(0, () -> agents.get(position).frameAddress(), plan.delayBetweenFailureDomains());
--- a/command/src/main/java/org/chivetally/command/losses/JobHistory.java
+++ b/command/src/main/java/org/chivetally/command/losses/JobHistory.java
@@ -3,12 +3,15 @@
 import java.time.Instant;
 import java.util.Optional;
 
-/** What the log of one entry tells of one job. */
+/** Events of one job in the log of an entry, by which its loss is classified. */
 final class JobHistory {
-    /** A job's end is worth nothing after this many objectives; entries log the time that is left until then. */
+    /**
+     * Number of objectives after which the end of a job is worth nothing; entries log the time left until that
+     * deadline.
+     */
     private static final int DEADLINE_IN_OBJECTIVES = 3;
 
-    /** Share of the objective that tasks may wait before the wait is what made the job late. */
+    /** Share of the objective above which the longest wait of a task counts as the cause of a late job. */
     private static final double LONG_WAIT_SHARE = 0.25;
 
     private final Instant acceptedAt;
@@ -18,7 +21,7 @@
     private boolean runLost;
     private Optional<Loss> loss = Optional.empty();
 
-    /** Begins with the line by which an entry took the job on. */
+    /** Starts with the log line of the job's acceptance by an entry. */
     JobHistory(LogLine accepted) {
         this.acceptedAt = accepted.time();
         this.objectiveMillis = accepted.wholeNumber("left_ms") / DEADLINE_IN_OBJECTIVES;
@@ -69,7 +72,7 @@
         };
     }
 
-    /** Returns what became of the job as far as the log goes. */
+    /** Returns the classification of the job; {@link Loss#ENTRY_LOST} if its end was not logged. */
     Loss loss() {
         return loss.orElse(Loss.ENTRY_LOST);
     }
--- a/command/src/main/java/org/chivetally/command/losses/LogLine.java
+++ b/command/src/main/java/org/chivetally/command/losses/LogLine.java
@@ -11,9 +11,9 @@
 /**
  * One line of a process's log.
  *
- * @param time when it was written, by the process's time of day
+ * @param time time of writing, by the wall clock of the process
  * @param event name of the event
- * @param values the other pairs, without quotes
+ * @param values all other key=value pairs, with the quotes of values removed
  */
 record LogLine(Instant time, String event, Map<String, String> values) {
     private static final Pattern PAIR = Pattern.compile("(\\w+)=(?:\"((?:[^\"\\\\]|\\\\.)*)\"|(\\S*))");
@@ -23,7 +23,7 @@
         values = Map.copyOf(values);
     }
 
-    /** Reads a line, with or without words before its first pair; empty when it is no line of a log. */
+    /** Parses a line, which may have other text before its first pair; empty if it is not a log line of chivetally. */
     static Optional<LogLine> parse(String text) {
         Map<String, String> values = new HashMap<>();
         Matcher pairs = PAIR.matcher(text);
@@ -38,7 +38,7 @@
         try {
             return Optional.of(new LogLine(Instant.parse(time), event, values));
         } catch (DateTimeParseException malformed) {
-            // Other programs write pairs too; the caller counts the lines that it passes over.
+            // Other programs write key=value pairs, too; the caller counts the lines that it skips.
             return Optional.empty();
         }
     }
@@ -47,7 +47,7 @@
         return values.getOrDefault(key, "");
     }
 
-    /** Returns a whole number; 0 where there is none, as pairs with nothing to tell are left out. */
+    /** Returns a value as a whole number, or 0 if it is missing, as some log lines omit pairs without information. */
     long wholeNumber(String key) {
         String value = text(key);
         return value.matches("-?\\d{1,18}") ? Long.parseLong(value) : 0;
--- a/command/src/main/java/org/chivetally/command/losses/Loss.java
+++ b/command/src/main/java/org/chivetally/command/losses/Loss.java
@@ -1,26 +1,26 @@
 package org.chivetally.command.losses;
 
-/** What became of a job, and why. */
+/** Result of a job, with the cause if it was late or lost. */
 enum Loss {
-    /** Ended within its objective. */
+    /** Completed within its objective. */
     NONE("in time"),
-    /** Ended late: its tasks waited for room for most of the time that the objective allows. */
+    /** Completed late: a task waited for a free worker for more than a quarter of the objective. */
     WAITED("late, waited"),
-    /** Ended late: a task failed, and was run again. */
+    /** Completed late: a task failed and was run again. */
     FAILED_TASK("late, failed task"),
-    /** Ended late: a start was turned down or never carried out, or a run was lost, and the task was run again. */
+    /** Completed late: a start was refused or never executed, or a run was lost, and the task was run again. */
     LOST_RUN("late, lost run"),
-    /** Ended late though nothing waited and nothing was run again: a task took long. */
+    /** Completed late although no task waited long or was run again: a task was slow. */
     SLOW_TASK("late, slow task"),
-    /** Refused as not run: more work than can be done. */
+    /** Refused without having run, as there was more work than the workers can do. */
     REFUSED("refused"),
-    /** Refused as not run after it had waited for a worker in vain. */
+    /** Cancelled without having run, as no worker was free in time. */
     NOT_STARTED("not started"),
-    /** Its tasks failed as often as they may. */
+    /** Failed: a task used up its attempts. */
     FAILED("failed"),
-    /** Its caller went, or its time was over. */
+    /** Cancelled for another reason: its caller disconnected, or its deadline passed. */
     GIVEN_UP("given up"),
-    /** The entry that had taken it on ended before it. */
+    /** Not ended: the entry that accepted it stopped first. */
     ENTRY_LOST("entry lost");
 
     private final String title;
--- a/command/src/main/java/org/chivetally/command/losses/LossTable.java
+++ b/command/src/main/java/org/chivetally/command/losses/LossTable.java
@@ -10,7 +10,7 @@
 import java.util.Optional;
 import java.util.TreeMap;
 
-/** Counts jobs by the window of time in which they came and by what became of them. */
+/** Counts jobs by the time window of their acceptance and by their {@link Loss}. */
 public final class LossTable {
     private final Duration window;
     private final Map<String, JobHistory> unfinishedJobs = new LinkedHashMap<>();
@@ -21,16 +21,16 @@
     /**
      * Creates an empty table.
      *
-     * @param window length of one row
+     * @param window length of the time window of one row
      */
     public LossTable(Duration window) {
         if (window.isZero() || window.isNegative()) {
-            throw new IllegalArgumentException("no length of a row: " + window);
+            throw new IllegalArgumentException("the window must be positive: " + window);
         }
         this.window = window;
     }
 
-    /** Takes a line of a log; lines of each process in their order. */
+    /** Adds a line of a log; the lines of each process must be added in order. */
     public void add(String text) {
         Optional<LogLine> line = LogLine.parse(text);
         if (line.isEmpty()) {
@@ -58,7 +58,10 @@
         }
     }
 
-    /** Begins a course. A caller sends a job again under its id, so an earlier one without an end was lost. */
+    /**
+     * Starts the history of a job. A caller resubmits a lost job under the same id, so an earlier history without an
+     * end counts as lost.
+     */
     private void accepted(LogLine line) {
         JobHistory earlier = unfinishedJobs.put(line.text("job"), new JobHistory(line));
         if (earlier != null) {
@@ -84,7 +87,7 @@
         return Instant.ofEpochMilli(time.toEpochMilli() / window.toMillis() * window.toMillis());
     }
 
-    /** Returns the table as lines of text; jobs without an end so far count as lost with their entry. */
+    /** Returns the table as lines of text; jobs without an end so far count as {@link Loss#ENTRY_LOST}. */
     public List<String> lines() {
         unfinishedJobs.values().forEach(this::count);
         unfinishedJobs.clear();
@@ -97,7 +100,7 @@
         starts.keySet().forEach(row -> counts.computeIfAbsent(row, same -> new EnumMap<>(Loss.class)));
         counts.forEach((row, byLoss) -> lines.add(line(row, byLoss)));
         if (skippedLines > 0) {
-            lines.add(skippedLines + " lines passed over, as they are no lines of our logs");
+            lines.add(skippedLines + " lines passed over, as they are not log lines of chivetally");
         }
         return lines;
     }
--- a/command/src/main/java/org/chivetally/command/losses/package-info.java
+++ b/command/src/main/java/org/chivetally/command/losses/package-info.java
@@ -1,2 +1,2 @@
-/** Tells from the processes' logs which jobs were lost or late, when, and for which reason. */
+/** Analysis of process logs: which jobs were lost or late, when, and why. */
 package org.chivetally.command.losses;
--- a/command/src/main/java/org/chivetally/command/output/DocumentText.java
+++ b/command/src/main/java/org/chivetally/command/output/DocumentText.java
@@ -7,7 +7,7 @@
 import tools.jackson.dataformat.yaml.YAMLMapper;
 import tools.jackson.dataformat.yaml.YAMLWriteFeature;
 
-/** JSON trees as text for standard output. */
+/** Formats JSON trees as text for standard output. */
 public final class DocumentText {
     private static final JsonMapper JSON_MAPPER =
             JsonMapper.builder().enable(SerializationFeature.INDENT_OUTPUT).build();
@@ -18,7 +18,10 @@
 
     private DocumentText() {}
 
-    /** Returns the lines of a tree in a format that keeps all of it; a table has no such form and becomes YAML. */
+    /**
+     * Returns the lines of a tree as JSON or YAML; {@link OutputFormat#TABLE}, which can't show every tree, becomes
+     * YAML.
+     */
     public static List<String> lines(JsonNode tree, OutputFormat format) {
         return text(tree, format).stripTrailing().lines().toList();
     }
--- a/command/src/main/java/org/chivetally/command/output/OutputFormat.java
+++ b/command/src/main/java/org/chivetally/command/output/OutputFormat.java
@@ -2,9 +2,9 @@
 
 import java.util.Locale;
 
-/** How a command writes what it found. */
+/** Output formats of a command. */
 public enum OutputFormat {
-    /** Aligned columns for a person. */
+    /** Aligned columns for human readers. */
     TABLE,
     /** JSON, indented. */
     JSON,
--- a/command/src/main/java/org/chivetally/command/output/Table.java
+++ b/command/src/main/java/org/chivetally/command/output/Table.java
@@ -5,14 +5,14 @@
 import java.util.stream.Collectors;
 import java.util.stream.IntStream;
 
-/** Aligned columns of text under headings. */
+/** Table of text in aligned columns under headings. */
 public final class Table {
     private static final String COLUMN_SEPARATOR = "  ";
 
     private final List<String> headings;
     private final List<List<String>> rows = new ArrayList<>();
 
-    /** Creates a table with these columns. */
+    /** Creates an empty table with the given column headings. */
     public Table(String... headings) {
         this.headings = List.of(headings);
     }
@@ -28,7 +28,7 @@
         return this;
     }
 
-    /** Returns the lines, headings first, without spaces at their ends. */
+    /** Returns the lines, headings first, without trailing spaces. */
     public List<String> lines() {
         List<List<String>> all = new ArrayList<>();
         all.add(headings);
--- a/command/src/main/java/org/chivetally/command/output/TreeDifference.java
+++ b/command/src/main/java/org/chivetally/command/output/TreeDifference.java
@@ -6,11 +6,14 @@
 import java.util.TreeMap;
 import tools.jackson.databind.JsonNode;
 
-/** Differences of two JSON trees, one line for each single value, in the order of their paths. */
+/** Lists the differences between two JSON trees, with one line per differing scalar value, sorted by path. */
 public final class TreeDifference {
     private TreeDifference() {}
 
-    /** Returns lines that begin with {@code -} for values only in the old tree, {@code +} for those only in the new. */
+    /**
+     * Returns lines that begin with {@code -} for values only in the old tree, and {@code +} for values only in the
+     * new.
+     */
     public static List<String> lines(JsonNode old, JsonNode updated) {
         TreeMap<String, String> before = values(old);
         TreeMap<String, String> after = values(updated);
--- a/command/src/main/java/org/chivetally/command/output/package-info.java
+++ b/command/src/main/java/org/chivetally/command/output/package-info.java
@@ -1,2 +1,2 @@
-/** Tables, JSON and YAML on standard output. */
+/** Output formats of the command line: tables, JSON and YAML. */
 package org.chivetally.command.output;
--- a/command/src/main/java/org/chivetally/command/package-info.java
+++ b/command/src/main/java/org/chivetally/command/package-info.java
@@ -1,2 +1,2 @@
-/** Command line of chivetally: daemons, operators' and callers' commands, stand-ins. */
+/** Command line of chivetally: daemons, commands for operators and callers, and stand-ins for tests. */
 package org.chivetally.command;
--- a/command/src/test/java/org/chivetally/command/CommandResult.java
+++ b/command/src/test/java/org/chivetally/command/CommandResult.java
@@ -4,7 +4,7 @@
 import java.io.StringWriter;
 import picocli.CommandLine;
 
-/** What one run of the command line wrote and ended with. */
+/** Exit code and output of one run of the command line. */
 record CommandResult(int code, String out, String error) {
     static CommandResult of(String... arguments) {
         StringWriter out = new StringWriter();
--- a/command/src/test/java/org/chivetally/command/CommandTest.java
+++ b/command/src/test/java/org/chivetally/command/CommandTest.java
@@ -28,6 +28,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import picocli.CommandLine;
 
+/** Checks options, exit codes and error texts of the commands without a deployment. */
 class CommandTest {
     static Stream<Arguments> everyCommand() {
         List<Arguments> found = new ArrayList<>();
@@ -49,7 +50,7 @@
     void everyCommandRefusesAnUnknownOption(List<String> names) {
         CommandResult result = run(appended(names, "--no-such-option"));
         assertThat(result.code(), is(ExitCodes.INVALID_INPUT));
-        // What is required and missing is told first, where there is such.
+        // A missing required option is reported first.
         assertThat(result.error(), anyOf(containsString("--no-such-option"), startsWith("Missing required")));
         assertThat(commandLine(names).isUnmatchedArgumentsAllowed(), is(false));
     }
@@ -67,8 +68,8 @@
     }
 
     /**
-     * The operator sees exit code 4, "nothing was done". The port was free a moment ago and nobody listens, so the
-     * connection is refused before anything is sent.
+     * Nothing listens on the port, so the connection is refused before anything is sent. The exit code must be 4, which
+     * means that nothing was done.
      */
     @Test
     void anUnreachableEntryIsUnavailable() throws IOException {
@@ -78,8 +79,8 @@
     }
 
     /**
-     * The operator sees exit code 5 and the key to submit again with. The far end accepts the connection and the
-     * request, then closes without an answer: the job may have been accepted before that.
+     * The server reads the request and closes the connection without an answer, so the job may have been accepted. The
+     * exit code must be 5, and the error must give the key to submit the job again.
      */
     @Test
     void aLostAnswerToASubmissionIsOutcomeUnknown() throws Exception {
@@ -102,7 +103,7 @@
         assertThat(result.error(), containsString("no-such-file.yaml"));
     }
 
-    /** An operator's editor saved a file in another encoding: the place is told, and no entry is asked. */
+    /** An editor saved a file in another encoding. The command must report the position without sending a request. */
     @Test
     void aFileInAnotherEncodingIsRefusedWithItsPosition(@TempDir Path folder) throws IOException {
         Path file = folder.resolve("team.yaml");
@@ -112,7 +113,10 @@
         assertThat(result.error(), containsString("team.yaml:2:13: is not UTF-8"));
     }
 
-    /** An operator mistypes three keys of a settings file: the daemon does not start and names all three at once. */
+    /**
+     * A settings file has a misspelt key and a port out of range. The daemon must not start, and must report all
+     * resulting mistakes at once.
+     */
     @Test
     void aDaemonWithMalformedSettingsReportsAllMistakes(@TempDir Path folder) throws IOException {
         String settings = Files.readString(Path.of("../examples/settings/entry.yaml"))
@@ -129,7 +133,7 @@
                         containsString("http.port: \"80800\" is not a whole number from 0 to 65535")));
     }
 
-    /** The layout of a deployment writes settings that the daemons accept. */
+    /** The daemons and the load plan reader must accept the files that {@code layout} writes. */
     @Test
     void theDaemonsAcceptTheGeneratedSettings(@TempDir Path folder) {
         CommandResult result = CommandResult.of(
--- a/command/src/test/java/org/chivetally/command/PagesTest.java
+++ b/command/src/test/java/org/chivetally/command/PagesTest.java
@@ -18,11 +18,15 @@
 import org.chivetally.document.Section;
 import org.junit.jupiter.api.Test;
 
-/** The pages name what the sources have, and no file that is not there. */
+/**
+ * Checks that the documentation covers every log event, metric and setting of the sources, and names only files that
+ * exist.
+ */
 class PagesTest {
     private static final Path ROOT = Path.of("..");
     private static final List<String> MODULES = List.of("library", "command", "load", "standins", "platform");
-    // The first argument of EventLine.of and of the helpers that pass it on; both branches of a conditional.
+    // Matches the event name in the first argument of EventLine.of and of the helper methods that pass it on, in both
+    // branches of a conditional.
     private static final Pattern EVENT =
             Pattern.compile("(?<![\\w.])(?:(?:EventLine|ClaimLines)\\.of|of|ofTask|line|startLine|attemptLine)\\(\\s*"
                     + "(?:\\w+ \\? \"([a-z][a-z-]*)\" : )?\"([a-z][a-z-]*)\"");
--- a/command/src/test/java/org/chivetally/command/StandaloneTest.java
+++ b/command/src/test/java/org/chivetally/command/StandaloneTest.java
@@ -21,7 +21,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The whole path, over HTTP from the command line: one deployment in this process serves all tests. */
+/** Runs commands over HTTP against a complete deployment in this process, which all tests share. */
 class StandaloneTest {
     private static final String EXAMPLES = "../examples/";
 
@@ -44,9 +44,8 @@
     }
 
     /**
-     * A caller submits the largest job and, with the same key, submits it again at another entry. It sees the same
-     * answer twice, because the second entry attaches to the first claim; the minions' own records show one start for
-     * each task.
+     * A caller submits the largest job twice with the same key, at different entries. The second entry must attach to
+     * the first claim and return the same answer; the minions' own records show one start for each task.
      */
     @Test
     void aResubmissionAtAnotherEntryReturnsTheSameAnswer() {
@@ -107,8 +106,8 @@
     }
 
     /**
-     * Two operators saw the same version of a resource and both change it. The second write sees a conflict that names
-     * the other's version, as it carries the version it is based on.
+     * Two operators change a resource based on the same version. The second write must be refused as a conflict that
+     * names the first one, and must not overwrite it.
      */
     @Test
     void theSecondOfTwoConcurrentWritesIsAConflict() throws Exception {
--- a/command/src/test/java/org/chivetally/command/daemon/KeyValueFormatterTest.java
+++ b/command/src/test/java/org/chivetally/command/daemon/KeyValueFormatterTest.java
@@ -9,6 +9,7 @@
 import java.util.logging.LogRecord;
 import org.junit.jupiter.api.Test;
 
+/** Checks that every log record becomes one parseable line, whatever text or exception it carries. */
 class KeyValueFormatterTest {
     private final KeyValueFormatter formatter = new KeyValueFormatter();
 
--- a/command/src/test/java/org/chivetally/command/deployment/DeploymentPlanTest.java
+++ b/command/src/test/java/org/chivetally/command/deployment/DeploymentPlanTest.java
@@ -11,6 +11,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
+/** Checks that the example deployments are valid and have the expected size and network delays. */
 class DeploymentPlanTest {
     @ParameterizedTest
     @CsvSource({"jylland, 500, 1000, 64", "tasmania, 1000, 3000, 16"})
--- a/command/src/test/java/org/chivetally/command/losses/LossTableTest.java
+++ b/command/src/test/java/org/chivetally/command/losses/LossTableTest.java
@@ -11,6 +11,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
+/** Checks that a lost or late job is counted once, under its actual cause and in the window of its acceptance. */
 class LossTableTest {
     private final LossTable table = new LossTable(Duration.ofSeconds(2));
 
@@ -26,7 +27,7 @@
         addLine(second, "job-ended job=%s phase=%s reason=%s age_ms=%d".formatted(job, phase, reason, ageMillis));
     }
 
-    /** Returns the counts of the only row, by the columns of the table. */
+    /** Returns the counts in the only row of the table, in the order of its columns. */
     private List<Integer> onlyRow() {
         List<String> lines = table.lines();
         assertThat(lines, hasSize(2));
@@ -36,6 +37,7 @@
                 .toList();
     }
 
+    /** Returns the counts of a row with a single job, which had the given loss. */
     private List<Integer> singleCount(Loss loss) {
         Integer[] counts = new Integer[1 + Loss.values().length];
         Arrays.fill(counts, 0);
@@ -92,7 +94,8 @@
     }
 
     /**
-     * The entry loses power with a job in progress; its caller sends the job again, which another entry does in time.
+     * An entry loses power while a job is in progress, and the caller resubmits the job to another entry, which
+     * completes it in time. The first acceptance must count as lost, the second as in time.
      */
     @Test
     void aResubmittedJobWithoutAnEndCountsAsLostWithItsEntry() {
--- a/command/src/test/java/org/chivetally/command/output/TreeDifferenceTest.java
+++ b/command/src/test/java/org/chivetally/command/output/TreeDifferenceTest.java
@@ -8,6 +8,7 @@
 import tools.jackson.databind.JsonNode;
 import tools.jackson.databind.json.JsonMapper;
 
+/** Checks the lines that {@code diff} prints for changed, added and removed values. */
 class TreeDifferenceTest {
     @Test
     void showsChangedAddedAndRemovedValues() {
--- a/standins/src/main/java/org/chivetally/standins/FaultsRoute.java
+++ b/standins/src/main/java/org/chivetally/standins/FaultsRoute.java
@@ -8,7 +8,9 @@
 import org.apache.pekko.http.javadsl.unmarshalling.Unmarshaller;
 import tools.jackson.core.JacksonException;
 
-/** The route {@code /faults}: GET returns the faults in force, PUT replaces them; what a PUT omits is no fault. */
+/**
+ * The route {@code /faults}: GET returns the current faults, PUT replaces all of them; a fault that a PUT omits is off.
+ */
 final class FaultsRoute {
     private FaultsRoute() {}
 
--- a/standins/src/main/java/org/chivetally/standins/LogStandIn.java
+++ b/standins/src/main/java/org/chivetally/standins/LogStandIn.java
@@ -20,7 +20,7 @@
 import org.chivetally.time.NanoClock;
 import tools.jackson.core.JacksonException;
 
-/** HTTP server in the place of the platform's log; docs/LOG-PROTOCOL.md describes its routes. */
+/** HTTP server that replaces the platform's log in tests; docs/LOG-PROTOCOL.md describes its routes. */
 public final class LogStandIn {
     private static final int DEFAULT_READ_LIMIT = 1000;
 
@@ -33,14 +33,14 @@
     /**
      * Starts a stand-in with an empty log.
      *
-     * @param port port to listen on; 0 takes a free one, which the binding tells
+     * @param port port to listen on; 0 selects a free port, which the binding reports
      */
     public static CompletionStage<ServerBinding> start(
             ActorSystem<?> system, String host, int port, LogStandInSettings settings) {
         return start(system, host, port, new InMemoryPlatformLog(system, NanoClock.system(), settings.inMemory()));
     }
 
-    /** Starts a stand-in that serves the given log, which its process may use as well. */
+    /** Starts a stand-in that serves the given log, which the process may also access directly. */
     public static CompletionStage<ServerBinding> start(
             ActorSystem<?> system, String host, int port, InMemoryPlatformLog log) {
         Route routes = new LogStandIn(log).routes();
@@ -76,7 +76,7 @@
         return switch (outcome) {
             case AppendOutcome.Appended appended -> StandInHttp.json(StatusCodes.OK, LogCodec.encode(appended));
             case AppendOutcome.Refused refused -> refusal(503, refused.reason());
-            // What a gateway says that gave up on the log: nothing about the write.
+            // Like a gateway that timed out waiting for the log, this doesn't say whether the records were written.
             case AppendOutcome.Unknown unknown -> StandInHttp.text(StatusCodes.GATEWAY_TIMEOUT, unknown.reason());
         };
     }
--- a/standins/src/main/java/org/chivetally/standins/Minion.java
+++ b/standins/src/main/java/org/chivetally/standins/Minion.java
@@ -12,7 +12,7 @@
 import org.chivetally.logging.EventLine;
 import org.chivetally.time.NanoClock;
 
-/** The work of a minion without its HTTP: slots, faults, and the record of starts. Safe from any thread. */
+/** Core of a minion stand-in without its HTTP interface: slots, faults, and the record of starts. Thread-safe. */
 final class Minion {
     private static final FluentLogger LOG = FluentLogger.forEnclosingClass();
     private static final String ALL_SLOTS_TAKEN = "all slots are taken";
@@ -38,7 +38,7 @@
         this.random = new Random(settings.name().hashCode());
     }
 
-    /** Runs a task; the stage completes with its answer, never when the minion is silent. */
+    /** Runs a task; the stage completes with its answer, or never if the minion is silent. */
     CompletionStage<MinionAnswer> run(MinionTask task) {
         ExecutionPlan plan;
         int startIndex;
@@ -139,7 +139,10 @@
         return probability > 0 && random.nextDouble() < probability;
     }
 
-    /** Ends a task. Its slot is free before the answer is out, so that whoever reads the answer may use it. */
+    /**
+     * Ends a task. The slot is released before the answer is sent, so that a caller that receives the answer can use
+     * it.
+     */
     private void finish(int startIndex, MinionTask task, ExecutionPlan plan, CompletableFuture<MinionAnswer> answer) {
         synchronized (this) {
             running--;
@@ -163,7 +166,7 @@
         system.scheduler().scheduleOnce(delay, action, system.executionContext());
     }
 
-    /** How one task goes, decided at its start. */
+    /** Duration and result of one task, determined when it starts. */
     private record ExecutionPlan(Duration duration, boolean fails, boolean silent) {
         String outcome() {
             if (silent) {
--- a/standins/src/main/java/org/chivetally/standins/MinionAnswer.java
+++ b/standins/src/main/java/org/chivetally/standins/MinionAnswer.java
@@ -2,9 +2,9 @@
 
 import tools.jackson.databind.JsonNode;
 
-/** What a minion says to a task. */
+/** Answer of a minion to a task. */
 sealed interface MinionAnswer {
-    /** The task ran; the components are the answer's JSON. */
+    /** The task completed. The components are the fields of the answer's JSON. */
     record Done(int task, JsonNode answer, String minion) implements MinionAnswer {}
 
     /** The task ran and failed. */
--- a/standins/src/main/java/org/chivetally/standins/MinionFaults.java
+++ b/standins/src/main/java/org/chivetally/standins/MinionFaults.java
@@ -1,17 +1,17 @@
 package org.chivetally.standins;
 
 /**
- * Faults of a {@link MinionStandIn}, settable while it runs; each applies to tasks that start afterwards.
+ * Faults of a {@link MinionStandIn}, which can be changed while it runs; they apply to tasks that start afterwards.
  *
- * @param failEveryTask whether every task fails at once, without its work time
+ * @param failEveryTask whether every task fails immediately, without its work time
  * @param failShare share of tasks, 0 to 1, that fail after their work
- * @param straggleShare share of tasks, 0 to 1, whose work takes longer
- * @param straggleFactor how many times longer, at least 1; left out it is 1
- * @param delayMillis added to each task's work time, in milliseconds
+ * @param straggleShare share of tasks, 0 to 1, that take longer than their work time
+ * @param straggleFactor factor by which these tasks take longer, at least 1; 0 or omitted means 1
+ * @param delayMillis delay added to the work time of each task, in milliseconds
  * @param silent whether requests are accepted and never answered; tasks are still run and recorded
- * @param down whether every request but those of the test's control is answered 503
- * @param unhealthy whether the reported state says unhealthy
- * @param slotsLeft most tasks at once while this is under the settings' slots; null for no fault
+ * @param down whether every request is answered with 503, except {@code /starts} and {@code /faults}
+ * @param unhealthy whether the minion reports itself as unhealthy
+ * @param slotsLeft maximum number of concurrent tasks if it is less than the slots of the settings; null for no fault
  */
 public record MinionFaults(
         boolean failEveryTask,
@@ -23,10 +23,10 @@
         boolean down,
         boolean unhealthy,
         Integer slotsLeft) {
-    /** No fault at all. */
+    /** No faults. */
     public static final MinionFaults NONE = new MinionFaults(false, 0, 0, 1, 0, false, false, false, null);
 
-    /** Refuses shares outside 0 to 1 and negative numbers; a factor left out is 1. */
+    /** Rejects shares outside 0 to 1, factors below 1 and negative numbers; a factor of 0 becomes 1. */
     public MinionFaults {
         checkShare("failShare", failShare);
         checkShare("straggleShare", straggleShare);
@@ -39,7 +39,11 @@
         }
     }
 
-    /** Returns how many tasks may run at once under these faults. */
+    /**
+     * Returns the maximum number of concurrent tasks under these faults.
+     *
+     * @param slots slots of the minion without faults
+     */
     public int usableSlots(int slots) {
         return slotsLeft == null ? slots : Math.min(slots, slotsLeft);
     }
--- a/standins/src/main/java/org/chivetally/standins/MinionMetrics.java
+++ b/standins/src/main/java/org/chivetally/standins/MinionMetrics.java
@@ -5,7 +5,7 @@
 import io.micrometer.prometheusmetrics.PrometheusConfig;
 import io.micrometer.prometheusmetrics.PrometheusMeterRegistry;
 
-/** A minion's state as Prometheus text. */
+/** Exposes the state of a minion in the text format of Prometheus. */
 final class MinionMetrics {
     private final PrometheusMeterRegistry registry = new PrometheusMeterRegistry(PrometheusConfig.DEFAULT);
 
--- a/standins/src/main/java/org/chivetally/standins/MinionStandIn.java
+++ b/standins/src/main/java/org/chivetally/standins/MinionStandIn.java
@@ -27,12 +27,13 @@
 import tools.jackson.databind.ObjectReader;
 
 /**
- * HTTP server in the place of a minion.
+ * HTTP server that replaces a minion in tests.
  *
- * <p>Routes: {@code POST /tasks} runs a task; {@code GET /state} and {@code GET /metrics} report, as do the headers of
- * each task's answer; {@code POST /drain} begins to leave; for the test's control {@code GET /starts?from=N} returns
- * the starts from the N-th on, counted from 0, or all of them, as JSON lines, and {@code GET} and {@code PUT /faults}
- * read and replace {@link MinionFaults}.
+ * <p>Routes of a minion: {@code POST /tasks} runs a task; {@code GET /state} and {@code GET /metrics} report the
+ * minion's state, as do the headers of each task's answer; {@code POST /drain} starts draining.
+ *
+ * <p>Routes for the control of tests: {@code GET /starts?from=N} returns the recorded starts as JSON lines, from the
+ * zero-based index N on or all of them; {@code GET} and {@code PUT /faults} read and replace {@link MinionFaults}.
  */
 public final class MinionStandIn {
     /** Request header with the id of the attempt. */
@@ -41,19 +42,19 @@
     public static final String JOB_HEADER = "Chivetally-Job";
     /** Request header with the index of the task in its job. */
     public static final String TASK_HEADER = "Chivetally-Task";
-    /** Answer header with the number of free slots. */
+    /** Response header with the number of free slots. */
     public static final String FREE_SLOTS_HEADER = "Minion-Free-Slots";
-    /** Answer header that says whether the minion is leaving. */
+    /** Response header that says whether the minion is draining. */
     public static final String DRAINING_HEADER = "Minion-Draining";
-    /** Answer header that says whether the minion is healthy. */
+    /** Response header that says whether the minion is healthy. */
     public static final String HEALTHY_HEADER = "Minion-Healthy";
 
-    /** Answer header of a task that did not start and never will. */
+    /** Response header of a task that did not start and never will. */
     public static final String NOT_RUN_HEADER = "Chivetally-Not-Run";
 
     private static final String TOO_MANY_CONNECTIONS = "too many connections carry tasks";
     private static final int LINES_PER_CHUNK = 1000;
-    /** Payloads may hold more than the stand-in reads. */
+    /** Ignores unknown fields, as payloads may contain more than the stand-in uses. */
     private static final ObjectReader WORK_READER = StandInHttp.JSON
             .readerFor(MinionTask.Work.class)
             .without(DeserializationFeature.FAIL_ON_UNKNOWN_PROPERTIES);
@@ -69,9 +70,9 @@
     }
 
     /**
-     * Starts a stand-in. Terminating its binding waits for the tasks that run.
+     * Starts a stand-in. Terminating its binding waits for running tasks.
      *
-     * @param port port to listen on; 0 takes a free one, which the binding tells
+     * @param port port to listen on; 0 selects a free port, which the binding reports
      */
     public static CompletionStage<ServerBinding> start(
             ActorSystem<?> system, String host, int port, MinionStandInSettings settings) {
@@ -88,8 +89,9 @@
         TaskConnections.Connection connection = connections.newConnection();
         Function<HttpRequest, CompletionStage<HttpResponse>> handler =
                 routes(connection).function(system);
-        // A task that is never answered would keep its connection counted after the caller closed it, and later callers
-        // would meet a false limit. So the requests are watched, not the answers: they end when the caller closes.
+        // Releases the connection when its stream of requests ends, that is when the caller closes it. The stream of
+        // answers never ends if a task is never answered; the closed connection would then still count, and later
+        // callers would be refused although the limit isn't reached.
         return Flow.of(HttpRequest.class)
                 .watchTermination((unused, done) -> {
                     done.whenComplete((ignored, failure) -> connection.release());
--- a/standins/src/main/java/org/chivetally/standins/MinionStandInSettings.java
+++ b/standins/src/main/java/org/chivetally/standins/MinionStandInSettings.java
@@ -7,18 +7,19 @@
 /**
  * Settings of a {@link MinionStandIn}.
  *
- * @param name name of the backend server instance, repeated in its answers
- * @param slots most tasks at once; one more is refused and counted as an overrun
- * @param connections most connections that carry tasks; a task over one more is refused and counted as an overrun
- * @param record file that keeps the record of starts beyond the end of the process; none keeps it in memory
+ * @param name name of the backend server instance, included in its answers
+ * @param slots maximum number of concurrent tasks; a further task is refused and counted as an overrun
+ * @param connections maximum number of connections that carry tasks; a task over a further connection is refused and
+ *     counted as an overrun
+ * @param record file with the record of starts, which survives a restart; if empty, the record is in memory only
  */
 public record MinionStandInSettings(String name, int slots, int connections, Optional<Path> record) {
-    /** Settings of a minion that keeps its record of starts in memory. */
+    /** Creates settings of a minion that keeps its record of starts in memory. */
     public MinionStandInSettings(String name, int slots, int connections) {
         this(name, slots, connections, Optional.empty());
     }
 
-    /** Refuses a missing name and limits under one. */
+    /** Rejects null components and limits below 1. */
     public MinionStandInSettings {
         Objects.requireNonNull(name, "name");
         Objects.requireNonNull(record, "record");
--- a/standins/src/main/java/org/chivetally/standins/MinionState.java
+++ b/standins/src/main/java/org/chivetally/standins/MinionState.java
@@ -1,14 +1,15 @@
 package org.chivetally.standins;
 
 /**
- * State as a minion reports it.
+ * State that a minion reports.
  *
- * @param freeSlots tasks that it could start now
- * @param running tasks that it runs now
- * @param draining whether it is leaving and wants no new work; it still runs what it gets, and records it
- * @param healthy whether it says that it works
- * @param overruns tasks refused because slots or connections were exceeded
- * @param drainingSinceNanos reading of the monotonic clock when draining began; null while it is not draining
+ * @param freeSlots number of tasks that it can start now
+ * @param running number of tasks that are running
+ * @param draining whether it is draining and expects no new tasks; it still runs and records any that it receives
+ * @param healthy whether it reports itself as healthy
+ * @param overruns number of tasks refused because the limit of slots or of connections was exceeded
+ * @param drainingSinceNanos reading of the monotonic clock when draining began, in nanoseconds; null if it isn't
+ *     draining
  */
 public record MinionState(
         int freeSlots, int running, boolean draining, boolean healthy, long overruns, Long drainingSinceNanos) {}
--- a/standins/src/main/java/org/chivetally/standins/MinionTask.java
+++ b/standins/src/main/java/org/chivetally/standins/MinionTask.java
@@ -9,7 +9,7 @@
  * @param job name of the job, from the header {@code Chivetally-Job}
  * @param index index of the task in its job, from {@code Chivetally-Task}
  * @param attempt id of the attempt, from {@code Chivetally-Attempt}
- * @param work what the task does
+ * @param work payload, which specifies what the task does
  */
 record MinionTask(String job, int index, String attempt, Work work) {
     MinionTask {
@@ -21,10 +21,10 @@
     /**
      * The task's payload.
      *
-     * @param workMillis how long the task runs, in milliseconds
-     * @param answer any JSON, given back as the task's answer; null when left out
-     * @param fail whether the task fails after its work
-     * @param token copied to the record of starts; null when left out
+     * @param workMillis duration of the task, in milliseconds
+     * @param answer any JSON, returned as the task's answer; null if omitted
+     * @param fail whether the task fails at the end of its work time
+     * @param token text copied to the record of starts; null if omitted
      */
     record Work(long workMillis, JsonNode answer, boolean fail, String token) {
         Work {
--- a/standins/src/main/java/org/chivetally/standins/RelayDirection.java
+++ b/standins/src/main/java/org/chivetally/standins/RelayDirection.java
@@ -12,8 +12,8 @@
 import java.util.function.LongSupplier;
 
 /**
- * Forwards what one channel reads to another on the same event loop, in order, each piece after a delay; once silenced
- * it reads on and forwards nothing more. The end of the channel counts as a piece.
+ * Forwards the bytes that one channel reads to another channel on the same event loop, in order and after a delay. The
+ * close of the channel is forwarded in the same way. Once silenced, it keeps reading but forwards nothing.
  */
 final class RelayDirection extends ChannelInboundHandlerAdapter {
     private final Channel sink;
@@ -33,7 +33,7 @@
         this.withheldBytes = withheldBytes;
     }
 
-    /** Withholds from now on everything, also what is under way; on the event loop only. */
+    /** Withholds everything from now on, including the items in transit. Must be called on the event loop. */
     void silence() {
         silent = true;
         inTransit.forEach(this::withhold);
@@ -50,7 +50,10 @@
         enqueue(context, new Item.End());
     }
 
-    /** The far side reads this channel's writes slowly: its source waits, so that the relay keeps no heap of bytes. */
+    /**
+     * Applies backpressure: while the peer of this channel reads too slowly, stops reading from the other channel, so
+     * that the relay doesn't buffer bytes without limit.
+     */
     @Override
     public void channelWritabilityChanged(ChannelHandlerContext context) {
         sink.config().setAutoRead(context.channel().isWritable());
@@ -61,13 +64,13 @@
         context.close();
     }
 
-    private void enqueue(ChannelHandlerContext context, Item piece) {
+    private void enqueue(ChannelHandlerContext context, Item item) {
         if (silent) {
-            withhold(piece);
+            withhold(item);
             return;
         }
         long delay = delayNanos.getAsLong();
-        inTransit.add(piece);
+        inTransit.add(item);
         if (delay == 0 && inTransit.size() == 1) {
             forwardOldest();
             return;
@@ -75,7 +78,10 @@
         timer.runAfter(delay, context.executor(), this::forwardOldest);
     }
 
-    /** Each timer forwards the oldest piece, not its own: a delay made shorter must not let bytes overtake others. */
+    /**
+     * Forwards the oldest item in transit. Each timer forwards the oldest item rather than its own, so that bytes stay
+     * in order when the delay is reduced.
+     */
     private void forwardOldest() {
         switch (inTransit.poll()) {
             case null -> {}
@@ -87,26 +93,26 @@
         }
     }
 
-    private void withhold(Item piece) {
-        if (piece instanceof Item.Bytes(ByteBuf bytes)) {
+    private void withhold(Item item) {
+        if (item instanceof Item.Bytes(ByteBuf bytes)) {
             withheldBytes.add(bytes.readableBytes());
             bytes.release();
         }
     }
 
-    /** Runs steps later. */
+    /** Schedules actions on an event loop. */
     @FunctionalInterface
     interface Timer {
-        /** Runs a step on an event loop after a time in nanoseconds. */
+        /** Runs an action on an event loop after a delay in nanoseconds. */
         void runAfter(long nanos, EventExecutor eventLoop, Runnable action);
     }
 
-    /** What is forwarded. */
+    /** An item to forward. */
     private sealed interface Item {
-        /** Some bytes. */
+        /** Bytes read from the channel. */
         record Bytes(ByteBuf content) implements Item {}
 
-        /** The end of the connection. */
+        /** The close of the channel. */
         record End() implements Item {}
     }
 }
--- a/standins/src/main/java/org/chivetally/standins/RelayFaults.java
+++ b/standins/src/main/java/org/chivetally/standins/RelayFaults.java
@@ -1,18 +1,19 @@
 package org.chivetally.standins;
 
 /**
- * Faults of a {@link TcpRelay}, settable while it runs.
+ * Faults of a {@link TcpRelay}, which can be changed while it runs.
  *
- * @param delayMillis how long each byte is under way in each direction, in milliseconds
- * @param silence which directions of the connections open now fall silent; these stay so when the fault is taken back
- * @param cut whether the connections open now are closed at both ends
- * @param newConnections what becomes of connections opened from now on; {@link NewConnections#FORWARDED} if null
+ * @param delayMillis additional delay of each byte in each direction, in milliseconds
+ * @param silence directions in which the currently open connections are silenced; they stay silent after the fault is
+ *     removed
+ * @param cut whether the currently open connections are closed at both ends
+ * @param newConnections handling of connections opened from now on; {@link NewConnections#FORWARDED} if null
  */
 public record RelayFaults(long delayMillis, Silence silence, boolean cut, NewConnections newConnections) {
-    /** No fault at all. */
+    /** No faults. */
     public static final RelayFaults NONE = new RelayFaults(0, Silence.NONE, false, NewConnections.FORWARDED);
 
-    /** Refuses negative delays; what is missing is no fault. */
+    /** Rejects negative delays; a null component means no fault. */
     public RelayFaults {
         if (delayMillis < 0) {
             throw new IllegalArgumentException("delayMillis can't be negative");
@@ -21,12 +22,12 @@
         newConnections = newConnections == null ? NewConnections.FORWARDED : newConnections;
     }
 
-    /** Returns faults that only silence the connections open now. */
+    /** Returns faults that only silence the currently open connections. */
     public static RelayFaults silencing(Silence silence) {
         return new RelayFaults(0, silence, false, NewConnections.FORWARDED);
     }
 
-    /** Directions of a connection in which nothing arrives any more, not even its end. */
+    /** Directions of a connection in which nothing is forwarded, not even its close. */
     public enum Silence {
         /** Neither. */
         NONE,
@@ -46,13 +47,13 @@
         }
     }
 
-    /** What becomes of new connections. */
+    /** Handling of new connections. */
     public enum NewConnections {
-        /** They reach the target. */
+        /** They are forwarded to the target. */
         FORWARDED,
-        /** They open and stay silent; the target does not see them. */
+        /** They are accepted but never read, and not forwarded to the target. */
         SILENT,
-        /** They are closed as soon as they open. */
+        /** They are closed as soon as they are accepted. */
         CLOSED
     }
 }
--- a/standins/src/main/java/org/chivetally/standins/RelayStandIn.java
+++ b/standins/src/main/java/org/chivetally/standins/RelayStandIn.java
@@ -8,16 +8,16 @@
 import org.apache.pekko.http.javadsl.server.Route;
 
 /**
- * HTTP control of a {@link TcpRelay}: {@code GET} and {@code PUT /faults} read and replace {@link RelayFaults}, and
- * {@code GET /statistics} returns {@link RelayStatistics}.
+ * HTTP control interface of a {@link TcpRelay}: {@code GET} and {@code PUT /faults} read and replace
+ * {@link RelayFaults}, and {@code GET /statistics} returns {@link RelayStatistics}.
  */
 public final class RelayStandIn {
     private RelayStandIn() {}
 
     /**
-     * Starts the control of a relay; the caller closes the relay.
+     * Starts the control interface of a relay. The caller remains responsible for closing the relay.
      *
-     * @param port port to listen on; 0 takes a free one, which the binding tells
+     * @param port port to listen on; 0 selects a free port, which the binding reports
      */
     public static CompletionStage<ServerBinding> start(ActorSystem<?> system, String host, int port, TcpRelay relay) {
         Route statistics = Directives.path(
--- a/standins/src/main/java/org/chivetally/standins/StandInHttp.java
+++ b/standins/src/main/java/org/chivetally/standins/StandInHttp.java
@@ -17,9 +17,9 @@
 import tools.jackson.databind.DeserializationFeature;
 import tools.jackson.databind.json.JsonMapper;
 
-/** What the stand-ins' HTTP servers share: JSON, settings and answers. */
+/** JSON mapping, server settings and responses that the HTTP servers of all stand-ins share. */
 final class StandInHttp {
-    /** Missing numbers are zero, so that faults are set by naming only what differs; unknown names are refused. */
+    /** Reads missing numbers as 0, so that a request names only the faults to set, and rejects unknown names. */
     static final JsonMapper JSON = JsonMapper.builder()
             .enable(DeserializationFeature.FAIL_ON_UNKNOWN_PROPERTIES)
             .disable(DeserializationFeature.FAIL_ON_NULL_FOR_PRIMITIVES)
@@ -69,8 +69,8 @@
                 .withParserSettings(defaults.getParserSettings()
                         .withMaxContentLength(MAXIMUM_REQUEST_BYTES)
                         .withMaxToStrictBytes(MAXIMUM_REQUEST_BYTES))
-                // The server would answer 503 by itself after 20 s. Of a slow append or a hung task that is false:
-                // it may still take effect. Without this timeout a late answer is late, and a silent one is silent.
+                // By default the server answers 503 after 20 s. That would be wrong for a slow append or a hung
+                // task, which may still take effect: late answers must arrive late, and missing ones never.
                 .withTimeouts(defaults.getTimeouts()
                         .withRequestTimeout(Duration.Inf())
                         .withIdleTimeout(Duration.Inf()));
--- a/standins/src/main/java/org/chivetally/standins/StartFile.java
+++ b/standins/src/main/java/org/chivetally/standins/StartFile.java
@@ -10,10 +10,10 @@
 import tools.jackson.core.JacksonException;
 
 /**
- * A minion's record of starts in a file.
+ * File that persists the record of starts of a minion.
  *
- * <p>A minion that is killed would lose its record, and a second start of what it had begun would go unseen. Each start
- * is in the file before its task runs, and the next process at the same file goes on from there.
+ * <p>Without it, a minion that is killed would lose its record, and a duplicate start of one of its tasks would go
+ * undetected. Each start is written before its task runs, and the next process with the same file continues the record.
  */
 final class StartFile {
     private final Path file;
@@ -22,7 +22,7 @@
         this.file = file;
     }
 
-    /** Reads the starts of earlier processes, in their order; what still ran there is lost. */
+    /** Reads the starts of earlier processes in order; tasks that were still running are marked as lost. */
     List<MinionStart> read() {
         List<MinionStart> starts = new ArrayList<>();
         if (!Files.exists(file)) {
@@ -31,19 +31,19 @@
         try {
             Files.readAllLines(file).forEach(text -> replay(text, starts));
         } catch (IOException unreadable) {
-            throw new UncheckedIOException("record of starts", unreadable);
+            throw new UncheckedIOException("can't read the record of starts", unreadable);
         }
         starts.replaceAll(start -> start.outcome().equals(MinionStart.RUNNING) ? start.asLost() : start);
         return starts;
     }
 
-    /** Adds a start or its end. */
+    /** Appends a start, or its new state when it ends. */
     void write(int position, MinionStart start) {
         String line = StandInHttp.JSON.writeValueAsString(new Line(position, start)) + "\n";
         try {
             Files.writeString(file, line, StandardOpenOption.CREATE, StandardOpenOption.APPEND);
         } catch (IOException unwritable) {
-            throw new UncheckedIOException("record of starts", unwritable);
+            throw new UncheckedIOException("can't write the record of starts", unwritable);
         }
     }
 
@@ -52,7 +52,7 @@
         try {
             line = StandInHttp.JSON.readValue(text, Line.class);
         } catch (JacksonException cutShort) {
-            // The process ended while it wrote: the task had not begun, or had not been answered.
+            // The process ended while it wrote this line, so the task had not started or had not been answered.
             return;
         }
         if (line.position() == starts.size()) {
@@ -62,6 +62,6 @@
         }
     }
 
-    /** One line: the start's position in the record, and the start as it was then. */
+    /** One line of the file: the position of a start in the record, and the state of the start at that time. */
     private record Line(int position, MinionStart start) {}
 }
--- a/standins/src/main/java/org/chivetally/standins/TaskConnections.java
+++ b/standins/src/main/java/org/chivetally/standins/TaskConnections.java
@@ -2,7 +2,9 @@
 
 import java.util.concurrent.atomic.AtomicInteger;
 
-/** Counts the connections that carry tasks against a minion's limit; control requests take none. */
+/**
+ * Limits the number of connections that carry tasks to a minion; connections with only control requests don't count.
+ */
 final class TaskConnections {
     private final int limit;
     private final AtomicInteger open = new AtomicInteger();
@@ -11,7 +13,7 @@
         this.limit = limit;
     }
 
-    /** Begins to follow a connection, which counts from its first task on. */
+    /** Starts tracking a new connection, which counts from its first task on. */
     Connection newConnection() {
         return new Connection();
     }
@@ -20,12 +22,12 @@
         return open.getAndUpdate(count -> Math.min(limit, count + 1)) < limit;
     }
 
-    /** One connection of the server. */
+    /** One connection to the minion's server. */
     final class Connection {
         private boolean counted;
         private boolean closed;
 
-        /** Tells whether this connection may carry a task. */
+        /** Returns whether this connection may carry a task, and counts it if so. */
         synchronized boolean tryAdmitTask() {
             if (!counted && !closed) {
                 counted = tryAcquire();
@@ -33,7 +35,7 @@
             return counted;
         }
 
-        /** Gives the connection's place back. */
+        /** Stops counting this connection when it is closed. */
         synchronized void release() {
             closed = true;
             if (counted) {
--- a/standins/src/main/java/org/chivetally/standins/TcpRelay.java
+++ b/standins/src/main/java/org/chivetally/standins/TcpRelay.java
@@ -34,10 +34,10 @@
 import org.chivetally.standins.RelayFaults.Silence;
 
 /**
- * Stands between two processes like a network that adds distance, loses track of connections, or closes them.
+ * TCP relay between two processes, which simulates a network that adds delay, silences connections, or closes them.
  *
- * <p>Listens on the loopback address. A half-closed connection is treated as closed. Safe from any thread except the
- * relay's own.
+ * <p>Listens on the loopback address. A half-closed connection is treated as closed. Thread-safe, but must not be
+ * called on the relay's own threads.
  */
 public final class TcpRelay implements AutoCloseable {
     private static final FluentLogger LOG = FluentLogger.forEnclosingClass();
@@ -64,7 +64,7 @@
     }
 
     /**
-     * Starts a relay; throws when the port can't be bound.
+     * Starts a relay without delay; throws {@link IllegalStateException} if the port can't be bound.
      *
      * @param listenPort port on the loopback address; 0 takes a free one
      * @param targetHost host that each connection is forwarded to
@@ -76,11 +76,12 @@
     }
 
     /**
-     * Starts a relay over some distance; throws when the port can't be bound.
+     * Starts a relay with a delay; throws {@link IllegalStateException} if the port can't be bound.
      *
      * @param listenPort port on the loopback address; 0 takes a free one
-     * @param target asked at each connection where it is forwarded to, so that the target may listen later
-     * @param distance how long each byte is under way in each direction, besides the faults' delay
+     * @param target supplies the address to forward to for each connection, so that the target may start after the
+     *     relay
+     * @param distance delay of each byte in each direction, in addition to the delay of the faults
      */
     public static TcpRelay start(int listenPort, Supplier<InetSocketAddress> target, Duration oneWayDelay) {
         TcpRelay relay = new TcpRelay(target, oneWayDelay);
@@ -93,12 +94,12 @@
         return ((InetSocketAddress) listener.localAddress()).getPort();
     }
 
-    /** Returns the faults set last. */
+    /** Returns the current faults. */
     public RelayFaults faults() {
         return faults;
     }
 
-    /** Replaces the faults; returns once the connections open now are silenced or cut. */
+    /** Replaces the faults; returns once the currently open connections are silenced or closed. */
     public synchronized void setFaults(RelayFaults newFaults) {
         faults = newFaults;
         LOG.atInfo().log(
@@ -112,7 +113,7 @@
         }
     }
 
-    /** Returns counts since the start. */
+    /** Returns counts since the relay started. */
     public RelayStatistics statistics() {
         return new RelayStatistics(
                 accepted.sum(), connections.size(), bytesToTarget.sum(), bytesToClient.sum(), bytesWithheld.sum());
@@ -154,13 +155,13 @@
         NewConnections handling = faults.newConnections();
         switch (handling) {
             case FORWARDED -> connectToTarget(client);
-            // Never read from, and dropped only when the relay closes.
+            // The connection stays open and unread until the relay is closed.
             case SILENT -> {}
             case CLOSED -> client.close();
         }
     }
 
-    /** Dials the target on the client's event loop, so that both directions of a connection share one thread. */
+    /** Connects to the target on the client's event loop, so that both directions of a connection share one thread. */
     private void connectToTarget(Channel client) {
         Bootstrap bootstrap = new Bootstrap()
                 .group(client.eventLoop())
@@ -180,8 +181,8 @@
 
     private void startForwarding(Channel client, Channel server) {
         channels.add(server);
-        // A client that was reset while the target was dialled has had its last event; nothing else would close the
-        // target's side, and the target would serve a connection without an owner.
+        // If the client was reset while the relay connected to the target, no further event would close the target's
+        // side, and the target would keep serving a connection without a client.
         if (!client.isActive()) {
             server.close();
             return;
@@ -204,7 +205,7 @@
         return oneWayDelayNanos + TimeUnit.MILLISECONDS.toNanos(faults.delayMillis());
     }
 
-    // An event loop's own timers fire at whole milliseconds only, which would make a distance of 0.5 ms twice as long.
+    // The timers of an event loop have a resolution of 1 ms, which would double a delay of 0.5 ms.
     private void runAfter(long nanos, EventExecutor eventLoop, Runnable action) {
         timer.schedule(() -> eventLoop.execute(action), nanos, TimeUnit.NANOSECONDS);
     }
--- a/standins/src/main/java/org/chivetally/standins/package-info.java
+++ b/standins/src/main/java/org/chivetally/standins/package-info.java
@@ -1,2 +1,2 @@
-/** Small servers that take the place of the platform's log, of minions, and of the network between processes. */
+/** Servers that replace the platform's log, minions, and the network between processes in tests. */
 package org.chivetally.standins;
--- a/standins/src/test/java/org/chivetally/log/HttpPlatformLogTest.java
+++ b/standins/src/test/java/org/chivetally/log/HttpPlatformLogTest.java
@@ -24,6 +24,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
+/**
+ * Checks the outcomes that the HTTP client of the platform's log reports, in particular that an append counts as
+ * refused only if it certainly was not written.
+ */
 @Timeout(value = 60, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
 class HttpPlatformLogTest {
     private static final Duration LONG_TIMEOUT = Duration.ofSeconds(10);
@@ -84,7 +88,7 @@
                 await(log.read("claims", 0, 10, Duration.ZERO)), Matchers.is(new ReadOutcome.Expired(1)));
     }
 
-    // The log says that it is down. The caller may tell its own caller that nothing was claimed.
+    // The log reports that it is down, so the append must count as refused: nothing was written.
     @Test
     void aDownLogRefusesAppendsAndFailsReads() {
         backingLog.setFaults(LogFaults.NONE.withDown(true));
@@ -95,8 +99,8 @@
                 await(log.read("claims", 0, 10, LONG_TIMEOUT)), Matchers.instanceOf(ReadOutcome.Unavailable.class));
     }
 
-    // The append takes effect and then its answer is lost. The caller must not hear that nothing was written, or it
-    // would tell its caller "not run" while the claim stands.
+    // The append takes effect, but its answer is lost. If it were reported as refused, an entry would answer "not run"
+    // to its caller although the claim is in the log.
     @Test
     void aLostAnswerIsUnknownAndTheRecordIsStored() {
         backingLog.setFaults(LogFaults.NONE.withLoseNextAnswers(1));
@@ -107,8 +111,8 @@
         MatcherAssert.assertThat(found.records(), Matchers.hasSize(1));
     }
 
-    // The log is slower than the client's patience. The client gives up with Unknown, and the append lands later all
-    // the same: the reader that waits for it sees it.
+    // The log answers after the client's timeout. The outcome must be Unknown, because the append takes effect later: a
+    // waiting reader receives it.
     @Test
     void aSlowAppendIsUnknownAndTakesEffectLater() {
         HttpPlatformLog shortTimeoutLog = new HttpPlatformLog(kit.system(), server.uri(), SHORT_TIMEOUT);
@@ -120,7 +124,8 @@
         MatcherAssert.assertThat(found.records(), Matchers.hasSize(1));
     }
 
-    // Nobody listens at the address: the connection is refused before a byte of the append is sent, so the append
+    // Nothing listens at the address, so the connection is refused before any byte of the append is sent, and the
+    // append
     // certainly did not take effect.
     @Test
     void anAppendOverARefusedConnectionIsRefused() throws IOException {
@@ -133,7 +138,9 @@
                 Matchers.instanceOf(ReadOutcome.Unavailable.class));
     }
 
-    // Something accepts the connection and closes it once it has read the append. What became of the append is open.
+    // The server closes the connection after it has started to read the append, so it is unknown whether the append
+    // took
+    // effect.
     @Test
     void aConnectionClosedAfterSendingIsUnknown() throws IOException {
         try (ServerSocket socket = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
@@ -145,7 +152,7 @@
         }
     }
 
-    // Something accepts connections and never answers. Both outcomes come by the client's own timer.
+    // The server accepts connections but never answers. The client's timeout must end both the append and the read.
     @Test
     void anAppendWithoutAnAnswerIsUnknown() throws IOException {
         try (ServerSocket socket = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
@@ -159,8 +166,9 @@
         }
     }
 
-    // A proxy answers 503 by itself after it handed the append on. Only the log's own word in the body makes a
-    // refusal; without it the caller must not be told that nothing was written.
+    // A proxy answers 503 after it forwarded the append. Only a body in the format of the log makes it a refusal;
+    // without
+    // one, the append must not be reported as not written.
     @Test
     void aRefusalByAProxyIsUnknown() throws IOException {
         try (ServerSocket socket = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
@@ -172,8 +180,9 @@
         }
     }
 
-    // More reads wait than the client has connections for them. An append of the same client still goes through at
-    // once; if it shared their connections, it would queue behind reads that only this append can answer.
+    // More reads are waiting than the client has connections for reads. An append of the same client must still
+    // complete
+    // at once; if it shared their connections, it would be queued behind reads that only this append can complete.
     @Test
     void waitingReadsDoNotBlockAppends() {
         List<CompletionStage<ReadOutcome>> reads = Stream.generate(
@@ -186,9 +195,9 @@
         reads.forEach(read -> MatcherAssert.assertThat(await(read), Matchers.instanceOf(ReadOutcome.Records.class)));
     }
 
-    // The client's open connections to the log go silent, again and again, more often than it has connections. Each
-    // time appends end as Unknown by the client's timer until a new connection carries one. Silent connections must
-    // not stay in use, or none would be left in the end.
+    // The open connections to the log are silenced repeatedly, more often than the client has connections. Each time,
+    // appends time out as Unknown until one is sent over a new connection. Silent connections must be replaced, or the
+    // client would run out of usable ones.
     @Test
     void silentConnectionsAreReplaced() {
         try (TcpRelay relay = TcpRelay.start(0, "127.0.0.1", server.uri().getPort())) {
--- a/standins/src/test/java/org/chivetally/standins/EchoServer.java
+++ b/standins/src/test/java/org/chivetally/standins/EchoServer.java
@@ -7,7 +7,7 @@
 import java.net.Socket;
 import java.util.concurrent.atomic.AtomicLong;
 
-/** Sends back each byte it receives; counts them. */
+/** TCP server that echoes each byte it receives and counts them. */
 final class EchoServer implements AutoCloseable {
     private final ServerSocket listener;
     private final AtomicLong received = new AtomicLong();
--- a/standins/src/test/java/org/chivetally/standins/HttpTester.java
+++ b/standins/src/test/java/org/chivetally/standins/HttpTester.java
@@ -10,7 +10,7 @@
 import org.apache.pekko.http.javadsl.model.ContentTypes;
 import org.apache.pekko.http.javadsl.model.HttpRequest;
 
-/** Sends requests to a stand-in under test and waits for the answers. */
+/** HTTP client of a stand-in under test. */
 public final class HttpTester {
     private static final long TIMEOUT_SECONDS = 20;
     private static final int BODY_TIMEOUT_MILLIS = 10_000;
@@ -18,7 +18,7 @@
     private final ActorSystem<?> system;
     private final String base;
 
-    /** Creates a tester of one server. */
+    /** Creates a client of one server on the loopback address. */
     public HttpTester(ActorSystem<?> system, ServerBinding binding) {
         this.system = system;
         this.base = "http://127.0.0.1:" + binding.localAddress().getPort();
@@ -44,7 +44,7 @@
         return HttpRequest.POST(base + path).withEntity(ContentTypes.APPLICATION_JSON, json);
     }
 
-    /** Sends a request. */
+    /** Sends a request; the future completes with the answer. */
     public CompletableFuture<Answer> send(HttpRequest request) {
         return Http.get(system)
                 .singleRequest(request)
@@ -55,7 +55,7 @@
                 .toCompletableFuture();
     }
 
-    /** Waits for a stage; a test that waits too long fails. */
+    /** Waits for a stage; throws an exception, which fails the test, after a timeout. */
     public static <T> T await(CompletionStage<T> stage) {
         return stage.toCompletableFuture()
                 .orTimeout(TIMEOUT_SECONDS, TimeUnit.SECONDS)
--- a/standins/src/test/java/org/chivetally/standins/LogStandInTest.java
+++ b/standins/src/test/java/org/chivetally/standins/LogStandInTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Pins the protocol of docs/LOG-PROTOCOL.md as text; HttpPlatformLogTest covers what it means. */
+/** Checks the exact JSON of the protocol in docs/LOG-PROTOCOL.md; HttpPlatformLogTest covers its semantics. */
 class LogStandInTest {
     private final ActorTestKit kit =
             ActorTestKit.create(ConfigFactory.parseString("pekko.http.server.request-timeout = 20ms"));
@@ -52,8 +52,9 @@
         MatcherAssert.assertThat(server.get("/streams/claims/records?from=x").status(), Matchers.is(400));
     }
 
-    // An operator sets two faults by naming only these, and the log refuses appends in a form that a client may trust.
-    // A misspelt fault is refused rather than ignored, so that a fault run can't pass without its fault.
+    // A request that names two faults sets only these, and appends are then refused with the body that marks them as
+    // not
+    // written. A misspelt fault must be refused rather than ignored, or a fault test could pass without its fault.
     @Test
     void faultsAreSetWhileItRuns() {
         HttpTester.Answer set = server.put("/faults", "{\"down\":true,\"expireUpTo\":{\"claims\":7}}");
@@ -68,8 +69,8 @@
         MatcherAssert.assertThat(server.get("/faults"), Matchers.is(set));
     }
 
-    // The log is slower than the HTTP server's own patience, which is 20 ms here. The append takes effect, so the
-    // server must not step in with its 503: the client hears the offset, late.
+    // The log is slower than the HTTP server's request timeout, which is 20 ms here. The append takes effect, so the
+    // server must not answer 503; the client must receive the offset, even if late.
     @Test
     void aSlowAppendIsNotTimedOutByTheServer() {
         server.put("/faults", "{\"appendDelayMillis\":300}");
--- a/standins/src/test/java/org/chivetally/standins/MinionStandInTest.java
+++ b/standins/src/test/java/org/chivetally/standins/MinionStandInTest.java
@@ -21,7 +21,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** The HTTP side; MinionTest covers slots, faults and the record of starts with paused time. */
+/** Checks the HTTP interface; MinionTest covers slots, faults and the record of starts with a simulated clock. */
 @Timeout(value = 30, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
 class MinionStandInTest {
     private static final String RAW_TASK = "POST /tasks HTTP/1.1\r\nHost: minion\r\nContent-Length: 2\r\n"
@@ -82,8 +82,9 @@
         MatcherAssert.assertThat(server.get("/starts").body(), Matchers.is(""));
     }
 
-    // One task's connection is open and the minion allows one. A task over a second connection is refused and counted,
-    // although a slot is free; state and control need none of the allowed connections.
+    // The minion allows one connection that carries tasks, and one task uses it. A task over a second connection must
+    // be
+    // refused and counted as an overrun although a slot is free. Requests for state and control don't count.
     @Test
     void aTaskOverTheConnectionLimitIsRefused() {
         server.send(task("{\"workMillis\":%d}".formatted(VERY_LONG_MILLIS)));
@@ -92,7 +93,8 @@
         MatcherAssert.assertThat(server.get("/state").body(), Matchers.containsString("\"overruns\":1"));
     }
 
-    // A refused task says so, so that the agent may let it run elsewhere although it isn't idempotent.
+    // The response to a refused task must say that it did not run, so that it can run elsewhere even if it isn't
+    // idempotent.
     @Test
     void aRefusedTaskCarriesTheNotRunHeader() {
         server.put("/faults", "{\"slotsLeft\":0}");
@@ -105,8 +107,8 @@
         refused.discardEntityBytes(kit.system());
     }
 
-    // A caller gives up on a silent minion and closes its connection. The minion's only task connection is free again
-    // although the task was never answered, so the next caller's task runs.
+    // A caller closes its connection because the minion doesn't answer. The only connection for tasks must be released
+    // although the task was never answered, so that the next caller's task runs.
     @Test
     void aConnectionClosedWithoutAnswerIsReleased() throws IOException {
         server.put("/faults", "{\"silent\":true}");
@@ -121,7 +123,7 @@
         }
     }
 
-    // The minion is down: tasks and state are refused, and nothing starts. The test's own routes still work.
+    // While the minion is down, tasks and state are refused and nothing starts, but the routes for test control work.
     @Test
     void aDownMinionRefusesAllButControl() {
         MatcherAssert.assertThat(server.put("/faults", "{\"down\":true}").status(), Matchers.is(200));
@@ -138,8 +140,8 @@
         MatcherAssert.assertThat(server.get("/state").body(), Matchers.containsString("\"draining\":true"));
     }
 
-    // The server is told to stop while a task runs. The caller still gets the task's answer, because the stop waits
-    // for requests in progress.
+    // The server is stopped while a task runs. The stop must wait for requests in progress, so that the caller still
+    // receives the answer.
     @Test
     void stoppingWaitsForRunningTasks() {
         CompletableFuture<HttpTester.Answer> answer = server.send(task("{\"workMillis\":200}"));
--- a/standins/src/test/java/org/chivetally/standins/MinionTest.java
+++ b/standins/src/test/java/org/chivetally/standins/MinionTest.java
@@ -14,6 +14,7 @@
 import org.junit.jupiter.api.io.TempDir;
 import tools.jackson.databind.node.StringNode;
 
+/** Checks slots, faults and the record of starts with a simulated clock. */
 class MinionTest {
     private static final MinionAnswer DONE = new MinionAnswer.Done(3, StringNode.valueOf("yes"), "m");
     private static final MinionAnswer FAILED = new MinionAnswer.Failed(3, "the task failed", "m");
@@ -51,8 +52,8 @@
         MatcherAssert.assertThat(minion.starts().getFirst().outcome(), Matchers.is("failed"));
     }
 
-    // A minion is killed while a task runs and starts again at the same file. Without the file the next process would
-    // know of no start, and a second start of the task would look like the first.
+    // A minion is killed while a task runs and is restarted with the same file. Without the file, the new process would
+    // have no record of the start, and a duplicate start of the task would look like the first one.
     @Test
     void theRecordSurvivesARestart(@TempDir Path folder) {
         MinionStandInSettings settings = new MinionStandInSettings("m", 2, 4, Optional.of(folder.resolve("m.starts")));
@@ -69,8 +70,8 @@
                 Matchers.contains("a done", "b lost", "c running"));
     }
 
-    // A caller starts one task more than there are slots: it is refused, counted as an overrun, and not recorded as
-    // started. Once a task has ended its slot takes the next.
+    // A caller starts one task more than there are slots. The task must be refused, counted as an overrun, and not
+    // recorded as started. Once a task has ended, its slot can be used again.
     @Test
     void oneTaskMoreThanSlotsIsAnOverrun() {
         run("a", 5, false);
@@ -83,8 +84,9 @@
         MatcherAssert.assertThat(minion.state().overruns(), Matchers.is(1L));
     }
 
-    // Both slots are taken, and one caller starts its next task as soon as it hears an answer. The slot must be free
-    // by then, or a caller that keeps to the limit would be counted as exceeding it.
+    // Both slots are in use, and a caller starts its next task as soon as it receives an answer. The slot must be free
+    // by
+    // then, or a caller that respects the limit would be counted as exceeding it.
     @Test
     void aSlotIsFreeBeforeTheAnswerIsSent() {
         run("a", 10, false);
@@ -119,7 +121,8 @@
         MatcherAssert.assertThat(currentResult(answer), Matchers.is(FAILED));
     }
 
-    // The minion runs the task but its answer never comes. The caller can't know; the record of starts does.
+    // The minion runs the task but never answers. The caller can't distinguish this from a task that did not run; the
+    // record of starts can.
     @Test
     void aSilentMinionRunsTasksWithoutAnswering() {
         minion.setFaults(faults(false, 0, 0, 0, true, false, null));
@@ -137,7 +140,8 @@
         MatcherAssert.assertThat(minion.starts(), Matchers.empty());
     }
 
-    // A leaving minion that gets work anyway runs it: no request is cut, and the record shows the late start.
+    // A draining minion that still receives a task runs it, so that no request is aborted and the record shows the late
+    // start. A repeated drain must keep the time of the first one.
     @Test
     void aDrainingMinionStillRunsNewTasks() {
         clock.set(7);
@@ -164,7 +168,8 @@
             boolean silent,
             boolean down,
             Integer slotsLeft) {
-        return new MinionFaults(failEveryTask, failShare, straggleShare, straggleFactor, 0, silent, down, false, slotsLeft);
+        return new MinionFaults(
+                failEveryTask, failShare, straggleShare, straggleFactor, 0, silent, down, false, slotsLeft);
     }
 
     private void advanceMillis(long millis) {
--- a/standins/src/test/java/org/chivetally/standins/RelayDirectionTest.java
+++ b/standins/src/test/java/org/chivetally/standins/RelayDirectionTest.java
@@ -16,6 +16,7 @@
 import org.hamcrest.Matchers;
 import org.junit.jupiter.api.Test;
 
+/** Checks the order and timing of forwarded bytes with a simulated clock. */
 class RelayDirectionTest {
     private static final int MAXIMUM_DELAY_MILLIS = 20;
 
@@ -47,7 +48,7 @@
         MatcherAssert.assertThat(sink.isOpen(), Matchers.is(false));
     }
 
-    // The connection falls silent while bytes are under way: these never arrive either, nor does the end.
+    // The direction is silenced while bytes are in transit. Neither these bytes nor the close may arrive.
     @Test
     void silenceWithholdsBytesInTransit() {
         source.freezeTime();
--- a/standins/src/test/java/org/chivetally/standins/RelayStandInTest.java
+++ b/standins/src/test/java/org/chivetally/standins/RelayStandInTest.java
@@ -8,6 +8,7 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
+/** Checks that faults can be set over HTTP and that unknown values are refused. */
 class RelayStandInTest {
     private static final int UNUSED_PORT = 1;
 
--- a/standins/src/test/java/org/chivetally/standins/TcpRelayTest.java
+++ b/standins/src/test/java/org/chivetally/standins/TcpRelayTest.java
@@ -13,6 +13,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
+/** Checks forwarding and each fault of the relay over real sockets. */
 @Timeout(value = 30, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
 class TcpRelayTest {
     private static final int END_OF_STREAM = -1;
@@ -41,8 +42,8 @@
         MatcherAssert.assertThat(relay.statistics(), Matchers.is(new RelayStatistics(1, 0, 1, 1, 0)));
     }
 
-    // An open connection falls silent both ways: what the caller sends is taken and never arrives, and no end is seen.
-    // A connection opened afterwards works, and the old one stays silent when the fault is taken back.
+    // An open connection is silenced in both directions: bytes that the caller sends are read but not forwarded, and no
+    // close is seen. A connection opened afterwards works, and the first one stays silent after the fault is removed.
     @Test
     void silencesOpenConnectionsWhileNewOnesWork() throws IOException {
         try (Socket silenced = connect()) {
@@ -59,7 +60,7 @@
         }
     }
 
-    // Only the way back is silent: the target acts on what the caller sends, and the caller never hears of it.
+    // Only the direction to the caller is silenced: the target receives what the caller sends, but its answer is lost.
     @Test
     void silencesOneDirection() throws IOException {
         try (Socket socket = connect()) {
@@ -82,8 +83,9 @@
         await(() -> relay.statistics().open() == 0);
     }
 
-    // The target's whole side is cut off: new connections open, but nothing passes and the target never sees them.
-    // They may also be closed at once. Both end with the fault, for connections opened then.
+    // New connections are accepted but not forwarded, or closed at once; in both cases the target doesn't see them.
+    // After
+    // the fault is removed, new connections are forwarded again.
     @Test
     void newConnectionsMayBeSilentOrClosed() throws IOException {
         relay.setFaults(new RelayFaults(0, Silence.NONE, false, NewConnections.SILENT));
