--- a/command/src/main/java/org/chivetally/command/ExperimentCommand.java
+++ b/command/src/main/java/org/chivetally/command/ExperimentCommand.java
@@ -70,7 +70,7 @@
         if (plan == null) {
             throw new ParameterException(command.commandLine(), "--plan is missing");
         }
-        LoadPlanReader.Reading<LoadPlan> reading =
+        LoadPlanReader.ReadResult<LoadPlan> reading =
                 LoadPlanReader.read(plan.toString(), DocumentFile.text(plan), Optional.empty());
         reading.mistakes().requireNone();
         return reading.content().orElseThrow();
@@ -84,7 +84,7 @@
 
         @Override
         public String toString() {
-            return Section.written(this);
+            return Section.kebabCase(this);
         }
     }
 }
--- a/library/src/main/java/org/chivetally/document/Section.java
+++ b/library/src/main/java/org/chivetally/document/Section.java
@@ -15,72 +15,72 @@
 import java.util.stream.Collectors;
 
 /**
- * A section of keys and values. Each method below notes its key as known, and reports a value it can't use.
+ * A mapping of keys to values in a document. Each accessor marks its key as known and records a mistake if the value is
+ * invalid.
  *
- * <p>A default is returned as it is, without a check against the limits; where null is passed, null comes back for a
- * missing value.
+ * <p>Defaults are returned without validation and may be null.
  */
 public final class Section {
-    private static final Pattern WHOLE = Pattern.compile("[+-]?\\d{1,18}");
+    private static final Pattern INTEGER = Pattern.compile("[+-]?\\d{1,18}");
     private static final Pattern DECIMAL = Pattern.compile("[+-]?\\d{1,18}(\\.\\d{1,18})?([eE][+-]?\\d{1,2})?");
-    private static final int LONGEST_QUOTE = 60;
+    private static final int MAXIMUM_QUOTED_LENGTH = 60;
 
     private final Document document;
-    private final DocumentNode.KeyedValues node;
+    private final DocumentNode.Mapping node;
     private final String path;
     private final Map<String, DocumentNode> values = new LinkedHashMap<>();
     private final Map<String, DocumentNode.Scalar> keys = new LinkedHashMap<>();
     private final Map<String, Section> children = new LinkedHashMap<>();
-    private final TreeSet<String> known = new TreeSet<>();
+    private final TreeSet<String> requestedKeys = new TreeSet<>();
 
-    Section(Document document, DocumentNode.KeyedValues node, String path) {
+    Section(Document document, DocumentNode.Mapping node, String path) {
         this.document = document;
         this.node = node;
         this.path = path;
-        for (DocumentNode.KeyedValue entry : node.values()) {
+        for (DocumentNode.MappingEntry entry : node.values()) {
             keys.putIfAbsent(entry.key().text(), entry.key());
             values.putIfAbsent(entry.key().text(), entry.value());
         }
     }
 
-    /** Returns the keys that lead here, such as {@code limits} or {@code seeds[2]}; empty for the root. */
+    /** Returns the path of this section, such as {@code limits} or {@code seeds[2]}; empty for the root. */
     public String path() {
         return path;
     }
 
-    /** Returns where this section begins, as {@code name:line:column}. */
+    /** Returns the place of this section, as {@code name:line:column}. */
     public String place() {
         return document.placeOf(node);
     }
 
-    /** Returns where a key's value stands, or where this section begins when it has no such key. */
+    /** Returns the place of a key's value, or the place of this section if it has no such key. */
     public String place(String key) {
         return document.placeOf(values.getOrDefault(key, node));
     }
 
-    /** Returns the keys that the document gives here, in its order. */
+    /** Returns the keys of this section, in the order of the document. */
     public List<String> keys() {
         return List.copyOf(keys.keySet());
     }
 
-    /** Tells whether the document gives the key with a value. */
+    /** Returns whether the key is present with a value that is not null. */
     public boolean has(String key) {
-        known.add(key);
+        requestedKeys.add(key);
         DocumentNode value = values.get(key);
-        return value != null && !value.missing();
+        return value != null && !value.isNull();
     }
 
-    /** Tells whether no mistake has been found in the whole document so far. */
-    public boolean isSound() {
+    /** Returns whether no mistake has been found in the whole document so far. */
+    public boolean isValid() {
         return document.mistakes().isEmpty();
     }
 
-    /** Reports a mistake at a key's value, for rules that concern more than one value. */
+    /** Records a mistake at a key's value, for rules that involve several values. */
     public void mistake(String key, String message) {
         document.addMistake(values.getOrDefault(key, node), pathOf(key), message);
     }
 
-    /** Returns a text that must be given and not be empty; an empty text otherwise. */
+    /** Returns a required text that must not be empty; an empty text if it is invalid. */
     public String requiredText(String key) {
         Optional<String> text = required(key);
         if (text.isPresent() && text.get().isEmpty()) {
@@ -90,91 +90,91 @@
     }
 
     /** Returns a text, or the default. */
-    public String text(String key, String otherwise) {
-        return scalar(key).orElse(otherwise);
+    public String text(String key, String defaultValue) {
+        return scalar(key).orElse(defaultValue);
     }
 
-    /** Returns a whole number within limits, both included, or the default. */
-    public long whole(String key, long minimum, long maximum, long otherwise) {
+    /** Returns an integer within inclusive limits, or the default. */
+    public long integer(String key, long minimum, long maximum, long defaultValue) {
         return scalar(key)
-                .flatMap(text -> wholeWithin(key, text, minimum, maximum))
-                .orElse(otherwise);
+                .flatMap(text -> integerWithin(key, text, minimum, maximum))
+                .orElse(defaultValue);
     }
 
-    /** Returns a whole number that must be given within limits, both included; the lower limit otherwise. */
-    public long requiredWhole(String key, long minimum, long maximum) {
+    /** Returns a required integer within inclusive limits; the minimum if it is invalid. */
+    public long requiredInteger(String key, long minimum, long maximum) {
         return required(key)
-                .flatMap(text -> wholeWithin(key, text, minimum, maximum))
+                .flatMap(text -> integerWithin(key, text, minimum, maximum))
                 .orElse(minimum);
     }
 
-    /** Returns a decimal number within limits, both included, or the default. */
-    public double decimal(String key, double minimum, double maximum, double otherwise) {
+    /** Returns a decimal number within inclusive limits, or the default. */
+    public double decimal(String key, double minimum, double maximum, double defaultValue) {
         return scalar(key)
                 .flatMap(text -> decimalWithin(key, text, minimum, maximum))
-                .orElse(otherwise);
+                .orElse(defaultValue);
     }
 
-    /** Returns a duration such as {@code 250ms} within limits, both included, or the default. */
-    public Duration duration(String key, Duration minimum, Duration maximum, Duration otherwise) {
+    /** Returns a duration such as {@code 250ms} within inclusive limits, or the default. */
+    public Duration duration(String key, Duration minimum, Duration maximum, Duration defaultValue) {
         return scalar(key)
                 .flatMap(text -> durationWithin(key, text, minimum, maximum))
-                .orElse(otherwise);
+                .orElse(defaultValue);
     }
 
-    /** Returns a duration that must be given within limits, both included; the lower limit otherwise. */
+    /** Returns a required duration within inclusive limits; the minimum if it is invalid. */
     public Duration requiredDuration(String key, Duration minimum, Duration maximum) {
         return required(key)
                 .flatMap(text -> durationWithin(key, text, minimum, maximum))
                 .orElse(minimum);
     }
 
-    /** Returns a size such as {@code 16MiB} within limits, both included, in bytes, or the default. */
-    public long bytes(String key, long minimum, long maximum, long otherwise) {
+    /** Returns a size such as {@code 16MiB} within inclusive limits, in bytes, or the default. */
+    public long bytes(String key, long minimum, long maximum, long defaultValue) {
         return scalar(key)
                 .flatMap(text -> bytesWithin(key, text, minimum, maximum))
-                .orElse(otherwise);
+                .orElse(defaultValue);
     }
 
-    /** Returns a size that must be given within limits, both included, in bytes; the lower limit otherwise. */
+    /** Returns a required size within inclusive limits, in bytes; the minimum if it is invalid. */
     public long requiredBytes(String key, long minimum, long maximum) {
         return required(key)
                 .flatMap(text -> bytesWithin(key, text, minimum, maximum))
                 .orElse(minimum);
     }
 
-    /** Returns true or false as given, or the default. */
-    public boolean flag(String key, boolean otherwise) {
-        return scalar(key).flatMap(text -> flagOf(key, text)).orElse(otherwise);
+    /** Returns a boolean, or the default. */
+    public boolean flag(String key, boolean defaultValue) {
+        return scalar(key).flatMap(text -> flagOf(key, text)).orElse(defaultValue);
     }
 
-    /** Returns true or false, which must be given; false otherwise. */
+    /** Returns a required boolean; false if it is invalid. */
     public boolean requiredFlag(String key) {
         return required(key).flatMap(text -> flagOf(key, text)).orElse(false);
     }
 
-    /** Returns the constant whose name is given in lower case with hyphens, or the default. */
-    public <E extends Enum<E>> E choice(String key, Class<E> type, E otherwise) {
-        return scalar(key).flatMap(text -> constant(key, text, type)).orElse(otherwise);
+    /** Returns an enum constant, written as by {@link #kebabCase}, or the default. */
+    public <E extends Enum<E>> E choice(String key, Class<E> type, E defaultValue) {
+        return scalar(key).flatMap(text -> constant(key, text, type)).orElse(defaultValue);
     }
 
-    /** Returns the constant whose name must be given in lower case with hyphens; the first constant otherwise. */
+    /** Returns a required enum constant, written as by {@link #kebabCase}; the first constant if it is invalid. */
     public <E extends Enum<E>> E requiredChoice(String key, Class<E> type) {
         return required(key).flatMap(text -> constant(key, text, type)).orElseGet(() -> type.getEnumConstants()[0]);
     }
 
-    /** Returns how a constant is written in documents: lower case with hyphens. */
-    public static String written(Enum<?> constant) {
+    /** Returns the name of an enum constant as written in documents: in lower case with hyphens. */
+    public static String kebabCase(Enum<?> constant) {
         return constant.name().toLowerCase(Locale.ROOT).replace('_', '-');
     }
 
-    /** Returns the section below a key; an empty one when it is missing. */
+    /** Returns the section at a key; an empty one if it is missing. */
     public Section section(String key) {
-        known.add(key);
+        requestedKeys.add(key);
         return children.computeIfAbsent(key, this::openSection);
     }
 
-    /** Returns the sections in the list below a key; none when it is missing. */
+    /** Returns the list of sections at a key; empty if it is missing. */
     public List<Section> sections(String key) {
         List<Section> found = new ArrayList<>();
         List<DocumentNode> items = items(key);
@@ -186,17 +186,17 @@
         return List.copyOf(found);
     }
 
-    /** Returns the sections below a key by their names, in the document's order; none when it is missing. */
+    /** Returns the sections at a key by their names, in the order of the document; empty if it is missing. */
     public Map<String, Section> namedSections(String key) {
-        Section whole = section(key);
+        Section mapping = section(key);
         Map<String, Section> found = new LinkedHashMap<>();
-        for (String name : whole.keys()) {
-            found.put(name, whole.section(name));
+        for (String name : mapping.keys()) {
+            found.put(name, mapping.section(name));
         }
         return found;
     }
 
-    /** Returns the texts in the list below a key; none when it is missing. */
+    /** Returns the list of texts at a key; empty if it is missing. */
     public List<String> texts(String key) {
         List<String> found = new ArrayList<>();
         List<DocumentNode> items = items(key);
@@ -206,60 +206,60 @@
         return List.copyOf(found);
     }
 
-    /** Returns the texts below a key by their names, in the document's order; none when it is missing. */
+    /** Returns the texts at a key by their names, in the order of the document; empty if it is missing. */
     public Map<String, String> map(String key) {
-        Section whole = section(key);
+        Section mapping = section(key);
         Map<String, String> found = new LinkedHashMap<>();
-        for (String name : whole.keys()) {
-            whole.scalar(name).ifPresent(text -> found.put(name, text));
+        for (String name : mapping.keys()) {
+            mapping.scalar(name).ifPresent(text -> found.put(name, text));
         }
         return found;
     }
 
-    /** Returns the value of a key of whatever shape as JSON text; empty when it is missing. */
+    /** Returns a value of any kind as JSON text; empty if it is missing. */
     public Optional<String> json(String key) {
-        known.add(key);
+        requestedKeys.add(key);
         return Optional.ofNullable(values.get(key)).map(JsonWriter::write);
     }
 
-    /** Returns the whole section as JSON text and notes all its keys as known. */
+    /** Returns the whole section as JSON text and marks all its keys as known. */
     public String toJson() {
-        known.addAll(keys.keySet());
+        requestedKeys.addAll(keys.keySet());
         return JsonWriter.write(node);
     }
 
-    /** Reports every key that was never asked for; {@link Document#finish()} calls it for all sections. */
+    /** Records a mistake for each key that was never requested; called by {@link Document#finish()}. */
     void rejectUnknownKeys() {
         for (Map.Entry<String, DocumentNode.Scalar> entry : keys.entrySet()) {
-            if (!known.contains(entry.getKey())) {
+            if (!requestedKeys.contains(entry.getKey())) {
                 document.addMistake(entry.getValue(), pathOf(entry.getKey()), "unknown key" + allowedKeys());
             }
         }
     }
 
     private String allowedKeys() {
-        if (known.isEmpty()) {
+        if (requestedKeys.isEmpty()) {
             return "; none is allowed here";
         }
-        return "; allowed here: " + String.join(", ", known);
+        return "; allowed here: " + String.join(", ", requestedKeys);
     }
 
     private Section openSection(String key) {
         DocumentNode value = values.get(key);
-        if (value instanceof DocumentNode.KeyedValues section) {
+        if (value instanceof DocumentNode.Mapping section) {
             return document.newSection(section, pathOf(key));
         }
-        if (value != null && !value.missing()) {
-            mistake(key, "a section of keys and values is needed, not " + value.kind());
+        if (value != null && !value.isNull()) {
+            mistake(key, "must be a mapping, not " + value.kind());
         }
         return emptySection(pathOf(key));
     }
 
     private Section sectionOf(DocumentNode item, String itemPath) {
-        if (item instanceof DocumentNode.KeyedValues section) {
+        if (item instanceof DocumentNode.Mapping section) {
             return document.newSection(section, itemPath);
         }
-        document.addMistake(item, itemPath, "a section of keys and values is needed, not " + item.kind());
+        document.addMistake(item, itemPath, "must be a mapping, not " + item.kind());
         return document.newSection(Document.emptySection(item.line(), item.column()), itemPath);
     }
 
@@ -268,20 +268,20 @@
     }
 
     private List<DocumentNode> items(String key) {
-        known.add(key);
+        requestedKeys.add(key);
         DocumentNode value = values.get(key);
-        if (value == null || value.missing()) {
+        if (value == null || value.isNull()) {
             return List.of();
         }
-        if (value instanceof DocumentNode.ItemList list) {
+        if (value instanceof DocumentNode.Sequence list) {
             return list.items();
         }
-        mistake(key, "a list is needed, not " + value.kind());
+        mistake(key, "must be a list, not " + value.kind());
         return List.of();
     }
 
     private Optional<String> required(String key) {
-        known.add(key);
+        requestedKeys.add(key);
         if (!values.containsKey(key)) {
             mistake(key, "is missing");
             return Optional.empty();
@@ -290,30 +290,30 @@
     }
 
     private Optional<String> scalar(String key) {
-        known.add(key);
+        requestedKeys.add(key);
         DocumentNode value = values.get(key);
         return value == null ? Optional.empty() : textOf(value, pathOf(key));
     }
 
     private Optional<String> textOf(DocumentNode value, String valuePath) {
-        if (value instanceof DocumentNode.Scalar scalar && !scalar.missing()) {
+        if (value instanceof DocumentNode.Scalar scalar && !scalar.isNull()) {
             return Optional.of(scalar.text());
         }
-        document.addMistake(value, valuePath, "a single value is needed, not " + value.kind());
+        document.addMistake(value, valuePath, "must be a single value, not " + value.kind());
         return Optional.empty();
     }
 
-    private Optional<Long> wholeWithin(String key, String text, long minimum, long maximum) {
-        Optional<Long> number = WHOLE.matcher(text).matches() ? Optional.of(Long.parseLong(text)) : Optional.empty();
-        String wanted = "a whole number from " + minimum + " to " + maximum;
-        return within(key, text, number, minimum, maximum, wanted);
+    private Optional<Long> integerWithin(String key, String text, long minimum, long maximum) {
+        Optional<Long> number = INTEGER.matcher(text).matches() ? Optional.of(Long.parseLong(text)) : Optional.empty();
+        String expected = "a whole number from " + minimum + " to " + maximum;
+        return within(key, text, number, minimum, maximum, expected);
     }
 
     private Optional<Double> decimalWithin(String key, String text, double minimum, double maximum) {
         Optional<Double> number =
                 DECIMAL.matcher(text).matches() ? Optional.of(Double.parseDouble(text)) : Optional.empty();
-        String wanted = "a number from " + plain(minimum) + " to " + plain(maximum);
-        return within(key, text, number, minimum, maximum, wanted);
+        String expected = "a number from " + plain(minimum) + " to " + plain(maximum);
+        return within(key, text, number, minimum, maximum, expected);
     }
 
     private static String plain(double number) {
@@ -321,25 +321,25 @@
     }
 
     private Optional<Duration> durationWithin(String key, String text, Duration minimum, Duration maximum) {
-        String wanted = "a duration from " + Units.duration(minimum) + " to " + Units.duration(maximum)
+        String expected = "a duration from " + Units.formatDuration(minimum) + " to " + Units.formatDuration(maximum)
                 + ", as a whole number with us, ms, s, m or h";
-        return within(key, text, Units.parseDuration(text), minimum, maximum, wanted);
+        return within(key, text, Units.parseDuration(text), minimum, maximum, expected);
     }
 
     private Optional<Long> bytesWithin(String key, String text, long minimum, long maximum) {
-        String wanted = "a size from " + Units.bytes(minimum) + " to " + Units.bytes(maximum)
+        String expected = "a size from " + Units.formatBytes(minimum) + " to " + Units.formatBytes(maximum)
                 + ", as a whole number with B, KiB, MiB, GiB or TiB";
-        return within(key, text, Units.parseBytes(text), minimum, maximum, wanted);
+        return within(key, text, Units.parseBytes(text), minimum, maximum, expected);
     }
 
     private <T extends Comparable<T>> Optional<T> within(
-            String key, String text, Optional<T> value, T minimum, T maximum, String wanted) {
+            String key, String text, Optional<T> value, T minimum, T maximum, String expected) {
         if (value.isPresent()
                 && value.get().compareTo(minimum) >= 0
                 && value.get().compareTo(maximum) <= 0) {
             return value;
         }
-        mistake(key, quoted(text) + " is not " + wanted);
+        mistake(key, quoted(text) + " is not " + expected);
         return Optional.empty();
     }
 
@@ -352,7 +352,7 @@
     }
 
     private <E extends Enum<E>> Optional<E> constant(String key, String text, Class<E> type) {
-        Function<E, String> name = Section::written;
+        Function<E, String> name = Section::kebabCase;
         for (E constant : type.getEnumConstants()) {
             if (name.apply(constant).equals(text)) {
                 return Optional.of(constant);
@@ -364,7 +364,7 @@
     }
 
     private static String quoted(String text) {
-        String shown = text.length() <= LONGEST_QUOTE ? text : text.substring(0, LONGEST_QUOTE) + "...";
+        String shown = text.length() <= MAXIMUM_QUOTED_LENGTH ? text : text.substring(0, MAXIMUM_QUOTED_LENGTH) + "...";
         return '"' + shown + '"';
     }
 
--- a/load/src/main/java/org/chivetally/load/Figure.java
+++ b/load/src/main/java/org/chivetally/load/Figure.java
@@ -67,7 +67,7 @@
 
     /** Returns the name as it stands in plans and reports. */
     public String text() {
-        return Section.written(this);
+        return Section.kebabCase(this);
     }
 
     /** Returns the number of decimals worth printing. */
@@ -81,7 +81,7 @@
     }
 
     /** Returns the sign between a value and its limit. */
-    public String sign() {
+    public String operator() {
         return better == Better.LOWER ? "<=" : ">=";
     }
 
