--- a/command/src/main/java/org/chivetally/command/EntryCommand.java
+++ b/command/src/main/java/org/chivetally/command/EntryCommand.java
@@ -10,12 +10,12 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Mixin;
 
-/** Runs an entry. */
+/** Runs an entry daemon. */
 @Command(
         name = "entry",
         description = {
-            "Run an entry: takes jobs of callers, coordinates them, and serves resources to operators.",
-            "SIGTERM stops it gracefully: no request in progress is cut."
+            "Run an entry, which accepts jobs from callers, coordinates them, and serves resources to operators.",
+            "SIGTERM stops it gracefully: requests in progress are completed first."
         })
 final class EntryCommand implements Callable<Integer> {
     private static final String SIGNAL = "signal";
@@ -26,10 +26,11 @@
     @Override
     public Integer call() throws InterruptedException {
         EntryDaemonSettings settings = SettingsFile.readEntry(options.settings());
-        DaemonRuntime run = DaemonRuntime.start(settings.process());
-        ActorSystem<Void> system = run.system();
-        EntryDaemon daemon = DaemonRuntime.await(EntryDaemon.start(system, settings, run.log(), NanoClock.system()));
-        run.awaitSignal(daemon.whenStopped(), () -> daemon.drain(SIGNAL));
+        DaemonRuntime runtime = DaemonRuntime.start(settings.process());
+        ActorSystem<Void> system = runtime.system();
+        EntryDaemon daemon =
+                DaemonRuntime.await(EntryDaemon.start(system, settings, runtime.log(), NanoClock.system()));
+        runtime.awaitSignal(daemon.whenStopped(), () -> daemon.drain(SIGNAL));
         return ExitCodes.INTERNAL;
     }
 }
--- a/command/src/test/java/org/chivetally/command/StandaloneTest.java
+++ b/command/src/test/java/org/chivetally/command/StandaloneTest.java
@@ -21,7 +21,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The whole path, over HTTP from the command line: one deployment in this process serves all tests. */
+/** Runs commands over HTTP against a complete deployment in this process, which all tests share. */
 class StandaloneTest {
     private static final String EXAMPLES = "../examples/";
 
@@ -44,19 +44,18 @@
     }
 
     /**
-     * A caller submits the largest job and, with the same key, submits it again at another entry. It sees the same
-     * answer twice, because the second entry attaches to the first claim; the minions' own records show one start for
-     * each task.
+     * A caller submits the largest job twice with the same key, at different entries. The second entry must attach to
+     * the first claim and return the same answer; the minions' own records show one start for each task.
      */
     @Test
-    void aJobIsAnsweredOnceWhateverEntryIsAsked() {
-        long before = Demonstration.countStarts(running);
+    void aResubmissionAtAnotherEntryReturnsTheSameAnswer() {
+        long startsBefore = Demonstration.countStarts(running);
         CommandResult first = atEntry(0, "submit", EXAMPLES + "job-250.yaml", "--key", "once", "-o", "json");
         assertThat(first.error(), first.code(), is(ExitCodes.OK));
         assertThat(first.out(), allOf(containsString("report 1 routed"), containsString("report 250 routed")));
         CommandResult second = atEntry(2, "submit", EXAMPLES + "job-250.yaml", "--key", "once", "-o", "json");
         assertThat(second.out(), is(first.out()));
-        assertThat(Demonstration.countStarts(running) - before, is(250L));
+        assertThat(Demonstration.countStarts(running) - startsBefore, is(250L));
     }
 
     @Test
@@ -84,9 +83,9 @@
         Path job = Files.writeString(
                 folder.resolve("failing.yaml"),
                 "service: trail-report-routing\ntasks: [{payload: {workMillis: 0, fail: true}}]\n");
-        CommandResult run = atEntry(0, "submit", job.toString());
-        assertThat(run.code(), is(ExitCodes.FAILED));
-        assertThat(run.error(), containsString("task-failed (failed)"));
+        CommandResult result = atEntry(0, "submit", job.toString());
+        assertThat(result.code(), is(ExitCodes.FAILED));
+        assertThat(result.error(), containsString("task-failed (failed)"));
     }
 
     @Test
@@ -107,19 +106,19 @@
     }
 
     /**
-     * Two operators saw the same version of a resource and both change it. The second write sees a conflict that names
-     * the other's version, as it carries the version it is based on.
+     * Two operators change a resource based on the same version. The second write must be refused as a conflict that
+     * names the first one, and must not overwrite it.
      */
     @Test
-    void theLoserOfARaceSeesAConflict() throws Exception {
+    void theSecondOfTwoConcurrentWritesIsAConflict() throws Exception {
         Path team = folder.resolve("team.yaml");
         Files.writeString(team, "kind: team\nname: raced\nspec: {weight: 2}\n");
         String[] basedOnNothing = {"apply", "-f", team.toString(), "--based-on", "team/raced=0"};
         assertThat(atEntry(0, basedOnNothing).code(), is(ExitCodes.OK));
         Files.writeString(team, "kind: team\nname: raced\nspec: {weight: 3}\n");
-        CommandResult loser = atEntry(0, basedOnNothing);
-        assertThat(loser.code(), is(ExitCodes.CONFLICT));
-        assertThat(loser.error(), containsString("team/raced was changed by"));
+        CommandResult secondWrite = atEntry(0, basedOnNothing);
+        assertThat(secondWrite.code(), is(ExitCodes.CONFLICT));
+        assertThat(secondWrite.error(), containsString("team/raced was changed by"));
         assertThat(atEntry(0, "describe", "team", "raced").out(), containsString("weight: 2"));
     }
 
@@ -132,8 +131,8 @@
 
     private static CommandResult atEntry(int position, String... arguments) {
         URI entry = running.entries().get(position);
-        List<String> all = new ArrayList<>(List.of(arguments));
-        all.addAll(List.of("--entry", entry.toString()));
-        return CommandResult.of(all.toArray(String[]::new));
+        List<String> allArguments = new ArrayList<>(List.of(arguments));
+        allArguments.addAll(List.of("--entry", entry.toString()));
+        return CommandResult.of(allArguments.toArray(String[]::new));
     }
 }
--- a/library/src/test/java/org/chivetally/claim/SnapshotReaderTest.java
+++ b/library/src/test/java/org/chivetally/claim/SnapshotReaderTest.java
@@ -23,23 +23,23 @@
 
     @Test
     void emptyStreamHasNoSnapshot() {
-        assertThat(load(), is(new SnapshotLoad.None()));
+        assertThat(load(), is(new SnapshotLoadResult.None()));
     }
 
     @Test
-    void logThatIsDownIsTold() {
-        log.down(true);
-        assertThat(load(), instanceOf(SnapshotLoad.Unavailable.class));
+    void unavailableLogIsReported() {
+        log.setDown(true);
+        assertThat(load(), instanceOf(SnapshotLoadResult.Unavailable.class));
     }
 
     @Test
-    void newestWholeSnapshotIsReadFromManyParts() {
+    void newestCompleteSnapshotIsReadFromManyChunks() {
         List<NewRecord> chunks = chunks(table(4_000), "a");
         assertThat(chunks.size(), greaterThan(32));
         chunks.forEach(chunk -> assertThat(chunk.payload().length, lessThanOrEqualTo(CHUNK_BYTES)));
         write(chunks(table(500), "b"));
         write(chunks);
-        assertThat(load(), is(new SnapshotLoad.Found(table(4_000).image())));
+        assertThat(load(), is(new SnapshotLoadResult.Found(table(4_000).image())));
     }
 
     /*
@@ -47,20 +47,20 @@
      * Its writer died between two chunks; a reader that took the parts for the whole would let keys be claimed again.
      */
     @Test
-    void snapshotCutHalfWayIsPassedOver() {
+    void incompleteSnapshotIsIgnored() {
         write(chunks(table(500), "a"));
         List<NewRecord> newer = chunks(table(1_000), "b");
         write(newer.subList(0, newer.size() / 2));
-        assertThat(load(), is(new SnapshotLoad.Found(table(500).image())));
+        assertThat(load(), is(new SnapshotLoadResult.Found(table(500).image())));
     }
 
     @Test
-    void damagedSnapshotIsPassedOver() {
+    void damagedSnapshotIsIgnored() {
         write(chunks(table(300), "a"));
         List<NewRecord> newer = chunks(table(1_000), "b");
         newer.getLast().payload()[newer.getLast().payload().length / 2]++;
         write(newer);
-        assertThat(load(), is(new SnapshotLoad.Found(table(300).image())));
+        assertThat(load(), is(new SnapshotLoadResult.Found(table(300).image())));
     }
 
     /*
@@ -73,10 +73,10 @@
         try (InputStream first = SnapshotReaderTest.class.getResourceAsStream("claim-snapshot-format-1.txt")) {
             write(List.of(new NewRecord("old", first.readAllBytes())));
         }
-        assertThat(load(), is(new SnapshotLoad.Found(table(300).image())));
+        assertThat(load(), is(new SnapshotLoadResult.Found(table(300).image())));
         SnapshotAssembler assembler = new SnapshotAssembler();
         log.records(STREAM).forEach(assembler::add);
-        assertThat(assembler.otherFormats(), contains(1));
+        assertThat(assembler.unsupportedFormats(), contains(1));
     }
 
     /*
@@ -84,24 +84,24 @@
      * Chunks name their snapshot and part, so that those of the two can't be taken for each other's.
      */
     @Test
-    void twoWritersDoNoHarm() {
+    void interleavedSnapshotsAreReadSeparately() {
         List<NewRecord> older = chunks(table(900), "a");
         List<NewRecord> newer = chunks(table(1_000), "b");
         for (int part = 0; part < newer.size(); part++) {
             log.write(STREAM, newer.get(part), older.get(Math.min(part, older.size() - 1)), newer.get(part));
         }
-        assertThat(load(), is(new SnapshotLoad.Found(table(1_000).image())));
+        assertThat(load(), is(new SnapshotLoadResult.Found(table(1_000).image())));
     }
 
     @Test
-    void snapshotWhoseFirstPartsExpiredIsPassedOver() {
+    void snapshotWithExpiredChunksIsIgnored() {
         List<NewRecord> only = chunks(table(1_000), "a");
         write(only);
         log.expire(STREAM, 1);
-        assertThat(load(), is(new SnapshotLoad.None()));
+        assertThat(load(), is(new SnapshotLoadResult.None()));
     }
 
-    private SnapshotLoad load() {
+    private SnapshotLoadResult load() {
         return reader.load().toCompletableFuture().join();
     }
 
@@ -118,7 +118,7 @@
         IntStream.range(0, claims).forEach(number -> {
             SubmissionKey key = new SubmissionKey("team", "key \"" + number);
             ClaimRecord content = ClaimSamples.claimed(key, ClaimSamples.BODY, "job-" + number, "p" + number % 3);
-            table.fold(number, ClaimSamples.id("p" + number % 3, number + 1), new ClaimEntry(content, number));
+            table.fold(number, ClaimSamples.id("p" + number % 3, number + 1), new TimestampedRecord(content, number));
         });
         return table;
     }
