--- a/library/src/test/java/org/chivetally/document/DocumentTest.java
+++ b/library/src/test/java/org/chivetally/document/DocumentTest.java
@@ -132,6 +132,7 @@
         assertThat(mistake.message(), containsString(message));
     }
 
+    /** Unbounded nesting would overflow the stack of the recursive reader. */
     @Test
     void rejectsDeepNestingAndASecondDocument() {
         Document deep = Document.parse("f", "a: " + "[".repeat(100_000));
@@ -158,6 +159,9 @@
         assertThat(document.finish().list(), empty());
     }
 
+    /**
+     * Random and malformed texts must give mistakes with a place, not exceptions, whatever the parser does with them.
+     */
     @Property(tries = 2000)
     void neverThrowsAndReportsThePlaceOfEachMistake(@ForAll("texts") String text) {
         for (Document document : Document.parseAll("f", text)) {
--- a/library/src/test/java/org/chivetally/document/Utf8Test.java
+++ b/library/src/test/java/org/chivetally/document/Utf8Test.java
@@ -7,6 +7,7 @@
 import java.util.HexFormat;
 import org.junit.jupiter.api.Test;
 
+/** A replacement character in the input is valid; it must not be mistaken for the result of a decoding error. */
 class Utf8Test {
     @Test
     void keepsReplacementCharactersOfTheInput() {
@@ -14,6 +15,7 @@
         assertThat(Utf8.decode(text.getBytes(StandardCharsets.UTF_8)), is((Utf8.Decoded) new Utf8.Decoded.Text(text)));
     }
 
+    /** Covers truncated characters within and at the end of a text, and an encoded surrogate. */
     @Test
     void reportsThePlaceOfTheFirstInvalidByte() {
         assertThat(Utf8.decode(HexFormat.of().parseHex("610a62c36364ff")), is((Utf8.Decoded)
--- a/library/src/test/java/org/chivetally/http/HttpListenerTest.java
+++ b/library/src/test/java/org/chivetally/http/HttpListenerTest.java
@@ -80,6 +80,7 @@
         return text.toString();
     }
 
+    /** A client pipelines two requests; the second must not be handled before the first is answered. */
     @Test
     void answersRequestsOnOneConnectionInTheirOrder() throws Exception {
         try (Socket socket = connect("GET /a HTTP/1.1\r\nHost: h\r\n\r\nGET /b HTTP/1.1\r\nHost: h\r\n\r\n")) {
@@ -95,6 +96,7 @@
         }
     }
 
+    /** Without a limit, a single request could exhaust the memory. */
     @Test
     void rejectsBodiesOverTheLimit() throws Exception {
         try (Socket socket = connect("POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 65\r\n\r\n")) {
@@ -119,6 +121,7 @@
         assertThat(disconnected.await(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS), is(true));
     }
 
+    /** Clients with persistent connections would otherwise keep sending requests to a process that is stopping. */
     @Test
     void closesConnectionsAfterTheirResponseWhileDraining() throws Exception {
         try (Socket socket = connect("GET /a HTTP/1.1\r\nHost: h\r\n\r\n")) {
@@ -157,6 +160,7 @@
         assertThat(failed.sent(), is(true));
     }
 
+    /** Nothing listens on the port, so the request was certainly not processed and may safely be retried. */
     @Test
     void reportsThatARequestWasNotSent() throws Exception {
         PooledHttpClient client =
--- a/library/src/test/java/org/chivetally/log/InMemoryPlatformLogTest.java
+++ b/library/src/test/java/org/chivetally/log/InMemoryPlatformLogTest.java
@@ -152,6 +152,8 @@
         MatcherAssert.assertThat(getNow(appends.get(2)), Matchers.is(new AppendOutcome.Appended(2)));
     }
 
+    // Four writers append while a reader waits: a lost update would skip or repeat offsets, and a lost wake-up would
+    // delay the reader.
     @Test
     void concurrentAppendsGetDistinctOffsetsAndCompleteTheRead() throws InterruptedException {
         InMemoryPlatformLog log = log(InMemoryLogSettings.immediate());
--- a/library/src/test/java/org/chivetally/logging/EventLineTest.java
+++ b/library/src/test/java/org/chivetally/logging/EventLineTest.java
@@ -20,6 +20,7 @@
         assertThat(line, is("event=placement job=j1 task=7"));
     }
 
+    /** Unquoted, such values would break the parsing of the line into pairs. */
     @Test
     void quotesValuesWithSpecialCharacters() {
         String line = EventLine.of("refusal")
--- a/library/src/test/java/org/chivetally/logging/TimestampFormatterTest.java
+++ b/library/src/test/java/org/chivetally/logging/TimestampFormatterTest.java
@@ -17,6 +17,7 @@
         assertThat(time.format(61_999), is("1970-01-01T00:01:01.999Z"));
     }
 
+    /** The cached second must not be used for earlier times when the wall clock is set back. */
     @Test
     void formatsTimesOfAClockThatIsSetBack() {
         TimestampFormatter time = new TimestampFormatter();
--- a/library/src/test/java/org/chivetally/settings/SettingsTest.java
+++ b/library/src/test/java/org/chivetally/settings/SettingsTest.java
@@ -22,6 +22,7 @@
 class SettingsTest {
     private static final Path EXAMPLES = Path.of("..", "examples", "settings");
 
+    /** Operators should not have to restart a daemon once for each mistake in its settings. */
     @ParameterizedTest
     @ValueSource(strings = {"entry", "agent"})
     void reportsAllMistakesOfAFileTogether(String daemon) throws IOException {
--- a/library/src/test/java/org/chivetally/transport/DelayRoundingIoHandlerTest.java
+++ b/library/src/test/java/org/chivetally/transport/DelayRoundingIoHandlerTest.java
@@ -61,6 +61,7 @@
                         TimeUnit.MICROSECONDS);
     }
 
+    /** Rounding the delay down would fire timers up to a millisecond early. */
     @Test
     void neverFiresEarly() throws Exception {
         long start = System.nanoTime();
--- a/library/src/test/java/org/chivetally/transport/FrameTransportTest.java
+++ b/library/src/test/java/org/chivetally/transport/FrameTransportTest.java
@@ -63,6 +63,7 @@
         assertThat(server.nextFrame(), is(frame));
     }
 
+    /** Closing immediately would lose the frames that are still queued. */
     @Test
     void flushesSentFramesBeforeClosing() throws InterruptedException {
         transport.dial(LOOPBACK, address.getPort(), client);
@@ -76,6 +77,7 @@
         assertThat(server.unreadFrames(), is(0));
     }
 
+    /** Nothing listens on the port; the failure must be reported so that the caller can retry. */
     @Test
     void reportsAFailedConnectionAttempt() throws Exception {
         int closedPort;
@@ -114,6 +116,7 @@
         assertThat(server.nextDisconnectReason(), containsString("TooLongFrame"));
     }
 
+    /** The peer would close the connection on an oversize frame, and other requests in flight on it would fail. */
     @Test
     void dropsAnOversizeFrameAndKeepsTheConnection() throws InterruptedException {
         transport.dial(LOOPBACK, address.getPort(), client);
@@ -142,6 +145,7 @@
         }
     }
 
+    /** During a rolling upgrade, a newer release may send frame types that this one does not know. */
     @Test
     void skipsUnknownFrameTypes() throws InterruptedException {
         transport.dial(LOOPBACK, address.getPort(), client);
