--- a/command/src/main/java/org/chivetally/command/client/EntryClient.java
+++ b/command/src/main/java/org/chivetally/command/client/EntryClient.java
@@ -97,7 +97,7 @@
     }
 
     // If the connection breaks after the request was sent, a write may or may not have been executed. Reporting it as
-    // not done would invite the caller to execute it twice. A read changes nothing, so it is reported as unavailable.
+    // not done would invite the caller to execute it twice. A read changes nothing, so the entry counts as unavailable.
     private ChivetallyException lostAnswer(EntryRequest request, Exception cause) {
         if (request.isRead()) {
             return new ChivetallyException(ErrorCode.NOT_READY, "the answer of " + entry + " was lost", cause);
--- a/command/src/main/java/org/chivetally/command/client/EntryReply.java
+++ b/command/src/main/java/org/chivetally/command/client/EntryReply.java
@@ -17,7 +17,7 @@
     private static final JsonMapper MAPPER = JsonMapper.shared();
     private static final int FIRST_ERROR_STATUS = 400;
 
-    /** Returns whether the status is one of success. */
+    /** Returns whether the request succeeded. */
     public boolean succeeded() {
         return status < FIRST_ERROR_STATUS;
     }
--- a/command/src/main/java/org/chivetally/command/daemon/GracefulStop.java
+++ b/command/src/main/java/org/chivetally/command/daemon/GracefulStop.java
@@ -25,7 +25,7 @@
     /**
      * Creates a graceful stop, which takes effect with {@link #awaitSignal()}.
      *
-     * @param limit maximum time to wait for the drain
+     * @param drainTimeout maximum time to wait for the drain
      * @param drain starts the drain; its stage completes when no request is in progress any more
      */
     public GracefulStop(Duration drainTimeout, Supplier<CompletionStage<Void>> drain) {
@@ -58,8 +58,7 @@
     }
 
     // On a signal the JVM ends as soon as its shutdown hooks return. The hook therefore waits for the drain, as
-    // requests
-    // in progress would be aborted otherwise. The timeout keeps a drain that hangs from blocking the machine.
+    // requests in progress would be aborted otherwise. The timeout keeps a drain that hangs from blocking the machine.
     private void run() {
         LOGGER.atInfo().log("%s", EventLine.of("drain-started").with("limit", drainTimeout));
         String result = awaitDrain();
--- a/command/src/main/java/org/chivetally/command/daemon/LogSetup.java
+++ b/command/src/main/java/org/chivetally/command/daemon/LogSetup.java
@@ -29,8 +29,7 @@
         ROOT.setLevel(higher(level, Level.WARNING));
         CHIVETALLY.setLevel(level);
         // Initializes SLF4J before Pekko logs from several threads at its start: SLF4J buffers events that arrive
-        // during
-        // its initialization, and prints a warning about them.
+        // during its initialization, and prints a warning about them.
         LoggerFactory.getILoggerFactory();
     }
 
--- a/command/src/main/java/org/chivetally/command/losses/JobHistory.java
+++ b/command/src/main/java/org/chivetally/command/losses/JobHistory.java
@@ -6,8 +6,8 @@
 /** Events of one job in the log of an entry, by which its loss is classified. */
 final class JobHistory {
     /**
-     * Number of objectives after which the end of a job is worth nothing; entries log the time left until that
-     * deadline.
+     * Deadline of a job as a multiple of its latency objective. A result after it is worth nothing; entries log the
+     * time left until it.
      */
     private static final int DEADLINE_IN_OBJECTIVES = 3;
 
@@ -21,7 +21,7 @@
     private boolean runLost;
     private Optional<Loss> loss = Optional.empty();
 
-    /** Starts with the log line of the job's acceptance by an entry. */
+    /** Starts a history with the log line of the job's acceptance by an entry. */
     JobHistory(LogLine accepted) {
         this.acceptedAt = accepted.time();
         this.objectiveMillis = accepted.wholeNumber("left_ms") / DEADLINE_IN_OBJECTIVES;
--- a/command/src/main/java/org/chivetally/command/losses/LogLine.java
+++ b/command/src/main/java/org/chivetally/command/losses/LogLine.java
@@ -47,7 +47,7 @@
         return values.getOrDefault(key, "");
     }
 
-    /** Returns a value as a whole number, or 0 if it is missing, as some log lines omit pairs without information. */
+    /** Returns a value as a whole number, or 0 if it is missing; log lines may omit pairs that carry no information. */
     long wholeNumber(String key) {
         String value = text(key);
         return value.matches("-?\\d{1,18}") ? Long.parseLong(value) : 0;
--- a/command/src/main/java/org/chivetally/command/losses/LossTable.java
+++ b/command/src/main/java/org/chivetally/command/losses/LossTable.java
@@ -97,7 +97,7 @@
             header.append(" %18s".formatted(loss.title()));
         }
         lines.add(header.toString());
-        starts.keySet().forEach(row -> counts.computeIfAbsent(row, same -> new EnumMap<>(Loss.class)));
+        starts.keySet().forEach(row -> counts.computeIfAbsent(row, absentRow -> new EnumMap<>(Loss.class)));
         counts.forEach((row, byLoss) -> lines.add(line(row, byLoss)));
         if (skippedLines > 0) {
             lines.add(skippedLines + " lines passed over, as they are not log lines of chivetally");
--- a/standins/src/main/java/org/chivetally/standins/StandInHttp.java
+++ b/standins/src/main/java/org/chivetally/standins/StandInHttp.java
@@ -69,8 +69,9 @@
                 .withParserSettings(defaults.getParserSettings()
                         .withMaxContentLength(MAXIMUM_REQUEST_BYTES)
                         .withMaxToStrictBytes(MAXIMUM_REQUEST_BYTES))
-                // By default the server answers 503 after 20 s. That would be wrong for a slow append or a hung
-                // task, which may still take effect: late answers must arrive late, and missing ones never.
+                // By default the server answers 503 after 20 s. That would be wrong for a slow append or a hung task,
+                // which may still take effect. Without the timeouts, late answers arrive late and a silent minion never
+                // answers.
                 .withTimeouts(defaults.getTimeouts()
                         .withRequestTimeout(Duration.Inf())
                         .withIdleTimeout(Duration.Inf()));
--- a/standins/src/main/java/org/chivetally/standins/TcpRelay.java
+++ b/standins/src/main/java/org/chivetally/standins/TcpRelay.java
@@ -81,7 +81,7 @@
      * @param listenPort port on the loopback address; 0 takes a free one
      * @param target supplies the address to forward to for each connection, so that the target may start after the
      *     relay
-     * @param distance delay of each byte in each direction, in addition to the delay of the faults
+     * @param oneWayDelay delay of each byte in each direction, in addition to the delay of the faults
      */
     public static TcpRelay start(int listenPort, Supplier<InetSocketAddress> target, Duration oneWayDelay) {
         TcpRelay relay = new TcpRelay(target, oneWayDelay);
--- a/standins/src/test/java/org/chivetally/log/HttpPlatformLogTest.java
+++ b/standins/src/test/java/org/chivetally/log/HttpPlatformLogTest.java
@@ -125,8 +125,7 @@
     }
 
     // Nothing listens at the address, so the connection is refused before any byte of the append is sent, and the
-    // append
-    // certainly did not take effect.
+    // append certainly did not take effect.
     @Test
     void anAppendOverARefusedConnectionIsRefused() throws IOException {
         HttpPlatformLog unreachableLog = new HttpPlatformLog(kit.system(), closedPort(), LONG_TIMEOUT);
@@ -139,8 +138,7 @@
     }
 
     // The server closes the connection after it has started to read the append, so it is unknown whether the append
-    // took
-    // effect.
+    // took effect.
     @Test
     void aConnectionClosedAfterSendingIsUnknown() throws IOException {
         try (ServerSocket socket = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
@@ -167,8 +165,7 @@
     }
 
     // A proxy answers 503 after it forwarded the append. Only a body in the format of the log makes it a refusal;
-    // without
-    // one, the append must not be reported as not written.
+    // without one, the append must not be reported as not written.
     @Test
     void aRefusalByAProxyIsUnknown() throws IOException {
         try (ServerSocket socket = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
@@ -181,8 +178,8 @@
     }
 
     // More reads are waiting than the client has connections for reads. An append of the same client must still
-    // complete
-    // at once; if it shared their connections, it would be queued behind reads that only this append can complete.
+    // complete at once; if it shared their connections, it would be queued behind reads that only this append can
+    // complete.
     @Test
     void waitingReadsDoNotBlockAppends() {
         List<CompletionStage<ReadOutcome>> reads = Stream.generate(
--- a/standins/src/test/java/org/chivetally/standins/LogStandInTest.java
+++ b/standins/src/test/java/org/chivetally/standins/LogStandInTest.java
@@ -53,8 +53,7 @@
     }
 
     // A request that names two faults sets only these, and appends are then refused with the body that marks them as
-    // not
-    // written. A misspelt fault must be refused rather than ignored, or a fault test could pass without its fault.
+    // not written. A misspelt fault must be refused rather than ignored, or a fault test could pass without its fault.
     @Test
     void faultsAreSetWhileItRuns() {
         HttpTester.Answer set = server.put("/faults", "{\"down\":true,\"expireUpTo\":{\"claims\":7}}");
--- a/standins/src/test/java/org/chivetally/standins/MinionStandInTest.java
+++ b/standins/src/test/java/org/chivetally/standins/MinionStandInTest.java
@@ -83,8 +83,7 @@
     }
 
     // The minion allows one connection that carries tasks, and one task uses it. A task over a second connection must
-    // be
-    // refused and counted as an overrun although a slot is free. Requests for state and control don't count.
+    // be refused and counted as an overrun although a slot is free. Requests for state and control don't count.
     @Test
     void aTaskOverTheConnectionLimitIsRefused() {
         server.send(task("{\"workMillis\":%d}".formatted(VERY_LONG_MILLIS)));
--- a/standins/src/test/java/org/chivetally/standins/MinionTest.java
+++ b/standins/src/test/java/org/chivetally/standins/MinionTest.java
@@ -85,8 +85,7 @@
     }
 
     // Both slots are in use, and a caller starts its next task as soon as it receives an answer. The slot must be free
-    // by
-    // then, or a caller that respects the limit would be counted as exceeding it.
+    // by then, or a caller that respects the limit would be counted as exceeding it.
     @Test
     void aSlotIsFreeBeforeTheAnswerIsSent() {
         run("a", 10, false);
--- a/standins/src/test/java/org/chivetally/standins/TcpRelayTest.java
+++ b/standins/src/test/java/org/chivetally/standins/TcpRelayTest.java
@@ -84,8 +84,7 @@
     }
 
     // New connections are accepted but not forwarded, or closed at once; in both cases the target doesn't see them.
-    // After
-    // the fault is removed, new connections are forwarded again.
+    // After the fault is removed, new connections are forwarded again.
     @Test
     void newConnectionsMayBeSilentOrClosed() throws IOException {
         relay.setFaults(new RelayFaults(0, Silence.NONE, false, NewConnections.SILENT));
