--- a/library/src/main/java/org/chivetally/queue/entry/InMemoryJobs.java
+++ b/library/src/main/java/org/chivetally/queue/entry/InMemoryJobs.java
@@ -183,7 +183,7 @@
         close(expired, "deadline exceeded");
         expired.answerCallers(
                 started
-                        ? new JobAnswer.Undecided("not finished before the deadline")
+                        ? new JobAnswer.Undecided("not done in time")
                         : new JobAnswer.Refused(RefusalReason.NOT_STARTED_IN_TIME, RETRY_AFTER));
     }
 
