--- a/library/src/main/java/org/chivetally/queue/agent/RetryingMinionPort.java
+++ b/library/src/main/java/org/chivetally/queue/agent/RetryingMinionPort.java
@@ -32,7 +32,7 @@
     /**
      * How long calls count as being lost after a loss. With one call in twenty lost, several losses occur in this time.
      */
-    static final Duration LOSS_MEMORY = Duration.ofSeconds(2);
+    static final Duration RECENT_LOSS_WINDOW = Duration.ofSeconds(2);
 
     private static final FluentLogger LOGGER = FluentLogger.forEnclosingClass();
 
@@ -98,7 +98,7 @@
     }
 
     private boolean hasRecentLoss() {
-        return lastLossNanos.isPresent() && timers.nanos() - lastLossNanos.getAsLong() < LOSS_MEMORY.toNanos();
+        return lastLossNanos.isPresent() && timers.nanos() - lastLossNanos.getAsLong() < RECENT_LOSS_WINDOW.toNanos();
     }
 
     /**
--- a/library/src/test/java/org/chivetally/queue/placement/FleetSimulation.java
+++ b/library/src/test/java/org/chivetally/queue/placement/FleetSimulation.java
@@ -41,7 +41,7 @@
 
     private static final long HEARTBEAT_INTERVAL_NANOS = 250 * MILLISECOND_NANOS;
     /** Delay after which an agent reports freed room while its room is scarce. */
-    private static final long REPORT_INTERVAL_NANOS = 60 * MILLISECOND_NANOS;
+    private static final long REPORT_DELAY_NANOS = 60 * MILLISECOND_NANOS;
     /** Time for which an agent keeps a start that doesn't fit before it refuses it. */
     private static final long START_WAIT_NANOS = 30 * MILLISECOND_NANOS;
 
@@ -412,7 +412,7 @@
             boolean scarce = 4 * free.processorMillis() < capacity.processorMillis();
             if (scarce && !reportScheduled) {
                 reportScheduled = true;
-                schedule(REPORT_INTERVAL_NANOS, () -> {
+                schedule(REPORT_DELAY_NANOS, () -> {
                     reportScheduled = false;
                     reportToAll();
                 });
