--- a/library/src/main/java/org/chivetally/queue/agent/AgentNode.java
+++ b/library/src/main/java/org/chivetally/queue/agent/AgentNode.java
@@ -39,8 +39,8 @@
 import org.chivetally.wire.v1.WorkerReport;
 
 /**
- * Connects an agent with the entries. It accepts starts from partition owners, refuses those of owners that have been
- * replaced, and reports to owners how their runs ended.
+ * Connects an agent with the entries. It accepts starts from the owners of jobs, refuses those of partition owners that
+ * have been replaced, and reports to owners how their runs ended.
  */
 public final class AgentNode implements LinkListener, SupervisorListener {
     /**
--- a/library/src/main/java/org/chivetally/queue/agent/MinionReconciler.java
+++ b/library/src/main/java/org/chivetally/queue/agent/MinionReconciler.java
@@ -138,8 +138,8 @@
     }
 
     /**
-     * Returns the owner of a run that the agent's predecessor started. Only durable jobs have an owner that is still
-     * there.
+     * Returns the owner of a run that the agent's predecessor started. Only durable jobs have an owner that does not
+     * end with a process: their partition.
      */
     private RunOwner partitionOf(RunKey run) {
         return new RunOwner.Partition(Partitions.of(run.task().jobId(), partitions));
--- a/library/src/main/java/org/chivetally/queue/agent/RunSupervisor.java
+++ b/library/src/main/java/org/chivetally/queue/agent/RunSupervisor.java
@@ -102,7 +102,7 @@
     private long acknowledgedThrough;
     private long lastAnswerNanos;
 
-    /** Creates a supervisor without a minion; durable jobs are divided among a number of partitions. */
+    /** Creates a supervisor without a minion. Durable jobs are divided among the given number of partitions. */
     public RunSupervisor(Timers timers, MinionPort port, SupervisorListener listener, int partitions) {
         this.timers = timers;
         this.port = port;
@@ -347,9 +347,7 @@
         minionChanged();
     }
 
-    /**
-     * Discards the state of an incarnation, which is replaced by the minion with the new id; empty if there is none.
-     */
+    /** Discards an incarnation whose runs end with the given outcome; the new id is empty if no minion replaces it. */
     private void discardIncarnation(MinionState old, String newMinionId, RunOutcome outcome, String reason) {
         restored = false;
         awaitingAnnouncement = false;
@@ -503,8 +501,8 @@
 
     /**
      * Tells whether the minion may have been restarted under the same id since its last answer. An acknowledgement
-     * would make the new incarnation discard its own ends, and a lease end by the old clock would be the longest that
-     * it grants.
+     * would make the new incarnation discard its own ends, and a lease end by the old clock would give it the longest
+     * lease.
      */
     private boolean mayHaveRestarted() {
         return !responsive && minion.orElseThrow().incarnation().startedAtMillis() != 0;
--- a/library/src/main/java/org/chivetally/queue/crash/CrashPolicy.java
+++ b/library/src/main/java/org/chivetally/queue/crash/CrashPolicy.java
@@ -52,8 +52,8 @@
      * its job. It is not the case when the job would merely be late: one in twenty suspects causes another crash that
      * affects ten jobs, while a late job is still worth a fifth.
      *
-     * @param nowNanos the time, by the steady clock
-     * @param latestStartNanos latest start with which the job can end by its caller's deadline, by the steady clock
+     * @param nowNanos the time, by the monotonic clock
+     * @param latestStartNanos latest start with which the job can end by its caller's deadline, by the monotonic clock
      */
     public boolean isUrgent(long nowNanos, long latestStartNanos) {
         long remainingNanos = latestStartNanos - nowNanos;
--- a/library/src/main/java/org/chivetally/queue/entry/RunCoordinator.java
+++ b/library/src/main/java/org/chivetally/queue/entry/RunCoordinator.java
@@ -105,7 +105,7 @@
      * @param partitions the partitions that the entry owns, by number; updated by the entry
      * @param mayStart whether the entry's ownership is certain enough to start tasks
      * @param mayReadStaleRequests whether requests that the entry reads now may be stale
-     * @param keptUpAtNanos when the entry was last known to be responsive, in nanoseconds of the monotonic clock
+     * @param lastResponsiveNanos when the entry was last known to be responsive, in nanoseconds of the monotonic clock
      * @param scheduling optional scheduling features that are enabled
      */
     RunCoordinator(
--- a/library/src/main/java/org/chivetally/queue/placement/AdmissionPolicy.java
+++ b/library/src/main/java/org/chivetally/queue/placement/AdmissionPolicy.java
@@ -24,7 +24,7 @@
     /**
      * Decides about a new job.
      *
-     * @param nowNanos the time, by the steady clock
+     * @param nowNanos the time, by the monotonic clock
      * @param workAhead core milliseconds that are placed before the job
      * @param usableMillicores processors for the backlog on the service's accepting workers; 0 while no worker is known
      * @return delay after which the caller should retry; empty when the job is accepted
--- a/library/src/main/java/org/chivetally/queue/placement/ArrivalRate.java
+++ b/library/src/main/java/org/chivetally/queue/placement/ArrivalRate.java
@@ -14,7 +14,7 @@
      * Records the arrival of a job. Of a job that lasts longer than the time constant, only the work that it takes
      * within that time counts.
      *
-     * @param nowNanos the time, by the steady clock
+     * @param nowNanos the time, by the monotonic clock
      */
     public void recordArrival(JobSpecification job, long nowNanos) {
         double part = Math.min(1, (double) TIME_CONSTANT.toMillis() / Math.max(1, job.criticalPathMillis()));
--- a/library/src/main/java/org/chivetally/queue/placement/EntryCapacityShare.java
+++ b/library/src/main/java/org/chivetally/queue/placement/EntryCapacityShare.java
@@ -53,8 +53,8 @@
     }
 
     /**
-     * Returns this entry's share of the waiting work of all entries, at least that of one core millisecond. Room that
-     * becomes free is distributed about in these proportions.
+     * Returns this entry's share of the waiting work of all entries, at least that of one core millisecond; 1 while no
+     * work waits. Room that becomes free is distributed about in these proportions.
      */
     public double backlogShare() {
         long totalWork = own.waitingWork() + others.waitingWork();
--- a/library/src/main/java/org/chivetally/queue/placement/PlacementPolicy.java
+++ b/library/src/main/java/org/chivetally/queue/placement/PlacementPolicy.java
@@ -106,7 +106,7 @@
     /**
      * Records that a run has ended successfully. Must be called before the run is removed from its worker.
      *
-     * @param nowNanos the time, by the steady clock
+     * @param nowNanos the time, by the monotonic clock
      */
     public void recordEnd(Worker worker, Worker.SentStart start, long nowNanos) {
         worker.recordEnd(start, nowNanos);
@@ -129,7 +129,7 @@
     /**
      * Returns a placement pass over the given workers at one moment.
      *
-     * @param nowNanos the time, by the steady clock
+     * @param nowNanos the time, by the monotonic clock
      */
     public Pass newPass(Collection<Worker> workers, long nowNanos) {
         return new Pass(workers, nowNanos);
--- a/library/src/main/java/org/chivetally/queue/placement/WaitingTask.java
+++ b/library/src/main/java/org/chivetally/queue/placement/WaitingTask.java
@@ -11,7 +11,7 @@
  * @param task the task
  * @param priority priority of its queue; 0 comes first
  * @param timeliness how its job can still end if the task starts now
- * @param timelinessUntilNanos last moment at which that holds, by the steady clock
+ * @param timelinessUntilNanos last moment at which that holds, by the monotonic clock
  * @param jobStarted whether a task of its job has been started, which puts it before tasks of jobs not yet started
  */
 record WaitingTask(
--- a/library/src/main/java/org/chivetally/queue/placement/WaitingTasks.java
+++ b/library/src/main/java/org/chivetally/queue/placement/WaitingTasks.java
@@ -60,7 +60,7 @@
     /**
      * Adds a task that may be placed, or updates its place in the order.
      *
-     * @param nowNanos the time, by the steady clock
+     * @param nowNanos the time, by the monotonic clock
      */
     public void add(Task task, long nowNanos) {
         remove(task);
--- a/library/src/main/java/org/chivetally/queue/placement/Worker.java
+++ b/library/src/main/java/org/chivetally/queue/placement/Worker.java
@@ -37,7 +37,7 @@
      * Creates a worker without a report or a link.
      *
      * @param process name of the agent's process
-     * @param nowNanos the time, by the steady clock
+     * @param nowNanos the time, by the monotonic clock
      */
     public Worker(String process, long nowNanos) {
         this.process = process;
@@ -49,7 +49,7 @@
     /**
      * Report of an agent about its worker.
      *
-     * @param minion boot identifier of the worker's minion; empty while there is none
+     * @param minion name of the incarnation of the worker's minion; empty while there is none
      * @param service service of the minion
      * @param capacity total room of the worker
      * @param free capacity less the room of all runs
@@ -83,7 +83,7 @@
      * @param run number of the run
      * @param link the link on which the start was sent
      * @param number number of the start on that link, from 1; 0 for an adopted run
-     * @param atNanos when it was sent, by the steady clock
+     * @param atNanos when it was sent, by the monotonic clock
      * @param expectedMillis expected duration in milliseconds on a worker of stretch 1; 0 without an estimate
      */
     public record SentStart(Task task, long run, Object link, long number, long atNanos, double expectedMillis) {
@@ -99,7 +99,7 @@
         /**
          * Tells whether the run lasts far longer than expected; always false without an estimate.
          *
-         * @param nowNanos the time, by the steady clock
+         * @param nowNanos the time, by the monotonic clock
          * @param stretch ratio of actual to estimated durations that is usual for the worker's kind
          */
         public boolean isOverdue(long nowNanos, double stretch) {
@@ -173,7 +173,7 @@
         return health;
     }
 
-    /** Returns when the agent last reported, by the steady clock. */
+    /** Returns when the agent last reported, by the monotonic clock. */
     public long lastReportAtNanos() {
         return lastReportAtNanos;
     }
@@ -212,7 +212,7 @@
     /**
      * Records a report of the agent.
      *
-     * @param nowNanos the time, by the steady clock
+     * @param nowNanos the time, by the monotonic clock
      */
     public void recordReport(Report report, long nowNanos) {
         lastReportAtNanos = nowNanos;
@@ -264,7 +264,7 @@
     /**
      * Sends no starts until the given time, because the agent has refused one for a reason that persists for a while.
      *
-     * @param untilNanos end of the pause, by the steady clock
+     * @param untilNanos end of the pause, by the monotonic clock
      */
     public void pauseStarts(long untilNanos) {
         pausedUntilNanos = untilNanos;
@@ -278,7 +278,7 @@
     /**
      * Records a start that is being sent, with the caller's estimate as its expected duration.
      *
-     * @param nowNanos the time, by the steady clock
+     * @param nowNanos the time, by the monotonic clock
      * @return the start with its number
      */
     public SentStart send(Task task, long run, long nowNanos) {
@@ -288,7 +288,7 @@
     /**
      * Records a start that is being sent.
      *
-     * @param nowNanos the time, by the steady clock
+     * @param nowNanos the time, by the monotonic clock
      * @param expectedMillis expected duration in milliseconds on a worker of stretch 1; 0 without an estimate
      * @return the start with its number
      */
@@ -304,7 +304,7 @@
     /**
      * Records a run that the agent holds and that another owner has started.
      *
-     * @param nowNanos the time, by the steady clock
+     * @param nowNanos the time, by the monotonic clock
      */
     public void adopt(Task task, long run, long nowNanos) {
         startsInProgress.put(
@@ -348,7 +348,7 @@
     /**
      * Finds and marks the runs that have become overdue since the last call.
      *
-     * @param nowNanos the time, by the steady clock
+     * @param nowNanos the time, by the monotonic clock
      * @return the newly overdue runs
      */
     public List<SentStart> markNewlyOverdue(long nowNanos) {
@@ -379,7 +379,7 @@
     /**
      * Records that a run has completed, in time or overdue.
      *
-     * @param nowNanos the time, by the steady clock
+     * @param nowNanos the time, by the monotonic clock
      */
     public void recordEnd(SentStart start, long nowNanos) {
         if (isOverdue(start, nowNanos)) {
--- a/library/src/main/java/org/chivetally/queue/placement/WorkerHealth.java
+++ b/library/src/main/java/org/chivetally/queue/placement/WorkerHealth.java
@@ -17,8 +17,8 @@
  */
 public final class WorkerHealth {
     /**
-     * Failed or overdue runs, weighted by age, from which on they count. Fewer occur by chance, as estimates are
-     * inaccurate.
+     * Least number of failed runs, or of overdue ones, of an unhealthy worker, weighted by age. Fewer occur by chance
+     * on a healthy worker, as estimates are inaccurate.
      */
     static final double MINIMUM_BAD_RUNS = 2.5;
 
@@ -55,7 +55,7 @@
     /**
      * Records a run that ended successfully and was not overdue.
      *
-     * @param nowNanos the time, by the steady clock
+     * @param nowNanos the time, by the monotonic clock
      */
     public void recordInTimeRun(long nowNanos) {
         if (isOnProbation(nowNanos)) {
@@ -71,7 +71,7 @@
      * Records a run that failed. Consecutive failures of the same job count once.
      *
      * @param jobId job of the run
-     * @param nowNanos the time, by the steady clock
+     * @param nowNanos the time, by the monotonic clock
      * @return whether the worker is avoided from now on because of it
      */
     public boolean recordFailedRun(String jobId, long nowNanos) {
@@ -89,7 +89,7 @@
     /**
      * Records a run that is overdue.
      *
-     * @param nowNanos the time, by the steady clock
+     * @param nowNanos the time, by the monotonic clock
      */
     public void recordOverdueRun(long nowNanos) {
         overdueRuns.add(1, nowNanos);
--- a/library/src/main/java/org/chivetally/queue/placement/WorkerSpeeds.java
+++ b/library/src/main/java/org/chivetally/queue/placement/WorkerSpeeds.java
@@ -27,7 +27,7 @@
     /**
      * Updates the speeds of the given workers unless they are up to date.
      *
-     * @param nowNanos the time, by the steady clock
+     * @param nowNanos the time, by the monotonic clock
      */
     void refresh(List<Worker> workers, long nowNanos) {
         boolean current = version > 0
--- a/library/src/main/java/org/chivetally/queue/share/PeerLoads.java
+++ b/library/src/main/java/org/chivetally/queue/share/PeerLoads.java
@@ -51,7 +51,7 @@
      *
      * @param byService loads of its queues, by service
      * @param leaving whether the entry is about to stop, so that no part is reserved for it when its reports end
-     * @param nowNanos the time, by the steady clock
+     * @param nowNanos the time, by the monotonic clock
      */
     public void recordReport(String entry, Map<String, QueueLoads> byService, boolean leaving, long nowNanos) {
         reports.put(entry, new LoadReport(byService, nowNanos, leaving));
@@ -61,7 +61,7 @@
     /**
      * Returns the loads of a service at the other entries.
      *
-     * @param nowNanos the time, by the steady clock
+     * @param nowNanos the time, by the monotonic clock
      */
     public ServiceSnapshot of(String service, long nowNanos) {
         if (nowNanos - snapshotsValidUntilNanos > 0) {
@@ -99,7 +99,7 @@
     /**
      * Removes entries whose last report is so old that they are considered stopped.
      *
-     * @param nowNanos the time, by the steady clock
+     * @param nowNanos the time, by the monotonic clock
      */
     public void removeExpired(long nowNanos) {
         Iterator<LoadReport> iterator = reports.values().iterator();
--- a/library/src/main/java/org/chivetally/queue/share/QueueAdmission.java
+++ b/library/src/main/java/org/chivetally/queue/share/QueueAdmission.java
@@ -33,7 +33,7 @@
     /**
      * Decides about a job.
      *
-     * @param nowNanos the time, by the steady clock
+     * @param nowNanos the time, by the monotonic clock
      * @param workAhead core milliseconds of the job's queue that are placed before it
      * @param availableMillicores processors that the job's queue can use; 0 while no worker is known
      * @param retried whether the job was refused recently
--- a/library/src/main/java/org/chivetally/queue/share/RecentlyRefusedJobs.java
+++ b/library/src/main/java/org/chivetally/queue/share/RecentlyRefusedJobs.java
@@ -24,7 +24,7 @@
     /**
      * Adds a job that was refused.
      *
-     * @param nowNanos the time, by the steady clock
+     * @param nowNanos the time, by the monotonic clock
      */
     public void add(String jobId, long nowNanos) {
         refusedAtNanos.remove(jobId);
@@ -39,7 +39,7 @@
     /**
      * Tells whether a job was refused recently.
      *
-     * @param nowNanos the time, by the steady clock
+     * @param nowNanos the time, by the monotonic clock
      */
     public boolean contains(String jobId, long nowNanos) {
         Long atNanos = refusedAtNanos.get(jobId);
--- a/library/src/main/java/org/chivetally/queue/speed/EstimateCalibrator.java
+++ b/library/src/main/java/org/chivetally/queue/speed/EstimateCalibrator.java
@@ -34,7 +34,7 @@
      *
      * @param estimatedMillis its caller's estimate, in milliseconds
      * @param durationMillis its duration on a worker of stretch 1, in milliseconds
-     * @param nowNanos the time, by the steady clock
+     * @param nowNanos the time, by the monotonic clock
      */
     public void recordRun(String queue, int estimatedMillis, double durationMillis, long nowNanos) {
         if (estimatedMillis <= 0 || durationMillis <= 0) {
--- a/library/src/main/java/org/chivetally/queue/speed/KindStretches.java
+++ b/library/src/main/java/org/chivetally/queue/speed/KindStretches.java
@@ -55,7 +55,7 @@
     /**
      * Starts a round of reports of all workers.
      *
-     * @param nowNanos the time, by the steady clock
+     * @param nowNanos the time, by the monotonic clock
      */
     public void begin(long nowNanos) {
         double decay = Math.exp(-Math.max(0, (double) (nowNanos - decayedAtNanos)) / KIND_TIME_CONSTANT.toNanos());
@@ -114,8 +114,8 @@
     /**
      * Returns the stretch of a worker: that of its kind, unless its own differs by more than {@link #DISTINCT_FACTOR}.
      * A worker that is slower than its kind is rated slower than the slowest kind, because its mean lags behind its
-     * current speed. Otherwise it would be rated next to the best after those of its kind, and get all the work that
-     * these leave.
+     * current speed. Otherwise it would rank directly behind the workers of its kind and get all the work that these
+     * leave.
      */
     public double stretch(String kind, LearnedStretch worker) {
         double expected = logarithm(kind);
--- a/library/src/main/java/org/chivetally/queue/speed/RunStretch.java
+++ b/library/src/main/java/org/chivetally/queue/speed/RunStretch.java
@@ -26,7 +26,7 @@
      *
      * @param durationNanos actual duration, in nanoseconds
      * @param estimatedMillis its caller's estimate in milliseconds; a run without one is ignored
-     * @param nowNanos the time, by the steady clock
+     * @param nowNanos the time, by the monotonic clock
      */
     public void recordRun(long durationNanos, int estimatedMillis, long nowNanos) {
         if (estimatedMillis <= 0 || durationNanos <= 0) {
@@ -41,7 +41,7 @@
     /**
      * Returns the mean and its weight.
      *
-     * @param nowNanos the time, by the steady clock, not before the end of the last run
+     * @param nowNanos the time, by the monotonic clock, not before the end of the last run
      */
     public LearnedStretch at(long nowNanos) {
         if (runWeight == 0) {
--- a/library/src/test/java/org/chivetally/queue/agent/AgentNodeTest.java
+++ b/library/src/test/java/org/chivetally/queue/agent/AgentNodeTest.java
@@ -35,6 +35,10 @@
 import org.chivetally.wire.v1.RunStop;
 import org.junit.jupiter.api.Test;
 
+/**
+ * An agent among its entries: no task runs twice when entries fail or starts are delayed, and reports do not overload
+ * the entries.
+ */
 class AgentNodeTest {
     private static final Peer AGENT = new Peer("agent", 1, true, "north", "agent", 1);
     private static final Room CAPACITY = new Room(12_000, 1_000, 0);
@@ -361,6 +365,10 @@
         assertThat(entry.inventories().getLast().getFenced(0).getEpoch(), is(7L));
     }
 
+    /**
+     * Another entry does not know the job of an in-memory run. If the run were in its inventory, it would stop the run
+     * as unneeded.
+     */
     @Test
     void listsInMemoryRunsOnlyToTheirEntry() {
         ScriptedEntry one = entry("entry-1", 0);
--- a/library/src/test/java/org/chivetally/queue/agent/CrashedRunsTest.java
+++ b/library/src/test/java/org/chivetally/queue/agent/CrashedRunsTest.java
@@ -54,6 +54,7 @@
         return reportedEnds.stream().map(end -> end.end().outcome()).toList();
     }
 
+    /** The process of the minion ends during a run and is restarted: the run must count as crashed, not as lost. */
     @Test
     void reportsACrashWhenTheMinionRestartsUnderTheSameId() {
         startMinionAndRun();
@@ -62,6 +63,7 @@
         assertThat(outcomes(), contains(RunOutcome.CRASHED));
     }
 
+    /** As above, but the new process announces itself under another id. */
     @Test
     void reportsACrashWhenTheMinionRestartsUnderAnotherId() {
         startMinionAndRun();
@@ -70,6 +72,7 @@
         assertThat(outcomes(), contains(RunOutcome.CRASHED));
     }
 
+    /** The minion is replaced without an announcement, and only the refusal of a poll shows that its id has changed. */
     @Test
     void reportsACrashWhenTheMinionAnswersWithAnotherId() {
         startMinionAndRun();
@@ -110,6 +113,7 @@
         assertThat(supervisor.unstoredEnds(), is(empty()));
     }
 
+    /** A minion that stops as announced has not crashed. Its tasks must not become suspects. */
     @Test
     void reportsALossWhenTheMinionAnnouncedThatItLeaves() {
         startMinionAndRun();
@@ -119,6 +123,7 @@
         assertThat(outcomes(), contains(RunOutcome.LOST));
     }
 
+    /** A minion that has departed properly has not crashed. Its tasks must not become suspects. */
     @Test
     void reportsALossWhenTheMinionHasDeparted() {
         startMinionAndRun();
--- a/library/src/test/java/org/chivetally/queue/agent/RetryingMinionPortTest.java
+++ b/library/src/test/java/org/chivetally/queue/agent/RetryingMinionPortTest.java
@@ -26,6 +26,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
+/** Tasks are on time and run only once although the minion leaves calls unanswered or executes them late. */
 class RetryingMinionPortTest {
     private static final Duration TASK_DURATION = Duration.ofMillis(85);
     private static final Duration ALLOWED_DELAY = Duration.ofMillis(60);
--- a/library/src/test/java/org/chivetally/queue/agent/RunSupervisorTest.java
+++ b/library/src/test/java/org/chivetally/queue/agent/RunSupervisorTest.java
@@ -17,6 +17,10 @@
 import org.chivetally.queue.TaskKey;
 import org.junit.jupiter.api.Test;
 
+/**
+ * The account of the minion's resources, runs and ends stays exact when calls are lost, or the minion or the agent
+ * restarts.
+ */
 class RunSupervisorTest {
     private static final Room CAPACITY = new Room(12_000, 1_000, 0);
     private static final Room HALF_CAPACITY = new Room(6_000, 64, 0);
@@ -64,6 +68,7 @@
         assertThat(minion.polls.size(), is(lessThan(27)));
     }
 
+    /** Several owners start runs at the same time, which must not overcommit the worker. */
     @Test
     void refusesStartsBeyondTheCapacity() {
         announce("boot", false);
@@ -73,6 +78,10 @@
         assertThat(minion.starts, hasSize(2));
     }
 
+    /**
+     * If resources were released before the minion lists the end, a new run could overlap with the old one; if they
+     * were not released then, the worker would fill up.
+     */
     @Test
     void releasesResourcesWhenTheEndIsListed() {
         announce("boot", false);
@@ -202,6 +211,10 @@
         assertThat(outcomes(), contains(RunOutcome.LAPSED));
     }
 
+    /**
+     * An acknowledgement covers all earlier ends. If a later end were acknowledged first, an earlier one that is not
+     * stored would be lost.
+     */
     @Test
     void acknowledgesStoredEndsInOrder() {
         announce("boot", false);
@@ -219,6 +232,7 @@
         assertThat(supervisor.isIdle(), is(true));
     }
 
+    /** No owner stores the ends of in-memory jobs. If they waited for that, the minion would never discard them. */
     @Test
     void acknowledgesEndsOfInMemoryJobsAtOnce() {
         announce("boot", false);
@@ -245,6 +259,7 @@
         assertThat(supervisor.isAccepting(), is(true));
     }
 
+    /** A run on a minion that is about to stop would be cut off, also if a late announcement says that it stays. */
     @Test
     void refusesStartsOnceTheMinionLeaves() {
         announce("boot", false);
@@ -254,6 +269,7 @@
         assertThat(supervisor.isAccepting(), is(false));
     }
 
+    /** Owners may repeat a stop, which must not cause further calls to the minion. */
     @Test
     void stopsARunOnce() {
         announce("boot", false);
--- a/library/src/test/java/org/chivetally/queue/agent/TimingMinionPortTest.java
+++ b/library/src/test/java/org/chivetally/queue/agent/TimingMinionPortTest.java
@@ -18,6 +18,7 @@
 import org.chivetally.queue.speed.LearnedStretch;
 import org.junit.jupiter.api.Test;
 
+/** The speed of a worker is learned from the durations of runs, without those that say nothing about it. */
 class TimingMinionPortTest {
     private static final Room CAPACITY = new Room(12_000, 1_000, 0);
     private static final Room HALF_CAPACITY = new Room(6_000, 64, 0);
--- a/library/src/test/java/org/chivetally/queue/entry/QueueSharesTest.java
+++ b/library/src/test/java/org/chivetally/queue/entry/QueueSharesTest.java
@@ -120,6 +120,7 @@
         assertThat(refused.retryAfter().toMillis() % 1_000, is(0L));
     }
 
+    /** Without the setting, the scheduling and the metrics of a deployment must not change. */
     @Test
     void hasNoSharesWithoutTheSetting() {
         Cluster plain = new Cluster();
--- a/library/src/test/java/org/chivetally/queue/entry/UnevenSpeedsTest.java
+++ b/library/src/test/java/org/chivetally/queue/entry/UnevenSpeedsTest.java
@@ -61,6 +61,10 @@
         cluster.awaitLinks();
     }
 
+    /**
+     * If reported speeds were lost on the way, an entry would place tasks on slow workers like on fast ones; a new
+     * entry must use them from its first start on.
+     */
     @Test
     void entriesLearnFromReportsWhichWorkersAreFast() {
         cluster.scheduling = new SchedulingSettings(true, false, 0);
@@ -82,6 +86,7 @@
         assertThat(slowStarts(), is(before));
     }
 
+    /** Without the setting, no estimates reach the agents, and tasks must be placed by free room alone. */
     @Test
     void agentsLearnNothingWithoutTheSetting() {
         EntryNode entry = cluster.entry("entry-1");
