--- a/load/src/main/java/org/chivetally/load/CheckResult.java
+++ b/load/src/main/java/org/chivetally/load/CheckResult.java
@@ -3,20 +3,23 @@
 import java.util.List;
 
 /**
- * Broken promises found in a run. Each is named, so that logs can be searched for it.
+ * Violated guarantees of a run, and observations that point to lost records. Each list holds the keys or tokens
+ * concerned, which can be searched for in logs.
  *
- * @param duplicateStarts tokens of tasks that started again when they must not
- * @param partialAnswers keys of submissions told complete whose answers are not exactly the ones asked for
- * @param falseRefusals keys of submissions told not-run of which a task had started: all their requests were told so,
- *     or one that was sent after the start
- * @param cutRequests keys of requests whose connection closed unanswered while their entry stopped gracefully
- * @param startsAfterLeaving tokens of tasks that started at a minion longer than the grace after it began to leave
- * @param conflictingOutcomes keys of submissions of which one request got the whole answer and another was told that
- *     the job had failed
- * @param contradictedRefusals keys of submissions of which one request was told not-run after a task had started for
- *     another request of the same key; where all requests were told not-run it is a false refusal
- * @param unrecordedAnswers tokens that stand in a complete answer without a recorded start; a minion's record was lost,
- *     or the answer was made up
+ * @param duplicateStarts tokens of tasks that were started again although this is not allowed
+ * @param partialAnswers keys of submissions whose complete answer differs from the expected one
+ * @param falseRefusals keys of submissions that were reported as not run although a task had started: either all of
+ *     their requests, or one that was sent after the start
+ * @param cutRequests keys of requests whose connection was closed without a response while their entry was stopping
+ *     gracefully
+ * @param startsAfterLeaving tokens of tasks that started on a minion later than
+ *     {@link DrainingMinion#PROPAGATION_LIMIT} after its drain began
+ * @param conflictingOutcomes keys of submissions for which one request returned a complete answer and another one a
+ *     failure of the job
+ * @param contradictedRefusals keys of submissions for which one request was refused as not run after a task had started
+ *     for another request of the same key; no violation, because only false refusals concern all requests
+ * @param unrecordedAnswers tokens in complete answers without a recorded start: either the records of a minion were
+ *     lost, or the answer was fabricated
  */
 public record CheckResult(
         List<String> duplicateStarts,
@@ -39,7 +42,7 @@
         unrecordedAnswers = List.copyOf(unrecordedAnswers);
     }
 
-    /** Tells whether any promise was broken. */
+    /** Returns whether no guarantee was violated. Contradicted refusals and unrecorded answers are not violations. */
     public boolean passed() {
         return duplicateStarts.isEmpty()
                 && partialAnswers.isEmpty()
--- a/load/src/main/java/org/chivetally/load/CounterScraper.java
+++ b/load/src/main/java/org/chivetally/load/CounterScraper.java
@@ -11,7 +11,10 @@
 import java.util.Optional;
 import org.chivetally.load.Targets.Target;
 
-/** Adds up what the entries' counters grow by, over restarts too; what a killed entry counted last is lost. */
+/**
+ * Sums up the increase of the entries' metric counters across process restarts. Increments between the last scrape of a
+ * killed entry and its end are lost.
+ */
 final class CounterScraper {
     private static final Duration REQUEST_TIMEOUT = Duration.ofSeconds(2);
     private static final int HTTP_OK = 200;
@@ -26,7 +29,11 @@
         this.entries = entries;
     }
 
-    /** Reads all entries once; the first reading of a process that is there from the beginning is its base. */
+    /**
+     * Scrapes all entries once.
+     *
+     * @param baseline whether to record the counters as the starting point of the run without adding to the increase
+     */
     synchronized void scrape(boolean baseline) {
         for (Target entry : entries) {
             Optional<Counters> counters = fetch(entry);
@@ -40,7 +47,7 @@
         }
     }
 
-    /** Returns what all counters grew by since the base. */
+    /** Returns the total increase of all counters since the baseline. */
     synchronized Counters increase() {
         return increase;
     }
--- a/load/src/main/java/org/chivetally/load/Counters.java
+++ b/load/src/main/java/org/chivetally/load/Counters.java
@@ -6,14 +6,14 @@
 import java.util.regex.Pattern;
 
 /**
- * Counters of one process at one time, or what they grew by.
+ * Transport counters of one process at one time, or their increase over a period.
  *
- * @param frames frames sent and received, by kind
- * @param bytes bytes of frames sent and received
- * @param wasted messages that did no good, by kind
+ * @param frames number of frames sent and received, by kind
+ * @param bytes bytes of all frames sent and received
+ * @param wasted number of messages that had no effect, by kind
  */
 public record Counters(Map<String, Long> frames, long bytes, Map<String, Long> wasted) {
-    /** Nothing counted. */
+    /** Counters that are all zero. */
     public static final Counters NONE = new Counters(Map.of(), 0, Map.of());
 
     private static final String FRAMES = "chivetally_transport_frames_total";
@@ -22,13 +22,13 @@
     private static final Pattern SAMPLE = Pattern.compile("^(\\w+)(?:\\{(.*)\\})? (\\S+)$", Pattern.MULTILINE);
     private static final Pattern KIND = Pattern.compile("\\b(?:kind|body)=\"([^\"]*)\"");
 
-    /** Copies the maps without kinds that never came up. */
+    /** Copies the maps without kinds whose count is zero. */
     public Counters {
         frames = nonZero(frames);
         wasted = nonZero(wasted);
     }
 
-    /** Reads the counters from a page in Prometheus' text format. */
+    /** Parses the counters from a metrics page in the Prometheus text format. */
     public static Counters parse(String page) {
         Map<String, Long> frames = new TreeMap<>();
         Map<String, Long> wasted = new TreeMap<>();
@@ -41,19 +41,22 @@
                 case WASTED -> wasted.merge(kind(sample.group(2)), value, Long::sum);
                 case BYTES -> bytes += value;
                 default -> {
-                    // Other metrics don't concern the load tool.
+                    // Not used by the load tool.
                 }
             }
         }
         return new Counters(frames, bytes, wasted);
     }
 
-    /** Returns the sum of these and others. */
+    /** Returns the sum of these counters and the given ones. */
     public Counters plus(Counters others) {
         return new Counters(sum(frames, others.frames), bytes + others.bytes, sum(wasted, others.wasted));
     }
 
-    /** Returns what grew since earlier counters of the same process; a lower counter is that of a restarted process. */
+    /**
+     * Returns the increase since earlier counters of the same process. A counter that is lower than before belongs to a
+     * restarted process, so its whole value counts as the increase.
+     */
     public Counters increaseSince(Counters earlier) {
         return new Counters(
                 increase(frames, earlier.frames), increase(bytes, earlier.bytes), increase(wasted, earlier.wasted));
--- a/load/src/main/java/org/chivetally/load/DrainingMinion.java
+++ b/load/src/main/java/org/chivetally/load/DrainingMinion.java
@@ -4,22 +4,27 @@
 import java.util.Objects;
 
 /**
- * A span of time in which a minion was leaving.
+ * A period during which a minion was draining.
  *
  * @param minion name of the minion
- * @param fromNanos when it had taken the request to leave, from the beginning of the run
- * @param untilNanos when its process was to be stopped, from the beginning of the run
+ * @param fromNanos when the drain request was accepted, in nanoseconds since the beginning of the run
+ * @param untilNanos planned end of the process, in nanoseconds since the beginning of the run
  */
 public record DrainingMinion(String minion, long fromNanos, long untilNanos) {
-    /** Time within which every coordinator must know that a minion leaves. */
+    /** Time within which all coordinators must have stopped starting tasks on a draining minion. */
     public static final Duration PROPAGATION_LIMIT = Duration.ofSeconds(3);
 
-    /** Refuses a missing name. */
+    /** Rejects a null name. */
     public DrainingMinion {
         Objects.requireNonNull(minion, "minion");
     }
 
-    /** Tells whether something started at the minion, at a time from the beginning of the run, that must not have. */
+    /**
+     * Returns whether a start violates the drain.
+     *
+     * @param startMinion name of the minion on which the task started
+     * @param startNanos time of the start, in nanoseconds since the beginning of the run
+     */
     public boolean forbidsStart(String startMinion, long startNanos) {
         return minion.equals(startMinion)
                 && startNanos > fromNanos + PROPAGATION_LIMIT.toNanos()
--- a/load/src/main/java/org/chivetally/load/Fault.java
+++ b/load/src/main/java/org/chivetally/load/Fault.java
@@ -4,27 +4,27 @@
 import java.util.Objects;
 import org.chivetally.document.Section;
 
-/** A fault that is brought about at a time during a run, and its end. */
+/** A fault that is injected at a given time during a run and removed after a given duration. */
 public sealed interface Fault {
-    /** Returns when it begins, from the beginning of the run. */
+    /** Returns the time of injection, measured from the beginning of the run. */
     Duration at();
 
-    /** Returns how long it lasts; zero leaves it until the run's end. */
+    /** Returns how long the fault lasts; zero until the end of the run. */
     Duration duration();
 
-    /** Returns the name of the process or stand-in. */
+    /** Returns the name of the affected process or stand-in. */
     String target();
 
-    /** Returns what is done and to whom, as it stands in reports. */
+    /** Returns the description of the fault in reports: what is done, and to which target. */
     String name();
 
     /**
-     * Settings put at a stand-in, and its earlier state put back afterwards.
+     * Fault settings applied to a stand-in and cleared at the end.
      *
-     * @param settings JSON object of the stand-in's fault settings
+     * @param settings JSON object in the form of the stand-in's fault settings
      */
     record StandInFault(Duration at, Duration duration, String target, String settings) implements Fault {
-        /** Refuses missing parts. */
+        /** Rejects null components. */
         public StandInFault {
             Objects.requireNonNull(target, "target");
             Objects.requireNonNull(settings, "settings");
@@ -37,11 +37,11 @@
     }
 
     /**
-     * A minion told to leave. It stays in that state until its process is stopped, so the end is that of the time in
-     * which nothing new may start there.
+     * A drain of a minion. The minion stays in the draining state until its process is stopped, so {@code duration} is
+     * the period during which no new task may start on it.
      */
     record MinionDrain(Duration at, Duration duration, String target) implements Fault {
-        /** Refuses missing parts. */
+        /** Rejects null components. */
         public MinionDrain {
             Objects.requireNonNull(target, "target");
         }
@@ -52,9 +52,14 @@
         }
     }
 
-    /** Something done to a process. The load tool starts no process, so a script beside it carries these out. */
+    /**
+     * A signal sent to a process. The load tool starts no processes, so a script that runs beside it injects these
+     * faults.
+     *
+     * @param action signal to send, and how the process recovers
+     */
     record ProcessFault(Duration at, Duration duration, String target, Action action) implements Fault {
-        /** Refuses missing parts. */
+        /** Rejects null components. */
         public ProcessFault {
             Objects.requireNonNull(target, "target");
             Objects.requireNonNull(action, "action");
@@ -66,13 +71,13 @@
         }
     }
 
-    /** What is done to a process. */
+    /** How a process is disturbed, and how it recovers at the end of the fault. */
     enum Action {
-        /** Stopped by SIGSTOP; SIGCONT at the end. */
+        /** Suspended by SIGSTOP; resumed by SIGCONT at the end. */
         PAUSE,
-        /** Ended by SIGKILL; started again at the end. */
+        /** Killed by SIGKILL; restarted at the end. */
         KILL,
-        /** Ended by SIGTERM, which asks for a graceful stop; started again at the end. */
+        /** Terminated by SIGTERM, which requests a graceful stop; restarted at the end. */
         TERMINATE
     }
 }
--- a/load/src/main/java/org/chivetally/load/FaultInjector.java
+++ b/load/src/main/java/org/chivetally/load/FaultInjector.java
@@ -17,7 +17,7 @@
 import org.chivetally.load.Targets.Target;
 import org.chivetally.logging.EventLine;
 
-/** Puts faults at stand-ins when they are due, and clears them afterwards. */
+/** Injects the stand-in faults and minion drains of a schedule over HTTP, and clears stand-in faults when they end. */
 final class FaultInjector {
     private static final Duration REQUEST_TIMEOUT = Duration.ofSeconds(2);
     private static final String NO_FAULTS = "{}";
@@ -35,7 +35,7 @@
         this.progress = progress;
     }
 
-    /** Sets a timer for each fault and its end. */
+    /** Schedules the beginning and the end of each fault. */
     void schedule(FaultSchedule schedule, RunClock clock, ScheduledExecutorService timer) {
         for (StandInFault fault : schedule.standInFaults()) {
             long delay = fault.at().toNanos() - clock.nanos();
@@ -52,12 +52,12 @@
         }
     }
 
-    /** Returns the minions that took the request to leave, with the spans of time. */
+    /** Returns the minions that accepted a drain request, each with its period of draining. */
     List<DrainingMinion> drainingMinions() {
         return List.copyOf(drainingMinions);
     }
 
-    /** Clears the faults that have no end of their own. */
+    /** Clears the faults that last until the end of the run. */
     void clearUnlimited(FaultSchedule schedule) {
         for (StandInFault fault : schedule.standInFaults()) {
             if (!fault.duration().isPositive()) {
@@ -66,7 +66,7 @@
         }
     }
 
-    /** Returns the number of faults that stand-ins took, by target and settings. */
+    /** Returns the number of faults that stand-ins accepted, by {@linkplain Fault#name() name}. */
     Map<String, Integer> injected() {
         return Map.copyOf(injected);
     }
--- a/load/src/main/java/org/chivetally/load/FaultSchedule.java
+++ b/load/src/main/java/org/chivetally/load/FaultSchedule.java
@@ -9,9 +9,9 @@
 import org.chivetally.load.Fault.StandInFault;
 
 /**
- * Faults of a run.
+ * The faults of a run.
  *
- * @param faults faults by rising time
+ * @param faults all faults, sorted by time of injection
  */
 public record FaultSchedule(List<Fault> faults) {
     /** No faults. */
@@ -30,7 +30,7 @@
                 .toList();
     }
 
-    /** Returns the minions that are told to leave. */
+    /** Returns the drains of minions. */
     public List<MinionDrain> minionDrains() {
         return faults.stream()
                 .filter(MinionDrain.class::isInstance)
@@ -47,9 +47,9 @@
     }
 
     /**
-     * Returns the steps for the script that carries out process faults, one a line: milliseconds from the beginning of
-     * the run, what to do ({@code pause}, {@code resume}, {@code kill}, {@code terminate} or {@code start}) and the
-     * name of the process; by rising time.
+     * Returns the steps for the script that injects process faults, sorted by time. Each line holds the milliseconds
+     * since the beginning of the run, the action ({@code pause}, {@code resume}, {@code kill}, {@code terminate} or
+     * {@code start}), and the name of the process.
      */
     public List<String> processSteps() {
         List<Step> steps = new ArrayList<>();
--- a/load/src/main/java/org/chivetally/load/Figure.java
+++ b/load/src/main/java/org/chivetally/load/Figure.java
@@ -2,58 +2,64 @@
 
 import org.chivetally.document.Section;
 
-/** A figure of a run that a plan may set a goal for. */
+/** A measured figure of a run, for which a plan may set a goal. */
 public enum Figure {
-    /** Response time divided by the ideal: half of the complete jobs are at most here. */
+    /** Median over the complete jobs of response time divided by ideal time. */
     RESPONSE_P50(Better.LOWER, 3),
-    /** Response time divided by the ideal: 90% of the complete jobs are at most here. */
+    /** 90th percentile over the complete jobs of response time divided by ideal time. */
     RESPONSE_P90(Better.LOWER, 3),
-    /** Response time divided by the ideal: 99% of the complete jobs are at most here. */
+    /** 99th percentile over the complete jobs of response time divided by ideal time. */
     RESPONSE_P99(Better.LOWER, 3),
-    /** Highest response time divided by the ideal. */
+    /** Maximum over the complete jobs of response time divided by ideal time. */
     RESPONSE_MAX(Better.LOWER, 3),
-    /** Median that one queue before all slots would reach with the same schedule, without any message. */
+    /** Median response ratio of the same schedule on a {@linkplain SingleQueueSimulation single queue}. */
     SINGLE_QUEUE_P50(Better.LOWER, 3),
-    /** 99th percentile that one queue before all slots would reach with the same schedule, without any message. */
+    /** 99th percentile response ratio of the same schedule on a {@linkplain SingleQueueSimulation single queue}. */
     SINGLE_QUEUE_P99(Better.LOWER, 3),
-    /** Work of the jobs completed in the measured time, as a share of all slot time. */
+    /** Work of the jobs completed during the measured time, as a share of the capacity of all slots. */
     GOODPUT(Better.HIGHER, 3),
-    /** The same within phases of more than the mean load. */
+    /** Goodput within the phases whose load exceeds the mean load. */
     GOODPUT_IN_PHASES(Better.HIGHER, 3),
-    /** Tasks started a second, over the submission time. */
+    /** Task starts per second, averaged over the submission time. */
     STARTS_PER_SECOND(Better.HIGHER, 1),
-    /** Share of submissions that ended without the whole answer, those cancelled left out. */
+    /** Share of the submissions, cancelled ones excluded, that ended without a complete answer. */
     FAILED_SHARE(Better.LOWER, 4),
-    /** Starts beyond the first of a task, for each task started. */
+    /** Number of repeated starts of a task per started task. */
     RETRIED_SHARE(Better.LOWER, 4),
-    /** Frames between entries and agents for each start. */
+    /** Frames between entries and agents per start. */
     MESSAGES_PER_TASK(Better.LOWER, 3),
-    /** Frames for each start beyond the start itself and its result. */
+    /** Frames per start beyond the start itself and its result. */
     EXTRA_MESSAGES_PER_TASK(Better.LOWER, 3),
-    /** Bytes of frames between entries and agents for each start. */
+    /** Bytes of frames between entries and agents per start. */
     BYTES_PER_TASK(Better.LOWER, 0),
-    /** Messages that did no good, for each start. */
+    /** Messages without effect per start. */
     WASTED_PER_TASK(Better.LOWER, 4),
-    /** Milliseconds in which 99% of the refusals for overload were answered. */
+    /** 99th percentile of the response time of refusals for overload, in milliseconds. */
     REFUSAL_MILLIS_P99(Better.LOWER, 1),
-    /** Seconds after the last phase of more than the mean load until response ratios are steadily good again. */
+    /**
+     * Seconds from the end of the last phase above the mean load until response ratios are continuously back to normal.
+     */
     RECOVERY_SECONDS(Better.LOWER, 1),
-    /** Milliseconds by which 99% of the requests were sent at most after they were due; the load tool's own delay. */
+    /**
+     * 99th percentile of the delay between a request's scheduled time and its sending, in milliseconds. This delay is
+     * caused by the load tool itself.
+     */
     SENDING_LAG_MILLIS_P99(Better.LOWER, 2),
-    /** Tasks that started again when they must not. */
+    /** Number of tasks that were started again although this is not allowed. */
     DUPLICATE_STARTS(Better.LOWER, 0),
-    /** Complete answers that are not exactly the ones asked for. */
+    /** Number of complete answers that differ from the expected ones. */
     PARTIAL_ANSWERS(Better.LOWER, 0),
-    /** Submissions told not-run of which a task had started. */
+    /** Number of submissions that were reported as not run although a task had started. */
     FALSE_REFUSALS(Better.LOWER, 0),
-    /** Requests whose connection closed unanswered while their entry stopped gracefully. */
+    /** Number of requests whose connection was closed without a response while their entry was stopping gracefully. */
     CUT_REQUESTS(Better.LOWER, 0),
-    /** Tasks that started at a minion longer than the grace after it began to leave. */
+    /** Number of task starts on a minion later than {@link DrainingMinion#PROPAGATION_LIMIT} after its drain began. */
     STARTS_AFTER_LEAVING(Better.LOWER, 0),
-    /** Submissions of which one request got the whole answer and another was told that the job had failed. */
+    /** Number of submissions for which one request returned a complete answer and another one a failure of the job. */
     CONFLICTING_OUTCOMES(Better.LOWER, 0),
     /**
-     * Submissions that got, or a repeat of which got, neither an answer nor a clear failure soon after the deadline.
+     * Number of submissions that, on the first request or on a repeat, received neither an answer nor a definite
+     * failure shortly after the deadline.
      */
     UNANSWERED_JOBS(Better.LOWER, 0);
 
@@ -65,22 +71,22 @@
         this.decimals = decimals;
     }
 
-    /** Returns the name as it stands in plans and reports. */
+    /** Returns the name of the figure in plans and reports. */
     public String text() {
         return Section.kebabCase(this);
     }
 
-    /** Returns the number of decimals worth printing. */
+    /** Returns the number of decimals in reports. */
     public int decimals() {
         return decimals;
     }
 
-    /** Tells whether a value keeps to a limit. */
+    /** Returns whether a value is within a limit. */
     public boolean meets(double value, double limit) {
         return better == Better.LOWER ? value <= limit : value >= limit;
     }
 
-    /** Returns the sign between a value and its limit. */
+    /** Returns the comparison operator that a value within its limit satisfies. */
     public String operator() {
         return better == Better.LOWER ? "<=" : ">=";
     }
--- a/load/src/main/java/org/chivetally/load/FigureCalculator.java
+++ b/load/src/main/java/org/chivetally/load/FigureCalculator.java
@@ -9,12 +9,15 @@
 import org.HdrHistogram.Histogram;
 import org.chivetally.job.JobOutcome.Certainty;
 
-/** Computes the figures of a run from its callers' records. */
+/** Calculates the figures of a run from its requests, starts and counters. */
 final class FigureCalculator {
     private static final double NANOS_PER_SECOND = 1e9;
     private static final double NANOS_PER_MILLI = 1e6;
     private static final long RECOVERY_WINDOW_NANOS = 1_000_000_000L;
-    /** A window counts as recovered when this share of its jobs is complete within this ratio. */
+    /**
+     * Share of the jobs of a window that must be complete within {@link #RECOVERED_RESPONSE_RATIO} for it to count as
+     * recovered.
+     */
     private static final double RECOVERED_SHARE = 0.9;
 
     private static final double RECOVERED_RESPONSE_RATIO = 2.0;
@@ -35,7 +38,7 @@
         this.slots = plan.workload().slots();
     }
 
-    /** Returns submissions by how their last request ended. */
+    /** Returns the number of submissions by the outcome of their last request. */
     Map<String, Integer> outcomeCounts() {
         Map<String, Integer> counts = new TreeMap<>();
         for (RequestRecord request : lastRequests) {
@@ -49,7 +52,11 @@
         return lastRequests.size();
     }
 
-    /** Returns all figures that can be told from callers, starts and counters. */
+    /**
+     * Returns all figures that can be derived from the requests, starts and counters.
+     *
+     * @param counters increase of the entries' counters during the run
+     */
     Map<Figure, Double> figures(Schedule schedule, OutcomeChecker checker, CheckResult checkResult, Counters counters) {
         Map<Figure, Double> figures = new EnumMap<>(Figure.class);
         addResponseRatios(figures);
@@ -116,7 +123,13 @@
         figures.put(Figure.RESPONSE_MAX, ratio.highest());
     }
 
-    /** Work of the jobs whose whole answer arrived in a span, as a share of the slot time of that span. */
+    /**
+     * Returns the work of the jobs whose complete answer arrived within a period, as a share of the capacity of all
+     * slots in that period.
+     *
+     * @param fromNanos beginning of the period, in nanoseconds since the beginning of the run
+     * @param untilNanos end of the period, in nanoseconds since the beginning of the run
+     */
     private double goodput(long fromNanos, long untilNanos) {
         double work = 0;
         for (RequestRecord request : lastRequests) {
@@ -151,7 +164,12 @@
         }
     }
 
-    /** Time from an instant to the end of the last window after it in which too many jobs were slow or not complete. */
+    /**
+     * Returns the time in nanoseconds from the given time to the end of the last window in which too many jobs were
+     * slow or incomplete; zero if there is none.
+     *
+     * @param fromNanos nanoseconds since the beginning of the run
+     */
     private double recoveryNanos(long fromNanos) {
         Map<Long, int[]> windows = new TreeMap<>();
         for (RequestRecord request : lastRequests) {
@@ -199,7 +217,8 @@
     }
 
     /**
-     * Returns the submissions that got, or a repeat of which got, no answer or clear failure soon after the deadline.
+     * Returns the indexes of the submissions that, on the first request or on a repeat, received neither an answer nor
+     * a definite failure shortly after the deadline.
      */
     List<Integer> unansweredJobs() {
         long deadline = plan.workload().deadline().toNanos();
--- a/load/src/main/java/org/chivetally/load/JobApiCodec.java
+++ b/load/src/main/java/org/chivetally/load/JobApiCodec.java
@@ -9,14 +9,18 @@
 import tools.jackson.databind.node.ArrayNode;
 import tools.jackson.databind.node.ObjectNode;
 
-/** Bodies of the entries' job interface, written and read. */
+/** Encodes and decodes the JSON bodies of the entries' job interface. */
 public final class JobApiCodec {
     private static final JsonMapper MAPPER = JsonMapper.shared();
     private static final int HTTP_OK = 200;
 
     private JobApiCodec() {}
 
-    /** Writes the body of a submission; each task's payload carries its token, also as the answer wanted. */
+    /**
+     * Encodes a submission. Each task's payload carries the task's token, which the minion returns as its answer.
+     *
+     * @param deadlineMillis deadline of the job, in milliseconds from its submission
+     */
     public static String submissionBody(ScheduledJob job, Tokens tokens, long deadlineMillis) {
         ObjectNode body = MAPPER.createObjectNode();
         body.put("service", job.service().name());
@@ -33,7 +37,7 @@
         return MAPPER.writeValueAsString(body);
     }
 
-    /** Reads the reply to a submission or to a request for an answer. */
+    /** Decodes the response to a submission or to a query for an answer. */
     public static Reply parseReply(int status, String body) {
         JsonNode root;
         try {
@@ -52,7 +56,7 @@
         return new Reply.Malformed(status, body);
     }
 
-    /** Returns the name of the job in any reply that carries one, or an empty text. */
+    /** Returns the ID of the job that a response refers to, or an empty string. */
     public static String parseJobId(String body) {
         try {
             return MAPPER.readTree(body).path("job").asString("");
@@ -76,7 +80,9 @@
         return answers;
     }
 
-    /** An answer is the token itself, or an object of the minion that carries it. */
+    /**
+     * Returns the token in a task answer, which is either the token itself or an object of the minion that contains it.
+     */
     private static String answerToken(JsonNode answer) {
         if (answer.isString()) {
             return answer.asString();
--- a/load/src/main/java/org/chivetally/load/JobClient.java
+++ b/load/src/main/java/org/chivetally/load/JobClient.java
@@ -14,7 +14,7 @@
 import java.util.concurrent.CompletionException;
 import org.chivetally.load.Targets.Target;
 
-/** Sends requests to entries as a caller does; every outcome is a {@link Reply}. */
+/** HTTP client for the entries' job interface. Every outcome, including a transport failure, is a {@link Reply}. */
 final class JobClient {
     private static final Duration CANCEL_TIMEOUT = Duration.ofSeconds(2);
     private static final Duration TIMEOUT_MARGIN = Duration.ofMillis(700);
@@ -27,24 +27,39 @@
         this.client = client;
     }
 
-    /** Submits a job and waits so long for its outcome; the stage never completes exceptionally. */
+    /**
+     * Submits a job and waits for its outcome. The returned future never completes exceptionally.
+     *
+     * @param wait longest time to wait for the outcome
+     */
     CompletableFuture<Reply> submit(Target entry, String key, String body, Duration wait) {
         URI address = entry.at("/v1/jobs?wait=" + waitSeconds(wait));
         return send(submission(address, key, body, wait));
     }
 
-    /** Submits a job without waiting; the request may take so long. Never completes exceptionally. */
+    /**
+     * Submits a job without waiting for its outcome. The returned future never completes exceptionally.
+     *
+     * @param timeout longest time to wait for the acceptance
+     */
     CompletableFuture<Reply> submitWithoutWait(Target entry, String key, String body, Duration timeout) {
         return send(submission(entry.at("/v1/jobs"), key, body, timeout));
     }
 
-    /** Waits for the outcome of a job by its name; a time that is over asks without a wait. */
+    /**
+     * Waits for the outcome of a submitted job.
+     *
+     * @param job ID of the job
+     * @param wait longest time to wait; zero or negative queries the current state
+     */
     CompletableFuture<Reply> awaitAnswer(Target entry, String job, Duration wait) {
         URI address = entry.at("/v1/jobs/" + job + "/answer?wait=" + waitSeconds(wait));
         return send(HttpRequest.newBuilder(address).timeout(timeout(wait)).GET().build());
     }
 
-    /** Cancels a job; whether it took effect shows in the job's answer. */
+    /**
+     * Requests the cancellation of a job. The response is discarded: the job's outcome shows whether it took effect.
+     */
     void cancel(Target entry, String job) {
         HttpRequest request = HttpRequest.newBuilder(entry.at("/v1/jobs/" + job))
                 .timeout(CANCEL_TIMEOUT)
--- a/load/src/main/java/org/chivetally/load/LoadBalancer.java
+++ b/load/src/main/java/org/chivetally/load/LoadBalancer.java
@@ -14,10 +14,11 @@
 import org.chivetally.load.Targets.Target;
 
 /**
- * Stands for the platform's balancer: requests go in turn to the entries whose {@code /readyz} succeeds.
+ * Distributes requests round-robin over the entries whose {@code /readyz} succeeds, as the load balancer in front of a
+ * deployment does.
  *
- * <p>An entry that stops on request is first unready; a balancer that went on sending there would make its callers see
- * closed connections that no real caller would.
+ * <p>An entry that stops gracefully reports unready first. Requests sent to it after that would fail with closed
+ * connections that clients behind a real load balancer never see.
  */
 final class LoadBalancer {
     private static final Duration REQUEST_TIMEOUT = Duration.ofMillis(500);
@@ -34,8 +35,10 @@
     }
 
     /**
-     * Returns the next ready entry other than the given ones, another ready one if there is none, and if none is ready
-     * the next one other than those given, or simply the next.
+     * Returns the next entry in round-robin order. Readiness outranks avoidance: a ready entry outside {@code avoided}
+     * comes first, then any other ready entry, then an unready entry outside {@code avoided}, then any entry.
+     *
+     * @param avoided names of entries to skip where possible, because the client has already tried them
      */
     Target choose(Set<String> avoided) {
         int first = nextIndex.getAndIncrement();
@@ -54,12 +57,12 @@
         return (unready.contains(entry.name()) ? 0 : 2) + (avoided.contains(entry.name()) ? 0 : 1);
     }
 
-    /** Notes that an entry can't be reached, until it is next found ready. */
+    /** Marks an unreachable entry as unready until its next successful readiness check. */
     void markUnready(Target entry) {
         unready.add(entry.name());
     }
 
-    /** Asks every entry whether it is ready; answers are taken in as they come. */
+    /** Checks the readiness of all entries asynchronously; each response updates the state of its entry. */
     void checkAll() {
         for (Target entry : entries) {
             HttpRequest request = HttpRequest.newBuilder(entry.at("/readyz"))
@@ -70,7 +73,7 @@
         }
     }
 
-    /** Asks one entry and waits for its answer. */
+    /** Checks the readiness of one entry and blocks until it responds or the request times out. */
     boolean isReady(Target entry) throws InterruptedException {
         HttpRequest request = HttpRequest.newBuilder(entry.at("/readyz"))
                 .timeout(REQUEST_TIMEOUT)
--- a/load/src/main/java/org/chivetally/load/LoadGenerator.java
+++ b/load/src/main/java/org/chivetally/load/LoadGenerator.java
@@ -15,7 +15,10 @@
 import org.chivetally.job.JobOutcome.Certainty;
 import org.chivetally.load.Targets.Target;
 
-/** Plays the callers of a schedule: submits, repeats, cancels and comes back, and keeps a record of every request. */
+/**
+ * Sends the requests of a schedule as independent clients do: submits, resubmits, cancels and retries, and records
+ * every request.
+ */
 final class LoadGenerator {
     private static final long MINIMUM_REMAINING_NANOS = 1_000_000;
     private static final Duration WAIT_BEYOND_DEADLINE = Duration.ofMillis(500);
@@ -46,7 +49,11 @@
         this.clock = clock;
     }
 
-    /** Sets a timer for each submission; the result completes after the last outcome. */
+    /**
+     * Schedules all submissions.
+     *
+     * @return future that completes after the last outcome
+     */
     CompletableFuture<Void> schedule(List<ScheduledJob> jobs) {
         Set<CompletableFuture<Void>> completions = new HashSet<>();
         for (ScheduledJob job : jobs) {
@@ -60,7 +67,7 @@
         return CompletableFuture.allOf(completions.toArray(CompletableFuture[]::new));
     }
 
-    /** Returns all requests; those still open count as timed out now. */
+    /** Returns all requests. Those still open are recorded as timed out. */
     List<RequestRecord> records() {
         List<RequestRecord> all = new ArrayList<>(records);
         all.addAll(openRequests);
@@ -77,7 +84,7 @@
         return records.size();
     }
 
-    /** Returns the number of whole answers. */
+    /** Returns the number of complete answers. */
     int completedCount() {
         return completedCount.get();
     }
@@ -89,7 +96,7 @@
         return chain.completion;
     }
 
-    /** Requests of one submission, each sent after the one before ended without an outcome. */
+    /** The requests of one submission. Each one is sent after the previous one ended without an outcome. */
     private final class RequestChain {
         private final ScheduledJob job;
         private final int repeat;
@@ -101,7 +108,14 @@
         private String pendingJob = "";
         private boolean finalRequestSent;
 
-        /** Creates a chain; {@code used} takes the entries that requests of the same key first went to. */
+        /**
+         * Creates a chain of requests.
+         *
+         * @param repeat 0 for the first submission, higher for each planned repeat under the same key
+         * @param dueNanos scheduled time of the submission, in nanoseconds since the beginning of the run
+         * @param usedEntries names of the entries to which first requests under the same key were sent; shared by the
+         *     chains of a job, so that each repeat goes to another entry
+         */
         RequestChain(ScheduledJob job, int repeat, long dueNanos, Set<String> usedEntries) {
             this.job = job;
             this.repeat = repeat;
@@ -131,7 +145,7 @@
                         .submitWithoutWait(entry, key, body(), requestWait())
                         .thenApply(reply -> scheduleCancellation(reply, entry));
             }
-            // The question for an answer names no deadline; the last request under the key does.
+            // A query for the answer carries no deadline, so the final request is a submission with the remaining time.
             Duration pollWait = remaining().minus(FINAL_REQUEST_RESERVE);
             if (!pendingJob.isEmpty() && pollWait.isPositive()) {
                 return jobClient.awaitAnswer(entry, pendingJob, limitToRequestTimeout(pollWait));
@@ -186,7 +200,10 @@
             return problem.certainty() != Certainty.FAILED && problem.retryAfterMillis() > 0;
         }
 
-        /** An entry is silent; a caller whose time is over asks another one once more what became of its key. */
+        /**
+         * Sends the request to another entry after one did not respond in time. Once the deadline has passed, the
+         * client does so only once more, to learn the outcome of its key.
+         */
         private void retryAtOtherEntry(RequestRecord ended, Target unresponsive) {
             if (finalRequestSent || retries().maximum() == 0) {
                 completion.complete(null);
@@ -218,13 +235,19 @@
             return JobApiCodec.submissionBody(job, tokens, remaining().toMillis());
         }
 
-        /** Returns what is left of the caller's own deadline: one who comes back doesn't wait for longer. */
+        /**
+         * Returns the time until the client's deadline, at least {@link #MINIMUM_REMAINING_NANOS}. A retry doesn't
+         * extend the deadline.
+         */
         private Duration remaining() {
             long remainingNanos = dueNanos + deadline().toNanos() - clock.nanos();
             return Duration.ofNanos(Math.max(remainingNanos, MINIMUM_REMAINING_NANOS));
         }
 
-        /** Returns how long one request is held: somewhat beyond the deadline, or as long as a caller's patience. */
+        /**
+         * Returns the wait time of a submission: the request timeout of the plan. The final request, and every request
+         * without such a timeout, waits until slightly after the deadline.
+         */
         private Duration requestWait() {
             Duration requestTimeout = retries().requestTimeout();
             Duration remaining = remaining();
--- a/load/src/main/java/org/chivetally/load/LoadPlan.java
+++ b/load/src/main/java/org/chivetally/load/LoadPlan.java
@@ -6,16 +6,16 @@
 import java.util.TreeMap;
 
 /**
- * A run of the load tool, as declared.
+ * The declared plan of a load run.
  *
  * @param name name in reports
- * @param seed every random choice of the schedule follows from it
- * @param duration time over which jobs are submitted
- * @param warmUp time at the beginning whose jobs don't count for response ratios
- * @param targets processes to talk to
- * @param workload what is offered
- * @param faults faults brought about meanwhile
- * @param goals limits that figures are held against
+ * @param seed seed of all random choices in the schedule
+ * @param duration time during which jobs are submitted
+ * @param warmUp time at the beginning that is excluded from response ratios, goodput and sending lag
+ * @param targets processes of the deployment under test
+ * @param workload jobs to submit
+ * @param faults faults to inject
+ * @param goals limits for figures
  */
 public record LoadPlan(
         String name,
@@ -26,7 +26,7 @@
         Workload workload,
         FaultSchedule faults,
         Map<Figure, Double> goals) {
-    /** Refuses missing parts and a warm-up that leaves nothing to measure. */
+    /** Rejects null components and a warm-up that leaves no time to measure. */
     public LoadPlan {
         Objects.requireNonNull(name, "name");
         Objects.requireNonNull(targets, "targets");
@@ -38,17 +38,21 @@
         }
     }
 
-    /** Returns the same plan with another schedule. */
+    /** Returns the same plan with another seed, and therefore another schedule. */
     public LoadPlan withSeed(long newSeed) {
         return new LoadPlan(name, newSeed, duration, warmUp, targets, workload, faults, goals);
     }
 
-    /** Tells whether an instant, in nanoseconds from the beginning of the run, counts for figures. */
+    /**
+     * Returns whether a time belongs to the measured part of the run.
+     *
+     * @param nanos nanoseconds since the beginning of the run
+     */
     public boolean isMeasured(long nanos) {
         return nanos >= warmUp.toNanos() && nanos < duration.toNanos();
     }
 
-    /** Returns the time that counts for figures. */
+    /** Returns the duration of the measured part of the run. */
     public Duration measuredDuration() {
         return duration.minus(warmUp);
     }
--- a/load/src/main/java/org/chivetally/load/LoadPlanReader.java
+++ b/load/src/main/java/org/chivetally/load/LoadPlanReader.java
@@ -15,7 +15,7 @@
 import org.chivetally.job.JobSpecification;
 import org.chivetally.load.Targets.Target;
 
-/** Reads a load plan from YAML, strictly: every mistake is reported with its place. */
+/** Reads a load plan from YAML. Parsing is strict: every mistake is reported with its location. */
 public final class LoadPlanReader {
     private static final Duration MAXIMUM_DURATION = Duration.ofHours(24);
     private static final Duration MINIMUM_DURATION = Duration.ofMillis(1);
@@ -38,15 +38,20 @@
     /**
      * Reads a plan.
      *
-     * @param place name of the file, for mistakes
+     * @param fileName name of the file in reported mistakes
      * @param text content of the file
-     * @param otherTargets processes to talk to in place of the plan's own, which may then be left out
+     * @param targetsOverride processes to use in place of those in the plan, which may then omit them
      */
     public static ReadResult<LoadPlan> read(String fileName, String text, Optional<Targets> targetsOverride) {
         return new LoadPlanReader(Document.parse(fileName, text), targetsOverride).plan();
     }
 
-    /** Reads a file that holds nothing but targets, as the layout of a deployment writes it. */
+    /**
+     * Reads a file that contains only targets, as written for a generated deployment.
+     *
+     * @param fileName name of the file in reported mistakes
+     * @param text content of the file
+     */
     public static ReadResult<Targets> readTargets(String fileName, String text) {
         LoadPlanReader reader = new LoadPlanReader(Document.parse(fileName, text), Optional.empty());
         TargetParts parts = targetParts(reader.root.section("targets"), true);
@@ -235,10 +240,10 @@
     }
 
     /**
-     * What reading a document came to.
+     * Result of reading a document.
      *
-     * @param content what it says, if there are no mistakes
-     * @param mistakes everything that is wrong with the document
+     * @param content content of the document; empty if there are mistakes
+     * @param mistakes all mistakes in the document
      */
     public record ReadResult<T>(Optional<T> content, Mistakes mistakes) {}
 
@@ -250,7 +255,10 @@
 
     private record PlanParts(String name, long seed, Duration duration, Duration warmUp) {}
 
-    /** The workload as read: a document with mistakes may leave lists empty, which the workload itself refuses. */
+    /**
+     * The parsed workload before validation. A document with mistakes may leave lists empty, which the constructor of
+     * {@link Workload} rejects.
+     */
     private record WorkloadParts(
             int slots,
             Workload.OfferedLoad offered,
--- a/load/src/main/java/org/chivetally/load/LoadReport.java
+++ b/load/src/main/java/org/chivetally/load/LoadReport.java
@@ -6,21 +6,21 @@
 import java.util.regex.Pattern;
 
 /**
- * What came of one run.
+ * Results of one run.
  *
- * @param plan the plan
- * @param run name of the run, with which its keys and tokens begin
- * @param jobs submissions with a known outcome
- * @param outcomes submissions by outcome: complete, or certainty and code
+ * @param plan plan of the run
+ * @param run name of the run, the prefix of its idempotency keys and tokens
+ * @param jobs number of submissions with a known outcome
+ * @param outcomes number of submissions by outcome: complete, or certainty and error code
  * @param figures figures that could be measured
- * @param counters what the entries' counters grew by
- * @param faults faults injected, by target and kind
+ * @param counters increase of the entries' counters during the run
+ * @param faults number of injected faults by name
  * @param missedFaults faults of the plan that were not injected
- * @param starts starts recorded by minions
- * @param roles processor time and memory by role, where a folder with process ids was given
- * @param unreadMinions minions whose record couldn't be read at the end
- * @param unanswered keys of submissions that got neither an answer nor a clear failure soon after their deadline
- * @param checkResult broken promises
+ * @param starts number of starts recorded by minions
+ * @param roles resource usage by role; empty without a folder of process IDs
+ * @param unreadMinions minions whose start records couldn't be read at the end
+ * @param unanswered keys of submissions without an answer or a definite failure shortly after their deadline
+ * @param checkResult violated guarantees
  */
 public record LoadReport(
         LoadPlan plan,
@@ -36,7 +36,7 @@
         List<String> unreadMinions,
         List<String> unanswered,
         CheckResult checkResult) {
-    /** The number at the end of a name, such as that of {@code entry-2}. */
+    /** Process number at the end of a name, such as {@code -2} in {@code entry-2}. */
     private static final Pattern PROCESS_NUMBER = Pattern.compile("-\\d+\\b");
 
     /** Copies the collections. */
@@ -50,12 +50,12 @@
         unanswered = List.copyOf(unanswered);
     }
 
-    /** Returns the number of faults injected. */
+    /** Returns the number of injected faults. */
     public int faultCount() {
         return faults.values().stream().mapToInt(Integer::intValue).sum();
     }
 
-    /** Returns the number of faults injected by kind: what was done, to a process or stand-in of which role. */
+    /** Returns the number of injected faults by kind: the action, and the role of the process or stand-in. */
     public Map<String, Integer> faultKinds() {
         Map<String, Integer> kinds = new TreeMap<>();
         faults.forEach(
@@ -63,14 +63,17 @@
         return kinds;
     }
 
-    /** Tells whether a goal is set for a figure and missed; a figure that couldn't be measured misses its goal. */
+    /** Returns whether a figure misses its goal. A figure with a goal that couldn't be measured counts as missed. */
     public boolean misses(Figure figure) {
         Double limit = plan.goals().get(figure);
         Double value = figures.get(figure);
         return limit != null && (value == null || !figure.meets(value, limit));
     }
 
-    /** Tells whether all goals are met, no promise is broken, all faults came, and all minions' records were read. */
+    /**
+     * Returns whether all goals are met, no guarantee is violated, all faults were injected, and all start records were
+     * read.
+     */
     public boolean passed() {
         return checkResult.passed()
                 && unreadMinions.isEmpty()
--- a/load/src/main/java/org/chivetally/load/LoadRun.java
+++ b/load/src/main/java/org/chivetally/load/LoadRun.java
@@ -24,11 +24,11 @@
 import org.chivetally.logging.EventLine;
 import org.chivetally.time.NanoClock;
 
-/** Submits a plan's schedule to its entries, brings about its faults, and judges what came of it. */
+/** Runs a load plan: submits its schedule to the entries, injects its faults, and checks the outcomes. */
 public final class LoadRun implements AutoCloseable {
-    /** File in the faults folder with the wall-clock time of the beginning, in milliseconds since 1970. */
+    /** File in the faults folder that holds the wall-clock time of the beginning, in milliseconds since 1970. */
     public static final String BEGIN_FILE = "begin";
-    /** File in the faults folder to which the script that carries out process faults adds what it did. */
+    /** File in the faults folder to which the script that injects process faults appends its steps. */
     public static final String DONE_FILE = "done";
 
     private static final Duration PROGRESS_INTERVAL = Duration.ofSeconds(1);
@@ -56,9 +56,9 @@
     /**
      * Prepares a run.
      *
-     * @param plan what to do
-     * @param progress takes a line every second, and one for each fault
-     * @param folders folders shared with scripts
+     * @param plan plan of the run
+     * @param progress receives one line per second and one per injected fault
+     * @param files files and folders shared with scripts
      */
     public LoadRun(LoadPlan plan, PrintStream progress, RunFiles files) {
         this.plan = plan;
@@ -77,9 +77,10 @@
     }
 
     /**
-     * Runs the whole plan and returns after the last answer, at the latest some seconds after the last deadline.
+     * Runs the whole plan and returns after the last outcome, or a few seconds after the last deadline.
      *
-     * @throws ChivetallyException when no entry becomes ready, or the faults folder can't be used
+     * @throws ChivetallyException if an entry doesn't become ready, or if the faults folder or the requests file can't
+     *     be used
      */
     public LoadReport run() throws InterruptedException {
         Schedule schedule = Schedule.of(plan);
@@ -115,7 +116,8 @@
         for (Target entry : plan.targets().entries()) {
             while (!loadBalancer.isReady(entry)) {
                 if (System.nanoTime() > timeoutNanos) {
-                    throw new ChivetallyException(ErrorCode.NOT_READY, "not ready: " + entry.at("/readyz"));
+                    throw new ChivetallyException(
+                            ErrorCode.NOT_READY, "entry did not become ready: " + entry.at("/readyz"));
                 }
                 TimeUnit.NANOSECONDS.sleep(READINESS_CHECK_INTERVAL.toNanos());
             }
@@ -123,8 +125,8 @@
     }
 
     /**
-     * Uses the load tool's own code before the run begins. Its first requests would otherwise be late while that code
-     * is loaded and compiled, and the delay would count as the system's.
+     * Runs the load tool's own code once before the run begins. Otherwise class loading and compilation would delay the
+     * first requests, and the delay would be attributed to the system under test.
      */
     private void warmUp(Schedule schedule) throws InterruptedException {
         for (ScheduledJob job : schedule.jobs()
@@ -146,7 +148,7 @@
             Files.deleteIfExists(folder.resolve(DONE_FILE));
             Files.writeString(folder.resolve(BEGIN_FILE), clock.beginEpochMillis() + "\n");
         } catch (IOException unusable) {
-            throw new ChivetallyException(ErrorCode.INVALID_INPUT, "faults folder: " + unusable, unusable);
+            throw new ChivetallyException(ErrorCode.INVALID_INPUT, "faults folder is unusable: " + unusable, unusable);
         }
     }
 
@@ -220,7 +222,8 @@
         try {
             Files.writeString(files.requestsFile().get(), RequestLines.of(requests, tokens));
         } catch (IOException unwritable) {
-            throw new ChivetallyException(ErrorCode.INVALID_INPUT, "file of requests: " + unwritable, unwritable);
+            throw new ChivetallyException(
+                    ErrorCode.INVALID_INPUT, "requests file can't be written: " + unwritable, unwritable);
         }
     }
 
@@ -232,7 +235,8 @@
         try {
             return ProcessFaultLog.parse(Files.readAllLines(file.get()));
         } catch (IOException unreadable) {
-            throw new ChivetallyException(ErrorCode.INVALID_INPUT, "faults folder: " + unreadable, unreadable);
+            throw new ChivetallyException(
+                    ErrorCode.INVALID_INPUT, "faults folder is unusable: " + unreadable, unreadable);
         }
     }
 }
--- a/load/src/main/java/org/chivetally/load/OutcomeChecker.java
+++ b/load/src/main/java/org/chivetally/load/OutcomeChecker.java
@@ -10,10 +10,11 @@
 import org.chivetally.job.JobOutcome.Certainty;
 
 /**
- * Compares what callers were told with what minions recorded.
+ * Checks the outcomes that clients received against the starts that minions recorded.
  *
- * <p>Clocks of several processes are compared only for second starts of idempotent tasks and for contradicted refusals;
- * processes of one machine share the monotonic clock, so this holds there.
+ * <p>Timestamps of different processes are compared for second starts of idempotent tasks, for false and contradicted
+ * refusals, and for starts on draining minions. These checks require all processes to run on one machine, where they
+ * share the monotonic clock.
  */
 public final class OutcomeChecker {
     private static final String FAILED = "failed";
@@ -25,9 +26,12 @@
     private final Map<String, List<StartRecord>> starts = new HashMap<>();
 
     /**
-     * Sorts the records of one run; those of other runs are left out.
+     * Groups the records of one run and ignores start records of other runs.
      *
-     * @param beginNanos reading of the machine's monotonic clock from which the callers' times count
+     * @param requestRecords requests of all clients
+     * @param startRecords starts of all minions
+     * @param beginNanos reading of the monotonic clock at the beginning of the run, from which the times of requests
+     *     count
      */
     public OutcomeChecker(
             Tokens tokens, List<RequestRecord> requestRecords, List<StartRecord> startRecords, long beginNanos) {
@@ -45,7 +49,12 @@
         }
     }
 
-    /** Finds every broken promise, given the times at which entries were stopping and minions leaving. */
+    /**
+     * Finds every violated guarantee.
+     *
+     * @param stops periods during which entries were stopping gracefully
+     * @param draining periods during which minions were draining
+     */
     public CheckResult check(List<GracefulStop> stops, List<DrainingMinion> draining) {
         List<String> falseRefusals = falseRefusals();
         List<String> contradicted = contradictedRefusals();
@@ -66,7 +75,7 @@
         return starts.values().stream().mapToInt(List::size).sum();
     }
 
-    /** Returns the number of tasks of this run with a recorded start. */
+    /** Returns the number of tasks of this run with at least one recorded start. */
     public int startedTaskCount() {
         return starts.size();
     }
@@ -98,7 +107,10 @@
         return false;
     }
 
-    /** An idempotent task may start again once its earlier attempt has failed, or its lease is over at its agent. */
+    /**
+     * Returns whether an idempotent task may be started again: after its earlier attempt has failed, or after the
+     * attempt lease has expired at the agent.
+     */
     private static boolean isAllowedRestart(StartRecord earlier, StartRecord later, Workload.ServiceShare service) {
         boolean endedBefore = earlier.endedNanos() > 0 && earlier.endedNanos() <= later.startedNanos();
         if (endedBefore && !earlier.outcome().equals(DONE)) {
@@ -137,9 +149,9 @@
     }
 
     /**
-     * A refusal is false when every request of the submission was told not-run and yet a task started, and when one
-     * that was sent after a start was told so. Where a request of the same key ended otherwise, or without an answer,
-     * while the refused one was under way, its start may be the one recorded.
+     * Returns the submissions with a false refusal: either all requests were unreachable or refused as not run and yet
+     * a task started, or a request that was sent after a start was refused as not run. A start during a refused request
+     * is not attributed to that request if another request under the same key ended differently or without an answer.
      */
     private List<String> falseRefusals() {
         Map<Integer, Long> firstStarts = firstStarts();
@@ -159,7 +171,7 @@
                         .anyMatch(request -> isNotRun(request.reply()) && request.sentNanos() > firstStart);
     }
 
-    /** Returns when the first task of each job started, from the beginning of the run. */
+    /** Returns when the first task of each job started, in nanoseconds since the beginning of the run. */
     private Map<Integer, Long> firstStarts() {
         Map<Integer, Long> firstStarts = new HashMap<>();
         for (Map.Entry<String, List<StartRecord>> entry : starts.entrySet()) {
@@ -208,7 +220,10 @@
         return tokensAfterLeaving;
     }
 
-    /** Both are final, and all callers of one key get the same outcome. */
+    /**
+     * Returns the submissions with both a complete answer and a failure. Both outcomes are final, so all requests under
+     * one key must return the same one.
+     */
     private List<String> conflictingOutcomes() {
         List<String> conflicting = new ArrayList<>();
         for (Map.Entry<Integer, List<RequestRecord>> entry : requests.entrySet()) {
--- a/load/src/main/java/org/chivetally/load/ProcessFaultLog.java
+++ b/load/src/main/java/org/chivetally/load/ProcessFaultLog.java
@@ -7,9 +7,9 @@
 import java.util.TreeMap;
 
 /**
- * What the script beside a run did to processes.
+ * Steps that the script beside a run carried out on processes.
  *
- * @param events steps by rising time
+ * @param events steps sorted by time
  */
 public record ProcessFaultLog(List<Event> events) {
     private static final String TERMINATE = "terminate";
@@ -22,7 +22,7 @@
         events = List.copyOf(events);
     }
 
-    /** Parses lines of milliseconds since 1970, what was done, and the process's name; others are left out. */
+    /** Parses lines of three fields: milliseconds since 1970, action, and process name. Other lines are ignored. */
     public static ProcessFaultLog parse(List<String> lines) {
         List<Event> events = new ArrayList<>();
         for (String line : lines) {
@@ -34,7 +34,7 @@
         return new ProcessFaultLog(events);
     }
 
-    /** Returns the number of faults, by what was done and to which process. */
+    /** Returns the number of injected faults by action and process. */
     public Map<String, Integer> counts() {
         Map<String, Integer> counts = new TreeMap<>();
         for (Event event : events) {
@@ -45,7 +45,7 @@
         return counts;
     }
 
-    /** Returns the graceful stops; one whose end is not noted lasts to the end of the run. */
+    /** Returns the graceful stops. A stop without a recorded end lasts until the end of the run. */
     List<GracefulStop> gracefulStops(RunClock clock) {
         List<GracefulStop> stops = new ArrayList<>();
         for (int index = 0; index < events.size(); index++) {
@@ -67,6 +67,12 @@
         return Long.MAX_VALUE;
     }
 
-    /** One step: when, in milliseconds since 1970, what, and to which process. */
+    /**
+     * One step of the script.
+     *
+     * @param epochMillis time of the step, in milliseconds since 1970
+     * @param action what was done
+     * @param target name of the process
+     */
     public record Event(long epochMillis, String action, String target) {}
 }
--- a/load/src/main/java/org/chivetally/load/ProcessUsage.java
+++ b/load/src/main/java/org/chivetally/load/ProcessUsage.java
@@ -11,7 +11,10 @@
 import java.util.Optional;
 import java.util.TreeMap;
 
-/** Processor time and memory of the processes whose ids stand in a folder, by the role their names begin with. */
+/**
+ * Measures processor time and memory of the processes whose IDs are in a folder, by role. The role is the process name
+ * without its number.
+ */
 final class ProcessUsage {
     private static final String PROCESS_ID_FILES = "*.pid";
     private static final String RESIDENT_SIZE_KEY = "VmRSS:";
@@ -25,12 +28,15 @@
         this.begin = begin;
     }
 
-    /** Reads all processes at the beginning of a run. */
+    /** Takes the first sample of all processes at the beginning of a run. */
     static ProcessUsage begin(Path folder) {
         return new ProcessUsage(folder, read(folder));
     }
 
-    /** Reads them again and returns the cost of each role; processes that were replaced meanwhile are left out. */
+    /**
+     * Samples the processes again and returns the usage by role. Processes that were replaced during the run are left
+     * out.
+     */
     Map<String, RoleUsage> end() {
         Map<String, RoleUsage> usageByRole = new TreeMap<>();
         read(folder).forEach((name, atEnd) -> {
--- a/load/src/main/java/org/chivetally/load/Reply.java
+++ b/load/src/main/java/org/chivetally/load/Reply.java
@@ -3,9 +3,14 @@
 import java.util.List;
 import org.chivetally.job.JobOutcome.Certainty;
 
-/** How one request of a caller ended. */
+/** Outcome of one HTTP request to an entry. */
 public sealed interface Reply {
-    /** The whole answer, as JSON texts in the order received. */
+    /**
+     * A complete answer.
+     *
+     * @param job ID of the job
+     * @param answers answers of the tasks, in the order received
+     */
     record Complete(String job, List<String> answers) implements Reply {
         /** Copies the list. */
         public Complete {
@@ -17,26 +22,31 @@
      * A problem document.
      *
      * @param status HTTP status
-     * @param code stable code
-     * @param certainty what is said about the work
-     * @param detail one sentence for a person
-     * @param retryAfterMillis when the caller may come back; zero gives no advice
+     * @param code stable error code
+     * @param certainty whether the work was done, as far as the entry can determine
+     * @param detail explanation in one sentence
+     * @param retryAfterMillis delay after which the client may retry, in milliseconds; zero gives no advice
      */
     record Problem(int status, String code, Certainty certainty, String detail, long retryAfterMillis)
             implements Reply {}
 
-    /** The entry answered with something that the interface does not describe. */
+    /**
+     * A response that does not conform to the job interface.
+     *
+     * @param status HTTP status
+     * @param body response body
+     */
     record Malformed(int status, String body) implements Reply {}
 
-    /** No connection came about: the request was never sent. */
+    /** No connection could be established, so the request was never sent. */
     record Unreachable(String reason) implements Reply {}
 
-    /** The connection closed before an answer. */
+    /** The connection was closed before a response. */
     record Closed(String reason) implements Reply {}
 
-    /** The job of this name is under way and not final within the time that the request was held. */
+    /** The job was accepted but has not reached a final state within the wait time. */
     record Pending(String job) implements Reply {}
 
-    /** No answer came until some time after the request should have been answered. */
+    /** No response was received within the request timeout. */
     record TimedOut() implements Reply {}
 }
--- a/load/src/main/java/org/chivetally/load/ReportJson.java
+++ b/load/src/main/java/org/chivetally/load/ReportJson.java
@@ -5,7 +5,7 @@
 import tools.jackson.databind.json.JsonMapper;
 import tools.jackson.databind.node.ObjectNode;
 
-/** Writes reports for programs. */
+/** Formats reports as JSON for programs. */
 public final class ReportJson {
     private static final JsonMapper MAPPER = JsonMapper.shared();
 
--- a/load/src/main/java/org/chivetally/load/ReportTable.java
+++ b/load/src/main/java/org/chivetally/load/ReportTable.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import java.util.Locale;
 
-/** Writes reports for people: a table of one run, and Markdown rows for pages that list runs. */
+/** Formats reports as text: a table of one run, and Markdown rows for pages that list runs. */
 public final class ReportTable {
     private static final String ROW = "%-40s %14s  %s%n";
     private static final int MAXIMUM_LISTED_VIOLATIONS = 5;
@@ -23,7 +23,7 @@
 
     private ReportTable() {}
 
-    /** Returns the table of one run, one figure a line, goals beside their figures. */
+    /** Returns the table of one run, with one figure per line and its goal beside it. */
     public static String of(LoadReport report) {
         StringBuilder text = new StringBuilder();
         row(text, "plan", report.plan().name(), "seed " + report.plan().seed() + ", run " + report.run());
@@ -64,7 +64,7 @@
         return names + "\n" + separator + "\n";
     }
 
-    /** Returns one run as a line of that table. */
+    /** Returns one run as a row of the Markdown table. */
     public static String markdownRow(LoadReport report) {
         StringBuilder row = new StringBuilder();
         row.append("| ").append(report.plan().name());
--- a/load/src/main/java/org/chivetally/load/RequestLines.java
+++ b/load/src/main/java/org/chivetally/load/RequestLines.java
@@ -4,14 +4,17 @@
 import tools.jackson.databind.json.JsonMapper;
 import tools.jackson.databind.node.ObjectNode;
 
-/** Writes every request of a run as one JSON object a line, so that what a caller saw can be followed in logs. */
+/**
+ * Formats the requests of a run as JSON lines, one object per request, so that a client's view can be correlated with
+ * logs.
+ */
 public final class RequestLines {
     private static final JsonMapper MAPPER = JsonMapper.shared();
     private static final long NANOS_PER_MILLI = 1_000_000L;
 
     private RequestLines() {}
 
-    /** Returns the lines, in the order given; times are in milliseconds from the beginning of the run. */
+    /** Returns the lines in the given order. Times are in milliseconds since the beginning of the run. */
     public static String of(List<RequestRecord> requests, Tokens tokens) {
         StringBuilder lines = new StringBuilder();
         for (RequestRecord request : requests) {
--- a/load/src/main/java/org/chivetally/load/RequestRecord.java
+++ b/load/src/main/java/org/chivetally/load/RequestRecord.java
@@ -3,16 +3,16 @@
 import java.util.Objects;
 
 /**
- * One request as its caller saw it.
+ * One HTTP request as its client saw it.
  *
- * @param job the submission it belongs to
- * @param repeat 0 for the submission itself, 1 for its planned repeat under the same key
- * @param attempt 0 for the first request, higher for those after one without an outcome
- * @param entry name of the entry it went to
- * @param dueNanos when it was due, from the beginning of the run
- * @param sentNanos when it was sent
- * @param endedNanos when its reply was whole
- * @param reply how it ended
+ * @param job scheduled job that the request submits or queries
+ * @param repeat 0 for the first submission, higher for each planned repeat under the same idempotency key
+ * @param attempt 0 for the first request of a submission, higher for each retry after a request without an outcome
+ * @param entry name of the entry that received the request
+ * @param dueNanos scheduled time of the submission, in nanoseconds since the beginning of the run
+ * @param sentNanos when the request was sent, in nanoseconds since the beginning of the run
+ * @param endedNanos when the complete reply was received, in nanoseconds since the beginning of the run
+ * @param reply how the request ended
  */
 public record RequestRecord(
         ScheduledJob job,
@@ -23,14 +23,17 @@
         long sentNanos,
         long endedNanos,
         Reply reply) {
-    /** Refuses missing parts. */
+    /** Rejects null components. */
     public RequestRecord {
         Objects.requireNonNull(job, "job");
         Objects.requireNonNull(entry, "entry");
         Objects.requireNonNull(reply, "reply");
     }
 
-    /** Returns the time from when the request was due to its reply, in nanoseconds. */
+    /**
+     * Returns the response time in nanoseconds. It counts from the scheduled time, so a late request doesn't hide
+     * waiting time.
+     */
     public long responseNanos() {
         return endedNanos - dueNanos;
     }
--- a/load/src/main/java/org/chivetally/load/RoleUsage.java
+++ b/load/src/main/java/org/chivetally/load/RoleUsage.java
@@ -4,22 +4,22 @@
 import java.util.Objects;
 
 /**
- * What the processes of one role used during a run.
+ * Resource usage of the processes of one role during a run.
  *
  * @param processes number of processes
- * @param processorTime processor time of all together
- * @param residentBytes resident memory of all together at the end
+ * @param processorTime total processor time of all processes
+ * @param residentBytes total resident memory of all processes at the end, in bytes
  */
 public record RoleUsage(int processes, Duration processorTime, long residentBytes) {
     private static final double NANOS_PER_MICRO = 1e3;
     private static final double BYTES_PER_MEBIBYTE = 1024.0 * 1024;
 
-    /** Refuses missing parts. */
+    /** Rejects null components. */
     public RoleUsage {
         Objects.requireNonNull(processorTime, "processor");
     }
 
-    /** Returns the sum of both. */
+    /** Returns the sum of this usage and another. */
     public RoleUsage plus(RoleUsage other) {
         return new RoleUsage(
                 processes + other.processes,
@@ -27,17 +27,17 @@
                 residentBytes + other.residentBytes);
     }
 
-    /** Returns the processor time of all together in microseconds for each of a number of starts. */
+    /** Returns the total processor time in microseconds per start. */
     public double microsPerStart(long starts) {
         return processorTime.toNanos() / NANOS_PER_MICRO / Math.max(1, starts);
     }
 
-    /** Returns the share of one core that one process used over a time. */
+    /** Returns the mean share of one core that each process used over a duration. */
     public double coreShare(Duration duration) {
         return (double) processorTime.toNanos() / processes / duration.toNanos();
     }
 
-    /** Returns the resident memory of one process in MiB. */
+    /** Returns the mean resident memory of a process in MiB. */
     public double mebibytesPerProcess() {
         return residentBytes / BYTES_PER_MEBIBYTE / processes;
     }
--- a/load/src/main/java/org/chivetally/load/RunFiles.java
+++ b/load/src/main/java/org/chivetally/load/RunFiles.java
@@ -7,15 +7,15 @@
 /**
  * Files and folders that a run shares with scripts.
  *
- * @param faultsFolder folder shared with the script that carries out faults of processes
- * @param processesFolder folder with the ids of the processes, whose processor time and memory are then measured
- * @param requestsFile file that takes every request, one JSON object a line
+ * @param faultsFolder folder shared with the script that injects process faults
+ * @param processesFolder folder with the IDs of the processes whose processor time and memory are measured
+ * @param requestsFile file to which all requests are written as JSON lines
  */
 public record RunFiles(Optional<Path> faultsFolder, Optional<Path> processesFolder, Optional<Path> requestsFile) {
-    /** A run without scripts. */
+    /** No shared files. */
     public static final RunFiles NONE = new RunFiles(Optional.empty(), Optional.empty(), Optional.empty());
 
-    /** Refuses missing parts. */
+    /** Rejects null components. */
     public RunFiles {
         Objects.requireNonNull(faultsFolder, "faults");
         Objects.requireNonNull(processesFolder, "processes");
--- a/load/src/main/java/org/chivetally/load/Schedule.java
+++ b/load/src/main/java/org/chivetally/load/Schedule.java
@@ -8,12 +8,12 @@
 import java.util.random.RandomGeneratorFactory;
 
 /**
- * All submissions of a run, fixed before it begins.
+ * The open-loop schedule of a run: all submissions, fixed before the run begins.
  *
- * <p>Arrivals are a Poisson process whose rate follows the plan's phases. The schedule does not react to the system:
- * when answers are slow, jobs are submitted at the same instants, so that waiting shows in their response times.
+ * <p>Arrivals form a Poisson process whose rate follows the phases of the plan. The schedule does not react to the
+ * system under test: slow responses do not delay later submissions, so queueing time shows in the response times.
  *
- * @param jobs submissions by rising instant
+ * @param jobs submissions sorted by time
  */
 public record Schedule(List<ScheduledJob> jobs) {
     private static final String RANDOM_ALGORITHM = "L64X128MixRandom";
@@ -23,7 +23,7 @@
         jobs = List.copyOf(jobs);
     }
 
-    /** Derives the schedule of a plan; equal plans give equal schedules. */
+    /** Generates the schedule of a plan. Equal plans give equal schedules. */
     public static Schedule of(LoadPlan plan) {
         RandomGenerator arrivals = generator(plan.seed());
         RandomGenerator attributes = generator(~plan.seed());
@@ -37,7 +37,8 @@
             if (nanos >= plan.duration().toNanos()) {
                 return new Schedule(jobs);
             }
-            // Thinning: candidates come at the highest rate of the run, and each is kept with the share due now.
+            // Thinning: candidates arrive at the highest rate of the run and are accepted with probability rate /
+            // highestRate.
             double rate = workload.jobsPerSecond() * factorAt(workload, nanos);
             if (arrivals.nextDouble() * highestRate < rate) {
                 jobs.add(job(jobs.size(), nanos, workload, attributes));
--- a/load/src/main/java/org/chivetally/load/ScheduledJob.java
+++ b/load/src/main/java/org/chivetally/load/ScheduledJob.java
@@ -7,12 +7,13 @@
  * One submission of the schedule.
  *
  * @param index position in the schedule
- * @param dueNanos when it is due, from the beginning of the run
- * @param service service and what it allows
+ * @param dueNanos time of the submission, in nanoseconds since the beginning of the run
+ * @param service service that runs the job
  * @param team submitting team
- * @param taskMillis time of each task
- * @param resubmitNanos when the same key is submitted again, each to another entry, from the beginning of the run
- * @param cancelNanos when the caller cancels it, from the beginning of the run
+ * @param taskMillis duration of each task in milliseconds
+ * @param resubmitNanos times at which the same key is submitted again to another entry, in nanoseconds since the
+ *     beginning of the run
+ * @param cancelNanos time at which the client cancels the job, in nanoseconds since the beginning of the run
  */
 public record ScheduledJob(
         int index,
@@ -30,7 +31,7 @@
         resubmitNanos = List.copyOf(resubmitNanos);
     }
 
-    /** Returns the work of all tasks together in nanoseconds. */
+    /** Returns the total duration of all tasks in nanoseconds. */
     public long workNanos() {
         long sum = 0;
         for (int millis : taskMillis) {
@@ -39,7 +40,12 @@
         return sum * NANOS_PER_MILLI;
     }
 
-    /** Returns the shortest time in which this many slots could do the job: its longest task, or its work spread. */
+    /**
+     * Returns the shortest possible response time in nanoseconds: the longest task, or the total work divided by the
+     * slots, whichever is longer.
+     *
+     * @param slots number of slots that run the job in parallel
+     */
     public long idealNanos(int slots) {
         long longest = 0;
         for (int millis : taskMillis) {
--- a/load/src/main/java/org/chivetally/load/SingleQueueSimulation.java
+++ b/load/src/main/java/org/chivetally/load/SingleQueueSimulation.java
@@ -3,17 +3,17 @@
 import java.util.PriorityQueue;
 
 /**
- * Response ratios that one queue before all slots would reach: first come, first served, without messages or failures.
+ * Simulates a schedule on one first-come, first-served queue in front of all slots, without messages or failures.
  *
- * <p>Part of every response time is waiting that the schedule itself causes. This figure tells that part: what a run
- * shows beyond it is the dispatcher's own.
+ * <p>The schedule itself causes some queueing. The simulated response ratios show this part, so whatever a run shows
+ * beyond them is caused by the dispatcher.
  */
 public final class SingleQueueSimulation {
     private static final long NANOS_PER_MILLI = 1_000_000L;
 
     private SingleQueueSimulation() {}
 
-    /** Plays a plan's schedule through the queue and returns the ratios of the jobs that count. */
+    /** Simulates the schedule of a plan and returns the response ratios of the jobs in the measured time. */
     public static ResponseRatio simulate(LoadPlan plan, Schedule schedule) {
         int slots = plan.workload().slots();
         PriorityQueue<Long> slotFreeNanos = new PriorityQueue<>();
--- a/load/src/main/java/org/chivetally/load/StartRecord.java
+++ b/load/src/main/java/org/chivetally/load/StartRecord.java
@@ -3,18 +3,18 @@
 import java.util.Objects;
 
 /**
- * One start as a minion recorded it.
+ * One task start as recorded by a minion.
  *
  * @param minion name of the minion
- * @param token token of the task's payload
- * @param attempt name of the attempt
- * @param startedNanos when it started, by the minion's clock
- * @param endedNanos when it ended; zero while it runs
- * @param outcome how it ended, in the minion's word
+ * @param token token in the payload of the task
+ * @param attempt ID of the attempt
+ * @param startedNanos start time in nanoseconds, by the clock of the minion
+ * @param endedNanos end time in nanoseconds, by the clock of the minion; zero while the attempt runs
+ * @param outcome outcome as the minion reports it
  */
 public record StartRecord(
         String minion, String token, String attempt, long startedNanos, long endedNanos, String outcome) {
-    /** Refuses missing parts. */
+    /** Rejects null components. */
     public StartRecord {
         Objects.requireNonNull(minion, "minion");
         Objects.requireNonNull(token, "token");
--- a/load/src/main/java/org/chivetally/load/StartRecordReader.java
+++ b/load/src/main/java/org/chivetally/load/StartRecordReader.java
@@ -17,10 +17,10 @@
 import tools.jackson.databind.json.JsonMapper;
 
 /**
- * Reads the minions' own records of starts, again and again during a run.
+ * Reads the start records of all minions over HTTP, repeatedly during a run.
  *
- * <p>A minion that is killed loses its record. What was read before counts on; what it recorded since is lost, and
- * shows as answers without a start.
+ * <p>A killed minion loses its records. Records read before the kill are kept. Those made since the last read are lost
+ * and show up as answers without a start.
  */
 final class StartRecordReader {
     private static final JsonMapper MAPPER = JsonMapper.shared();
@@ -31,7 +31,7 @@
     private final HttpClient client;
     private final List<Target> minions;
     private final Map<String, StartRecord> records = new LinkedHashMap<>();
-    /** By minion: the number of its first records that are ended and read. */
+    /** Number of leading records, by minion, that have been read in their final state and are not read again. */
     private final Map<String, Integer> endedPrefix = new HashMap<>();
 
     StartRecordReader(HttpClient client, List<Target> minions) {
@@ -39,12 +39,12 @@
         this.minions = minions;
     }
 
-    /** Reads what is new. */
+    /** Reads the records that are new or not yet final. */
     synchronized void readNew() {
         for (Target minion : minions) {
             Optional<List<JsonNode>> lines = fetch(minion, endedPrefix.getOrDefault(minion.name(), 0));
             if (lines.isEmpty()) {
-                // It may come back with a new record.
+                // After a restart the minion has new records, which are read from the first one on.
                 endedPrefix.remove(minion.name());
                 continue;
             }
@@ -53,7 +53,10 @@
         }
     }
 
-    /** Reads every record from its beginning and returns the names of the minions that couldn't be read. */
+    /**
+     * Reads all records of all minions from the first one on, and returns the names of the minions that couldn't be
+     * read.
+     */
     synchronized List<String> readAll() {
         List<String> unread = new ArrayList<>();
         for (Target minion : minions) {
@@ -63,12 +66,12 @@
         return unread;
     }
 
-    /** Returns every start read so far, once each, as it was read last. */
+    /** Returns every start read so far, once each, in its latest state. */
     synchronized List<StartRecord> records() {
         return new ArrayList<>(records.values());
     }
 
-    /** Parses JSON lines, one start each. */
+    /** Parses JSON lines with one start record each. */
     static List<JsonNode> parseLines(String text) {
         List<JsonNode> nodes = new ArrayList<>();
         for (String line : text.split("\n")) {
@@ -79,7 +82,7 @@
         return nodes;
     }
 
-    /** Reads one start; empty for one without a token, which belongs to another caller. */
+    /** Parses one start record. The result is empty if it has no token, because another client submitted the task. */
     static Optional<StartRecord> parseStart(String minion, JsonNode node) {
         if (!node.hasNonNull("token")) {
             return Optional.empty();
--- a/load/src/main/java/org/chivetally/load/Targets.java
+++ b/load/src/main/java/org/chivetally/load/Targets.java
@@ -6,26 +6,26 @@
 import java.util.Optional;
 
 /**
- * Processes that a run talks to.
+ * The processes of the deployment under test.
  *
- * @param entries entries that take submissions, at least one
- * @param minions backend servers whose records of starts judge the run; none leaves starts unjudged
- * @param logs log stand-ins that faults may be set at
- * @param relays relay stand-ins that faults may be set at
+ * @param entries entries that accept submissions, at least one
+ * @param minions backend servers whose start records are checked; without any, starts are not checked
+ * @param logs log stand-ins that accept fault settings
+ * @param relays relay stand-ins that accept fault settings
  */
 public record Targets(List<Target> entries, List<Target> minions, List<Target> logs, List<Target> relays) {
-    /** Copies the lists and refuses an empty list of entries. */
+    /** Copies the lists and rejects an empty list of entries. */
     public Targets {
         entries = List.copyOf(entries);
         minions = List.copyOf(minions);
         logs = List.copyOf(logs);
         relays = List.copyOf(relays);
         if (entries.isEmpty()) {
-            throw new IllegalArgumentException("a load plan names at least one entry");
+            throw new IllegalArgumentException("targets must contain at least one entry");
         }
     }
 
-    /** Finds a stand-in (minion, log or relay) by its name. */
+    /** Returns the stand-in (minion, log or relay) of a name. */
     public Optional<Target> standIn(String name) {
         for (List<Target> group : List.of(minions, logs, relays)) {
             for (Target target : group) {
@@ -37,15 +37,20 @@
         return Optional.empty();
     }
 
-    /** One process: its name in the process folder, and where it answers HTTP. */
+    /**
+     * One process.
+     *
+     * @param name name of the process
+     * @param url base URL of its HTTP interface
+     */
     public record Target(String name, URI url) {
-        /** Refuses missing parts. */
+        /** Rejects null components. */
         public Target {
             Objects.requireNonNull(name, "name");
             Objects.requireNonNull(url, "url");
         }
 
-        /** Returns the address of a path below this target. */
+        /** Returns the URL of a path on this target. */
         public URI at(String path) {
             return URI.create(url.toString().replaceAll("/+$", "") + path);
         }
--- a/load/src/main/java/org/chivetally/load/Tokens.java
+++ b/load/src/main/java/org/chivetally/load/Tokens.java
@@ -4,29 +4,39 @@
 import java.util.Optional;
 
 /**
- * Names of submissions and tasks of one run, unique over runs, so that records of an earlier run are told apart.
+ * Idempotency keys and task tokens of one run. They are unique across runs, so that start records of earlier runs are
+ * recognized.
  *
  * @param run name of the run
  */
 public record Tokens(String run) {
     private static final char SEPARATOR = '/';
 
-    /** Refuses a missing name. */
+    /** Rejects a null name. */
     public Tokens {
         Objects.requireNonNull(run, "run");
     }
 
-    /** Returns the idempotency key of a submission. */
+    /**
+     * Returns the idempotency key of a submission.
+     *
+     * @param job index of the submission in the schedule
+     */
     public String key(int job) {
         return run + SEPARATOR + job;
     }
 
-    /** Returns the token of a task: what its answer must repeat. */
+    /**
+     * Returns the token of a task, which its answer must contain.
+     *
+     * @param job index of the submission in the schedule
+     * @param task index of the task in the submission
+     */
     public String token(int job, int task) {
         return key(job) + SEPARATOR + task;
     }
 
-    /** Reads a token of this run; empty for one of another run or form. */
+    /** Parses a token of this run. The result is empty for tokens of other runs and for malformed ones. */
     public Optional<TaskIndex> parse(String token) {
         String[] parts = token.split("/", -1);
         if (parts.length != 3 || !parts[0].equals(run)) {
@@ -39,6 +49,11 @@
         }
     }
 
-    /** A task of the schedule: index of its submission and its own index there. */
+    /**
+     * Position of a task in the schedule.
+     *
+     * @param job index of the submission in the schedule
+     * @param task index of the task in the submission
+     */
     public record TaskIndex(int job, int task) {}
 }
--- a/load/src/main/java/org/chivetally/load/Workload.java
+++ b/load/src/main/java/org/chivetally/load/Workload.java
@@ -5,19 +5,19 @@
 import java.util.Objects;
 
 /**
- * What is offered to the entries.
+ * The workload submitted to the entries.
  *
- * @param slots slots of all minions together; measure of the offered share and of a job's ideal time
+ * @param slots total number of slots of all minions; basis of the offered load and of the ideal time of a job
  * @param offered mean load outside of phases
- * @param phases times at which the load differs
- * @param services services with their shares of the jobs
- * @param teams teams with their shares of the jobs
- * @param jobSizes numbers of tasks with their shares of the jobs
- * @param taskTimes bands of task times with their shares of the tasks
- * @param resubmissions repeats of submissions under the same key
- * @param cancellations submissions that their caller cancels
- * @param retries what a caller does without an answer
- * @param deadline deadline given with each job
+ * @param phases periods with a different load
+ * @param services services, weighted by their share of the jobs
+ * @param teams teams, weighted by their share of the jobs
+ * @param jobSizes numbers of tasks per job, weighted by their share of the jobs
+ * @param taskTimes ranges of task durations, weighted by their share of the tasks
+ * @param resubmissions repeated submissions under the same key
+ * @param cancellations submissions that their client cancels
+ * @param retries retries of requests without an outcome
+ * @param deadline deadline of each job, counted from its submission
  */
 public record Workload(
         int slots,
@@ -31,7 +31,7 @@
         Cancellations cancellations,
         Retries retries,
         Duration deadline) {
-    /** Copies the lists and refuses empty ones where a choice must be made. */
+    /** Copies the lists and rejects those that must not be empty. */
     public Workload {
         Objects.requireNonNull(offered, "offered");
         Objects.requireNonNull(resubmissions, "resubmissions");
@@ -59,7 +59,7 @@
         return sum / weights;
     }
 
-    /** Returns the mean time of a task in seconds. */
+    /** Returns the mean duration of a task in seconds. */
     public double meanTaskSeconds() {
         double weights = 0;
         double sum = 0;
@@ -70,7 +70,7 @@
         return sum / weights;
     }
 
-    /** Returns the mean jobs a second outside of phases. */
+    /** Returns the mean number of jobs per second outside of phases. */
     public double jobsPerSecond() {
         return switch (offered) {
             case OfferedLoad.JobRate rate -> rate.jobsPerSecond();
@@ -85,25 +85,37 @@
         return List.copyOf(list);
     }
 
-    /** Mean load. */
+    /** Mean load, in one of two units. */
     public sealed interface OfferedLoad {
-        /** A share of all slots kept busy: 0.5 is half of them. */
+        /**
+         * The load as a share of all slots.
+         *
+         * @param share mean share of the slots in use; 0.5 keeps half of them busy
+         */
         record SlotShare(double share) implements OfferedLoad {}
 
-        /** A number of jobs a second. */
+        /**
+         * The load as a rate.
+         *
+         * @param jobsPerSecond mean number of jobs per second
+         */
         record JobRate(double jobsPerSecond) implements OfferedLoad {}
     }
 
     /**
-     * A span of time with another load.
+     * A period with a different load.
      *
-     * @param name name in the report
-     * @param start from the beginning of the run
-     * @param length how long it lasts
+     * @param name name of the phase
+     * @param start time since the beginning of the run
+     * @param length duration of the phase
      * @param factor multiple of the mean load
      */
     public record Phase(String name, Duration start, Duration length, double factor) {
-        /** Tells whether an instant, in nanoseconds from the beginning of the run, falls into the phase. */
+        /**
+         * Returns whether a time is within the phase.
+         *
+         * @param nanos nanoseconds since the beginning of the run
+         */
         public boolean contains(long nanos) {
             return nanos >= start.toNanos() && nanos < start.plus(length).toNanos();
         }
@@ -113,22 +125,40 @@
      * A service and its share of the jobs.
      *
      * @param name name of the service
-     * @param idempotent whether its tasks may run again after an attempt that is over; as declared at the entries
-     * @param attemptLease longest run of one attempt, after which an idempotent task may start again; zero if never
-     * @param weight share relative to the others
+     * @param idempotent whether its tasks may be restarted after a failed or expired attempt, as declared at the
+     *     entries
+     * @param attemptLease longest duration of an attempt, after which an idempotent task may be restarted; zero for no
+     *     lease
+     * @param weight share relative to the other services
      */
     public record ServiceShare(String name, boolean idempotent, Duration attemptLease, double weight)
             implements Weighted {}
 
-    /** A team and its share of the jobs. */
+    /**
+     * A team and its share of the jobs.
+     *
+     * @param name name of the team
+     * @param weight share relative to the other teams
+     */
     public record TeamShare(String name, double weight) implements Weighted {}
 
-    /** A number of tasks and its share of the jobs. */
+    /**
+     * A job size and its share of the jobs.
+     *
+     * @param tasks number of tasks
+     * @param weight share relative to the other sizes
+     */
     public record JobSize(int tasks, double weight) implements Weighted {}
 
-    /** Task times spread evenly on a logarithmic scale between two bounds, and their share of the tasks. */
+    /**
+     * A range of task durations, log-uniformly distributed, and its share of the tasks.
+     *
+     * @param shortest lower bound
+     * @param longest upper bound
+     * @param weight share relative to the other ranges
+     */
     public record TaskTimeRange(Duration shortest, Duration longest, double weight) implements Weighted {
-        /** Returns the mean in seconds. */
+        /** Returns the mean duration in seconds. */
         public double meanSeconds() {
             double low = shortest.toNanos() / 1e9;
             double high = longest.toNanos() / 1e9;
@@ -138,7 +168,11 @@
             return (high - low) / Math.log(high / low);
         }
 
-        /** Returns the task time at a point between 0 and 1 of the band, in milliseconds, at least 1. */
+        /**
+         * Returns the duration at a quantile of the distribution, in milliseconds, at least 1.
+         *
+         * @param fraction quantile between 0 and 1
+         */
         public int millisAt(double fraction) {
             double low = Math.max(1, shortest.toMillis());
             double high = Math.max(low, longest.toMillis());
@@ -147,14 +181,14 @@
     }
 
     /**
-     * Repeats of submissions under the same key, each to another entry.
+     * Repeated submissions under the same key, each sent to another entry.
      *
      * @param share share of the jobs that are repeated
-     * @param copies repeats of each such job
-     * @param delays a repeat follows the first submission after one of these
+     * @param copies number of repeats of each such job
+     * @param delays delays after the first submission; one is chosen at random for each repeat
      */
     public record Resubmissions(double share, int copies, List<Duration> delays) {
-        /** No repeats. */
+        /** No repeated submissions. */
         public static final Resubmissions NONE = new Resubmissions(0, 1, List.of());
 
         /** Copies the list. */
@@ -164,11 +198,12 @@
     }
 
     /**
-     * Submissions that their caller cancels.
+     * Submissions that their client cancels.
      *
      * @param share share of the jobs that are cancelled
-     * @param delay time from submission to cancellation, where no wave follows
-     * @param waves times, from the beginning of the run, at which all those submitted since the last wave are cancelled
+     * @param delay time from submission to cancellation, used when no wave follows the submission
+     * @param waves times since the beginning of the run at which all jobs submitted since the previous wave are
+     *     cancelled
      */
     public record Cancellations(double share, Duration delay, List<Duration> waves) {
         /** No cancellations. */
@@ -181,19 +216,20 @@
     }
 
     /**
-     * Further requests of a caller, under the same key, after a request that ended without an outcome: unreachable,
-     * closed, or answered with a problem that names a time to come back.
+     * Retries of a client under the same key, after a request that ended without an outcome: the entry was unreachable,
+     * closed the connection, or returned a problem with a retry delay.
      *
-     * @param maximum most further requests of one submission
-     * @param delay time from the end of one request to the next; a longer one that the entry asks for goes first
-     * @param requestTimeout longest time that one request is held; the caller then asks again under the key, and at
-     *     another entry when this one is silent. Zero holds a request until the deadline
+     * @param maximum maximum number of retries of one submission
+     * @param delay time from the end of a request to the next one; a longer delay requested by the entry takes
+     *     precedence
+     * @param requestTimeout longest duration of one request, after which the client repeats it under the same key, at
+     *     another entry if this one does not respond; zero waits until the deadline
      */
     public record Retries(int maximum, Duration delay, Duration requestTimeout) {
-        /** No further requests. */
+        /** No retries. */
         public static final Retries NONE = new Retries(0, Duration.ZERO, Duration.ZERO);
 
-        /** Refuses negative numbers. */
+        /** Rejects negative values. */
         public Retries {
             if (maximum < 0 || delay.isNegative() || requestTimeout.isNegative()) {
                 throw new IllegalArgumentException("retries can't be negative");
@@ -201,9 +237,9 @@
         }
     }
 
-    /** Something chosen with a probability proportional to its weight. */
+    /** An alternative that is chosen with a probability proportional to its weight. */
     public sealed interface Weighted permits ServiceShare, TeamShare, JobSize, TaskTimeRange {
-        /** Returns the weight, more than zero. */
+        /** Returns the weight, greater than zero. */
         double weight();
     }
 }
--- a/load/src/main/java/org/chivetally/load/experiment/ClaimCost.java
+++ b/load/src/main/java/org/chivetally/load/experiment/ClaimCost.java
@@ -21,7 +21,7 @@
 import org.chivetally.log.ReadOutcome;
 import org.chivetally.time.NanoClock;
 
-/** Cost of the claims table: memory of a claim, and time until a fresh process has read the stream. */
+/** Measures the claims table: heap size of a claim, and the time until a new process has read the claims stream. */
 final class ClaimCost {
     private static final String DIGEST = "0123456789abcdef".repeat(4);
     private static final int BATCH_SIZE = 2_000;
@@ -57,7 +57,11 @@
                 defaults.snapshots());
     }
 
-    /** Writes a number of claims and reads them back in a fresh process. */
+    /**
+     * Writes claims in one process and reads them back in a new one.
+     *
+     * @param claims number of claims
+     */
     Cost measure(int claims) throws Exception {
         InMemoryPlatformLog log = new InMemoryPlatformLog(system, NanoClock.system(), InMemoryLogSettings.immediate());
         LogClaims writer = start(log);
@@ -99,17 +103,17 @@
             for (int claim = first; claim < Math.min(claims, first + BATCH_SIZE); claim++) {
                 undecided.add(claim);
             }
-            // A collection of the whole heap may outlast a lease; its claims are refused as not run, and made again.
+            // A full garbage collection may outlast the lease. The claims made meanwhile are refused and retried.
             for (int attempt = 0; attempt < MAXIMUM_ATTEMPTS && !undecided.isEmpty(); attempt++) {
                 undecided = claimBatch(writer, undecided);
             }
             if (!undecided.isEmpty()) {
-                throw new IllegalStateException(undecided.size() + " claims were not won");
+                throw new IllegalStateException(undecided.size() + " claims were refused repeatedly");
             }
         }
     }
 
-    /** Makes claims at once and returns those that were refused. */
+    /** Submits claims concurrently and returns those that were refused. */
     private static List<Integer> claimBatch(LogClaims writer, List<Integer> claims) throws Exception {
         List<CompletableFuture<ClaimDecision>> decisions = new ArrayList<>();
         for (int claim : claims) {
@@ -132,7 +136,7 @@
                 .toCompletableFuture()
                 .get(10, TimeUnit.SECONDS);
         if (!(outcome instanceof ReadOutcome.Records records)) {
-            throw new IllegalStateException("the log can't be read: " + outcome);
+            throw new IllegalStateException("log can't be read: " + outcome);
         }
         return records.records().stream()
                 .mapToInt(record -> record.payload().length)
@@ -141,13 +145,13 @@
     }
 
     /**
-     * What was measured.
+     * Measured costs.
      *
-     * @param claims claims in the table
-     * @param heapBytes heap bytes of each
-     * @param recoverySeconds time from the start of a fresh process until it has read all and holds its lease
-     * @param claimsPerSecond claims decided a second by one process while writing, without a budget of appends
-     * @param recordBytes mean bytes of a record in the log
+     * @param claims number of claims in the table
+     * @param heapBytes heap size of a claim in bytes
+     * @param recoverySeconds time from the start of a new process until it has read all claims and holds its lease
+     * @param claimsPerSecond claims decided per second by one process while writing, without a limit on append rate
+     * @param recordBytes mean size of a log record in bytes
      */
     record Cost(int claims, double heapBytes, double recoverySeconds, double claimsPerSecond, double recordBytes) {}
 }
--- a/load/src/main/java/org/chivetally/load/experiment/ClusterSimulation.java
+++ b/load/src/main/java/org/chivetally/load/experiment/ClusterSimulation.java
@@ -32,8 +32,9 @@
 import org.chivetally.wire.v1.Hello;
 
 /**
- * The product's own decisions, coordinators' and agents', in model time, with frames delayed between them and task
- * times known beforehand. No sockets, threads or links; the periodic heartbeats of links are therefore not counted.
+ * Discrete-event simulation of a cluster. It runs the production decision code of coordinators and agents in simulated
+ * time, with delayed frames and task durations known in advance. There are no sockets, threads or connections, so the
+ * periodic heartbeats of connections are not counted.
  */
 final class ClusterSimulation {
     private static final String SERVICE = "service";
@@ -68,7 +69,9 @@
         connect();
     }
 
-    /** Submits jobs at their instants, in turn to the coordinators, and plays until all are done. */
+    /**
+     * Submits jobs at their scheduled times, round-robin to the coordinators, and runs until all of them have finished.
+     */
     Counts simulate(List<ScheduledJob> jobs) {
         for (ScheduledJob job : jobs) {
             int coordinator = job.index() % coordinators.size();
@@ -76,7 +79,7 @@
         }
         int total = jobs.size();
         while (counts.finished < total && events.runNext()) {
-            // Each step may add others.
+            // Each event may schedule further ones.
         }
         return counts;
     }
@@ -192,7 +195,7 @@
                 case DispatchEffect.JobFinished finished -> jobFinished(finished);
                 case DispatchEffect.CountWaste waste -> counts.wasted++;
                 case DispatchEffect.WriteLine line -> {
-                    // Decision lines are off.
+                    // Decision lines are disabled.
                 }
             }
         }
@@ -215,7 +218,7 @@
                         agent,
                         new AgentEvent.CancelRequested(peer, frame.getCancel().getJobIdsList()));
             case INQUIRY -> apply(agent, new AgentEvent.InquiryRequested(peer, request, frame.getInquiry()));
-            default -> throw new IllegalStateException("a coordinator sent " + frame.getBodyCase());
+            default -> throw new IllegalStateException("unexpected frame from a coordinator: " + frame.getBodyCase());
         }
     }
 
@@ -225,11 +228,12 @@
                 case AgentEffect.SendTo send -> sendToCoordinator(agent, send);
                 case AgentEffect.RunOnMinion run -> runTask(agent, run);
                 case AgentEffect.WriteLine line -> {
-                    // Decision lines are off.
+                    // Decision lines are disabled.
                 }
                 case AgentEffect.CountWaste waste -> counts.wasted++;
-                case AgentEffect.AbandonRun abandon -> throw new IllegalStateException("a model attempt was abandoned");
-                case AgentEffect.StopReady ready -> throw new IllegalStateException("a model agent stopped");
+                case AgentEffect.AbandonRun abandon ->
+                    throw new IllegalStateException("a simulated attempt was abandoned");
+                case AgentEffect.StopReady ready -> throw new IllegalStateException("a simulated agent stopped");
             }
         }
     }
@@ -237,7 +241,7 @@
     private void runTask(int agent, AgentEffect.RunOnMinion run) {
         ScheduledJob job = openJobs.get(new JobId(run.jobId()));
         if (job == null) {
-            throw new IllegalStateException("a start of a job that is over: " + run.jobId());
+            throw new IllegalStateException("start of a finished job: " + run.jobId());
         }
         counts.starts++;
         long nanos = job.taskMillis().get(run.taskIndex()) * NANOS_PER_MILLI;
@@ -267,14 +271,19 @@
         return new AgentId("agent-" + agent, INCARNATION);
     }
 
-    /** Told of each job's end. */
+    /** Listener for the end of jobs. */
     @FunctionalInterface
     interface FinishListener {
-        /** The job ended this many nanoseconds after its submission. */
+        /**
+         * Called when a job has ended.
+         *
+         * @param responseNanos time since the submission, in nanoseconds
+         * @param outcome final outcome of the job
+         */
         void jobFinished(ScheduledJob job, long responseNanos, JobOutcome outcome);
     }
 
-    /** What happened in a model run. */
+    /** Event counts of a simulation. */
     static final class Counts {
         private int finished;
         private int failed;
--- a/load/src/main/java/org/chivetally/load/experiment/ConfigurationCost.java
+++ b/load/src/main/java/org/chivetally/load/experiment/ConfigurationCost.java
@@ -28,17 +28,22 @@
 import org.chivetally.resource.WriteRecord;
 import org.chivetally.time.NanoClock;
 
-/** Cost of folding one record of configuration, or of members, into a table of a given size. */
+/** Measures the cost of folding one record of a resource or of a member into a table of a given size. */
 final class ConfigurationCost {
     private static final int CHANGES = 200;
-    /** Tables filled alike, so that one table's size stands out from the noise of the heap. */
+    /** Number of identical tables that are filled, so that the size of one stands out from heap noise. */
     private static final int TABLE_COPIES = 50;
 
     private static final String SPEC = "{\"maximumRunning\":500,\"maximumQueued\":5000,\"weight\":%d}";
 
     private ConfigurationCost() {}
 
-    /** Measures folds of single writes into a table with so many resources. */
+    /**
+     * Measures folds of single-resource writes.
+     *
+     * @param resources number of resources in the table
+     * @param repeats number of measurements, after one unmeasured warm-up
+     */
     static Cost measureResources(ActorSystem<?> system, int resources, int repeats) throws Exception {
         InMemoryPlatformLog log = new InMemoryPlatformLog(system, NanoClock.system(), InMemoryLogSettings.immediate());
         ResourceService service =
@@ -68,7 +73,12 @@
         return new Cost(resources, Spread.of(micros), heapBytes);
     }
 
-    /** Measures folds of announcements into a table with so many members. */
+    /**
+     * Measures folds of member announcements.
+     *
+     * @param members number of members in the table
+     * @param repeats number of measurements, after one unmeasured warm-up
+     */
     static Cost measureMembers(int members, int repeats) {
         List<byte[]> announcements = new ArrayList<>();
         for (int member = 0; member < members; member++) {
@@ -116,7 +126,12 @@
         return timer.microsPerOperationAndReset(announcements.size());
     }
 
-    /** Writes the teams of a range of numbers in as few writes as allowed. */
+    /**
+     * Writes a range of teams in as few writes as the maximum number of changes per write allows.
+     *
+     * @param from number of the first team
+     * @param until number after the last team
+     */
     private static void writeTeams(ResourceService service, int from, int until) throws Exception {
         for (int first = from; first < until; first += WriteRecord.MAXIMUM_CHANGES) {
             List<Change> changes = new ArrayList<>();
@@ -128,7 +143,7 @@
             WriteOutcome outcome =
                     service.write(changes, "experiment").toCompletableFuture().get(30, TimeUnit.SECONDS);
             if (!(outcome instanceof WriteOutcome.Applied)) {
-                throw new IllegalStateException("a write did not take effect: " + outcome);
+                throw new IllegalStateException("write was not applied: " + outcome);
             }
         }
     }
@@ -140,7 +155,7 @@
         if (outcome instanceof ReadOutcome.Records records) {
             return records.records();
         }
-        throw new IllegalStateException("the log can't be read: " + outcome);
+        throw new IllegalStateException("log can't be read: " + outcome);
     }
 
     private static Member member(int number) {
@@ -155,6 +170,12 @@
                 new MemberCapacity(8, 64, 64_000, 1L << 37, 2));
     }
 
-    /** Entries of the table, processor time of a fold in microseconds, and heap bytes of an entry. */
+    /**
+     * Measured costs.
+     *
+     * @param size number of entries in the table
+     * @param micros processor time of a fold in microseconds
+     * @param heapBytes heap size of an entry in bytes
+     */
     record Cost(int size, Spread micros, double heapBytes) {}
 }
--- a/load/src/main/java/org/chivetally/load/experiment/ControlCostExperiment.java
+++ b/load/src/main/java/org/chivetally/load/experiment/ControlCostExperiment.java
@@ -19,11 +19,11 @@
 import org.chivetally.logging.EventLine;
 
 /**
- * Measures the frames that entries and agents exchange for control, at idle and under load, by the number of both;
- * writes a page.
+ * Measures the control frames between entries and agents, idle and under load, for clusters of different sizes. The
+ * results are written as a Markdown page.
  */
 public final class ControlCostExperiment {
-    /** Frames that carry tasks and their outcomes; all others are control. */
+    /** Kinds of frames that carry tasks and their outcomes. All others are control frames. */
     private static final Set<String> TASK_FRAMES =
             Set.of("start", "result", "refusal", "attach", "job_answer", "cancel");
 
@@ -31,13 +31,17 @@
     private final PrintStream progress;
     private final StringBuilder page = new StringBuilder();
 
-    /** Prepares an experiment; a progress line is printed for each point. */
+    /**
+     * Prepares an experiment.
+     *
+     * @param progress receives one line per measurement
+     */
     public ControlCostExperiment(Settings settings, PrintStream progress) {
         this.settings = settings;
         this.progress = progress;
     }
 
-    /** Measures everything and writes {@code control.md} to a folder. */
+    /** Runs all measurements and writes {@code control.md} to a folder. */
     public void run(Path folder) {
         ActorSystem<Void> system = ActorSystem.create(
                 Behaviors.empty(),
@@ -143,7 +147,7 @@
         return String.format(Locale.ROOT, "%.1f", value);
     }
 
-    /** Rates by "side/direction/kind of frame". */
+    /** Frames and bytes per second. Keys have the form {@code side/direction/kind of frame}. */
     private record Sample(Map<String, LoopbackCluster.FrameCount> rates) {
         LoopbackCluster.FrameCount control(String side) {
             LoopbackCluster.FrameCount sum = new LoopbackCluster.FrameCount(0, 0);
@@ -177,17 +181,25 @@
         }
     }
 
-    /** Entries and agents of one point; idle only when it is not to be loaded. */
+    /**
+     * Size of a measured cluster.
+     *
+     * @param entries number of entries
+     * @param agents number of agents
+     * @param loaded whether to measure under load as well as idle
+     */
     public record ClusterSize(int entries, int agents, boolean loaded) {}
 
     /**
-     * What is measured.
+     * Settings of the experiment.
      *
+     * @param sizes cluster sizes to measure
+     * @param repeats number of measurements per size and state
      * @param settlingTime time from the start of all processes to the first measurement
-     * @param measurementTime length of one measurement
+     * @param measurementTime duration of one measurement
      */
     public record Settings(List<ClusterSize> sizes, int repeats, Duration settlingTime, Duration measurementTime) {
-        /** Returns the sizes of the page on control cost. */
+        /** Returns the settings for the page on control cost. */
         public static Settings all() {
             List<ClusterSize> sizes = List.of(
                     new ClusterSize(1, 11, false),
--- a/load/src/main/java/org/chivetally/load/experiment/EventQueue.java
+++ b/load/src/main/java/org/chivetally/load/experiment/EventQueue.java
@@ -2,18 +2,25 @@
 
 import java.util.PriorityQueue;
 
-/** Steps that are due at model times, taken by rising time; steps of the same time in the order they were added. */
+/**
+ * Event queue of a discrete-event simulation. Events run in order of simulated time; those of the same time run in
+ * insertion order.
+ */
 final class EventQueue {
     private final PriorityQueue<Event> events = new PriorityQueue<>();
     private long addedCount;
     private long nowNanos;
 
-    /** Adds a step that is due some time from now. */
+    /**
+     * Schedules an event.
+     *
+     * @param delayNanos delay from the current simulated time, in nanoseconds
+     */
     void schedule(long delayNanos, Runnable action) {
         events.add(new Event(nowNanos + delayNanos, addedCount++, action));
     }
 
-    /** Carries out the next step; false when there is none. */
+    /** Runs the next event and advances the time to it. Returns false if there is none. */
     boolean runNext() {
         Event next = events.poll();
         if (next == null) {
@@ -24,7 +31,7 @@
         return true;
     }
 
-    /** Returns the model time in nanoseconds. */
+    /** Returns the simulated time in nanoseconds. */
     long nowNanos() {
         return nowNanos;
     }
--- a/load/src/main/java/org/chivetally/load/experiment/LineFit.java
+++ b/load/src/main/java/org/chivetally/load/experiment/LineFit.java
@@ -3,14 +3,14 @@
 import java.util.List;
 
 /**
- * A line through measured points by least squares.
+ * A line fitted to points by least squares.
  *
  * @param intercept value at zero
- * @param slope growth for each unit
+ * @param slope increase per unit
  * @param residual standard deviation of the points from the line
  */
 public record LineFit(double intercept, double slope, double residual) {
-    /** Fits a line through at least two points of different places. */
+    /** Fits a line to at least two points with different x-coordinates. */
     public static LineFit through(List<Point> points) {
         double meanX = points.stream().mapToDouble(Point::x).average().orElseThrow();
         double meanY = points.stream().mapToDouble(Point::y).average().orElseThrow();
@@ -21,14 +21,14 @@
             products += (point.x - meanX) * (point.y - meanY);
         }
         if (squares == 0) {
-            throw new IllegalArgumentException("a line needs points of different places");
+            throw new IllegalArgumentException("a line needs points with different x-coordinates");
         }
         double slope = products / squares;
         double intercept = meanY - slope * meanX;
         return new LineFit(intercept, slope, residual(points, intercept, slope));
     }
 
-    /** Returns the value of the line at a place. */
+    /** Returns the value of the line at an x-coordinate. */
     public double at(double x) {
         return intercept + slope * x;
     }
@@ -42,6 +42,6 @@
         return Math.sqrt(sum / Math.max(1, points.size() - 2));
     }
 
-    /** A measured value at a place. */
+    /** A measured point. */
     public record Point(double x, double y) {}
 }
--- a/load/src/main/java/org/chivetally/load/experiment/LoopbackCluster.java
+++ b/load/src/main/java/org/chivetally/load/experiment/LoopbackCluster.java
@@ -41,7 +41,10 @@
 import org.chivetally.time.NanoClock;
 import org.chivetally.transport.FrameTransport;
 
-/** Entries and agents in this process, over loopback, whose frames are counted apart. */
+/**
+ * Entries and agents in this JVM that communicate over loopback. The frames of entries and of agents are counted
+ * separately.
+ */
 final class LoopbackCluster implements AutoCloseable {
     private static final String HOST = "127.0.0.1";
     private static final int SLOTS_PER_AGENT = 8;
@@ -62,7 +65,7 @@
     private final ServerBinding minion;
     private final HttpClient client = HttpClient.newHttpClient();
 
-    /** Starts all processes and waits until each entry reaches each agent. */
+    /** Starts all entries and agents, and waits until each entry has connected to each agent. */
     LoopbackCluster(ActorSystem<?> system, int entryCount, int agentCount) {
         this.system = system;
         this.log = new InMemoryPlatformLog(system, clock, InMemoryLogSettings.immediate());
@@ -74,7 +77,7 @@
         entries.forEach(this::awaitAgents);
     }
 
-    /** Returns what was counted on both sides, by "side/direction/kind of frame". */
+    /** Returns the frames and bytes counted on both sides. Keys have the form {@code side/direction/kind of frame}. */
     Map<String, FrameCount> counts() {
         Map<String, FrameCount> counts = new TreeMap<>();
         addCounts(counts, "entries", entryMeters);
@@ -82,7 +85,10 @@
         return counts;
     }
 
-    /** Submits jobs of five tasks of 200 ms that keep half of all slots busy, for a time. */
+    /**
+     * Submits jobs of five tasks of 200 ms each at a rate that keeps half of all slots busy, and waits for their
+     * answers.
+     */
     void submitLoad(Duration duration) throws InterruptedException {
         double jobsPerSecond = agents.size() * SLOTS_PER_AGENT * 0.5 / 0.2 / 5;
         long beginNanos = clock.nanos();
@@ -189,7 +195,12 @@
         return stage.toCompletableFuture().join();
     }
 
-    /** Frames and their bytes. */
+    /**
+     * A number of frames, or a rate per second.
+     *
+     * @param frames number of frames
+     * @param bytes size of these frames in bytes
+     */
     record FrameCount(double frames, double bytes) {
         FrameCount plus(FrameCount other) {
             return new FrameCount(frames + other.frames, bytes + other.bytes);
--- a/load/src/main/java/org/chivetally/load/experiment/MarkdownTable.java
+++ b/load/src/main/java/org/chivetally/load/experiment/MarkdownTable.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A table of a Markdown page. */
+/** A table in Markdown. */
 public final class MarkdownTable {
     private final List<String> headings;
     private final List<List<String>> rows = new ArrayList<>();
@@ -13,10 +13,10 @@
         this.headings = List.of(headings);
     }
 
-    /** Adds a row with a cell for each heading. */
+    /** Adds a row with one cell per heading. */
     public MarkdownTable row(String... cells) {
         if (cells.length != headings.size()) {
-            throw new IllegalArgumentException(headings.size() + " cells are needed, not " + cells.length);
+            throw new IllegalArgumentException(headings.size() + " cells expected, but got " + cells.length);
         }
         rows.add(List.of(cells));
         return this;
--- a/load/src/main/java/org/chivetally/load/experiment/Plots.java
+++ b/load/src/main/java/org/chivetally/load/experiment/Plots.java
@@ -21,12 +21,12 @@
 import org.jfree.data.xy.XYIntervalSeries;
 import org.jfree.data.xy.XYIntervalSeriesCollection;
 
-/** Writes plots as PNG files; needs no display. */
+/** Writes plots as PNG files. No display is needed. */
 public final class Plots {
     private static final int WIDTH = 900;
     private static final int HEIGHT = 560;
     private static final float STROKE = 1.6f;
-    /** Told apart on white, also by most people who see few colours. */
+    /** Colours that are distinguishable on white, also with most forms of colour blindness. */
     private static final List<Color> COLOURS = List.of(
             new Color(0xD55E00),
             new Color(0x0072B2),
@@ -43,9 +43,11 @@
     private Plots() {}
 
     /**
-     * Writes one plot with a line for each series; bars span the lowest and the highest measurement of each point.
+     * Writes one plot with a line per series. Error bars span the lowest and the highest measurement of each point.
      *
-     * @param file PNG file, replaced if it exists
+     * @param file PNG file; replaced if it exists
+     * @param axes title and axis labels
+     * @param series lines of the plot
      */
     public static void write(Path file, Axes axes, List<Series> series) {
         XYIntervalSeriesCollection data = new XYIntervalSeriesCollection();
@@ -91,10 +93,22 @@
         }
     }
 
-    /** Texts of a plot, and whether its vertical axis is logarithmic, which needs values above zero. */
+    /**
+     * Title and axes of a plot.
+     *
+     * @param title title of the plot
+     * @param xLabel label of the horizontal axis
+     * @param yLabel label of the vertical axis
+     * @param logarithmic whether the vertical axis is logarithmic, which requires values above zero
+     */
     public record Axes(String title, String xLabel, String yLabel, boolean logarithmic) {}
 
-    /** A line of a plot. */
+    /**
+     * A line of a plot.
+     *
+     * @param name name in the legend
+     * @param points points in the order in which they are connected
+     */
     public record Series(String name, List<Point> points) {
         /** Copies the points. */
         public Series {
@@ -102,6 +116,11 @@
         }
     }
 
-    /** A place on the horizontal axis with what was measured there. */
+    /**
+     * A point of a plot.
+     *
+     * @param x position on the horizontal axis
+     * @param value measurements at this position
+     */
     public record Point(double x, Spread value) {}
 }
--- a/load/src/main/java/org/chivetally/load/experiment/PolicyExperiment.java
+++ b/load/src/main/java/org/chivetally/load/experiment/PolicyExperiment.java
@@ -22,7 +22,7 @@
 import org.chivetally.logging.EventLine;
 import org.chivetally.placement.PlacementPolicy;
 
-/** Plays the same schedules under each placement policy and compares response ratios and waste. */
+/** Simulates the same schedules under each placement policy and compares response ratios and wasted messages. */
 public final class PolicyExperiment {
     private static final String SINGLE_QUEUE = "single-queue";
 
@@ -33,7 +33,9 @@
     /**
      * Prepares an experiment.
      *
-     * @param base plan whose mixture of jobs is offered, at other loads and seeds
+     * @param basePlan plan whose mix of jobs is submitted, at the loads and seeds of the settings
+     * @param settings combinations to simulate
+     * @param progress receives one line per combination
      */
     public PolicyExperiment(LoadPlan basePlan, Settings settings, PrintStream progress) {
         this.basePlan = basePlan;
@@ -41,7 +43,7 @@
         this.progress = progress;
     }
 
-    /** Runs all combinations and writes {@code policies.md} and the plots to a folder. */
+    /** Simulates all combinations and writes {@code policies.md} and the plots to a folder. */
     public void run(Path folder) {
         List<Result> results = new ArrayList<>();
         for (int coordinators : settings.coordinators()) {
@@ -208,9 +210,13 @@
     }
 
     /**
-     * What is compared.
+     * Combinations to simulate.
      *
-     * @param duration model time over which jobs are submitted; the first tenth doesn't count
+     * @param policies placement policies to compare
+     * @param coordinators numbers of coordinators
+     * @param loads offered shares of all slots
+     * @param seeds seeds of the schedules; each combination is simulated once per seed
+     * @param duration simulated time during which jobs are submitted; the first tenth is not measured
      */
     public record Settings(
             List<PlacementPolicy> policies,
@@ -226,7 +232,7 @@
             seeds = List.copyOf(seeds);
         }
 
-        /** Returns the policy in use at 50% and 85% with one to nine coordinators. */
+        /** Returns the two credit-based policies at 50% and 85% load with one to nine coordinators, five seeds each. */
         public static Settings byCoordinators() {
             return new Settings(
                     List.of(new PlacementPolicy.SlotCredits(0), new PlacementPolicy.LeastLoadedCredits(0)),
@@ -236,7 +242,7 @@
                     Duration.ofSeconds(120));
         }
 
-        /** Returns all policies at 30% to 95% with one and three coordinators, five seeds each. */
+        /** Returns all policies at 30% to 95% load with one and three coordinators, five seeds each. */
         public static Settings all() {
             return new Settings(
                     List.of(
--- a/load/src/main/java/org/chivetally/load/experiment/SlopeExperiment.java
+++ b/load/src/main/java/org/chivetally/load/experiment/SlopeExperiment.java
@@ -15,7 +15,8 @@
 import org.chivetally.logging.EventLine;
 
 /**
- * Measures how costs grow with agents, tasks of a job, teams, claims, resources and members; writes a page and plots.
+ * Measures how costs grow with the number of agents, tasks per job, teams, claims, resources and members. The results
+ * are written as a Markdown page and plots.
  */
 public final class SlopeExperiment {
     private static final int DEFAULT_AGENTS = 100;
@@ -26,13 +27,18 @@
     private final PrintStream progress;
     private final StringBuilder page = new StringBuilder();
 
-    /** Prepares an experiment; a progress line is printed for each point. */
+    /**
+     * Prepares an experiment.
+     *
+     * @param settings sizes to measure
+     * @param progress receives one line per measured size
+     */
     public SlopeExperiment(Settings settings, PrintStream progress) {
         this.settings = settings;
         this.progress = progress;
     }
 
-    /** Measures everything and writes {@code slopes.md} and the plots to a folder. */
+    /** Runs all measurements and writes {@code slopes.md} and the plots to a folder. */
     public void run(Path folder) {
         warmUp();
         measureStarts(
@@ -74,7 +80,10 @@
         }
     }
 
-    /** Has the code of all scenarios compiled, so that the first ones measured don't look dearer than the others. */
+    /**
+     * Runs the code of all scenarios once, so that it is compiled before the first measurement. Otherwise the first
+     * sizes would appear more expensive than the others.
+     */
     private void warmUp() {
         for (int tasks : settings.tasks()) {
             new StartCost(new StartCost.Scenario(DEFAULT_AGENTS, tasks, 1)).measure(1);
@@ -194,10 +203,20 @@
     }
 
     private static ChivetallyException experimentFailure(Exception failure) {
-        return new ChivetallyException(ErrorCode.INTERNAL, "the experiment broke: " + failure, failure);
+        return new ChivetallyException(ErrorCode.INTERNAL, "experiment failed: " + failure, failure);
     }
 
-    /** Sizes at which costs are measured, and how often each. */
+    /**
+     * Sizes at which costs are measured.
+     *
+     * @param agents numbers of agents
+     * @param tasks numbers of tasks per job
+     * @param teams numbers of teams
+     * @param claims numbers of claims
+     * @param resources numbers of resources
+     * @param members numbers of members
+     * @param repeats number of measurements per size; claims are measured at most three times
+     */
     public record Settings(
             List<Integer> agents,
             List<Integer> tasks,
@@ -206,7 +225,7 @@
             List<Integer> resources,
             List<Integer> members,
             int repeats) {
-        /** Returns the sizes of the capacity page. */
+        /** Returns the sizes for the capacity page. */
         public static Settings all() {
             return new Settings(
                     List.of(11, 50, 100, 250, 650),
--- a/load/src/main/java/org/chivetally/load/experiment/StartCost.java
+++ b/load/src/main/java/org/chivetally/load/experiment/StartCost.java
@@ -24,8 +24,8 @@
 import org.chivetally.wire.v1.TaskStatus;
 
 /**
- * Cost of a start at a coordinator: decisions from submission to result, encoding of the start and decoding of the
- * result. Sockets, HTTP, claims and log lines are not part of it.
+ * Measures the cost of a task start at a coordinator: the decisions from submission to result, the encoding of the
+ * start frame, and the decoding of the result frame. Sockets, HTTP, claims and log lines are excluded.
  */
 final class StartCost {
     private static final String SERVICE = "service";
@@ -68,7 +68,11 @@
         }
     }
 
-    /** Measures several times after a warm-up. */
+    /**
+     * Measures the cost of starts after a warm-up.
+     *
+     * @param repeats number of measurements
+     */
     Cost measure(int repeats) {
         runStarts(WARM_UP_STARTS);
         timer.microsPerOperationAndReset(1);
@@ -114,7 +118,9 @@
         handle(new DispatchEvent.JobClaimed(id, 1));
     }
 
-    /** Answers starts until none is open; tasks that waited for a slot are started by the answers to others. */
+    /**
+     * Answers all sent frames until none is open. Each result frees a slot, so further frames may be sent meanwhile.
+     */
     private void answerAll() {
         while (!sentFrames.isEmpty()) {
             List<AgentFrame> answers = new ArrayList<>();
@@ -205,10 +211,21 @@
         return CodedOutputStream.computeUInt32SizeNoTag(length) + length;
     }
 
-    /** What is varied: agents, tasks of a job, and teams. */
+    /**
+     * Size of the simulated load.
+     *
+     * @param agents number of agents
+     * @param tasksPerJob number of tasks per job
+     * @param teams number of teams
+     */
     record Scenario(int agents, int tasksPerJob, int teams) {}
 
-    /** Processor time of a start in microseconds, and bytes of its frames both ways. */
+    /**
+     * Measured costs.
+     *
+     * @param micros processor time of a start in microseconds
+     * @param bytesPerStart bytes of the frames of a start in both directions
+     */
     record Cost(Spread micros, double bytesPerStart) {}
 
     private record SentFrame(AgentId agent, byte[] bytes) {}
--- a/load/src/main/java/org/chivetally/load/experiment/ThreadCpuTimer.java
+++ b/load/src/main/java/org/chivetally/load/experiment/ThreadCpuTimer.java
@@ -3,7 +3,7 @@
 import java.lang.management.ManagementFactory;
 import java.lang.management.ThreadMXBean;
 
-/** Processor time that the current thread spent between starts and stops. */
+/** Accumulates the processor time of the current thread between calls of {@link #start()} and {@link #stop()}. */
 final class ThreadCpuTimer {
     private static final ThreadMXBean THREADS = ManagementFactory.getThreadMXBean();
     private static final double NANOS_PER_MICRO = 1e3;
@@ -19,7 +19,7 @@
         elapsedNanos += THREADS.getCurrentThreadCpuTime() - beginNanos;
     }
 
-    /** Returns the time in microseconds for each of a number of operations, and begins anew. */
+    /** Returns the accumulated time per operation in microseconds, and resets the timer. */
     double microsPerOperationAndReset(long operations) {
         double each = elapsedNanos / NANOS_PER_MICRO / operations;
         elapsedNanos = 0;
--- a/load/src/main/java/org/chivetally/load/experiment/package-info.java
+++ b/load/src/main/java/org/chivetally/load/experiment/package-info.java
@@ -1,2 +1,2 @@
-/** Experiments within one process that compare decisions and measure how costs grow. */
+/** In-process experiments that compare placement policies and measure how costs scale. */
 package org.chivetally.load.experiment;
--- a/load/src/main/java/org/chivetally/load/package-info.java
+++ b/load/src/main/java/org/chivetally/load/package-info.java
@@ -1,2 +1,5 @@
-/** Open-loop load against entries, judged by what callers were told and what minions recorded. */
+/**
+ * Open-loop load generator with fault injection. It checks the outcomes that clients receive against the starts that
+ * minions record.
+ */
 package org.chivetally.load;
--- a/load/src/test/java/org/chivetally/load/CountersTest.java
+++ b/load/src/test/java/org/chivetally/load/CountersTest.java
@@ -9,6 +9,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
+/** Guards against wrong message counts from a metrics page, and from the counters of restarted processes. */
 class CountersTest {
     @Test
     void framesBytesAndWastedMessagesAreParsedByKind() throws IOException {
--- a/load/src/test/java/org/chivetally/load/FakeEntry.java
+++ b/load/src/test/java/org/chivetally/load/FakeEntry.java
@@ -19,7 +19,9 @@
 import tools.jackson.databind.node.ArrayNode;
 import tools.jackson.databind.node.ObjectNode;
 
-/** An entry and a minion in one, without any work: answers every job at once, and records its starts. */
+/**
+ * Fake of an entry and a minion in one server. It completes every job immediately and records the starts of its tasks.
+ */
 final class FakeEntry implements AutoCloseable {
     private static final JsonMapper MAPPER = JsonMapper.shared();
 
@@ -29,7 +31,11 @@
     private final Map<String, String> answers = new ConcurrentHashMap<>();
     private final ConcurrentLinkedQueue<String> starts = new ConcurrentLinkedQueue<>();
 
-    /** Starts the server; each task is recorded as started this many times. */
+    /**
+     * Starts the server.
+     *
+     * @param startsPerTask number of starts recorded for each task
+     */
     FakeEntry(int startsPerTask) throws IOException {
         this.startsPerTask = startsPerTask;
         this.server = HttpServer.create(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 0);
--- a/load/src/test/java/org/chivetally/load/FaultScheduleTest.java
+++ b/load/src/test/java/org/chivetally/load/FaultScheduleTest.java
@@ -11,6 +11,10 @@
 import org.chivetally.load.Fault.ProcessFault;
 import org.junit.jupiter.api.Test;
 
+/**
+ * Guards against process faults that are injected out of order or never removed, and against wrong periods of graceful
+ * stops.
+ */
 class FaultScheduleTest {
     @Test
     void processStepsAreSortedAndIncludeEnds() {
--- a/load/src/test/java/org/chivetally/load/LoadBalancerTest.java
+++ b/load/src/test/java/org/chivetally/load/LoadBalancerTest.java
@@ -12,6 +12,7 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
+/** Guards against load that reaches the entries unevenly, or that reaches an entry which has reported unready. */
 class LoadBalancerTest {
     private final HttpClient client = HttpClient.newHttpClient();
     private final List<Target> entries = List.of(entry("1"), entry("2"), entry("3"));
@@ -29,7 +30,10 @@
         }
     }
 
-    /** A repeat is to go to another entry than the first request, but no balancer sends to one that is stopping. */
+    /**
+     * A repeat avoids entries used before, but must not go to an unready one: its closed connection would look like a
+     * failure of the entry.
+     */
     @Test
     void readinessOutranksAvoidance() {
         loadBalancer.markUnready(entries.get(2));
--- a/load/src/test/java/org/chivetally/load/LoadPlanReaderTest.java
+++ b/load/src/test/java/org/chivetally/load/LoadPlanReaderTest.java
@@ -18,6 +18,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
+/** Guards against example plans that are no longer valid, and against mistakes in a plan that are not reported. */
 class LoadPlanReaderTest {
     private static final Path EXAMPLES = Path.of("..", "examples");
 
--- a/load/src/test/java/org/chivetally/load/LoadPlans.java
+++ b/load/src/test/java/org/chivetally/load/LoadPlans.java
@@ -6,11 +6,11 @@
 import java.util.Map;
 import org.chivetally.load.Targets.Target;
 
-/** Plans for tests. */
+/** Load plans for tests. */
 final class LoadPlans {
     private LoadPlans() {}
 
-    /** Returns a plan of short jobs against these processes. */
+    /** Returns a plan of short jobs for the given entries and minions. */
     static LoadPlan small(long seed, Duration duration, List<URI> entries, List<URI> minions) {
         Workload workload = new Workload(
                 8,
--- a/load/src/test/java/org/chivetally/load/LoadRunTest.java
+++ b/load/src/test/java/org/chivetally/load/LoadRunTest.java
@@ -13,6 +13,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
+/** Guards against a run that leaves jobs unchecked or passes despite violated guarantees. */
 class LoadRunTest {
     private static final Duration DURATION = Duration.ofSeconds(1);
     private static final PrintStream DISCARDED = new PrintStream(OutputStream.nullOutputStream());
--- a/load/src/test/java/org/chivetally/load/OutcomeCheckerTest.java
+++ b/load/src/test/java/org/chivetally/load/OutcomeCheckerTest.java
@@ -17,9 +17,13 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
+/**
+ * Guards against violated guarantees that go unnoticed and against false reports. Each violation is constructed in the
+ * resources {@code callers.txt} (requests) and {@code starts.jsonl} (start records).
+ */
 class OutcomeCheckerTest {
     private static final Duration ATTEMPT_LEASE = Duration.ofNanos(8000);
-    /** What starts at 300 or later is within the grace; beyond it lies what starts after 3 s and 300 ns. */
+    /** The drain begins at 300 ns, so starts up to 3 s and 300 ns are within the propagation limit. */
     private static final DrainingMinion DRAINING = new DrainingMinion("minion-1", 300, 4_000_000_000L);
 
     private static final GracefulStop STOP = new GracefulStop("entry-1", 100, 200);
@@ -32,7 +36,7 @@
         List<RequestRecord> requests = new ArrayList<>();
         for (String line : resource("callers.txt").split("\n")) {
             if (!line.startsWith("#")) {
-                requests.add(parseRequest(line.split(" ")));
+                requests.add(parse(line.split(" ")));
             }
         }
         List<StartRecord> starts = StartRecordReader.parseLines(resource("starts.jsonl")).stream()
@@ -49,8 +53,9 @@
     }
 
     /**
-     * Task 2/0 must run once and ran again after it had failed. Task 6/0 may run again, but did so while its first
-     * attempt ran. Task 1/0 ran again after a failure, and 7/0 after the lease of its first attempt: both may.
+     * Task r1/2/0 is not idempotent but was restarted after a failure, which is forbidden. Task r1/6/0 is idempotent
+     * but was restarted while its first attempt was running. The restarts of r1/1/0 after a failure and of r1/7/0 after
+     * the end of its lease are allowed.
      */
     @Test
     void forbiddenSecondStartsAreDuplicates() {
@@ -63,27 +68,31 @@
     }
 
     /**
-     * Submission 4 was told not-run while its task runs; a repeat of 13 was sent and told not-run after its task had
-     * started. Of 5 a repeat was told unknown, so its start may belong to that; of 11 nothing started.
+     * Submission 4 was refused as not run while its task was running. A repeat of 13 was sent and refused after its
+     * task had started. A repeat of 5 ended with an unknown outcome, so the start may belong to that request. No task
+     * of 11 started.
      */
     @Test
     void refusalAfterStartIsFalse() {
         assertThat(result.falseRefusals(), contains("r1/4", "r1/13"));
     }
 
-    /** Submission 12 was told not-run at one entry after another had already started its task. */
+    /** Submission 12 was refused by one entry after another entry had already started its task. */
     @Test
     void refusalIsContradictedByStartForOtherRequest() {
         assertThat(result.contradictedRefusals(), contains("r1/12"));
     }
 
-    /** The minion began to leave at 300 ns; what started before 3 s had passed since may go on. */
+    /** The drain began at 300 ns; starts within the 3 s after it are allowed. */
     @Test
     void startAtDrainedMinionIsReported() {
         assertThat(result.startsAfterLeaving(), contains("r1/14/0"));
     }
 
-    /** Two callers of submission 15 were told a whole answer and a failure of the work: one of them is wrong. */
+    /**
+     * Submission 15 returned a complete answer to one request and a failure to another. Outcomes are final, so one of
+     * them is wrong.
+     */
     @Test
     void answerAndFailureForOneKeyConflict() {
         assertThat(result.conflictingOutcomes(), contains("r1/15"));
@@ -99,7 +108,7 @@
         assertThat(result.unrecordedAnswers(), contains("r1/10/0"));
     }
 
-    private static RequestRecord parseRequest(String[] fields) {
+    private static RequestRecord parse(String[] fields) {
         boolean idempotent = fields[2].equals("again");
         ScheduledJob job = new ScheduledJob(
                 Integer.parseInt(fields[0]),
@@ -111,11 +120,11 @@
                 OptionalLong.empty());
         long sent = Long.parseLong(fields[5]);
         long ended = Long.parseLong(fields[6]);
-        Reply reply = reply(Arrays.asList(fields).subList(7, fields.length));
+        Reply reply = parse(Arrays.asList(fields).subList(7, fields.length));
         return new RequestRecord(job, Integer.parseInt(fields[3]), 0, fields[4], 0, sent, ended, reply);
     }
 
-    private static Reply reply(List<String> fields) {
+    private static Reply parse(List<String> fields) {
         return switch (fields.getFirst()) {
             case "complete" -> new Reply.Complete("job", fields.subList(1, fields.size()));
             case "closed" -> new Reply.Closed("closed");
--- a/load/src/test/java/org/chivetally/load/ResponseRatioTest.java
+++ b/load/src/test/java/org/chivetally/load/ResponseRatioTest.java
@@ -6,6 +6,7 @@
 
 import org.junit.jupiter.api.Test;
 
+/** Guards against wrong percentiles of response ratios, and against undefined values when no job completed. */
 class ResponseRatioTest {
     @Test
     void percentilesAreOfResponseOverIdealTime() {
--- a/load/src/test/java/org/chivetally/load/ScheduleTest.java
+++ b/load/src/test/java/org/chivetally/load/ScheduleTest.java
@@ -11,6 +11,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
+/** Guards against schedules that are not reproducible, or that offer another load than the plan declares. */
 class ScheduleTest {
     private static final Duration DURATION = Duration.ofSeconds(1000);
 
--- a/load/src/test/java/org/chivetally/load/experiment/PolicyExperimentTest.java
+++ b/load/src/test/java/org/chivetally/load/experiment/PolicyExperimentTest.java
@@ -19,6 +19,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
+/** Guards against experiments whose results are not reproducible from their seeds, and against a wrong line fit. */
 class PolicyExperimentTest {
     private static final Path PLAN = Path.of("..", "examples", "load-jylland-50.yaml");
 
