--- a/library/src/main/java/org/chivetally/claim/MemoryClaims.java
+++ b/library/src/main/java/org/chivetally/claim/MemoryClaims.java
@@ -20,13 +20,13 @@
  * <p>For tests, and for services that go on in memory while the log is down. Safe from any thread.
  */
 public final class MemoryClaims implements Claims {
-    private static final long FOR_EVER_NANOS = Long.MAX_VALUE / 2;
+    private static final long UNBOUNDED_LEASE_NANOS = Long.MAX_VALUE / 2;
 
     private final Coordinator self;
     private final long windowNanos;
     private final NanoClock clock;
-    private final Map<SubmissionKey, Held> byKey = new LinkedHashMap<>();
-    private final Map<JobId, SubmissionKey> keys = new HashMap<>();
+    private final Map<SubmissionKey, StoredClaim> byKey = new LinkedHashMap<>();
+    private final Map<JobId, SubmissionKey> keysByJob = new HashMap<>();
     private boolean departed;
 
     /** Creates an empty set of claims of one process; a key stays taken for the window. */
@@ -43,7 +43,7 @@
 
     @Override
     public synchronized CompletionStage<ClaimDecision> takeOver(Claim current) {
-        Held held = inForce(current.key());
+        StoredClaim held = inForce(current.key());
         if (held == null || !held.claim().equals(current)) {
             ClaimDecision decision = held == null
                     ? new ClaimDecision.LogUnavailable("the claim is no longer in force")
@@ -52,7 +52,7 @@
         }
         Claim successor =
                 new Claim(current.key(), current.bodyDigest(), current.job(), self, current.generation() + 1, false);
-        byKey.put(current.key(), new Held(successor, held.endNanos()));
+        byKey.put(current.key(), new StoredClaim(successor, held.endNanos()));
         return CompletableFuture.completedFuture(new ClaimDecision.Won(successor));
     }
 
@@ -67,20 +67,20 @@
     }
 
     @Override
-    public synchronized void finished(Claim claim) {
-        Held held = inForce(claim.key());
+    public synchronized void markFinished(Claim claim) {
+        StoredClaim held = inForce(claim.key());
         if (held == null || !held.claim().job().equals(claim.job())) {
             return;
         }
         Claim known = held.claim();
         Claim marked =
                 new Claim(known.key(), known.bodyDigest(), known.job(), known.coordinator(), known.generation(), true);
-        byKey.put(claim.key(), new Held(marked, held.endNanos()));
+        byKey.put(claim.key(), new StoredClaim(marked, held.endNanos()));
     }
 
     @Override
     public synchronized void release(Claim claim) {
-        forget(claim.job());
+        remove(claim.job());
     }
 
     @Override
@@ -90,12 +90,12 @@
 
     @Override
     public void onLeaseExtended(LongConsumer listener) {
-        listener.accept(clock.nanos() + FOR_EVER_NANOS);
+        listener.accept(clock.nanos() + UNBOUNDED_LEASE_NANOS);
     }
 
     @Override
     public boolean hasLapsed(Coordinator coordinator) {
-        return coordinator.equals(Coordinator.NOBODY);
+        return coordinator.equals(Coordinator.NONE);
     }
 
     @Override
@@ -119,12 +119,12 @@
         if (departed) {
             return new ClaimDecision.LogUnavailable("this process departs");
         }
-        forgetEnded();
-        Held held = inForce(key);
+        removeEnded();
+        StoredClaim held = inForce(key);
         if (held == null) {
             Claim claim = new Claim(key, bodyDigest, job, self, Claim.FIRST_GENERATION, false);
-            byKey.put(key, new Held(claim, clock.nanos() + windowNanos));
-            keys.put(job, key);
+            byKey.put(key, new StoredClaim(claim, clock.nanos() + windowNanos));
+            keysByJob.put(job, key);
             return new ClaimDecision.Won(claim);
         }
         return held.claim().bodyDigest().equals(bodyDigest)
@@ -134,39 +134,39 @@
 
     /** Returns the claim in force for a key. */
     synchronized Optional<Claim> lookUp(SubmissionKey key) {
-        return Optional.ofNullable(inForce(key)).map(Held::claim);
+        return Optional.ofNullable(inForce(key)).map(StoredClaim::claim);
     }
 
     /** Returns the claim in force for a job. */
     synchronized Optional<Claim> lookUp(JobId job) {
-        return Optional.ofNullable(keys.get(job)).flatMap(this::lookUp);
+        return Optional.ofNullable(keysByJob.get(job)).flatMap(this::lookUp);
     }
 
     /** Drops a job's claim, as another place holds it now. */
-    synchronized void forget(JobId job) {
-        SubmissionKey key = keys.remove(job);
+    synchronized void remove(JobId job) {
+        SubmissionKey key = keysByJob.remove(job);
         if (key != null) {
             byKey.remove(key);
         }
     }
 
-    private Held inForce(SubmissionKey key) {
-        Held held = byKey.get(key);
+    private StoredClaim inForce(SubmissionKey key) {
+        StoredClaim held = byKey.get(key);
         return held != null && held.endNanos() - clock.nanos() > 0 ? held : null;
     }
 
-    private void forgetEnded() {
-        Iterator<Held> oldest = byKey.values().iterator();
+    private void removeEnded() {
+        Iterator<StoredClaim> oldest = byKey.values().iterator();
         while (oldest.hasNext()) {
-            Held held = oldest.next();
+            StoredClaim held = oldest.next();
             if (held.endNanos() - clock.nanos() > 0) {
                 return;
             }
             oldest.remove();
-            keys.remove(held.claim().job());
+            keysByJob.remove(held.claim().job());
         }
     }
 
     /** A claim and the reading of the clock at which its window ends. */
-    private record Held(Claim claim, long endNanos) {}
+    private record StoredClaim(Claim claim, long endNanos) {}
 }
--- a/standins/src/main/java/org/chivetally/standins/TcpRelay.java
+++ b/standins/src/main/java/org/chivetally/standins/TcpRelay.java
@@ -34,10 +34,10 @@
 import org.chivetally.standins.RelayFaults.Silence;
 
 /**
- * Stands between two processes like a network that adds distance, loses track of connections, or closes them.
+ * TCP relay between two processes, which simulates a network that adds delay, silences connections, or closes them.
  *
- * <p>Listens on the loopback address. A half-closed connection is treated as closed. Safe from any thread except the
- * relay's own.
+ * <p>Listens on the loopback address. A half-closed connection is treated as closed. Thread-safe, but must not be
+ * called on the relay's own threads.
  */
 public final class TcpRelay implements AutoCloseable {
     private static final FluentLogger LOG = FluentLogger.forEnclosingClass();
@@ -58,13 +58,13 @@
     private volatile RelayFaults faults = RelayFaults.NONE;
     private Channel listener;
 
-    private TcpRelay(Supplier<InetSocketAddress> target, Duration distance) {
+    private TcpRelay(Supplier<InetSocketAddress> target, Duration oneWayDelay) {
         this.target = target;
-        this.oneWayDelayNanos = distance.toNanos();
+        this.oneWayDelayNanos = oneWayDelay.toNanos();
     }
 
     /**
-     * Starts a relay; throws when the port can't be bound.
+     * Starts a relay without delay; throws {@link IllegalStateException} if the port can't be bound.
      *
      * @param listenPort port on the loopback address; 0 takes a free one
      * @param targetHost host that each connection is forwarded to
@@ -76,14 +76,15 @@
     }
 
     /**
-     * Starts a relay over some distance; throws when the port can't be bound.
+     * Starts a relay with a delay; throws {@link IllegalStateException} if the port can't be bound.
      *
      * @param listenPort port on the loopback address; 0 takes a free one
-     * @param target asked at each connection where it is forwarded to, so that the target may listen later
-     * @param distance how long each byte is under way in each direction, besides the faults' delay
+     * @param target supplies the address to forward to for each connection, so that the target may start after the
+     *     relay
+     * @param distance delay of each byte in each direction, in addition to the delay of the faults
      */
-    public static TcpRelay start(int listenPort, Supplier<InetSocketAddress> target, Duration distance) {
-        TcpRelay relay = new TcpRelay(target, distance);
+    public static TcpRelay start(int listenPort, Supplier<InetSocketAddress> target, Duration oneWayDelay) {
+        TcpRelay relay = new TcpRelay(target, oneWayDelay);
         relay.listen(listenPort);
         return relay;
     }
@@ -93,26 +94,26 @@
         return ((InetSocketAddress) listener.localAddress()).getPort();
     }
 
-    /** Returns the faults set last. */
+    /** Returns the current faults. */
     public RelayFaults faults() {
         return faults;
     }
 
-    /** Replaces the faults; returns once the connections open now are silenced or cut. */
-    public synchronized void setFaults(RelayFaults next) {
-        faults = next;
+    /** Replaces the faults; returns once the currently open connections are silenced or closed. */
+    public synchronized void setFaults(RelayFaults newFaults) {
+        faults = newFaults;
         LOG.atInfo().log(
-                "%s", EventLine.of("relay-faults-set").with("port", port()).with("faults", next));
-        List<? extends Future<?>> applied = connections.stream()
-                .map(link -> link.client().eventLoop().submit(() -> link.apply(next)))
+                "%s", EventLine.of("relay-faults-set").with("port", port()).with("faults", newFaults));
+        List<? extends Future<?>> pending = connections.stream()
+                .map(connection -> connection.client().eventLoop().submit(() -> connection.apply(newFaults)))
                 .toList();
-        applied.forEach(Future::awaitUninterruptibly);
-        if (next.cut()) {
+        pending.forEach(Future::awaitUninterruptibly);
+        if (newFaults.cut()) {
             channels.close().awaitUninterruptibly();
         }
     }
 
-    /** Returns counts since the start. */
+    /** Returns counts since the relay started. */
     public RelayStatistics statistics() {
         return new RelayStatistics(
                 accepted.sum(), connections.size(), bytesToTarget.sum(), bytesToClient.sum(), bytesWithheld.sum());
@@ -151,16 +152,16 @@
     private void accept(Channel client) {
         accepted.increment();
         channels.add(client);
-        NewConnections fate = faults.newConnections();
-        switch (fate) {
+        NewConnections handling = faults.newConnections();
+        switch (handling) {
             case FORWARDED -> connectToTarget(client);
-            // Never read from, and dropped only when the relay closes.
+            // The connection stays open and unread until the relay is closed.
             case SILENT -> {}
             case CLOSED -> client.close();
         }
     }
 
-    /** Dials the target on the client's event loop, so that both directions of a connection share one thread. */
+    /** Connects to the target on the client's event loop, so that both directions of a connection share one thread. */
     private void connectToTarget(Channel client) {
         Bootstrap bootstrap = new Bootstrap()
                 .group(client.eventLoop())
@@ -168,10 +169,10 @@
                 .option(ChannelOption.AUTO_READ, false)
                 .option(ChannelOption.TCP_NODELAY, true)
                 .handler(new ChannelInboundHandlerAdapter());
-        ChannelFuture dialled = bootstrap.connect(target.get());
-        dialled.addListener(done -> {
+        ChannelFuture connecting = bootstrap.connect(target.get());
+        connecting.addListener(done -> {
             if (done.isSuccess()) {
-                startForwarding(client, dialled.channel());
+                startForwarding(client, connecting.channel());
             } else {
                 client.close();
             }
@@ -180,8 +181,8 @@
 
     private void startForwarding(Channel client, Channel server) {
         channels.add(server);
-        // A client that was reset while the target was dialled has had its last event; nothing else would close the
-        // target's side, and the target would serve a connection without an owner.
+        // If the client was reset while the relay connected to the target, no further event would close the target's
+        // side, and the target would keep serving a connection without a client.
         if (!client.isActive()) {
             server.close();
             return;
@@ -190,10 +191,10 @@
                 new RelayDirection(server, this::delayNanos, this::runAfter, bytesToTarget, bytesWithheld);
         RelayDirection toClient =
                 new RelayDirection(client, this::delayNanos, this::runAfter, bytesToClient, bytesWithheld);
-        RelayedConnection link = new RelayedConnection(client, server, toTarget, toClient);
-        connections.add(link);
-        client.closeFuture().addListener(closed -> removeIfClosed(link));
-        server.closeFuture().addListener(closed -> removeIfClosed(link));
+        RelayedConnection connection = new RelayedConnection(client, server, toTarget, toClient);
+        connections.add(connection);
+        client.closeFuture().addListener(closed -> removeIfClosed(connection));
+        server.closeFuture().addListener(closed -> removeIfClosed(connection));
         client.pipeline().addLast(toTarget);
         server.pipeline().addLast(toClient);
         client.config().setAutoRead(true);
@@ -204,14 +205,14 @@
         return oneWayDelayNanos + TimeUnit.MILLISECONDS.toNanos(faults.delayMillis());
     }
 
-    // An event loop's own timers fire at whole milliseconds only, which would make a distance of 0.5 ms twice as long.
-    private void runAfter(long nanos, EventExecutor eventLoop, Runnable step) {
-        timer.schedule(() -> eventLoop.execute(step), nanos, TimeUnit.NANOSECONDS);
+    // The timers of an event loop have a resolution of 1 ms, which would double a delay of 0.5 ms.
+    private void runAfter(long nanos, EventExecutor eventLoop, Runnable action) {
+        timer.schedule(() -> eventLoop.execute(action), nanos, TimeUnit.NANOSECONDS);
     }
 
-    private void removeIfClosed(RelayedConnection link) {
-        if (link.isClosed()) {
-            connections.remove(link);
+    private void removeIfClosed(RelayedConnection connection) {
+        if (connection.isClosed()) {
+            connections.remove(connection);
         }
     }
 
--- a/standins/src/test/java/org/chivetally/standins/TcpRelayTest.java
+++ b/standins/src/test/java/org/chivetally/standins/TcpRelayTest.java
@@ -13,9 +13,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
+/** Checks forwarding and each fault of the relay over real sockets. */
 @Timeout(value = 30, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
 class TcpRelayTest {
-    private static final int END = -1;
+    private static final int END_OF_STREAM = -1;
 
     private EchoServer server;
     private TcpRelay relay;
@@ -33,36 +34,36 @@
     }
 
     @Test
-    void forwardsBothWaysAndTheEnd() throws IOException {
-        try (Socket socket = dial()) {
+    void forwardsBothDirectionsAndTheClose() throws IOException {
+        try (Socket socket = connect()) {
             MatcherAssert.assertThat(echo(socket, 'x'), Matchers.is((int) 'x'));
         }
         await(() -> relay.statistics().open() == 0);
         MatcherAssert.assertThat(relay.statistics(), Matchers.is(new RelayStatistics(1, 0, 1, 1, 0)));
     }
 
-    // An open connection falls silent both ways: what the caller sends is taken and never arrives, and no end is seen.
-    // A connection opened afterwards works, and the old one stays silent when the fault is taken back.
+    // An open connection is silenced in both directions: bytes that the caller sends are read but not forwarded, and no
+    // close is seen. A connection opened afterwards works, and the first one stays silent after the fault is removed.
     @Test
     void silencesOpenConnectionsWhileNewOnesWork() throws IOException {
-        try (Socket old = dial()) {
-            echo(old, 'a');
+        try (Socket silenced = connect()) {
+            echo(silenced, 'a');
             relay.setFaults(RelayFaults.silencing(Silence.BOTH));
             relay.setFaults(RelayFaults.NONE);
-            old.getOutputStream().write('b');
+            silenced.getOutputStream().write('b');
             await(() -> relay.statistics().bytesWithheld() == 1);
-            try (Socket fresh = dial()) {
-                MatcherAssert.assertThat(echo(fresh, 'c'), Matchers.is((int) 'c'));
+            try (Socket newSocket = connect()) {
+                MatcherAssert.assertThat(echo(newSocket, 'c'), Matchers.is((int) 'c'));
             }
             MatcherAssert.assertThat(server.received(), Matchers.is(2L));
-            MatcherAssert.assertThat(old.getInputStream().available(), Matchers.is(0));
+            MatcherAssert.assertThat(silenced.getInputStream().available(), Matchers.is(0));
         }
     }
 
-    // Only the way back is silent: the target acts on what the caller sends, and the caller never hears of it.
+    // Only the direction to the caller is silenced: the target receives what the caller sends, but its answer is lost.
     @Test
-    void silencesOneWay() throws IOException {
-        try (Socket socket = dial()) {
+    void silencesOneDirection() throws IOException {
+        try (Socket socket = connect()) {
             echo(socket, 'a');
             relay.setFaults(RelayFaults.silencing(Silence.TO_CLIENT));
             socket.getOutputStream().write('b');
@@ -74,29 +75,30 @@
 
     @Test
     void cutsOpenConnections() throws IOException {
-        try (Socket socket = dial()) {
+        try (Socket socket = connect()) {
             echo(socket, 'a');
             relay.setFaults(new RelayFaults(0, Silence.NONE, true, NewConnections.FORWARDED));
-            MatcherAssert.assertThat(socket.getInputStream().read(), Matchers.is(END));
+            MatcherAssert.assertThat(socket.getInputStream().read(), Matchers.is(END_OF_STREAM));
         }
         await(() -> relay.statistics().open() == 0);
     }
 
-    // The target's whole side is cut off: new connections open, but nothing passes and the target never sees them.
-    // They may also be closed at once. Both end with the fault, for connections opened then.
+    // New connections are accepted but not forwarded, or closed at once; in both cases the target doesn't see them.
+    // After
+    // the fault is removed, new connections are forwarded again.
     @Test
     void newConnectionsMayBeSilentOrClosed() throws IOException {
         relay.setFaults(new RelayFaults(0, Silence.NONE, false, NewConnections.SILENT));
-        try (Socket silent = dial()) {
+        try (Socket silent = connect()) {
             silent.getOutputStream().write('a');
             await(() -> relay.statistics().accepted() == 1);
             relay.setFaults(new RelayFaults(0, Silence.NONE, false, NewConnections.CLOSED));
-            try (Socket closed = dial()) {
-                MatcherAssert.assertThat(closed.getInputStream().read(), Matchers.is(END));
+            try (Socket closed = connect()) {
+                MatcherAssert.assertThat(closed.getInputStream().read(), Matchers.is(END_OF_STREAM));
             }
             relay.setFaults(RelayFaults.NONE);
-            try (Socket fresh = dial()) {
-                MatcherAssert.assertThat(echo(fresh, 'c'), Matchers.is((int) 'c'));
+            try (Socket forwarded = connect()) {
+                MatcherAssert.assertThat(echo(forwarded, 'c'), Matchers.is((int) 'c'));
             }
             MatcherAssert.assertThat(server.received(), Matchers.is(1L));
         }
@@ -105,12 +107,12 @@
     @Test
     void aTargetThatRefusesClosesTheConnection() throws IOException {
         server.close();
-        try (Socket socket = dial()) {
-            MatcherAssert.assertThat(socket.getInputStream().read(), Matchers.is(END));
+        try (Socket socket = connect()) {
+            MatcherAssert.assertThat(socket.getInputStream().read(), Matchers.is(END_OF_STREAM));
         }
     }
 
-    private Socket dial() throws IOException {
+    private Socket connect() throws IOException {
         return new Socket(InetAddress.getLoopbackAddress(), relay.port());
     }
 
