--- a/command/src/main/java/org/chivetally/command/CancelCommand.java
+++ b/command/src/main/java/org/chivetally/command/CancelCommand.java
@@ -15,8 +15,8 @@
 @Command(
         name = "cancel",
         description = {
-            "Cancel jobs: tasks that wait are dropped, tasks that run finish.",
-            "Exit code 3 for a job that was complete before."
+            "Cancel jobs: waiting tasks are discarded, running tasks finish.",
+            "The exit code is 3 if a job had already completed."
         })
 final class CancelCommand implements Callable<Integer> {
     private static final String STATE_COMPLETE = "complete";
@@ -33,13 +33,13 @@
     @Override
     public Integer call() {
         Console console = Console.of(command);
-        int worst = ExitCodes.OK;
+        int highestCode = ExitCodes.OK;
         try (EntryClient client = connection.client()) {
             for (String job : jobs) {
-                worst = Math.max(worst, cancel(client, console, job));
+                highestCode = Math.max(highestCode, cancel(client, console, job));
             }
         }
-        return worst;
+        return highestCode;
     }
 
     private static int cancel(EntryClient client, Console console, String job) {
--- a/command/src/test/java/org/chivetally/command/output/TreeDifferenceTest.java
+++ b/command/src/test/java/org/chivetally/command/output/TreeDifferenceTest.java
@@ -8,13 +8,14 @@
 import tools.jackson.databind.JsonNode;
 import tools.jackson.databind.json.JsonMapper;
 
+/** Checks the lines that {@code diff} prints for changed, added and removed values. */
 class TreeDifferenceTest {
     @Test
     void showsChangedAddedAndRemovedValues() {
         JsonNode old = tree("{\"limits\": {\"queue\": 5, \"retry\": 1}, \"labels\": [\"a\"]}");
-        JsonNode renewed = tree("{\"limits\": {\"queue\": 6}, \"labels\": [\"a\", \"b\"]}");
+        JsonNode updated = tree("{\"limits\": {\"queue\": 6}, \"labels\": [\"a\", \"b\"]}");
         assertThat(
-                TreeDifference.lines(old, renewed),
+                TreeDifference.lines(old, updated),
                 contains("  + labels[1]: \"b\"", "  - limits.queue: 5", "  + limits.queue: 6", "  - limits.retry: 1"));
         assertThat(TreeDifference.lines(old, old), empty());
     }
