--- a/library/src/main/java/org/chivetally/claim/ClaimRecordCodec.java
+++ b/library/src/main/java/org/chivetally/claim/ClaimRecordCodec.java
@@ -30,18 +30,18 @@
     /**
      * Encodes a record.
      *
-     * @param entry the record and its stream time
+     * @param timestamped the record and its stream time
      * @param written wall-clock time of writing, for operators only
      */
-    static byte[] encode(TimestampedRecord entry, Instant written) {
+    static byte[] encode(TimestampedRecord timestamped, Instant written) {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream(INITIAL_BUFFER_BYTES);
         try (JsonGenerator json = JSON.createGenerator(ObjectWriteContext.empty(), bytes)) {
             json.writeStartObject();
-            json.writeNumberProperty("format", formatOf(entry.content()));
-            json.writeStringProperty("type", typeOf(entry.content()));
-            json.writeNumberProperty("time", entry.streamMillis());
+            json.writeNumberProperty("format", formatOf(timestamped.content()));
+            json.writeStringProperty("type", typeOf(timestamped.content()));
+            json.writeNumberProperty("time", timestamped.streamMillis());
             json.writeStringProperty("written", written.toString());
-            writeContent(json, entry.content());
+            writeContent(json, timestamped.content());
             json.writeEndObject();
         }
         return bytes.toByteArray();
--- a/library/src/main/java/org/chivetally/claim/ClaimStateMachine.java
+++ b/library/src/main/java/org/chivetally/claim/ClaimStateMachine.java
@@ -340,9 +340,10 @@
         Optional<RecordId> id = RecordId.parse(logRecord.id());
         DecodedRecord decoded = id.isPresent()
                 ? ClaimRecordCodec.decode(logRecord.payload())
-                : new DecodedRecord.Skipped("id of another kind");
+                : new DecodedRecord.Skipped("malformed record id");
         switch (decoded) {
-            case DecodedRecord.Valid valid -> apply(table.fold(logRecord.offset(), id.get(), valid.entry()), nanos);
+            case DecodedRecord.Valid valid ->
+                apply(table.fold(logRecord.offset(), id.get(), valid.timestamped()), nanos);
             case DecodedRecord.Skipped skipped -> skip(logRecord, skipped.reason());
         }
     }
@@ -470,8 +471,8 @@
     private void decideOne(PendingClaim claim, long nanos) {
         Optional<Claim> inForce = table.find(claim.key());
         if (claim.isSubmission() && inForce.filter(this::isRetained).isEmpty()) {
-            // The record lost to a claim that this process abandoned, whose release is queued or already read. It is
-            // sent again after the release, so that it can win.
+            // The record lost to an abandoned claim that is released already, or that this process is about to release.
+            // It is sent again after the release, so that it can win.
             claim.resetForResend();
             commit.add(claim.content());
             return;
@@ -535,8 +536,7 @@
 
     private void renew(long nanos) {
         leaseManager.pollRenewal(nanos).ifPresent(renewed -> {
-            // An earlier renewal that is queued or unconfirmed would be measured from its first send; the new one ends
-            // later.
+            // An earlier, unconfirmed renewal would be measured from its first send; the new one ends later.
             commit.withdraw(renewed);
             commit.addUrgent(renewed);
         });
--- a/library/src/main/java/org/chivetally/claim/ClaimTable.java
+++ b/library/src/main/java/org/chivetally/claim/ClaimTable.java
@@ -59,7 +59,7 @@
      *
      * @param offset offset of the record in the stream
      */
-    FoldResult fold(long offset, RecordId id, TimestampedRecord entry) {
+    FoldResult fold(long offset, RecordId id, TimestampedRecord timestamped) {
         if (offset < nextOffset) {
             return new FoldResult.Unchanged();
         }
@@ -67,10 +67,10 @@
         if (!isNew(id)) {
             return new FoldResult.Unchanged();
         }
-        streamMillis = Math.max(streamMillis, entry.streamMillis());
-        updateWriter(id, offset, entry.content());
+        streamMillis = Math.max(streamMillis, timestamped.streamMillis());
+        updateWriter(id, offset, timestamped.content());
         removeEnded();
-        return switch (entry.content()) {
+        return switch (timestamped.content()) {
             case ClaimRecord.Claimed claimed -> foldClaimed(claimed, offset);
             case ClaimRecord.TakenOver taken -> foldTakenOver(taken);
             case ClaimRecord.Renewed renewed ->
@@ -91,12 +91,12 @@
 
     /** Returns the claim in force for a key. */
     Optional<Claim> find(SubmissionKey key) {
-        return Optional.ofNullable(inForce(key)).map(CompactClaim::claim);
+        return Optional.ofNullable(inForce(key)).map(CompactClaim::toClaim);
     }
 
     /** Returns the claim in force for a job. */
     Optional<Claim> find(JobId job) {
-        return Optional.ofNullable(byJob.get(job)).filter(this::isInForce).map(CompactClaim::claim);
+        return Optional.ofNullable(byJob.get(job)).filter(this::isInForce).map(CompactClaim::toClaim);
     }
 
     /** Returns the offset of the record that claimed a job's key; empty if no claim of the job is in force. */
@@ -135,7 +135,7 @@
     }
 
     /**
-     * Returns whether a record is not a duplicate.
+     * Returns whether a record is not a duplicate; at the first record of a writer, removes inactive writers.
      *
      * <p>An append whose answer was lost is repeated, and the original may still be written later, so a record may
      * appear twice. Applied twice, it could claim a key again that was released in between, for a job that no process
@@ -186,7 +186,7 @@
         }
         CompactClaim successor = stored.withCoordinator(coordinators.intern(taken.coordinator()), taken.generation());
         put(successor);
-        return new FoldResult.TakenOver(successor.claim(), stored.coordinator());
+        return new FoldResult.TakenOver(successor.toClaim(), stored.coordinator());
     }
 
     /**
@@ -202,7 +202,7 @@
         }
         CompactClaim marked = stored.asFinished();
         put(marked);
-        return new FoldResult.Finished(marked.claim());
+        return new FoldResult.Finished(marked.toClaim());
     }
 
     private FoldResult foldReleased(ClaimRecord.Released released) {
@@ -218,7 +218,7 @@
         } else {
             put(stored.withCoordinator(Coordinator.NONE, stored.generation()));
         }
-        return new FoldResult.Released(stored.claim());
+        return new FoldResult.Released(stored.toClaim());
     }
 
     private CompactClaim inForce(SubmissionKey key) {
--- a/library/src/main/java/org/chivetally/claim/ClaimsActor.java
+++ b/library/src/main/java/org/chivetally/claim/ClaimsActor.java
@@ -289,7 +289,7 @@
         return batch.records().stream()
                 .map(outgoing -> new NewRecord(
                         new RecordId(writer, outgoing.sequence()).text(),
-                        ClaimRecordCodec.encode(outgoing.entry(), written)))
+                        ClaimRecordCodec.encode(outgoing.timestamped(), written)))
                 .toList();
     }
 
--- a/library/src/main/java/org/chivetally/claim/CompactClaim.java
+++ b/library/src/main/java/org/chivetally/claim/CompactClaim.java
@@ -39,8 +39,8 @@
                 offset);
     }
 
-    /** Returns the claim in its usual form. */
-    Claim claim() {
+    /** Converts this claim to a {@link Claim}. */
+    Claim toClaim() {
         return new Claim(key, bodyDigest(), job, coordinator, generation, finished);
     }
 
--- a/library/src/main/java/org/chivetally/claim/GroupCommit.java
+++ b/library/src/main/java/org/chivetally/claim/GroupCommit.java
@@ -72,7 +72,10 @@
         lazy.add(content);
     }
 
-    /** Removes a record that is queued or would be sent again; one that is in flight may still be written. */
+    /**
+     * Removes a record that waits in the normal queue or would be sent again; one that is in flight may still be
+     * written.
+     */
     void withdraw(ClaimRecord content) {
         normal.remove(content);
         if (inFlight) {
@@ -181,10 +184,10 @@
     record Batch(long number, List<Outgoing> records) {}
 
     /** A record with its sequence number. */
-    record Outgoing(long sequence, TimestampedRecord entry) {
+    record Outgoing(long sequence, TimestampedRecord timestamped) {
         /** Returns the record itself. */
         ClaimRecord content() {
-            return entry.content();
+            return timestamped.content();
         }
     }
 }
--- a/library/src/test/java/org/chivetally/claim/ClaimRecordCodecTest.java
+++ b/library/src/test/java/org/chivetally/claim/ClaimRecordCodecTest.java
@@ -63,6 +63,7 @@
         assertThat(decoded, is(new DecodedRecord.Valid(new TimestampedRecord(content, 0))));
     }
 
+    /** A malformed record, or one of an unknown type or format, must not fail the reader with an exception. */
     @ParameterizedTest
     @ValueSource(
             strings = {
@@ -79,7 +80,6 @@
                 "{\"format\":1,\"type\":\"finished\",\"team\":\"t\",\"key\":\"k\",\"job\":\"j\",\"time\":\"x\"}",
                 "{\"format\":1,\"type\":\"finished\",\"team\":\"t\",\"key\":\"k\",\"job\":\"j\""
             })
-    /** A malformed record, or one of an unknown type or format, must not fail the reader with an exception. */
     void unreadableRecordIsSkipped(String line) {
         DecodedRecord decoded = ClaimRecordCodec.decode(line.getBytes(StandardCharsets.UTF_8));
         assertThat(decoded, instanceOf(DecodedRecord.Skipped.class));
--- a/library/src/test/java/org/chivetally/claim/ClaimStateMachinePropertiesTest.java
+++ b/library/src/test/java/org/chivetally/claim/ClaimStateMachinePropertiesTest.java
@@ -42,11 +42,11 @@
         simulation.replies.forEach(reply -> assertThat(reply.isDone(), is(true)));
         TableImage image = simulation.processes.getFirst().stateMachine.image();
         simulation.processes.forEach(process -> assertThat(process.stateMachine.image(), is(image)));
-        for (CompactClaim held : image.claims()) {
-            boolean nobody = held.coordinator().equals(Coordinator.NONE);
+        for (CompactClaim claim : image.claims()) {
+            boolean unassigned = claim.coordinator().equals(Coordinator.NONE);
             List<Coordinator> winners =
-                    simulation.winners.getOrDefault(Simulation.generationKey(held.claim()), List.of());
-            assertThat(nobody ? winners.isEmpty() : winners.contains(held.coordinator()), is(true));
+                    simulation.winners.getOrDefault(Simulation.generationKey(claim.toClaim()), List.of());
+            assertThat(unassigned ? winners.isEmpty() : winners.contains(claim.coordinator()), is(true));
         }
     }
 
@@ -140,7 +140,7 @@
                 case SEND -> send(process);
                 case READ -> read(process);
                 case WRITE -> pickAppend(step.number()).ifPresent(this::write);
-                case ANSWER -> pickAppend(step.number()).ifPresent(flight -> answer(flight, step.number()));
+                case ANSWER -> pickAppend(step.number()).ifPresent(append -> answer(append, step.number()));
                 case CLAIM -> claim(process, step.number());
                 case TAKE_OVER -> takeOver(process, step.number());
                 case RUN_ALONE -> runAlone(process);
@@ -176,7 +176,7 @@
                 clock.advance(Duration.ofSeconds(3));
                 send(process);
                 appends.stream()
-                        .filter(flight -> flight.sender == process.stateMachine())
+                        .filter(append -> append.sender == process.stateMachine())
                         .forEach(this::write);
                 read(process);
             }
@@ -200,26 +200,26 @@
                                 process.self().processId(),
                                 outgoing.sequence(),
                                 outgoing.content(),
-                                outgoing.entry().streamMillis()))
+                                outgoing.timestamped().streamMillis()))
                         .toList();
                 appends.add(new InFlightAppend(process.stateMachine(), batch.number(), records));
             });
         }
 
-        private void write(InFlightAppend flight) {
-            if (flight.refused) {
+        private void write(InFlightAppend append) {
+            if (append.refused) {
                 return;
             }
-            flight.written = true;
-            flight.records.forEach(record -> stream.add(new LogRecord(stream.size(), record.id(), record.payload())));
+            append.written = true;
+            append.records.forEach(record -> stream.add(new LogRecord(stream.size(), record.id(), record.payload())));
         }
 
-        private void answer(InFlightAppend flight, int number) {
-            boolean refuse = number % 3 == 0 && !flight.written;
-            flight.refused = flight.refused || refuse;
-            AppendOutcome truthful = flight.written ? new AppendOutcome.Appended(0) : new AppendOutcome.Unknown("late");
+        private void answer(InFlightAppend append, int number) {
+            boolean refuse = number % 3 == 0 && !append.written;
+            append.refused = append.refused || refuse;
+            AppendOutcome truthful = append.written ? new AppendOutcome.Appended(0) : new AppendOutcome.Unknown("late");
             AppendOutcome lost = refuse ? new AppendOutcome.Refused("down") : new AppendOutcome.Unknown("lost");
-            flight.sender.appendCompleted(flight.number, number % 3 == 1 ? truthful : lost, clock.nanos());
+            append.sender.appendCompleted(append.number, number % 3 == 1 ? truthful : lost, clock.nanos());
         }
 
         private void read(Process process) {
@@ -231,15 +231,15 @@
 
         private void deliverAll() {
             processes.forEach(this::send);
-            appends.stream().filter(flight -> !flight.written).forEach(this::write);
-            appends.stream().filter(flight -> flight.written).forEach(flight -> answer(flight, 1));
+            appends.stream().filter(append -> !append.written).forEach(this::write);
+            appends.stream().filter(append -> append.written).forEach(append -> answer(append, 1));
             processes.forEach(this::read);
         }
 
         /** Ends all faults; appends in flight are either written or never will be. */
         private void quiesce() {
-            appends.forEach(flight -> answer(flight, 2));
-            appends.forEach(flight -> flight.written = true);
+            appends.forEach(append -> answer(append, 2));
+            appends.forEach(append -> append.written = true);
             for (int round = 0; round < 30; round++) {
                 clock.advance(Duration.ofMillis(500));
                 deliverAll();
--- a/library/src/test/java/org/chivetally/claim/ClaimStateMachineTest.java
+++ b/library/src/test/java/org/chivetally/claim/ClaimStateMachineTest.java
@@ -59,16 +59,16 @@
     }
 
     private static ClaimSettings settingsWithLongClaimTimeout() {
-        ClaimSettings usual = ClaimSettings.defaults(Duration.ofMinutes(10), Duration.ofHours(1));
+        ClaimSettings defaults = ClaimSettings.defaults(Duration.ofMinutes(10), Duration.ofHours(1));
         return new ClaimSettings(
-                usual.window(),
-                usual.logRetention(),
+                defaults.window(),
+                defaults.logRetention(),
                 Duration.ofMillis(600),
                 Duration.ofMillis(200),
                 Duration.ofMillis(300),
                 LAPSE.multipliedBy(5),
-                usual.commit(),
-                usual.tail(),
-                usual.snapshots());
+                defaults.commit(),
+                defaults.tail(),
+                defaults.snapshots());
     }
 }
--- a/library/src/test/java/org/chivetally/claim/ClaimTablePropertiesTest.java
+++ b/library/src/test/java/org/chivetally/claim/ClaimTablePropertiesTest.java
@@ -109,7 +109,7 @@
             return;
         }
         Written earlier = stream.get((int) (step.elapsedMillis() % stream.size()));
-        stream.add(new Written(stream.size(), earlier.id(), earlier.entry()));
+        stream.add(new Written(stream.size(), earlier.id(), earlier.timestamped()));
     }
 
     private static ClaimRecord contentOf(Step step) {
@@ -142,9 +142,9 @@
 
     private record Step(int process, int kind, int number, int generation, long elapsedMillis) {}
 
-    private record Written(long offset, RecordId id, TimestampedRecord entry) {
+    private record Written(long offset, RecordId id, TimestampedRecord timestamped) {
         private FoldResult fold(ClaimTable table) {
-            return table.fold(offset, id, entry);
+            return table.fold(offset, id, timestamped);
         }
     }
 }
--- a/library/src/test/java/org/chivetally/claim/LogClaimsTest.java
+++ b/library/src/test/java/org/chivetally/claim/LogClaimsTest.java
@@ -164,12 +164,12 @@
      */
     @Test
     void twoEntriesRaceToTakeOver() {
-        LogClaims dead = start("a", log.view());
+        LogClaims stopped = start("a", log.view());
         LogClaims b = start("b", log);
         LogClaims c = start("c", log.view());
-        claim(dead, "job-1");
+        claim(stopped, "job-1");
         Claim claim = ClaimSamples.claim("job-1", "a", 1);
-        dead.stop();
+        stopped.stop();
         advance(Duration.ofSeconds(1));
         assertThat(join(b.takeOver(claim)), is(new ClaimDecision.Attached(claim)));
         advance(LAPSE.plus(SETTINGS.renewalInterval()));
@@ -334,11 +334,11 @@
      */
     @Test
     void abandonedTakeoverLeavesClaimWithoutCoordinator() {
-        LogClaims dead = start("a", log.view());
+        LogClaims stopped = start("a", log.view());
         LogClaims b = start("b", log);
         LogClaims c = start("c", log.view());
-        claim(dead, "job-1");
-        dead.stop();
+        claim(stopped, "job-1");
+        stopped.stop();
         advance(LAPSE.plus(SETTINGS.renewalInterval()));
         log.setHoldAppends(true);
         CompletionStage<ClaimDecision> takeOver = b.takeOver(ClaimSamples.claim("job-1", "a", 1));
@@ -360,10 +360,10 @@
      */
     @Test
     void repeatedTakeoverDoesNotWinAbandonedClaim() {
-        LogClaims dead = start("a", log.view());
+        LogClaims stopped = start("a", log.view());
         LogClaims b = start("b", log);
-        claim(dead, "job-1");
-        dead.stop();
+        claim(stopped, "job-1");
+        stopped.stop();
         advance(LAPSE.plus(SETTINGS.renewalInterval()));
         Claim claim = ClaimSamples.claim("job-1", "a", 1);
         log.setHoldAppends(true);
@@ -524,16 +524,16 @@
     }
 
     private static ClaimSettings settings() {
-        ClaimSettings usual = ClaimSettings.defaults(Duration.ofMinutes(10), Duration.ofHours(1));
+        ClaimSettings defaults = ClaimSettings.defaults(Duration.ofMinutes(10), Duration.ofHours(1));
         return new ClaimSettings(
-                usual.window(),
-                usual.logRetention(),
-                usual.lease(),
-                usual.renewalInterval(),
-                usual.longestTicketAge(),
-                usual.claimTimeout(),
-                usual.commit(),
-                usual.tail(),
+                defaults.window(),
+                defaults.logRetention(),
+                defaults.lease(),
+                defaults.renewalInterval(),
+                defaults.longestTicketAge(),
+                defaults.claimTimeout(),
+                defaults.commit(),
+                defaults.tail(),
                 SnapshotSettings.every(SNAPSHOT_INTERVAL));
     }
 
