--- a/library/src/main/java/org/chivetally/coordination/AttemptEnds.java
+++ b/library/src/main/java/org/chivetally/coordination/AttemptEnds.java
@@ -62,7 +62,7 @@
             case REFUSAL_REASON_ALREADY_STARTED -> startedEarlier(attempt);
             case REFUSAL_REASON_STALE_TICKET -> notRun(attempt, reason.name());
             case REFUSAL_REASON_WRONG_SERVICE -> {
-                context.fleet.draining(agent);
+                context.fleet.markLeaving(agent);
                 notRun(attempt, reason.name());
             }
             case REFUSAL_REASON_TOO_LARGE -> {
@@ -232,7 +232,7 @@
             service.runTimes.record(runMicros);
             service.costs.record(job.team.name, runMicros);
         }
-        apply(service, service.quarantine.succeeded(attempt.agent, slow, context.now));
+        apply(service, service.quarantine.taskSucceeded(attempt.agent, slow, context.now));
     }
 
     /** A task that fails at a second agent is itself at fault: neither agent is blamed for it. */
@@ -241,9 +241,9 @@
         ServiceProgress service = attempt.job().service;
         if (task.blamed == null && task.spent == 0) {
             task.blamed = attempt.agent;
-            apply(service, service.quarantine.failed(attempt.agent, context.now));
+            apply(service, service.quarantine.taskFailed(attempt.agent, context.now));
         } else if (task.blamed != null && task.blamed != attempt.agent) {
-            service.quarantine.pardon(task.blamed, context.now);
+            service.quarantine.retractFailure(task.blamed, context.now);
             task.blamed = null;
         }
     }
@@ -253,7 +253,7 @@
     }
 
     void apply(ServiceProgress service, QuarantineVerdict verdict) {
-        context.fleet.allow(verdict.agent(), verdict.allowed());
+        context.fleet.limitAttempts(verdict.agent(), verdict.allowed());
         context.log.quarantined(service, verdict);
         if (verdict.probeAfterNanos() > 0) {
             context.alarms.set(context.now + verdict.probeAfterNanos(), new Alarm.ProbeDue(service, verdict.agent()));
--- a/library/src/main/java/org/chivetally/coordination/Attempts.java
+++ b/library/src/main/java/org/chivetally/coordination/Attempts.java
@@ -44,7 +44,7 @@
         byId.put(attempt.id, attempt);
         byAgent.computeIfAbsent(attempt.agent, agent -> new LinkedHashMap<>()).put(attempt.id, attempt);
         attempt.task.live.add(attempt);
-        context.fleet.started(attempt.agent, attempt.need());
+        context.fleet.attemptStarted(attempt.agent, attempt.need());
         context.teams.countRunning(attempt.job().team, 1);
         attempt.job().service.running++;
     }
@@ -61,7 +61,7 @@
         attempt.task.live.remove(attempt);
         context.alarms.cancel(attempt.overdue);
         context.alarms.cancel(attempt.straggler);
-        context.fleet.ended(attempt.agent, attempt.need());
+        context.fleet.attemptEnded(attempt.agent, attempt.need());
         attempt.job().service.running--;
         context.teams.countRunning(attempt.job().team, -1);
         context.resumeLanes(attempt.job().team);
--- a/library/src/main/java/org/chivetally/coordination/DecisionLog.java
+++ b/library/src/main/java/org/chivetally/coordination/DecisionLog.java
@@ -27,11 +27,11 @@
                 .with("attempt", attempt.id)
                 .with("agent", agent)
                 .with("domain", agent.failureDomain())
-                .with("policy", context.settings.policy().title())
+                .with("policy", context.settings.policy().logName())
                 .with("candidates", choice.candidates())
                 .with("slots", agent.slots())
                 .with("own", agent.inFlight())
-                .with("others", agent.others())
+                .with("others", agent.externalTasks())
                 .with("queue", attempt.job().service.queued())
                 .with("p50_micros", attempt.job().service.runTimes.p50Micros()));
     }
@@ -60,7 +60,7 @@
                 .with("refusals", attempt.task.refusals)
                 .with("wait_micros", waitNanos / 1_000)
                 .with("own", attempt.agent.inFlight())
-                .with("others", attempt.agent.others()));
+                .with("others", attempt.agent.externalTasks()));
     }
 
     void retried(TaskProgress task, String cause, RetryDecision decision, long waitNanos) {
--- a/library/src/main/java/org/chivetally/coordination/DispatchContext.java
+++ b/library/src/main/java/org/chivetally/coordination/DispatchContext.java
@@ -42,7 +42,7 @@
         this.settings = settings;
         this.random = new SplittableRandom(seed);
         this.fleet = new Fleet(
-                settings.policy().queuePlaces(),
+                settings.policy().overcommittedSlots(),
                 settings.fencing().goneRetention().toNanos());
         this.attempts = new Attempts(this);
         this.log = new DecisionLog(this);
@@ -79,10 +79,10 @@
     /** Names of services come from callers; without this, made-up ones would fill the memory. */
     void forgetIfUnused(ServiceProgress service) {
         boolean unused = service.waiting == 0 && service.running == 0 && service.runTimes.count() == 0;
-        if (unused && service.fleet.members().isEmpty()) {
+        if (unused && service.fleet.agents().isEmpty()) {
             services.remove(service.name, service);
             touched.remove(service);
-            fleet.forget(service.name);
+            fleet.removeServiceWithoutAgents(service.name);
         }
     }
 
@@ -113,8 +113,8 @@
 
     /** Takes in a report of an agent; its service's tasks may find a free slot by it. */
     void reported(AgentView agent, Report report) {
-        fleet.reported(agent, report, now);
-        if (agent.introduced()) {
+        fleet.applyReport(agent, report, now);
+        if (agent.helloReceived()) {
             touch(service(agent.service()));
         }
     }
--- a/library/src/main/java/org/chivetally/coordination/Dispatcher.java
+++ b/library/src/main/java/org/chivetally/coordination/Dispatcher.java
@@ -86,8 +86,8 @@
                 agent.state(),
                 agent.slots(),
                 agent.inFlight(),
-                agent.others(),
-                agent.allowed(),
+                agent.externalTasks(),
+                agent.attemptLimit(),
                 service.quarantine.failureRate(agent),
                 service.quarantine.slowRate(agent));
     }
@@ -101,8 +101,9 @@
             case DispatchEvent.JobCancelled cancelled -> admission.cancelled(cancelled);
             case DispatchEvent.AgentConnected connected -> connected(connected);
             case DispatchEvent.AgentUnreachable unreachable ->
-                doubts.unreachable(context.fleet.unreachable(unreachable.agent()));
-            case DispatchEvent.AgentNamed named -> takeovers.named(context.fleet.named(named.agent(), named.service()));
+                doubts.unreachable(context.fleet.markUnreachable(unreachable.agent()));
+            case DispatchEvent.AgentNamed named ->
+                takeovers.named(context.fleet.addPossibleHolder(named.agent(), named.service()));
             case DispatchEvent.AgentPresumedGone presumed ->
                 context.fleet.find(presumed.agent()).ifPresent(doubts::presumedGone);
             case DispatchEvent.AgentHeldDown changed -> heldDown(changed);
@@ -142,14 +143,14 @@
 
     private void heldDown(DispatchEvent.AgentHeldDown event) {
         context.fleet.find(event.agent()).ifPresent(agent -> {
-            context.fleet.holdDown(agent, event.held());
+            context.fleet.setHeldDown(agent, event.held());
             context.touch(context.service(agent.service()));
         });
     }
 
     private void gone(DispatchEvent.AgentGone event) {
-        AgentView agent = context.fleet.gone(event.agent(), context.now);
-        context.service(agent.service()).quarantine.forget(agent);
+        AgentView agent = context.fleet.markGone(event.agent(), context.now);
+        context.service(agent.service()).quarantine.remove(agent);
         doubts.gone(agent);
         takeovers.gone(agent);
     }
@@ -170,7 +171,7 @@
                 doubts.answered(agent, frame);
             }
             case HEARTBEAT -> context.reported(agent, frame.getHeartbeat().getReport());
-            case LEAVING -> context.fleet.draining(agent);
+            case LEAVING -> context.fleet.markLeaving(agent);
             default -> context.waste(WasteKind.STRAY);
         }
     }
--- a/library/src/main/java/org/chivetally/coordination/JobProgress.java
+++ b/library/src/main/java/org/chivetally/coordination/JobProgress.java
@@ -52,7 +52,7 @@
         this.tasks = new ArrayList<>(specification.tasks().size());
         for (int index = 0; index < specification.tasks().size(); index++) {
             tasks.add(new TaskProgress(
-                    this, index, FitRule.need(specification.tasks().get(index), policy)));
+                    this, index, FitRule.requiredResources(specification.tasks().get(index), policy)));
         }
         this.open = tasks.size();
     }
--- a/library/src/main/java/org/chivetally/coordination/Starter.java
+++ b/library/src/main/java/org/chivetally/coordination/Starter.java
@@ -100,7 +100,7 @@
         TaskProgress task = straggler.task;
         ServiceProgress service = task.job.service;
         boolean wanted = task.live.size() == 1 && !straggler.inDoubt && service.queued() == 0;
-        boolean allowed = mayStart(task.job) && task.job.team.mayRunMore() && service.fleet.hasFree();
+        boolean allowed = mayStart(task.job) && task.job.team.mayRunMore() && service.fleet.hasFreeSlot();
         if (!wanted || !allowed || !service.speculationBudget.take(context.now)) {
             return;
         }
@@ -121,7 +121,7 @@
         job.touched = true;
         task.starts++;
         String id = job.id.text() + "/" + task.index + "/" + job.generation + "/" + task.starts;
-        Attempt attempt = new Attempt(id, task, agent, context.now, agent.ticketReceivedAt(), false);
+        Attempt attempt = new Attempt(id, task, agent, context.now, agent.ticketReceivedAtNanos(), false);
         context.send(agent, Frame.newBuilder().setStart(frame(attempt)).build());
         context.attempts.add(attempt);
         context.move(task, TaskProgress.Stage.LIVE);
@@ -179,7 +179,7 @@
      * see it free again.
      */
     void refreshLoads(ServiceProgress service) {
-        List<AgentView> members = service.fleet.members();
+        List<AgentView> members = service.fleet.agents();
         long oldest = context.settings.queues().loadRefreshAge().toNanos();
         int sent = 0;
         int looks = Math.min(REFRESH_LOOKS, members.size());
@@ -187,7 +187,7 @@
             service.refreshCursor = (service.refreshCursor + 1) % members.size();
             AgentView agent = members.get(service.refreshCursor);
             boolean old = !agent.hasFreshTicket(context.now, oldest);
-            boolean worth = agent.others() > 0 || !agent.hasFreshTicket(context.now, ticketFreshness);
+            boolean worth = agent.externalTasks() > 0 || !agent.hasFreshTicket(context.now, ticketFreshness);
             if (old && worth && !agent.refreshPending(context.now) && agent.reachable()) {
                 context.refresh(agent);
                 sent++;
--- a/library/src/main/java/org/chivetally/membership/RendezvousOrder.java
+++ b/library/src/main/java/org/chivetally/membership/RendezvousOrder.java
@@ -10,8 +10,8 @@
  * becomes or was.
  */
 public final class RendezvousOrder {
-    private static final long HASH_BASIS = 0xcbf29ce484222325L;
-    private static final long HASH_PRIME = 0x100000001b3L;
+    private static final long FNV_OFFSET_BASIS = 0xcbf29ce484222325L;
+    private static final long FNV_PRIME = 0x100000001b3L;
 
     private RendezvousOrder() {}
 
@@ -20,25 +20,25 @@
      * it were.
      */
     public static int rank(String entry, Collection<String> entries, String agent) {
-        long own = weight(entry, agent);
+        long entryWeight = weight(entry, agent);
         int rank = 0;
         for (String other : entries) {
-            if (!other.equals(entry) && isBefore(other, weight(other, agent), entry, own)) {
+            if (!other.equals(entry) && precedes(other, weight(other, agent), entry, entryWeight)) {
                 rank++;
             }
         }
         return rank;
     }
 
-    private static boolean isBefore(String other, long otherWeight, String entry, long ownWeight) {
-        int order = Long.compareUnsigned(otherWeight, ownWeight);
+    private static boolean precedes(String other, long otherWeight, String entry, long entryWeight) {
+        int order = Long.compareUnsigned(otherWeight, entryWeight);
         return order > 0 || order == 0 && other.compareTo(entry) < 0;
     }
 
     private static long weight(String entry, String agent) {
-        long hash = HASH_BASIS;
-        for (byte part : (entry + "\n" + agent).getBytes(StandardCharsets.UTF_8)) {
-            hash = (hash ^ (part & 0xff)) * HASH_PRIME;
+        long hash = FNV_OFFSET_BASIS;
+        for (byte octet : (entry + "\n" + agent).getBytes(StandardCharsets.UTF_8)) {
+            hash = (hash ^ (octet & 0xff)) * FNV_PRIME;
         }
         // The last characters alone hardly reach the upper bits, which decide the order; the final mix spreads them.
         hash = (hash ^ (hash >>> 33)) * 0xff51afd7ed558ccdL;
--- a/library/src/main/java/org/chivetally/placement/AgentPool.java
+++ b/library/src/main/java/org/chivetally/placement/AgentPool.java
@@ -8,23 +8,23 @@
 /** Agents of one service whose workers have the same size, indexed by use and by load. */
 final class AgentPool {
     /** Buckets of load: the last one holds agents without a free slot. */
-    private static final int BUCKETS = 64;
+    private static final int LOAD_BUCKETS = 64;
 
-    private final Resources size;
+    private final Resources workerCapacity;
     private final IndexedSet accepting = new IndexedSet();
-    private final IndexedSet free = new IndexedSet();
-    private final IndexedSet[] byLoad = new IndexedSet[BUCKETS];
+    private final IndexedSet withFreeSlot = new IndexedSet();
+    private final IndexedSet[] byLoad = new IndexedSet[LOAD_BUCKETS];
     private final Map<AgentView, Integer> bucketOf = new HashMap<>();
-    private long nonEmpty;
-    private int members;
+    private long nonEmptyBuckets;
+    private int agentCount;
 
-    AgentPool(Resources size) {
-        this.size = size;
+    AgentPool(Resources workerCapacity) {
+        this.workerCapacity = workerCapacity;
         Arrays.setAll(byLoad, bucket -> new IndexedSet());
     }
 
-    Resources size() {
-        return size;
+    Resources workerCapacity() {
+        return workerCapacity;
     }
 
     /** Agents that take new work, with or without a free slot. */
@@ -33,13 +33,13 @@
     }
 
     /** Agents thought to have a free slot. */
-    IndexedSet free() {
-        return free;
+    IndexedSet withFreeSlot() {
+        return withFreeSlot;
     }
 
     /** Agents of the least load among those that accept work; empty when there are none. */
     IndexedSet leastLoaded() {
-        int bucket = nonEmpty == 0 ? 0 : Long.numberOfTrailingZeros(nonEmpty);
+        int bucket = nonEmptyBuckets == 0 ? 0 : Long.numberOfTrailingZeros(nonEmptyBuckets);
         return byLoad[bucket];
     }
 
@@ -49,47 +49,47 @@
     }
 
     /** Returns the agents that are known and not gone. */
-    int members() {
-        return members;
+    int agentCount() {
+        return agentCount;
     }
 
-    void join() {
-        members++;
+    void incrementAgentCount() {
+        agentCount++;
     }
 
-    void leave(AgentView agent) {
-        members--;
+    void remove(AgentView agent) {
+        agentCount--;
         accepting.remove(agent);
-        free.remove(agent);
-        moveTo(agent, null);
+        withFreeSlot.remove(agent);
+        moveToBucket(agent, null);
     }
 
     void update(AgentView agent, int overcommit) {
-        boolean accepts = agent.acceptsMore();
-        accepting.set(agent, accepts);
-        free.set(agent, agent.estimatedFree(overcommit) > 0);
-        moveTo(agent, accepts ? bucketFor(agent) : null);
+        boolean accepts = agent.acceptsAttempt();
+        accepting.setContained(agent, accepts);
+        withFreeSlot.setContained(agent, agent.estimatedFree(overcommit) > 0);
+        moveToBucket(agent, accepts ? loadBucket(agent) : null);
     }
 
-    private static int bucketFor(AgentView agent) {
-        int taken = agent.inFlight() + agent.others();
-        if (taken == 0) {
+    private static int loadBucket(AgentView agent) {
+        int occupied = agent.inFlight() + agent.externalTasks();
+        if (occupied == 0) {
             return 0;
         }
-        return Math.clamp((int) (agent.loadRatio() * (BUCKETS - 1)), 1, BUCKETS - 1);
+        return Math.clamp((int) (agent.loadRatio() * (LOAD_BUCKETS - 1)), 1, LOAD_BUCKETS - 1);
     }
 
-    private void moveTo(AgentView agent, Integer bucket) {
-        Integer before = bucket == null ? bucketOf.remove(agent) : bucketOf.put(agent, bucket);
-        if (before != null && !before.equals(bucket)) {
-            byLoad[before].remove(agent);
-            if (byLoad[before].size() == 0) {
-                nonEmpty &= ~(1L << before);
+    private void moveToBucket(AgentView agent, Integer bucket) {
+        Integer previous = bucket == null ? bucketOf.remove(agent) : bucketOf.put(agent, bucket);
+        if (previous != null && !previous.equals(bucket)) {
+            byLoad[previous].remove(agent);
+            if (byLoad[previous].size() == 0) {
+                nonEmptyBuckets &= ~(1L << previous);
             }
         }
-        if (bucket != null && !bucket.equals(before)) {
+        if (bucket != null && !bucket.equals(previous)) {
             byLoad[bucket].add(agent);
-            nonEmpty |= 1L << bucket;
+            nonEmptyBuckets |= 1L << bucket;
         }
     }
 }
--- a/library/src/main/java/org/chivetally/placement/AgentView.java
+++ b/library/src/main/java/org/chivetally/placement/AgentView.java
@@ -12,32 +12,32 @@
  * report. Changed only by its {@link Fleet}, which keeps the indexes in step.
  */
 public final class AgentView {
-    private static final int UNLIMITED = Integer.MAX_VALUE;
-    private static final long REFRESH_PATIENCE_NANOS = 500_000_000L;
+    private static final int NO_LIMIT = Integer.MAX_VALUE;
+    private static final long REFRESH_TIMEOUT_NANOS = 500_000_000L;
 
     private final AgentId id;
     private String service = "";
     private String failureDomain = "";
     private int slots;
-    private Resources size = Resources.NONE;
-    private boolean introduced;
+    private Resources workerCapacity = Resources.NONE;
+    private boolean helloReceived;
     private boolean reachable;
     private boolean draining;
     private boolean leaving;
     private boolean minionDown;
     private boolean gone;
     private long ticket;
-    private long ticketReceivedAt;
+    private long ticketReceivedAtNanos;
     private long sequence;
     private boolean reported;
     private boolean refreshPending;
-    private long refreshSentAt;
-    private int others;
+    private long refreshSentAtNanos;
+    private int externalTasks;
     private int inFlight;
     private long processorMillisInFlight;
     private long memoryBytesInFlight;
     private int acceleratorsInFlight;
-    private int allowed = UNLIMITED;
+    private int attemptLimit = NO_LIMIT;
     private boolean heldDown;
 
     AgentView(AgentId id) {
@@ -65,13 +65,13 @@
     }
 
     /** Returns what its worker gives to the minion. */
-    public Resources size() {
-        return size;
+    public Resources workerCapacity() {
+        return workerCapacity;
     }
 
     /** Tells whether a Hello of it was ever seen, so that service and capacity are known. */
-    public boolean introduced() {
-        return introduced;
+    public boolean helloReceived() {
+        return helloReceived;
     }
 
     /** Tells whether a connection to it can be used. */
@@ -90,8 +90,8 @@
     }
 
     /** Returns what other coordinators had running or queued there at the last report. */
-    public int others() {
-        return others;
+    public int externalTasks() {
+        return externalTasks;
     }
 
     /** Returns the newest ticket, to be sent back as it is. */
@@ -100,23 +100,23 @@
     }
 
     /** Returns when the newest ticket arrived, in nanoseconds of this coordinator's clock. */
-    public long ticketReceivedAt() {
-        return ticketReceivedAt;
+    public long ticketReceivedAtNanos() {
+        return ticketReceivedAtNanos;
     }
 
     /** Tells whether a heartbeat was sent lately to refresh the ticket and nothing has come since. */
-    public boolean refreshPending(long now) {
-        return refreshPending && now - refreshSentAt < REFRESH_PATIENCE_NANOS;
+    public boolean refreshPending(long nowNanos) {
+        return refreshPending && nowNanos - refreshSentAtNanos < REFRESH_TIMEOUT_NANOS;
     }
 
     /** Returns the most attempts in flight that quarantine and hold-down allow. */
-    public int allowed() {
-        return heldDown ? Math.min(1, allowed) : allowed;
+    public int attemptLimit() {
+        return heldDown ? Math.min(1, attemptLimit) : attemptLimit;
     }
 
     /** Tells whether a ticket arrived within the last {@code freshness} nanoseconds. */
-    public boolean hasFreshTicket(long now, long freshness) {
-        return reported && now - ticketReceivedAt <= freshness;
+    public boolean hasFreshTicket(long nowNanos, long maximumAgeNanos) {
+        return reported && nowNanos - ticketReceivedAtNanos <= maximumAgeNanos;
     }
 
     /** Returns what the agent can be used for. */
@@ -133,86 +133,87 @@
         if (minionDown) {
             return AgentState.MINION_DOWN;
         }
-        return allowed() <= 0 ? AgentState.QUARANTINED : AgentState.USABLE;
+        return attemptLimit() <= 0 ? AgentState.QUARANTINED : AgentState.USABLE;
     }
 
     /** Returns the slots thought to be free, with some of the agent's queue counted as slots; never negative. */
     public int estimatedFree(int overcommit) {
-        if (!acceptsMore()) {
+        if (!acceptsAttempt()) {
             return 0;
         }
-        int bySlots = slots + overcommit - inFlight - others;
-        return Math.max(0, Math.min(bySlots, allowed() - inFlight));
+        int bySlots = slots + overcommit - inFlight - externalTasks;
+        return Math.max(0, Math.min(bySlots, attemptLimit() - inFlight));
     }
 
     /** Returns the share of slots thought to be taken; above 1 when tasks queue. */
     public double loadRatio() {
-        return slots == 0 ? 1.0 : (double) (inFlight + others) / slots;
+        return slots == 0 ? 1.0 : (double) (inFlight + externalTasks) / slots;
     }
 
     /** Tells whether the agent takes new work and quarantine allows one attempt more. */
-    boolean acceptsMore() {
-        return state() == AgentState.USABLE && inFlight < allowed();
+    boolean acceptsAttempt() {
+        return state() == AgentState.USABLE && inFlight < attemptLimit();
     }
 
     /** Tells whether a task fits beside this coordinator's own attempts there. */
-    boolean hasRoomFor(Resources need) {
-        return processorMillisInFlight + need.processorMillis() <= size.processorMillis()
-                && memoryBytesInFlight + need.memoryBytes() <= size.memoryBytes()
-                && acceleratorsInFlight + need.accelerators() <= size.accelerators();
+    boolean hasRoomFor(Resources required) {
+        return processorMillisInFlight + required.processorMillis() <= workerCapacity.processorMillis()
+                && memoryBytesInFlight + required.memoryBytes() <= workerCapacity.memoryBytes()
+                && acceleratorsInFlight + required.accelerators() <= workerCapacity.accelerators();
     }
 
-    void introduce(Hello hello) {
+    void applyHello(Hello hello) {
         Capacity capacity = hello.getCapacity();
         service = hello.getService();
         failureDomain = hello.getFailureDomain();
         slots = capacity.getSlots();
-        size = new Resources(capacity.getProcessorMillis(), capacity.getMemoryBytes(), capacity.getAccelerators());
-        introduced = true;
+        workerCapacity =
+                new Resources(capacity.getProcessorMillis(), capacity.getMemoryBytes(), capacity.getAccelerators());
+        helloReceived = true;
     }
 
-    void name(String knownService) {
-        service = knownService;
+    void setService(String serviceName) {
+        service = serviceName;
     }
 
-    void holdDown(boolean held) {
+    void setHeldDown(boolean held) {
         heldDown = held;
     }
 
-    void connect() {
+    void markConnected() {
         gone = false;
         reachable = true;
         refreshPending = false;
     }
 
-    void disconnect() {
+    void markDisconnected() {
         reachable = false;
         refreshPending = false;
     }
 
-    void bury() {
+    void markGone() {
         gone = true;
         reachable = false;
     }
 
-    void drain() {
+    void markLeaving() {
         leaving = true;
     }
 
-    void refreshSent(long now) {
+    void refreshSent(long nowNanos) {
         refreshPending = true;
-        refreshSentAt = now;
+        refreshSentAtNanos = nowNanos;
     }
 
-    void allow(int concurrency) {
-        allowed = concurrency;
+    void limitAttempts(int limit) {
+        attemptLimit = limit;
     }
 
     /**
      * Takes a report in unless a newer one was seen: frames of an old connection may arrive after those of a new one,
      * and an old ticket or load would look like the newest.
      */
-    boolean report(Report report, long now) {
+    boolean applyReport(Report report, long nowNanos) {
         if (reported && Long.compareUnsigned(report.getSequence(), sequence) < 0) {
             return false;
         }
@@ -220,31 +221,31 @@
         refreshPending = false;
         sequence = report.getSequence();
         ticket = report.getTicket();
-        ticketReceivedAt = now;
+        ticketReceivedAtNanos = nowNanos;
         draining = report.getDraining();
         minionDown = report.getMinionUnhealthy();
-        int taken = Math.max(slots - report.getFreeSlots(), report.getRunning()) + report.getQueued();
-        others = Math.max(0, taken - inFlight);
+        int occupied = Math.max(slots - report.getFreeSlots(), report.getRunning()) + report.getQueued();
+        externalTasks = Math.max(0, occupied - inFlight);
         return true;
     }
 
     /** Counts the agent as full until its next report, whatever its last one said. */
     void presumeFull() {
-        others = Math.max(others, slots - inFlight);
+        externalTasks = Math.max(externalTasks, slots - inFlight);
     }
 
-    void start(Resources need) {
+    void startAttempt(Resources required) {
         inFlight++;
-        processorMillisInFlight += need.processorMillis();
-        memoryBytesInFlight += need.memoryBytes();
-        acceleratorsInFlight += need.accelerators();
+        processorMillisInFlight += required.processorMillis();
+        memoryBytesInFlight += required.memoryBytes();
+        acceleratorsInFlight += required.accelerators();
     }
 
-    void end(Resources need) {
+    void endAttempt(Resources required) {
         inFlight--;
-        processorMillisInFlight -= need.processorMillis();
-        memoryBytesInFlight -= need.memoryBytes();
-        acceleratorsInFlight -= need.accelerators();
+        processorMillisInFlight -= required.processorMillis();
+        memoryBytesInFlight -= required.memoryBytes();
+        acceleratorsInFlight -= required.accelerators();
     }
 
     @Override
--- a/library/src/main/java/org/chivetally/placement/DecayingCount.java
+++ b/library/src/main/java/org/chivetally/placement/DecayingCount.java
@@ -5,14 +5,14 @@
     private static final double HALF_LIFE_NANOS = 10e9;
 
     private double value;
-    private long at;
+    private long updatedAtNanos;
 
-    void add(double amount, long now) {
-        value = Math.max(0, value(now) + amount);
-        at = now;
+    void add(double amount, long nowNanos) {
+        value = Math.max(0, value(nowNanos) + amount);
+        updatedAtNanos = nowNanos;
     }
 
-    double value(long now) {
-        return value == 0 ? 0 : value * Math.pow(0.5, (now - at) / HALF_LIFE_NANOS);
+    double value(long nowNanos) {
+        return value == 0 ? 0 : value * Math.pow(0.5, (nowNanos - updatedAtNanos) / HALF_LIFE_NANOS);
     }
 }
--- a/library/src/main/java/org/chivetally/placement/FitRule.java
+++ b/library/src/main/java/org/chivetally/placement/FitRule.java
@@ -9,7 +9,7 @@
     private FitRule() {}
 
     /** Returns what a task needs: what it declares, or what its service declares for tasks that say nothing. */
-    public static Resources need(TaskSpecification task, ServicePolicy service) {
+    public static Resources requiredResources(TaskSpecification task, ServicePolicy service) {
         return task.resources().equals(Resources.NONE) ? service.resources() : task.resources();
     }
 
@@ -17,7 +17,7 @@
      * Tells whether no known worker of the service is large enough. A service without known agents refuses nothing: its
      * agents may not have been heard of yet.
      */
-    public static boolean neverFits(Resources need, ServiceFleet fleet) {
-        return !fleet.members().isEmpty() && fleet.poolsFor(need).isEmpty();
+    public static boolean neverFits(Resources required, ServiceFleet fleet) {
+        return !fleet.agents().isEmpty() && fleet.poolsFor(required).isEmpty();
     }
 }
--- a/library/src/main/java/org/chivetally/placement/Fleet.java
+++ b/library/src/main/java/org/chivetally/placement/Fleet.java
@@ -20,11 +20,11 @@
 /** All agents one coordinator knows, with those lately gone; every change to a view goes through here. */
 public final class Fleet {
     private final int overcommit;
-    private final long goneRetention;
+    private final long goneRetentionNanos;
     private final Map<AgentId, AgentView> agents = new LinkedHashMap<>();
     private final Map<String, ServiceFleet> services = new HashMap<>();
-    private final Set<AgentView> unintroduced = new LinkedHashSet<>();
-    private final ArrayDeque<Departed> departed = new ArrayDeque<>();
+    private final Set<AgentView> withoutHello = new LinkedHashSet<>();
+    private final ArrayDeque<GoneAgent> recentlyGone = new ArrayDeque<>();
 
     /**
      * Creates an empty fleet.
@@ -32,9 +32,9 @@
      * @param overcommit places in an agent's own queue that count as slots
      * @param goneRetention how long a dead incarnation is remembered, in nanoseconds
      */
-    public Fleet(int overcommit, long goneRetention) {
+    public Fleet(int overcommit, long goneRetentionNanos) {
         this.overcommit = overcommit;
-        this.goneRetention = goneRetention;
+        this.goneRetentionNanos = goneRetentionNanos;
     }
 
     /** Returns the agent of that incarnation, gone ones included. */
@@ -53,9 +53,9 @@
     }
 
     /** Forgets a service that has no agents. */
-    public void forget(String service) {
-        ServiceFleet known = services.get(service);
-        if (known != null && known.members().isEmpty()) {
+    public void removeServiceWithoutAgents(String service) {
+        ServiceFleet serviceFleet = services.get(service);
+        if (serviceFleet != null && serviceFleet.agents().isEmpty()) {
             services.remove(service);
         }
     }
@@ -67,18 +67,19 @@
      * @param since time in nanoseconds before which no task in question started, so that agents gone by then ran none;
      *     empty when none is known
      */
-    public List<AgentView> possibleHolders(String service, OptionalLong since, long now) {
-        forgetDeparted(now);
-        List<AgentView> holders = new ArrayList<>(of(service).members());
-        for (AgentView agent : unintroduced) {
+    public List<AgentView> possibleHolders(String service, OptionalLong startedAfterNanos, long nowNanos) {
+        removeExpired(nowNanos);
+        List<AgentView> holders = new ArrayList<>(of(service).agents());
+        for (AgentView agent : withoutHello) {
             if (mayServe(agent, service)) {
                 holders.add(agent);
             }
         }
-        for (Departed one : departed) {
-            boolean inTime = since.isEmpty() || one.at - since.getAsLong() >= 0;
-            if (one.agent.gone() && inTime && mayServe(one.agent, service)) {
-                holders.add(one.agent);
+        for (GoneAgent goneAgent : recentlyGone) {
+            boolean goneAfterStart =
+                    startedAfterNanos.isEmpty() || goneAgent.goneAtNanos - startedAfterNanos.getAsLong() >= 0;
+            if (goneAgent.agent.gone() && goneAfterStart && mayServe(goneAgent.agent, service)) {
+                holders.add(goneAgent.agent);
             }
         }
         return holders;
@@ -89,69 +90,69 @@
     }
 
     /** Notes an incarnation that may hold tasks of a service, though nothing else is known of it. */
-    public AgentView named(AgentId id, String service) {
+    public AgentView addPossibleHolder(AgentId id, String service) {
         AgentView agent = agents.get(id);
         if (agent == null) {
             agent = new AgentView(id);
             agents.put(id, agent);
-            unintroduced.add(agent);
+            withoutHello.add(agent);
         }
-        if (!agent.introduced()) {
-            agent.name(service);
+        if (!agent.helloReceived()) {
+            agent.setService(service);
         }
         return agent;
     }
 
     /** Takes in a Hello on a new connection; an incarnation that was thought gone counts as living again. */
-    public AgentView connected(AgentId id, Hello hello, long now) {
+    public AgentView connected(AgentId id, Hello hello, long nowNanos) {
         AgentView agent = agents.computeIfAbsent(id, AgentView::new);
-        unintroduced.remove(agent);
-        ServiceFleet before = of(agent.service());
-        before.remove(agent);
-        agent.introduce(hello);
-        agent.connect();
-        agent.report(hello.getReport(), now);
+        withoutHello.remove(agent);
+        ServiceFleet previousFleet = of(agent.service());
+        previousFleet.remove(agent);
+        agent.applyHello(hello);
+        agent.markConnected();
+        agent.applyReport(hello.getReport(), nowNanos);
         of(agent.service()).add(agent);
         return agent;
     }
 
     /** Notes that no connection to the agent can be used; an agent never seen before is remembered as well. */
-    public AgentView unreachable(AgentId id) {
+    public AgentView markUnreachable(AgentId id) {
         AgentView agent = agents.get(id);
         if (agent == null) {
             agent = new AgentView(id);
             agents.put(id, agent);
-            unintroduced.add(agent);
+            withoutHello.add(agent);
         }
-        agent.disconnect();
+        agent.markDisconnected();
         update(agent);
         return agent;
     }
 
     /** Notes that the incarnation is dead beyond doubt. */
-    public AgentView gone(AgentId id, long now) {
-        forgetDeparted(now);
+    public AgentView markGone(AgentId id, long nowNanos) {
+        removeExpired(nowNanos);
         AgentView agent = agents.computeIfAbsent(id, AgentView::new);
         if (agent.gone()) {
             return agent;
         }
         of(agent.service()).remove(agent);
-        unintroduced.remove(agent);
-        agent.bury();
-        departed.add(new Departed(agent, now));
+        withoutHello.remove(agent);
+        agent.markGone();
+        recentlyGone.add(new GoneAgent(agent, nowNanos));
         return agent;
     }
 
     /** Takes in a report; tells whether it was the newest. */
-    public boolean reported(AgentView agent, Report report, long now) {
-        boolean newest = agent.report(report, now);
+    public boolean applyReport(AgentView agent, Report report, long nowNanos) {
+        boolean newest = agent.applyReport(report, nowNanos);
         update(agent);
         return newest;
     }
 
     /** Notes that the agent takes no new work. */
-    public void draining(AgentView agent) {
-        agent.drain();
+    public void markLeaving(AgentView agent) {
+        agent.markLeaving();
         update(agent);
     }
 
@@ -162,48 +163,48 @@
     }
 
     /** Limits attempts in flight there; zero withholds all work. */
-    public void allow(AgentView agent, int concurrency) {
-        agent.allow(concurrency);
+    public void limitAttempts(AgentView agent, int limit) {
+        agent.limitAttempts(limit);
         update(agent);
     }
 
     /** Gives the agent one attempt at a time only, or as many as it takes again. */
-    public void holdDown(AgentView agent, boolean held) {
-        agent.holdDown(held);
+    public void setHeldDown(AgentView agent, boolean held) {
+        agent.setHeldDown(held);
         update(agent);
     }
 
     /** Counts an attempt as in flight there. */
-    public void started(AgentView agent, Resources need) {
-        agent.start(need);
+    public void attemptStarted(AgentView agent, Resources required) {
+        agent.startAttempt(required);
         update(agent);
     }
 
     /** Counts an attempt there as ended. */
-    public void ended(AgentView agent, Resources need) {
-        agent.end(need);
+    public void attemptEnded(AgentView agent, Resources required) {
+        agent.endAttempt(required);
         update(agent);
     }
 
     /** Notes that a heartbeat was sent for a fresh ticket or load. */
-    public void refreshSent(AgentView agent, long now) {
-        agent.refreshSent(now);
+    public void refreshSent(AgentView agent, long nowNanos) {
+        agent.refreshSent(nowNanos);
     }
 
     private void update(AgentView agent) {
-        if (agent.introduced() && !agent.gone()) {
+        if (agent.helloReceived() && !agent.gone()) {
             of(agent.service()).update(agent);
         }
     }
 
-    private void forgetDeparted(long now) {
-        while (!departed.isEmpty() && now - departed.peekFirst().at > goneRetention) {
-            AgentView agent = departed.pollFirst().agent;
+    private void removeExpired(long nowNanos) {
+        while (!recentlyGone.isEmpty() && nowNanos - recentlyGone.peekFirst().goneAtNanos > goneRetentionNanos) {
+            AgentView agent = recentlyGone.pollFirst().agent;
             if (agent.gone()) {
                 agents.remove(agent.id());
             }
         }
     }
 
-    private record Departed(AgentView agent, long at) {}
+    private record GoneAgent(AgentView agent, long goneAtNanos) {}
 }
--- a/library/src/main/java/org/chivetally/placement/IndexedSet.java
+++ b/library/src/main/java/org/chivetally/placement/IndexedSet.java
@@ -8,24 +8,24 @@
 
 /** A set of agents with constant-time adding, removal and access by position; the order depends only on its history. */
 final class IndexedSet {
-    private final List<AgentView> members = new ArrayList<>();
+    private final List<AgentView> agents = new ArrayList<>();
     private final Map<AgentView, Integer> positions = new HashMap<>();
 
     int size() {
-        return members.size();
+        return agents.size();
     }
 
-    List<AgentView> view() {
-        return Collections.unmodifiableList(members);
+    List<AgentView> asList() {
+        return Collections.unmodifiableList(agents);
     }
 
     AgentView get(int position) {
-        return members.get(position);
+        return agents.get(position);
     }
 
     void add(AgentView agent) {
-        if (positions.putIfAbsent(agent, members.size()) == null) {
-            members.add(agent);
+        if (positions.putIfAbsent(agent, agents.size()) == null) {
+            agents.add(agent);
         }
     }
 
@@ -34,15 +34,15 @@
         if (position == null) {
             return;
         }
-        AgentView last = members.removeLast();
+        AgentView last = agents.removeLast();
         if (last != agent) {
-            members.set(position, last);
+            agents.set(position, last);
             positions.put(last, position);
         }
     }
 
-    void set(AgentView agent, boolean member) {
-        if (member) {
+    void setContained(AgentView agent, boolean contained) {
+        if (contained) {
             add(agent);
         } else {
             remove(agent);
--- a/library/src/main/java/org/chivetally/placement/PlacementPolicy.java
+++ b/library/src/main/java/org/chivetally/placement/PlacementPolicy.java
@@ -45,7 +45,7 @@
     }
 
     /** Returns the places in an agent's own queue that count as slots. */
-    default int queuePlaces() {
+    default int overcommittedSlots() {
         return switch (this) {
             case SlotCredits credits -> credits.overcommit();
             case LeastLoadedCredits credits -> credits.overcommit();
@@ -59,8 +59,8 @@
     /** Tells whether the policy could place a task now, going by the indexes alone. */
     default boolean hasCandidates(ServiceFleet fleet) {
         return switch (this) {
-            case SlotCredits credits -> fleet.hasFree();
-            case LeastLoadedCredits credits -> fleet.hasFree();
+            case SlotCredits credits -> fleet.hasFreeSlot();
+            case LeastLoadedCredits credits -> fleet.hasFreeSlot();
             case UniformRandom random -> fleet.hasAccepting();
             case LeastLoaded least -> fleet.hasAccepting();
             case PowerOfTwoChoices two -> fleet.hasAccepting();
@@ -69,7 +69,7 @@
     }
 
     /** Returns the policy's name in logs. */
-    default String title() {
+    default String logName() {
         return switch (this) {
             case SlotCredits credits -> "slot-credits";
             case LeastLoadedCredits credits -> "least-loaded-credits";
--- a/library/src/main/java/org/chivetally/placement/Placer.java
+++ b/library/src/main/java/org/chivetally/placement/Placer.java
@@ -11,13 +11,13 @@
 
 /** Chooses agents by a policy, in time that does not grow with their number. */
 public final class Placer {
-    private static final int RANDOM_DRAWS = 8;
-    private static final int SWEEP = 64;
-    private static final int MAXIMUM_STALE = 4;
+    private static final int MAXIMUM_RANDOM_DRAWS = 8;
+    private static final int MAXIMUM_SCAN_STEPS = 64;
+    private static final int MAXIMUM_STALE_TICKETS = 4;
 
     private final PlacementPolicy policy;
     private final String failureDomain;
-    private final long ticketFreshness;
+    private final long maximumTicketAgeNanos;
     private final RandomGenerator random;
 
     /**
@@ -27,10 +27,10 @@
      * @param ticketFreshness oldest ticket to start with, in nanoseconds since it arrived
      * @param random all chance comes from here, so that a seed repeats a run
      */
-    public Placer(PlacementPolicy policy, String failureDomain, long ticketFreshness, RandomGenerator random) {
+    public Placer(PlacementPolicy policy, String failureDomain, long maximumTicketAgeNanos, RandomGenerator random) {
         this.policy = policy;
         this.failureDomain = failureDomain;
-        this.ticketFreshness = ticketFreshness;
+        this.maximumTicketAgeNanos = maximumTicketAgeNanos;
         this.random = random;
     }
 
@@ -40,27 +40,29 @@
      * @param need what the task needs of a worker
      * @param avoid agents to use only when there is no other
      */
-    public PlacementChoice choose(ServiceFleet fleet, Resources need, Set<AgentId> avoid, long now) {
-        List<AgentPool> pools = fleet.poolsFor(need);
-        Draw draw = new Draw(need, avoid, now);
-        Draw drawn = switch (policy) {
-            case PlacementPolicy.UniformRandom baseline -> draw.from(sets(pools, AgentPool::accepting), 1);
-            case PlacementPolicy.PowerOfTwoChoices two -> draw.from(sets(pools, AgentPool::accepting), 2);
-            case PlacementPolicy.SlotCredits credits -> draw.from(sets(pools, AgentPool::free), 2);
+    public PlacementChoice choose(ServiceFleet fleet, Resources required, Set<AgentId> avoid, long nowNanos) {
+        List<AgentPool> pools = fleet.poolsFor(required);
+        Selection selection = new Selection(required, avoid, nowNanos);
+        Selection selected = switch (policy) {
+            case PlacementPolicy.UniformRandom baseline -> selection.drawFrom(sets(pools, AgentPool::accepting), 1);
+            case PlacementPolicy.PowerOfTwoChoices two -> selection.drawFrom(sets(pools, AgentPool::accepting), 2);
+            case PlacementPolicy.SlotCredits credits -> selection.drawFrom(sets(pools, AgentPool::withFreeSlot), 2);
             case PlacementPolicy.LeastLoadedCredits credits ->
-                draw.from(leastLoadedOfFree(pools), 2).orFrom(sets(pools, AgentPool::free), 2);
+                selection.drawFrom(leastLoadedOfFree(pools), 2).orDrawFrom(sets(pools, AgentPool::withFreeSlot), 2);
             case PlacementPolicy.LeastLoaded least ->
-                draw.from(sets(pools, AgentPool::leastLoaded), 2).orFrom(sets(pools, AgentPool::accepting), 2);
+                selection
+                        .drawFrom(sets(pools, AgentPool::leastLoaded), 2)
+                        .orDrawFrom(sets(pools, AgentPool::accepting), 2);
             case PlacementPolicy.JoinIdleQueue idle ->
-                draw.from(sets(pools, AgentPool::idle), 1).orFrom(sets(pools, AgentPool::accepting), 1);
+                selection.drawFrom(sets(pools, AgentPool::idle), 1).orDrawFrom(sets(pools, AgentPool::accepting), 1);
         };
-        return drawn.choice(accepting(pools));
+        return selected.choice(countAccepting(pools));
     }
 
-    private static List<IndexedSet> sets(List<AgentPool> pools, Function<AgentPool, IndexedSet> kind) {
+    private static List<IndexedSet> sets(List<AgentPool> pools, Function<AgentPool, IndexedSet> index) {
         List<IndexedSet> sets = new ArrayList<>(pools.size());
         for (AgentPool pool : pools) {
-            sets.add(kind.apply(pool));
+            sets.add(index.apply(pool));
         }
         return sets;
     }
@@ -68,14 +70,14 @@
     private static List<IndexedSet> leastLoadedOfFree(List<AgentPool> pools) {
         List<IndexedSet> sets = new ArrayList<>(pools.size());
         for (AgentPool pool : pools) {
-            if (pool.free().size() > 0) {
+            if (pool.withFreeSlot().size() > 0) {
                 sets.add(pool.leastLoaded());
             }
         }
         return sets;
     }
 
-    private static int accepting(List<AgentPool> pools) {
+    private static int countAccepting(List<AgentPool> pools) {
         int count = 0;
         for (AgentPool pool : pools) {
             count += pool.accepting().size();
@@ -84,26 +86,26 @@
     }
 
     /** One choice: what is acceptable, and what was seen on the way. */
-    private final class Draw {
-        private final Resources need;
+    private final class Selection {
+        private final Resources required;
         private final Set<AgentId> avoid;
-        private final long now;
-        private final List<AgentView> stale = new ArrayList<>();
+        private final long nowNanos;
+        private final List<AgentView> staleTickets = new ArrayList<>();
         private final List<AgentView> acceptable = new ArrayList<>(2);
         private AgentView avoided;
         private int candidates;
 
-        Draw(Resources need, Set<AgentId> avoid, long now) {
-            this.need = need;
+        Selection(Resources required, Set<AgentId> avoid, long nowNanos) {
+            this.required = required;
             this.avoid = avoid;
-            this.now = now;
+            this.nowNanos = nowNanos;
         }
 
-        Draw orFrom(List<IndexedSet> sets, int wanted) {
-            return acceptable.isEmpty() ? from(sets, wanted) : this;
+        Selection orDrawFrom(List<IndexedSet> sets, int wanted) {
+            return acceptable.isEmpty() ? drawFrom(sets, wanted) : this;
         }
 
-        Draw from(List<IndexedSet> sets, int wanted) {
+        Selection drawFrom(List<IndexedSet> sets, int wanted) {
             candidates = 0;
             for (IndexedSet set : sets) {
                 candidates += set.size();
@@ -112,7 +114,7 @@
                 drawAtRandom(sets, candidates, Math.min(wanted, candidates));
             }
             if (candidates > 0 && acceptable.isEmpty()) {
-                sweep(sets, candidates);
+                scan(sets, candidates);
             }
             return this;
         }
@@ -123,30 +125,30 @@
             if (best == null && accepting <= avoid.size()) {
                 best = avoided;
             }
-            return new PlacementChoice(Optional.ofNullable(best), candidates, stale);
+            return new PlacementChoice(Optional.ofNullable(best), candidates, staleTickets);
         }
 
         private void drawAtRandom(List<IndexedSet> sets, int size, int wanted) {
-            for (int draws = 0; draws < RANDOM_DRAWS && acceptable.size() < wanted; draws++) {
+            for (int draws = 0; draws < MAXIMUM_RANDOM_DRAWS && acceptable.size() < wanted; draws++) {
                 consider(at(sets, random.nextInt(size)));
             }
         }
 
         /** Looks at neighbours from a random place on: chance alone may miss the few agents that will do. */
-        private void sweep(List<IndexedSet> sets, int size) {
-            int begin = random.nextInt(size);
-            int steps = Math.min(size, SWEEP);
+        private void scan(List<IndexedSet> sets, int size) {
+            int start = random.nextInt(size);
+            int steps = Math.min(size, MAXIMUM_SCAN_STEPS);
             for (int step = 0; step < steps && acceptable.isEmpty(); step++) {
-                consider(at(sets, (begin + step) % size));
+                consider(at(sets, (start + step) % size));
             }
         }
 
         private void consider(AgentView agent) {
-            if (!agent.hasFreshTicket(now, ticketFreshness)) {
-                noteStale(agent);
+            if (!agent.hasFreshTicket(nowNanos, maximumTicketAgeNanos)) {
+                recordStaleTicket(agent);
                 return;
             }
-            if (!agent.hasRoomFor(need) || acceptable.contains(agent)) {
+            if (!agent.hasRoomFor(required) || acceptable.contains(agent)) {
                 return;
             }
             if (avoid.contains(agent.id())) {
@@ -156,9 +158,11 @@
             acceptable.add(agent);
         }
 
-        private void noteStale(AgentView agent) {
-            if (stale.size() < MAXIMUM_STALE && !agent.refreshPending(now) && !stale.contains(agent)) {
-                stale.add(agent);
+        private void recordStaleTicket(AgentView agent) {
+            if (staleTickets.size() < MAXIMUM_STALE_TICKETS
+                    && !agent.refreshPending(nowNanos)
+                    && !staleTickets.contains(agent)) {
+                staleTickets.add(agent);
             }
         }
 
@@ -172,9 +176,9 @@
             return best;
         }
 
-        private boolean isBetter(AgentView one, AgentView other) {
-            int byLoad = Double.compare(one.loadRatio(), other.loadRatio());
-            return byLoad < 0 || byLoad == 0 && distance(one) < distance(other);
+        private boolean isBetter(AgentView agent, AgentView other) {
+            int byLoad = Double.compare(agent.loadRatio(), other.loadRatio());
+            return byLoad < 0 || byLoad == 0 && distance(agent) < distance(other);
         }
 
         private int distance(AgentView agent) {
@@ -182,12 +186,12 @@
         }
 
         private AgentView at(List<IndexedSet> sets, int position) {
-            int rest = position;
+            int remaining = position;
             for (IndexedSet set : sets) {
-                if (rest < set.size()) {
-                    return set.get(rest);
+                if (remaining < set.size()) {
+                    return set.get(remaining);
                 }
-                rest -= set.size();
+                remaining -= set.size();
             }
             throw new IndexOutOfBoundsException(position);
         }
--- a/library/src/main/java/org/chivetally/placement/Quarantine.java
+++ b/library/src/main/java/org/chivetally/placement/Quarantine.java
@@ -12,16 +12,16 @@
  * is withheld: there is nowhere better to send the work.
  */
 public final class Quarantine {
-    private static final double WEIGHT = 0.2;
-    private static final double MINIMUM_OTHERS = 5;
-    private static final int UNLIMITED = Integer.MAX_VALUE;
+    private static final double SMOOTHING_FACTOR = 0.2;
+    private static final double MINIMUM_OTHER_TASKS = 5;
+    private static final int NO_LIMIT = Integer.MAX_VALUE;
 
     private final QuarantineSettings settings;
     private final ServiceFleet fleet;
-    private final Map<AgentView, Standing> standings = new HashMap<>();
+    private final Map<AgentView, AgentHealth> healthByAgent = new HashMap<>();
     private final DecayingCount ended = new DecayingCount();
     private final DecayingCount failed = new DecayingCount();
-    private int limited;
+    private int limitedAgents;
 
     /** Creates the quarantine of one service. */
     public Quarantine(QuarantineSettings settings, ServiceFleet fleet) {
@@ -34,149 +34,156 @@
      *
      * @param slow whether it ran longer than nearly all of its service
      */
-    public Optional<QuarantineVerdict> succeeded(AgentView agent, boolean slow, long now) {
-        Standing standing = standing(agent);
-        standing.failureRate -= WEIGHT * standing.failureRate;
-        standing.failures = Math.max(0, standing.failures - 1);
-        standing.slowRate += WEIGHT * ((slow ? 1 : 0) - standing.slowRate);
-        standing.ended.add(1, now);
-        ended.add(1, now);
-        return switch (standing.step) {
+    public Optional<QuarantineVerdict> taskSucceeded(AgentView agent, boolean slow, long nowNanos) {
+        AgentHealth health = health(agent);
+        health.failureRate -= SMOOTHING_FACTOR * health.failureRate;
+        health.failures = Math.max(0, health.failures - 1);
+        health.slowRate += SMOOTHING_FACTOR * ((slow ? 1 : 0) - health.slowRate);
+        health.ended.add(1, nowNanos);
+        ended.add(1, nowNanos);
+        return switch (health.stage) {
             case HEALTHY, WITHHELD -> Optional.empty();
-            case PROBING, RELEASING -> release(agent, standing, now);
+            case PROBING, RELEASING -> release(agent, health, nowNanos);
         };
     }
 
     /** Takes in a task that failed at this agent and nowhere else before. */
-    public Optional<QuarantineVerdict> failed(AgentView agent, long now) {
-        Standing standing = standing(agent);
-        standing.failureRate += WEIGHT * (1 - standing.failureRate);
-        standing.failures++;
-        standing.ended.add(1, now);
-        standing.failed.add(1, now);
-        ended.add(1, now);
-        failed.add(1, now);
-        return switch (standing.step) {
-            case HEALTHY -> isBad(standing, now) ? withhold(agent, standing, now) : Optional.empty();
+    public Optional<QuarantineVerdict> taskFailed(AgentView agent, long nowNanos) {
+        AgentHealth health = health(agent);
+        health.failureRate += SMOOTHING_FACTOR * (1 - health.failureRate);
+        health.failures++;
+        health.ended.add(1, nowNanos);
+        health.failed.add(1, nowNanos);
+        ended.add(1, nowNanos);
+        failed.add(1, nowNanos);
+        return switch (health.stage) {
+            case HEALTHY -> isFaulty(health, nowNanos) ? withhold(agent, health, nowNanos) : Optional.empty();
             case WITHHELD -> Optional.empty();
-            case PROBING, RELEASING -> withhold(agent, standing, now);
+            case PROBING, RELEASING -> withhold(agent, health, nowNanos);
         };
     }
 
     /** Takes back a failure counted against an agent: the task failed elsewhere as well. */
-    public void pardon(AgentView agent, long now) {
-        Standing standing = standing(agent);
-        standing.failureRate = Math.max(0, (standing.failureRate - WEIGHT) / (1 - WEIGHT));
-        standing.failures = Math.max(0, standing.failures - 1);
-        standing.failed.add(-1, now);
-        failed.add(-1, now);
+    public void retractFailure(AgentView agent, long nowNanos) {
+        AgentHealth health = health(agent);
+        health.failureRate = Math.max(0, (health.failureRate - SMOOTHING_FACTOR) / (1 - SMOOTHING_FACTOR));
+        health.failures = Math.max(0, health.failures - 1);
+        health.failed.add(-1, nowNanos);
+        failed.add(-1, nowNanos);
     }
 
     /** Lets one task through to a withheld agent. */
-    public Optional<QuarantineVerdict> probe(AgentView agent, long now) {
-        Standing standing = standings.get(agent);
-        if (standing == null || standing.step != Step.WITHHELD) {
+    public Optional<QuarantineVerdict> probe(AgentView agent, long nowNanos) {
+        AgentHealth health = healthByAgent.get(agent);
+        if (health == null || health.stage != Stage.WITHHELD) {
             return Optional.empty();
         }
-        standing.step = Step.PROBING;
-        standing.allowed = 1;
-        return verdict(agent, standing, QuarantineVerdict.Kind.PROBING, 0, now);
+        health.stage = Stage.PROBING;
+        health.attemptLimit = 1;
+        return verdict(agent, health, QuarantineVerdict.Kind.PROBING, 0, nowNanos);
     }
 
     /** Forgets an agent that is gone. */
-    public void forget(AgentView agent) {
-        Standing standing = standings.remove(agent);
-        if (standing != null && standing.step != Step.HEALTHY) {
-            limited--;
+    public void remove(AgentView agent) {
+        AgentHealth health = healthByAgent.remove(agent);
+        if (health != null && health.stage != Stage.HEALTHY) {
+            limitedAgents--;
         }
     }
 
     /** Returns the weighted share of an agent's tasks that failed, from 0 to 1. */
     public double failureRate(AgentView agent) {
-        Standing standing = standings.get(agent);
-        return standing == null ? 0 : standing.failureRate;
+        AgentHealth health = healthByAgent.get(agent);
+        return health == null ? 0 : health.failureRate;
     }
 
     /** Returns the weighted share of an agent's tasks that ran longer than nearly all of its service, from 0 to 1. */
     public double slowRate(AgentView agent) {
-        Standing standing = standings.get(agent);
-        return standing == null ? 0 : standing.slowRate;
+        AgentHealth health = healthByAgent.get(agent);
+        return health == null ? 0 : health.slowRate;
     }
 
-    private Standing standing(AgentView agent) {
-        return standings.computeIfAbsent(agent, unknown -> new Standing());
+    private AgentHealth health(AgentView agent) {
+        return healthByAgent.computeIfAbsent(agent, unknown -> new AgentHealth());
     }
 
-    private boolean isBad(Standing standing, long now) {
-        if (standing.failures < settings.minimumFailures() || standing.failureRate < settings.failureRate()) {
+    private boolean isFaulty(AgentHealth health, long nowNanos) {
+        if (health.failures < settings.minimumFailures() || health.failureRate < settings.failureRate()) {
             return false;
         }
-        double others = ended.value(now) - standing.ended.value(now);
-        boolean othersSucceed = others >= MINIMUM_OTHERS && othersRate(standing, now) <= settings.othersRate();
+        double otherTasks = ended.value(nowNanos) - health.ended.value(nowNanos);
+        boolean othersSucceed = otherTasks >= MINIMUM_OTHER_TASKS
+                && othersFailureRate(health, nowNanos) <= settings.othersFailureRate();
         return othersSucceed
-                && limited + 1 <= settings.maximumShare() * fleet.members().size();
+                && limitedAgents + 1 <= settings.maximumShare() * fleet.agents().size();
     }
 
-    private double othersRate(Standing standing, long now) {
-        double others = ended.value(now) - standing.ended.value(now);
-        return others <= 0 ? 0 : Math.max(0, failed.value(now) - standing.failed.value(now)) / others;
+    private double othersFailureRate(AgentHealth health, long nowNanos) {
+        double otherTasks = ended.value(nowNanos) - health.ended.value(nowNanos);
+        return otherTasks <= 0 ? 0 : Math.max(0, failed.value(nowNanos) - health.failed.value(nowNanos)) / otherTasks;
     }
 
-    private Optional<QuarantineVerdict> withhold(AgentView agent, Standing standing, long now) {
-        if (standing.step == Step.HEALTHY) {
-            limited++;
+    private Optional<QuarantineVerdict> withhold(AgentView agent, AgentHealth health, long nowNanos) {
+        if (health.stage == Stage.HEALTHY) {
+            limitedAgents++;
         }
-        long longest = settings.longestProbe().toNanos();
-        standing.probeAfter =
-                standing.probeAfter == 0 ? settings.firstProbe().toNanos() : Math.min(longest, standing.probeAfter * 2);
-        standing.step = Step.WITHHELD;
-        standing.allowed = 0;
-        standing.successes = 0;
-        return verdict(agent, standing, QuarantineVerdict.Kind.WITHHELD, standing.probeAfter, now);
+        long longestNanos = settings.longestProbe().toNanos();
+        health.probeDelayNanos = health.probeDelayNanos == 0
+                ? settings.firstProbe().toNanos()
+                : Math.min(longestNanos, health.probeDelayNanos * 2);
+        health.stage = Stage.WITHHELD;
+        health.attemptLimit = 0;
+        health.successesAtLimit = 0;
+        return verdict(agent, health, QuarantineVerdict.Kind.WITHHELD, health.probeDelayNanos, nowNanos);
     }
 
     /** Doubles what is allowed once as many tasks succeeded as were allowed: a minion still bad costs few of them. */
-    private Optional<QuarantineVerdict> release(AgentView agent, Standing standing, long now) {
-        standing.successes++;
-        if (standing.successes < standing.allowed) {
+    private Optional<QuarantineVerdict> release(AgentView agent, AgentHealth health, long nowNanos) {
+        health.successesAtLimit++;
+        if (health.successesAtLimit < health.attemptLimit) {
             return Optional.empty();
         }
-        standing.successes = 0;
-        standing.allowed *= 2;
-        if (standing.allowed < agent.slots()) {
-            standing.step = Step.RELEASING;
-            return verdict(agent, standing, QuarantineVerdict.Kind.RELEASING, 0, now);
+        health.successesAtLimit = 0;
+        health.attemptLimit *= 2;
+        if (health.attemptLimit < agent.slots()) {
+            health.stage = Stage.RELEASING;
+            return verdict(agent, health, QuarantineVerdict.Kind.RELEASING, 0, nowNanos);
         }
-        limited--;
-        standing.step = Step.HEALTHY;
-        standing.allowed = UNLIMITED;
-        standing.failures = 0;
-        standing.probeAfter = 0;
-        return verdict(agent, standing, QuarantineVerdict.Kind.RELEASED, 0, now);
+        limitedAgents--;
+        health.stage = Stage.HEALTHY;
+        health.attemptLimit = NO_LIMIT;
+        health.failures = 0;
+        health.probeDelayNanos = 0;
+        return verdict(agent, health, QuarantineVerdict.Kind.RELEASED, 0, nowNanos);
     }
 
     private Optional<QuarantineVerdict> verdict(
-            AgentView agent, Standing standing, QuarantineVerdict.Kind kind, long probeAfter, long now) {
+            AgentView agent, AgentHealth health, QuarantineVerdict.Kind kind, long probeAfterNanos, long nowNanos) {
         return Optional.of(new QuarantineVerdict(
-                agent, kind, standing.allowed, probeAfter, standing.failureRate, othersRate(standing, now)));
+                agent,
+                kind,
+                health.attemptLimit,
+                probeAfterNanos,
+                health.failureRate,
+                othersFailureRate(health, nowNanos)));
     }
 
-    private enum Step {
+    private enum Stage {
         HEALTHY,
         WITHHELD,
         PROBING,
         RELEASING
     }
 
-    private static final class Standing {
+    private static final class AgentHealth {
         private final DecayingCount ended = new DecayingCount();
         private final DecayingCount failed = new DecayingCount();
         private double failureRate;
         private double slowRate;
         private int failures;
-        private Step step = Step.HEALTHY;
-        private int allowed = UNLIMITED;
-        private int successes;
-        private long probeAfter;
+        private Stage stage = Stage.HEALTHY;
+        private int attemptLimit = NO_LIMIT;
+        private int successesAtLimit;
+        private long probeDelayNanos;
     }
 }
--- a/library/src/main/java/org/chivetally/placement/QuarantineSettings.java
+++ b/library/src/main/java/org/chivetally/placement/QuarantineSettings.java
@@ -9,7 +9,8 @@
  * @param maximumShare most agents of a service withheld at once, as a share of those known
  * @param minimumFailures different tasks that must have failed there
  * @param failureRate weighted failure rate from which a minion is bad
- * @param othersRate highest failure rate of the service's other minions at which the minion, not the service, is blamed
+ * @param othersFailureRate highest failure rate of the service's other minions at which the minion, not the service, is
+ *     blamed
  * @param firstProbe time until the first single task is tried there again; doubles with each failed try
  * @param longestProbe longest time between tries
  */
@@ -17,14 +18,14 @@
         double maximumShare,
         int minimumFailures,
         double failureRate,
-        double othersRate,
+        double othersFailureRate,
         Duration firstProbe,
         Duration longestProbe) {
     /** Refuses shares and rates outside 0 to 1. */
     public QuarantineSettings {
         Objects.requireNonNull(firstProbe, "firstProbe");
         Objects.requireNonNull(longestProbe, "longestProbe");
-        if (maximumShare < 0 || maximumShare > 1 || failureRate <= 0 || failureRate > 1 || othersRate < 0) {
+        if (maximumShare < 0 || maximumShare > 1 || failureRate <= 0 || failureRate > 1 || othersFailureRate < 0) {
             throw new IllegalArgumentException("shares and rates of quarantine are between 0 and 1");
         }
     }
--- a/library/src/main/java/org/chivetally/placement/RunTimes.java
+++ b/library/src/main/java/org/chivetally/placement/RunTimes.java
@@ -7,31 +7,31 @@
  * a change of the service is forgotten after some thousands of tasks.
  */
 public final class RunTimes {
-    private static final long LARGEST_MICROS = 3_600_000_000L;
-    private static final int DIGITS = 2;
-    private static final int TURN = 8_192;
-    private static final int REFRESH = 64;
-    private static final double MEDIAN = 50.0;
-    private static final double TAIL = 99.0;
+    private static final long MAXIMUM_MICROS = 3_600_000_000L;
+    private static final int SIGNIFICANT_DIGITS = 2;
+    private static final int HISTOGRAM_SIZE = 8_192;
+    private static final int REFRESH_INTERVAL = 64;
+    private static final double MEDIAN_PERCENTILE = 50.0;
+    private static final double TAIL_PERCENTILE = 99.0;
 
-    private Histogram current = new Histogram(LARGEST_MICROS, DIGITS);
-    private Histogram previous = new Histogram(LARGEST_MICROS, DIGITS);
+    private Histogram current = new Histogram(MAXIMUM_MICROS, SIGNIFICANT_DIGITS);
+    private Histogram previous = new Histogram(MAXIMUM_MICROS, SIGNIFICANT_DIGITS);
     private long count;
-    private int sinceRefresh;
+    private int recordedSinceRefresh;
     private long medianMicros;
     private long tailMicros;
     private double meanMicros;
 
     /** Takes in the run time of one task that was done. */
     public void record(long micros) {
-        current.recordValue(Math.clamp(micros, 1L, LARGEST_MICROS));
+        current.recordValue(Math.clamp(micros, 1L, MAXIMUM_MICROS));
         count++;
-        sinceRefresh++;
-        if (current.getTotalCount() >= TURN) {
-            takeTurns();
+        recordedSinceRefresh++;
+        if (current.getTotalCount() >= HISTOGRAM_SIZE) {
+            rotate();
         }
-        if (sinceRefresh >= REFRESH || count <= REFRESH) {
-            refresh();
+        if (recordedSinceRefresh >= REFRESH_INTERVAL || count <= REFRESH_INTERVAL) {
+            updateStatistics();
         }
     }
 
@@ -55,19 +55,19 @@
         return meanMicros;
     }
 
-    private void takeTurns() {
+    private void rotate() {
         Histogram oldest = previous;
         previous = current;
         oldest.reset();
         current = oldest;
     }
 
-    private void refresh() {
-        sinceRefresh = 0;
-        Histogram both = previous.copy();
-        both.add(current);
-        medianMicros = both.getValueAtPercentile(MEDIAN);
-        tailMicros = both.getValueAtPercentile(TAIL);
-        meanMicros = both.getMean();
+    private void updateStatistics() {
+        recordedSinceRefresh = 0;
+        Histogram merged = previous.copy();
+        merged.add(current);
+        medianMicros = merged.getValueAtPercentile(MEDIAN_PERCENTILE);
+        tailMicros = merged.getValueAtPercentile(TAIL_PERCENTILE);
+        meanMicros = merged.getMean();
     }
 }
--- a/library/src/main/java/org/chivetally/placement/ServiceFleet.java
+++ b/library/src/main/java/org/chivetally/placement/ServiceFleet.java
@@ -10,7 +10,7 @@
 public final class ServiceFleet {
     private final String service;
     private final int overcommit;
-    private final IndexedSet members = new IndexedSet();
+    private final IndexedSet agents = new IndexedSet();
     private final Map<Resources, AgentPool> pools = new LinkedHashMap<>();
     private final Map<AgentView, AgentPool> poolOf = new LinkedHashMap<>();
     private int slots;
@@ -26,8 +26,8 @@
     }
 
     /** Returns the agents that are known and not gone, reachable or not. */
-    public List<AgentView> members() {
-        return members.view();
+    public List<AgentView> agents() {
+        return agents.asList();
     }
 
     /** Returns the slots of all known agents. */
@@ -36,9 +36,9 @@
     }
 
     /** Tells whether any agent is thought to have a free slot. */
-    public boolean hasFree() {
+    public boolean hasFreeSlot() {
         for (AgentPool pool : pools.values()) {
-            if (pool.free().size() > 0) {
+            if (pool.withFreeSlot().size() > 0) {
                 return true;
             }
         }
@@ -56,10 +56,10 @@
     }
 
     /** Returns the pools of workers that are large enough for a task. */
-    List<AgentPool> poolsFor(Resources need) {
+    List<AgentPool> poolsFor(Resources required) {
         List<AgentPool> fitting = new ArrayList<>(pools.size());
         for (AgentPool pool : pools.values()) {
-            if (need.fitWithin(pool.size())) {
+            if (required.fitWithin(pool.workerCapacity())) {
                 fitting.add(pool);
             }
         }
@@ -70,9 +70,9 @@
         if (poolOf.containsKey(agent)) {
             return;
         }
-        members.add(agent);
-        AgentPool pool = pools.computeIfAbsent(agent.size(), AgentPool::new);
-        pool.join();
+        agents.add(agent);
+        AgentPool pool = pools.computeIfAbsent(agent.workerCapacity(), AgentPool::new);
+        pool.incrementAgentCount();
         poolOf.put(agent, pool);
         slots += agent.slots();
         update(agent);
@@ -83,11 +83,11 @@
         if (pool == null) {
             return;
         }
-        members.remove(agent);
+        agents.remove(agent);
         slots -= agent.slots();
-        pool.leave(agent);
-        if (pool.members() == 0) {
-            pools.remove(pool.size());
+        pool.remove(agent);
+        if (pool.agentCount() == 0) {
+            pools.remove(pool.workerCapacity());
         }
     }
 
--- a/library/src/test/java/org/chivetally/placement/PlacementPolicyTest.java
+++ b/library/src/test/java/org/chivetally/placement/PlacementPolicyTest.java
@@ -24,7 +24,7 @@
 class PlacementPolicyTest {
     private static final String SERVICE = "routing";
     private static final int SLOTS = 8;
-    private static final long FRESH = 2_000_000_000L;
+    private static final long MAXIMUM_TICKET_AGE_NANOS = 2_000_000_000L;
     private static final PlacementPolicy CREDITS = new PlacementPolicy.SlotCredits(0);
 
     private final Fleet fleet = new Fleet(0, 0);
@@ -52,11 +52,11 @@
     }
 
     private PlacementChoice choose(PlacementPolicy policy, long seed, long now) {
-        Placer placer = new Placer(policy, "north", FRESH, new SplittableRandom(seed));
+        Placer placer = new Placer(policy, "north", MAXIMUM_TICKET_AGE_NANOS, new SplittableRandom(seed));
         return placer.choose(fleet.of(SERVICE), Resources.NONE, Set.of(), now);
     }
 
-    private int[] spread(PlacementPolicy policy, int choices) {
+    private int[] countChoices(PlacementPolicy policy, int choices) {
         int[] counts = new int[agents.size()];
         for (int seed = 0; seed < choices; seed++) {
             counts[agents.indexOf(choose(policy, seed, 0).agent().orElseThrow())]++;
@@ -65,7 +65,7 @@
     }
 
     @Test
-    void creditsHoldBackWhileAllSlotsAreTaken() {
+    void slotCreditsPlaceNothingWhileAllSlotsAreTaken() {
         agent("north", SLOTS);
         assertThat(CREDITS.hasCandidates(fleet.of(SERVICE)), equalTo(false));
         assertThat(choose(CREDITS, 1, 0).agent(), equalTo(Optional.empty()));
@@ -73,17 +73,17 @@
     }
 
     @Test
-    void leastLoadedCreditsGoToTheLeastLoadedOfAllThatAreFree() {
+    void leastLoadedCreditsChooseTheLeastLoadedFreeAgent() {
         PlacementPolicy policy = new PlacementPolicy.LeastLoadedCredits(0);
         agent("north", 6);
         agent("south", 1);
         agent("north", 5);
 
-        assertThat(spread(policy, 40), equalTo(new int[] {0, 40, 0}));
+        assertThat(countChoices(policy, 40), equalTo(new int[] {0, 40, 0}));
     }
 
     @Test
-    void leastLoadedCreditsHoldBackWhileAllSlotsAreTaken() {
+    void leastLoadedCreditsPlaceNothingWhileAllSlotsAreTaken() {
         PlacementPolicy policy = new PlacementPolicy.LeastLoadedCredits(0);
         agent("north", SLOTS);
         agent("south", SLOTS);
@@ -93,9 +93,9 @@
     }
 
     @Test
-    void creditsCountPlacesInTheAgentsQueue() {
-        Fleet generous = new Fleet(2, 0);
-        AgentView view = generous.connected(
+    void overcommitAddsSlots() {
+        Fleet overcommitted = new Fleet(2, 0);
+        AgentView view = overcommitted.connected(
                 new AgentId("a", "1"),
                 Hello.newBuilder()
                         .setService(SERVICE)
@@ -104,35 +104,35 @@
                         .build(),
                 0);
         assertThat(view.estimatedFree(2), equalTo(2));
-        assertThat(new PlacementPolicy.SlotCredits(2).hasCandidates(generous.of(SERVICE)), equalTo(true));
+        assertThat(new PlacementPolicy.SlotCredits(2).hasCandidates(overcommitted.of(SERVICE)), equalTo(true));
     }
 
     @Test
-    void creditsTakeTheLessLoadedOfTwo() {
+    void slotCreditsChooseTheLessLoadedOfTwo() {
         agent("north", 6);
         agent("north", 1);
-        int[] counts = spread(CREDITS, 400);
+        int[] counts = countChoices(CREDITS, 400);
         assertThat("only when drawn twice", counts[0], lessThan(40));
     }
 
     @Test
-    void nearerFailureDomainBreaksTies() {
+    void ownFailureDomainBreaksTies() {
         agent("south", 3);
         agent("north", 3);
-        int[] counts = spread(CREDITS, 400);
+        int[] counts = countChoices(CREDITS, 400);
         assertThat("only when drawn twice", counts[0], lessThan(40));
     }
 
     @Test
-    void ownAttemptsCountBesideOthers() {
+    void ownAttemptsAddToThoseOfOtherCoordinators() {
         AgentView view = agent("north", 5);
-        fleet.started(view, Resources.NONE);
-        fleet.started(view, Resources.NONE);
-        assertThat(view.others(), equalTo(5));
+        fleet.attemptStarted(view, Resources.NONE);
+        fleet.attemptStarted(view, Resources.NONE);
+        assertThat(view.externalTasks(), equalTo(5));
         assertThat(view.estimatedFree(0), equalTo(1));
-        fleet.reported(view, report(7), 0);
-        assertThat("own ones are in the report", view.others(), equalTo(5));
-        fleet.ended(view, Resources.NONE);
+        fleet.applyReport(view, report(7), 0);
+        assertThat("own ones are in the report", view.externalTasks(), equalTo(5));
+        fleet.attemptEnded(view, Resources.NONE);
         assertThat(view.estimatedFree(0), equalTo(2));
     }
 
@@ -141,22 +141,22 @@
         AgentView view = agent("north", 0);
         Report earlier = report(7);
         Report later = report(1);
-        fleet.reported(view, later, 5);
-        fleet.reported(view, earlier, 6);
-        assertThat(view.others(), equalTo(1));
-        assertThat(view.ticketReceivedAt(), equalTo(5L));
+        fleet.applyReport(view, later, 5);
+        fleet.applyReport(view, earlier, 6);
+        assertThat(view.externalTasks(), equalTo(1));
+        assertThat(view.ticketReceivedAtNanos(), equalTo(5L));
     }
 
     @Test
-    void uniformRandomSpreadsWhateverTheLoad() {
+    void uniformRandomIgnoresLoad() {
         agent("north", 0);
         agent("south", SLOTS);
-        int[] counts = spread(new PlacementPolicy.UniformRandom(), 1_000);
+        int[] counts = countChoices(new PlacementPolicy.UniformRandom(), 1_000);
         assertThat((double) counts[0], closeTo(500, 80));
     }
 
     @Test
-    void leastLoadedFindsTheOneAmongMany() {
+    void leastLoadedFindsOneAgentAmongMany() {
         for (int number = 0; number < 100; number++) {
             agent("north", 4);
         }
@@ -172,18 +172,21 @@
         AgentView idle = agent("north", 0);
         PlacementPolicy policy = new PlacementPolicy.JoinIdleQueue();
         assertThat(choose(policy, 3, 0).agent(), equalTo(Optional.of(idle)));
-        fleet.started(idle, Resources.NONE);
+        fleet.attemptStarted(idle, Resources.NONE);
         assertThat("any other when none is idle", choose(policy, 3, 0).agent().isPresent(), equalTo(true));
     }
 
     @Test
-    void staleTicketsAreReportedForRefresh() {
+    void staleTicketsAreReturnedForRefresh() {
         AgentView view = agent("north", 0);
-        PlacementChoice choice = choose(CREDITS, 1, FRESH + 1);
+        PlacementChoice choice = choose(CREDITS, 1, MAXIMUM_TICKET_AGE_NANOS + 1);
         assertThat(choice.agent(), equalTo(Optional.empty()));
         assertThat(choice.staleTickets(), contains(view));
-        fleet.refreshSent(view, FRESH + 1);
-        assertThat("one heartbeat is under way", choose(CREDITS, 1, FRESH + 2).staleTickets(), empty());
+        fleet.refreshSent(view, MAXIMUM_TICKET_AGE_NANOS + 1);
+        assertThat(
+                "one heartbeat is under way",
+                choose(CREDITS, 1, MAXIMUM_TICKET_AGE_NANOS + 2).staleTickets(),
+                empty());
     }
 
     @Test
@@ -192,15 +195,15 @@
             agent("north", 0);
         }
         AgentView fresh = agents.get(17);
-        fleet.reported(fresh, report(0), FRESH);
-        PlacementChoice choice = choose(CREDITS, 1, FRESH + 1);
+        fleet.applyReport(fresh, report(0), MAXIMUM_TICKET_AGE_NANOS);
+        PlacementChoice choice = choose(CREDITS, 1, MAXIMUM_TICKET_AGE_NANOS + 1);
         assertThat(choice.agent(), equalTo(Optional.of(fresh)));
     }
 
     @Test
-    void avoidedAgentIsUsedOnlyWhenThereIsNoOther() {
+    void avoidedAgentIsChosenOnlyWithoutAlternative() {
         AgentView only = agent("north", 0);
-        Placer placer = new Placer(CREDITS, "north", FRESH, new SplittableRandom(1));
+        Placer placer = new Placer(CREDITS, "north", MAXIMUM_TICKET_AGE_NANOS, new SplittableRandom(1));
         Set<AgentId> avoid = Set.of(only.id());
         assertThat(placer.choose(fleet.of(SERVICE), Resources.NONE, avoid, 0).agent(), equalTo(Optional.of(only)));
         agent("north", SLOTS);
@@ -211,14 +214,14 @@
     }
 
     @Test
-    void unusableAgentsAreNoCandidates() {
+    void unreachableAndGoneAgentsAreNotCandidates() {
         AgentView view = agent("north", 0);
-        fleet.unreachable(view.id());
+        fleet.markUnreachable(view.id());
         assertThat(view.state(), equalTo(AgentState.UNREACHABLE));
         assertThat(fleet.of(SERVICE).hasAccepting(), equalTo(false));
-        fleet.gone(view.id(), 0);
+        fleet.markGone(view.id(), 0);
         assertThat(view.state(), equalTo(AgentState.GONE));
-        assertThat(fleet.of(SERVICE).members(), empty());
+        assertThat(fleet.of(SERVICE).agents(), empty());
         assertThat("may still have run something", fleet.possibleHolders(SERVICE, OptionalLong.empty(), 0), hasSize(1));
     }
 
@@ -227,6 +230,6 @@
         for (int number = 0; number < 50; number++) {
             agent("north", number % 5);
         }
-        assertThat(spread(CREDITS, 50), equalTo(spread(CREDITS, 50)));
+        assertThat(countChoices(CREDITS, 50), equalTo(countChoices(CREDITS, 50)));
     }
 }
--- a/library/src/test/java/org/chivetally/placement/QuarantineTest.java
+++ b/library/src/test/java/org/chivetally/placement/QuarantineTest.java
@@ -17,12 +17,12 @@
 
 class QuarantineTest {
     private static final int AGENTS = 11;
-    private static final long SECOND = 1_000_000_000L;
+    private static final long SECOND_NANOS = 1_000_000_000L;
 
     private final Fleet fleet = new Fleet(0, 0);
     private final List<AgentView> agents = new ArrayList<>();
     private final Quarantine quarantine;
-    private long now;
+    private long nowNanos;
 
     QuarantineTest() {
         for (int number = 0; number < AGENTS; number++) {
@@ -36,13 +36,14 @@
     }
 
     /** Lets the given agents fail and the others succeed, in turns; returns what was decided. */
-    private List<QuarantineVerdict> rounds(int rounds, List<AgentView> bad) {
+    private List<QuarantineVerdict> runRounds(int rounds, List<AgentView> faulty) {
         List<QuarantineVerdict> verdicts = new ArrayList<>();
         for (int round = 0; round < rounds; round++) {
-            now += SECOND / 100;
+            nowNanos += SECOND_NANOS / 100;
             for (AgentView agent : agents) {
-                Optional<QuarantineVerdict> verdict =
-                        bad.contains(agent) ? quarantine.failed(agent, now) : quarantine.succeeded(agent, false, now);
+                Optional<QuarantineVerdict> verdict = faulty.contains(agent)
+                        ? quarantine.taskFailed(agent, nowNanos)
+                        : quarantine.taskSucceeded(agent, false, nowNanos);
                 verdict.ifPresent(verdicts::add);
             }
         }
@@ -51,51 +52,51 @@
 
     @Test
     void withholdsWorkFromAMinionThatFailsManyTasks() {
-        List<QuarantineVerdict> verdicts = rounds(20, agents.subList(3, 4));
+        List<QuarantineVerdict> verdicts = runRounds(20, agents.subList(3, 4));
         assertThat(verdicts, hasSize(1));
         assertThat(verdicts.getFirst().agent(), equalTo(agents.get(3)));
         assertThat(verdicts.getFirst().kind(), equalTo(Kind.WITHHELD));
         assertThat(verdicts.getFirst().allowed(), equalTo(0));
-        assertThat(verdicts.getFirst().probeAfterNanos(), equalTo(SECOND));
+        assertThat(verdicts.getFirst().probeAfterNanos(), equalTo(SECOND_NANOS));
     }
 
     @Test
-    void noticesAMinionThatFailsMostTasks() {
+    void detectsAMinionThatFailsMostTasks() {
         List<QuarantineVerdict> verdicts = new ArrayList<>();
         for (int round = 0; round < 60; round++) {
-            rounds(1, round % 5 == 0 ? List.of() : agents.subList(0, 1));
-            verdicts.addAll(quarantine.probe(agents.get(0), now).stream().toList());
+            runRounds(1, round % 5 == 0 ? List.of() : agents.subList(0, 1));
+            verdicts.addAll(quarantine.probe(agents.get(0), nowNanos).stream().toList());
         }
         assertThat(verdicts.isEmpty(), equalTo(false));
     }
 
     @Test
-    void leavesAMinionAloneThatFailsNowAndThen() {
+    void toleratesOccasionalFailures() {
         for (int round = 0; round < 200; round++) {
-            assertThat(rounds(1, round % 5 == 0 ? agents.subList(0, 1) : List.of()), empty());
+            assertThat(runRounds(1, round % 5 == 0 ? agents.subList(0, 1) : List.of()), empty());
         }
     }
 
     @Test
-    void blamesTheServiceWhenAllMinionsFail() {
+    void withholdsNothingWhenAllMinionsFail() {
         // Every minion of the service fails, say because of a bad release. Withholding some of them would send their
         // share of the load to others that fail as well, and leave the service short once it is mended.
-        assertThat(rounds(50, agents), empty());
+        assertThat(runRounds(50, agents), empty());
     }
 
     @Test
-    void blamesTheTaskWhenItFailsOnSeveralMinions() {
+    void ignoresTasksThatFailOnSeveralMinions() {
         AgentView agent = agents.get(0);
-        rounds(10, List.of());
+        runRounds(10, List.of());
         for (int task = 0; task < 50; task++) {
-            assertThat(quarantine.failed(agent, now), equalTo(Optional.empty()));
-            quarantine.pardon(agent, now);
+            assertThat(quarantine.taskFailed(agent, nowNanos), equalTo(Optional.empty()));
+            quarantine.retractFailure(agent, nowNanos);
         }
         assertThat(quarantine.failureRate(agent) < 0.1, equalTo(true));
     }
 
     @Test
-    void withholdsNoMoreThanTheShare() {
+    void withholdsAtMostTheMaximumShare() {
         List<QuarantineVerdict> verdicts = new ArrayList<>();
         QuarantineSettings tolerant = new QuarantineSettings(
                 0.3,
@@ -104,24 +105,24 @@
                 1.0,
                 QuarantineSettings.defaults().firstProbe(),
                 QuarantineSettings.defaults().longestProbe());
-        Quarantine capped = new Quarantine(tolerant, fleet.of("routing"));
+        Quarantine limited = new Quarantine(tolerant, fleet.of("routing"));
         for (int round = 0; round < 20; round++) {
             for (AgentView agent : agents) {
-                capped.failed(agent, now).ifPresent(verdicts::add);
+                limited.taskFailed(agent, nowNanos).ifPresent(verdicts::add);
             }
         }
         assertThat("0.3 of 11", verdicts, hasSize(3));
     }
 
     @Test
-    void releasesSlowlyByDoubling() {
+    void doublesTheLimitUntilReleased() {
         AgentView agent = agents.get(0);
-        rounds(20, List.of(agent));
+        runRounds(20, List.of(agent));
         List<Integer> allowed = new ArrayList<>();
-        quarantine.probe(agent, now).ifPresent(verdict -> allowed.add(verdict.allowed()));
+        quarantine.probe(agent, nowNanos).ifPresent(verdict -> allowed.add(verdict.allowed()));
         List<Kind> kinds = new ArrayList<>();
         for (int task = 0; task < 7; task++) {
-            quarantine.succeeded(agent, false, now).ifPresent(verdict -> {
+            quarantine.taskSucceeded(agent, false, nowNanos).ifPresent(verdict -> {
                 allowed.add(verdict.allowed());
                 kinds.add(verdict.kind());
             });
@@ -131,12 +132,12 @@
     }
 
     @Test
-    void failedProbeDoublesTheWait() {
+    void failedProbeDoublesTheProbeDelay() {
         AgentView agent = agents.get(0);
-        rounds(20, List.of(agent));
-        quarantine.probe(agent, now);
-        QuarantineVerdict verdict = quarantine.failed(agent, now).orElseThrow();
+        runRounds(20, List.of(agent));
+        quarantine.probe(agent, nowNanos);
+        QuarantineVerdict verdict = quarantine.taskFailed(agent, nowNanos).orElseThrow();
         assertThat(verdict.kind(), equalTo(Kind.WITHHELD));
-        assertThat(verdict.probeAfterNanos(), equalTo(2 * SECOND));
+        assertThat(verdict.probeAfterNanos(), equalTo(2 * SECOND_NANOS));
     }
 }
--- a/load/src/main/java/org/chivetally/load/experiment/PolicyExperiment.java
+++ b/load/src/main/java/org/chivetally/load/experiment/PolicyExperiment.java
@@ -204,9 +204,9 @@
 
     private static String policyName(PlacementPolicy policy) {
         if (policy instanceof PlacementPolicy.SlotCredits credits && credits.overcommit() > 0) {
-            return policy.title() + "+" + credits.overcommit();
+            return policy.logName() + "+" + credits.overcommit();
         }
-        return policy.title();
+        return policy.logName();
     }
 
     /**
