--- a/library/src/main/java/org/chivetally/transport/BoundedFrameDecoder.java
+++ b/library/src/main/java/org/chivetally/transport/BoundedFrameDecoder.java
@@ -48,7 +48,8 @@
 
     private void requireWithinLimit(long length) {
         if (length > maximumBytes) {
-            throw new TooLongFrameException("frame of " + length + " bytes exceeds the maximum of " + maximumBytes);
+            throw new TooLongFrameException(
+                    "frame of " + length + " bytes exceeds the maximum of " + maximumBytes + " bytes");
         }
     }
 }
