--- a/load/src/main/java/org/chivetally/load/CheckResult.java
+++ b/load/src/main/java/org/chivetally/load/CheckResult.java
@@ -17,7 +17,7 @@
  * @param conflictingOutcomes keys of submissions for which one request returned a complete answer and another one a
  *     failure of the job
  * @param contradictedRefusals keys of submissions for which one request was refused as not run after a task had started
- *     for another request of the same key; no violation, because only false refusals concern all requests
+ *     for another request of the same key; if all requests were refused, the key is in {@code falseRefusals} instead
  * @param unrecordedAnswers tokens in complete answers without a recorded start: either the records of a minion were
  *     lost, or the answer was fabricated
  */
--- a/load/src/main/java/org/chivetally/load/JobClient.java
+++ b/load/src/main/java/org/chivetally/load/JobClient.java
@@ -95,8 +95,8 @@
         Throwable cause = failure instanceof CompletionException wrapped ? wrapped.getCause() : failure;
         return switch (cause) {
             case ConnectException refused -> new Reply.Unreachable(String.valueOf(refused.getMessage()));
-            case HttpConnectTimeoutException slow -> new Reply.Unreachable("connect timeout");
-            case HttpTimeoutException late -> new Reply.TimedOut();
+            case HttpConnectTimeoutException connectTimeout -> new Reply.Unreachable("connect timeout");
+            case HttpTimeoutException timedOut -> new Reply.TimedOut();
             case IOException closed -> new Reply.Closed(String.valueOf(closed.getMessage()));
             default -> new Reply.Closed(cause.toString());
         };
--- a/load/src/main/java/org/chivetally/load/OutcomeChecker.java
+++ b/load/src/main/java/org/chivetally/load/OutcomeChecker.java
@@ -188,7 +188,7 @@
         List<String> contradicted = new ArrayList<>();
         for (Map.Entry<Integer, List<RequestRecord>> entry : requests.entrySet()) {
             Long first = firstStarts.get(entry.getKey());
-            if (first != null && entry.getValue().stream().anyMatch(record -> isRefusedAfterStart(record, first))) {
+            if (first != null && entry.getValue().stream().anyMatch(request -> isRefusedAfterStart(request, first))) {
                 contradicted.add(tokens.key(entry.getKey()));
             }
         }
@@ -227,10 +227,10 @@
     private List<String> conflictingOutcomes() {
         List<String> conflicting = new ArrayList<>();
         for (Map.Entry<Integer, List<RequestRecord>> entry : requests.entrySet()) {
-            boolean complete = entry.getValue().stream().anyMatch(record -> record.reply() instanceof Reply.Complete);
+            boolean complete = entry.getValue().stream().anyMatch(request -> request.reply() instanceof Reply.Complete);
             boolean failed = entry.getValue().stream()
-                    .anyMatch(record ->
-                            record.reply() instanceof Reply.Problem problem && problem.certainty() == Certainty.FAILED);
+                    .anyMatch(request -> request.reply() instanceof Reply.Problem problem
+                            && problem.certainty() == Certainty.FAILED);
             if (complete && failed) {
                 conflicting.add(tokens.key(entry.getKey()));
             }
--- a/load/src/main/java/org/chivetally/load/ProcessUsage.java
+++ b/load/src/main/java/org/chivetally/load/ProcessUsage.java
@@ -21,11 +21,11 @@
     private static final long BYTES_PER_KIBIBYTE = 1024;
 
     private final Path folder;
-    private final Map<String, Sample> begin;
+    private final Map<String, Sample> samplesAtBegin;
 
-    private ProcessUsage(Path folder, Map<String, Sample> begin) {
+    private ProcessUsage(Path folder, Map<String, Sample> samplesAtBegin) {
         this.folder = folder;
-        this.begin = begin;
+        this.samplesAtBegin = samplesAtBegin;
     }
 
     /** Takes the first sample of all processes at the beginning of a run. */
@@ -40,7 +40,7 @@
     Map<String, RoleUsage> end() {
         Map<String, RoleUsage> usageByRole = new TreeMap<>();
         read(folder).forEach((name, atEnd) -> {
-            Sample atBegin = begin.get(name);
+            Sample atBegin = samplesAtBegin.get(name);
             if (atBegin != null && atBegin.processId == atEnd.processId) {
                 RoleUsage usage =
                         new RoleUsage(1, atEnd.processorTime.minus(atBegin.processorTime), atEnd.residentBytes);
--- a/load/src/main/java/org/chivetally/load/StartRecordReader.java
+++ b/load/src/main/java/org/chivetally/load/StartRecordReader.java
@@ -44,7 +44,7 @@
         for (Target minion : minions) {
             Optional<List<JsonNode>> lines = fetch(minion, endedPrefix.getOrDefault(minion.name(), 0));
             if (lines.isEmpty()) {
-                // After a restart the minion has new records, which are read from the first one on.
+                // The minion may be restarted with new records, so the next read begins at the first one.
                 endedPrefix.remove(minion.name());
                 continue;
             }
--- a/load/src/main/java/org/chivetally/load/Tokens.java
+++ b/load/src/main/java/org/chivetally/load/Tokens.java
@@ -4,8 +4,8 @@
 import java.util.Optional;
 
 /**
- * Idempotency keys and task tokens of one run. They are unique across runs, so that start records of earlier runs are
- * recognized.
+ * Idempotency keys and task tokens of one run. They are unique across runs, so that start records of earlier runs can
+ * be ignored.
  *
  * @param run name of the run
  */
--- a/load/src/main/java/org/chivetally/load/experiment/ClaimCost.java
+++ b/load/src/main/java/org/chivetally/load/experiment/ClaimCost.java
@@ -99,16 +99,16 @@
 
     private static void writeClaims(LogClaims writer, int claims) throws Exception {
         for (int first = 0; first < claims; first += BATCH_SIZE) {
-            List<Integer> undecided = new ArrayList<>();
+            List<Integer> remaining = new ArrayList<>();
             for (int claim = first; claim < Math.min(claims, first + BATCH_SIZE); claim++) {
-                undecided.add(claim);
+                remaining.add(claim);
             }
             // A full garbage collection may outlast the lease. The claims made meanwhile are refused and retried.
-            for (int attempt = 0; attempt < MAXIMUM_ATTEMPTS && !undecided.isEmpty(); attempt++) {
-                undecided = claimBatch(writer, undecided);
+            for (int attempt = 0; attempt < MAXIMUM_ATTEMPTS && !remaining.isEmpty(); attempt++) {
+                remaining = claimBatch(writer, remaining);
             }
-            if (!undecided.isEmpty()) {
-                throw new IllegalStateException(undecided.size() + " claims were refused repeatedly");
+            if (!remaining.isEmpty()) {
+                throw new IllegalStateException(remaining.size() + " claims were refused repeatedly");
             }
         }
     }
--- a/load/src/main/java/org/chivetally/load/experiment/ControlCostExperiment.java
+++ b/load/src/main/java/org/chivetally/load/experiment/ControlCostExperiment.java
@@ -34,6 +34,7 @@
     /**
      * Prepares an experiment.
      *
+     * @param settings clusters to measure, and durations
      * @param progress receives one line per measurement
      */
     public ControlCostExperiment(Settings settings, PrintStream progress) {
--- a/load/src/test/java/org/chivetally/load/CountersTest.java
+++ b/load/src/test/java/org/chivetally/load/CountersTest.java
@@ -11,6 +11,7 @@
 
 /** Guards against wrong message counts from a metrics page, and from the counters of restarted processes. */
 class CountersTest {
+    /** The byte counters have labels as well, but are summed up over all kinds. Other metrics are ignored. */
     @Test
     void framesBytesAndWastedMessagesAreParsedByKind() throws IOException {
         Counters counters = parsed();
@@ -19,6 +20,7 @@
         assertThat(counters.wasted(), is(Map.of("refused", 2L)));
     }
 
+    /** A restart resets counters to zero. Without this rule the increase of a restarted entry would be negative. */
     @Test
     void lowerCountIsTreatedAsRestart() throws IOException {
         Counters earlier = new Counters(Map.of("start", 60L, "result", 500L), 0, Map.of());
--- a/load/src/test/java/org/chivetally/load/FaultScheduleTest.java
+++ b/load/src/test/java/org/chivetally/load/FaultScheduleTest.java
@@ -16,6 +16,10 @@
  * stops.
  */
 class FaultScheduleTest {
+    /**
+     * Steps out of order would make the script inject faults late; a missing end would leave a process suspended or
+     * down.
+     */
     @Test
     void processStepsAreSortedAndIncludeEnds() {
         FaultSchedule schedule = new FaultSchedule(List.of(
@@ -27,6 +31,10 @@
                 contains("4000 pause entry-1", "5000 kill entry-2", "6000 resume entry-1", "8000 start entry-2"));
     }
 
+    /**
+     * Only a terminate begins a graceful stop, and only the end of the same process ends it. Malformed lines are
+     * ignored.
+     */
     @Test
     void gracefulStopLastsFromTerminateToProcessEnd() {
         ProcessFaultLog log = ProcessFaultLog.parse(List.of(
--- a/load/src/test/java/org/chivetally/load/LoadBalancerTest.java
+++ b/load/src/test/java/org/chivetally/load/LoadBalancerTest.java
@@ -23,6 +23,7 @@
         client.close();
     }
 
+    /** An uneven choice would overload one entry and distort the response times. */
     @Test
     void entriesAreChosenRoundRobin() {
         for (int index = 0; index < 6; index++) {
--- a/load/src/test/java/org/chivetally/load/LoadPlanReaderTest.java
+++ b/load/src/test/java/org/chivetally/load/LoadPlanReaderTest.java
@@ -22,6 +22,7 @@
 class LoadPlanReaderTest {
     private static final Path EXAMPLES = Path.of("..", "examples");
 
+    /** A fault with an unknown target would not be injected, so the run would miss it. */
     @ParameterizedTest
     @ValueSource(
             strings = {
@@ -43,6 +44,7 @@
         }
     }
 
+    /** Guards against values that are read from the wrong key or in the wrong unit. */
     @Test
     void valuesAreReadIntoTheirFields() throws IOException {
         LoadPlan plan = example("load-jylland-50");
@@ -53,6 +55,7 @@
         assertThat(plan.workload().resubmissions().delays(), hasSize(3));
     }
 
+    /** A reader that stops at the first mistake, or ignores unknown keys, would miss some of them. */
     @Test
     void everyMistakeIsReportedWithItsPath() throws IOException {
         LoadPlanReader.ReadResult<LoadPlan> result =
@@ -69,6 +72,7 @@
                         "workload.taskTimes[0].longest"));
     }
 
+    /** A generated deployment provides its targets in a file of its own. */
     @Test
     void targetsAreReadFromSeparateFile() {
         String text = "targets: {entries: [{name: e, url: \"http://127.0.0.1:9\"}]}";
--- a/load/src/test/java/org/chivetally/load/LoadRunTest.java
+++ b/load/src/test/java/org/chivetally/load/LoadRunTest.java
@@ -18,6 +18,7 @@
     private static final Duration DURATION = Duration.ofSeconds(1);
     private static final PrintStream DISCARDED = new PrintStream(OutputStream.nullOutputStream());
 
+    /** A fake entry that works correctly must not be reported for any violation. */
     @Test
     void everyJobIsCheckedAgainstStartRecords() throws IOException, InterruptedException {
         try (FakeEntry entry = new FakeEntry(1)) {
@@ -29,6 +30,7 @@
         }
     }
 
+    /** The fake entry records two starts of each task, which the service does not allow. */
     @Test
     void duplicateStartsFailTheRun() throws IOException, InterruptedException {
         try (FakeEntry entry = new FakeEntry(2)) {
--- a/load/src/test/java/org/chivetally/load/OutcomeCheckerTest.java
+++ b/load/src/test/java/org/chivetally/load/OutcomeCheckerTest.java
@@ -46,6 +46,7 @@
         result = checker.check(List.of(STOP), List.of(DRAINING));
     }
 
+    /** One start record belongs to run r0, and one has no token because another client submitted its task. */
     @Test
     void startsOfOtherRunsAreIgnored() {
         assertThat(checker.startCount(), is(18));
@@ -62,6 +63,7 @@
         assertThat(result.duplicateStarts(), contains("r1/2/0", "r1/6/0"));
     }
 
+    /** Submission 3 has two tasks, but its complete answer contains only the first one. */
     @Test
     void completeAnswerWithMissingTasksIsPartial() {
         assertThat(result.partialAnswers(), contains("r1/3"));
@@ -98,11 +100,13 @@
         assertThat(result.conflictingOutcomes(), contains("r1/15"));
     }
 
+    /** The connection of submission 8 closed during the stop of its entry, and that of submission 9 after it. */
     @Test
     void connectionsClosedDuringGracefulStopAreCut() {
         assertThat(result.cutRequests(), contains("r1/8"));
     }
 
+    /** Submission 10 returned an answer for a task that no minion recorded. */
     @Test
     void answerWithoutRecordedStartIsReported() {
         assertThat(result.unrecordedAnswers(), contains("r1/10/0"));
--- a/load/src/test/java/org/chivetally/load/ResponseRatioTest.java
+++ b/load/src/test/java/org/chivetally/load/ResponseRatioTest.java
@@ -8,6 +8,9 @@
 
 /** Guards against wrong percentiles of response ratios, and against undefined values when no job completed. */
 class ResponseRatioTest {
+    /**
+     * The ratios are 1.01 to 2.00 in steps of 0.01. A histogram that is too coarse would exceed the tolerance of 0.001.
+     */
     @Test
     void percentilesAreOfResponseOverIdealTime() {
         ResponseRatio ratio = new ResponseRatio();
@@ -20,6 +23,7 @@
         assertThat(ratio.highest(), closeTo(2, 0.001));
     }
 
+    /** A run without complete jobs must not fail in its report. */
     @Test
     void percentileWithoutJobsIsZero() {
         assertThat(new ResponseRatio().percentile(99), is(0.0));
--- a/load/src/test/java/org/chivetally/load/ScheduleTest.java
+++ b/load/src/test/java/org/chivetally/load/ScheduleTest.java
@@ -15,12 +15,14 @@
 class ScheduleTest {
     private static final Duration DURATION = Duration.ofSeconds(1000);
 
+    /** Runs can be compared and repeated only if the seed determines the whole schedule. */
     @Test
     void scheduleIsDeterminedBySeed() {
         assertThat(schedule(7), equalTo(schedule(7)));
         assertThat(schedule(7), not(equalTo(schedule(8))));
     }
 
+    /** The plan offers half of all slots, and three times as much in its phase from 500 s to 750 s. */
     @Test
     void offeredLoadMatchesPlanInsideAndOutsidePhases() {
         Schedule schedule = schedule(7);
@@ -29,6 +31,7 @@
         assertThat(load(schedule, 750, 1000), closeTo(0.5, 0.05));
     }
 
+    /** The plan repeats 20% of the jobs and cancels 10%. */
     @Test
     void sharesOfRepeatsAndCancellationsMatchPlan() {
         Schedule schedule = schedule(7);
@@ -43,6 +46,7 @@
         assertThat(cancelled / jobs, closeTo(0.1, 0.01));
     }
 
+    /** Four tasks of 100 ms run in parallel on 8 slots, and in two rounds on 2 slots. */
     @Test
     void idealTimeIsLongestTaskOrWorkDividedBySlots() {
         ScheduledJob job = schedule(7).jobs().getFirst();
--- a/load/src/test/java/org/chivetally/load/experiment/PolicyExperimentTest.java
+++ b/load/src/test/java/org/chivetally/load/experiment/PolicyExperimentTest.java
@@ -23,6 +23,7 @@
 class PolicyExperimentTest {
     private static final Path PLAN = Path.of("..", "examples", "load-jylland-50.yaml");
 
+    /** Any source of randomness or time other than the seeds would change the second table. */
     @Test
     void tableAndPlotsAreWrittenAndReproducible(@TempDir Path folder) throws IOException {
         String first = table(folder.resolve("first"));
@@ -31,6 +32,7 @@
         assertThat(Files.size(folder.resolve("first/policies-p99-2.png")) > 0, is(true));
     }
 
+    /** The points are on y = 2x + 3. */
     @Test
     void fitOfCollinearPointsHasNoResidual() {
         LineFit fit =
