--- a/library/src/main/java/org/chivetally/entry/EntryActors.java
+++ b/library/src/main/java/org/chivetally/entry/EntryActors.java
@@ -209,14 +209,14 @@
     private void carryOut(MembershipEffect effect) {
         switch (effect) {
             case MembershipEffect.Ask ask ->
-                peers.thenAccept(actor -> actor.tell(new PeerCommand.AskSuspicion(ask.entry(), ask.suspect())));
+                peers.thenAccept(actor -> actor.tell(new PeerCommand.QuerySuspicion(ask.entry(), ask.suspect())));
             default -> dispatch.thenAccept(actor -> actor.tell(new DispatchCommand.Membership(effect)));
         }
     }
 
     private void publish(MemberList view) {
-        dispatch.thenAccept(actor -> actor.tell(new DispatchCommand.View(view)));
-        peers.thenAccept(actor -> actor.tell(new PeerCommand.View(view)));
+        dispatch.thenAccept(actor -> actor.tell(new DispatchCommand.MembersChanged(view)));
+        peers.thenAccept(actor -> actor.tell(new PeerCommand.MembersChanged(view)));
     }
 
     private <T> ActorRef<T> spawn(String name, Behavior<T> behavior) {
@@ -316,25 +316,25 @@
 
         @Override
         public void afterwards(Runnable then) {
-            dispatch.thenAccept(actor -> actor.tell(new DispatchCommand.Afterwards(then)));
+            dispatch.thenAccept(actor -> actor.tell(new DispatchCommand.RunAfterEvents(then)));
         }
     }
 
     private final class ActorPeers implements Peers {
         @Override
         public void ask(Coordinator coordinator, JobId job, String key) {
-            tellPeers(new PeerCommand.Ask(coordinator, job, key));
+            tellPeers(new PeerCommand.QueryOutcome(coordinator, job, key));
         }
 
         @Override
         public void forget(JobId job) {
-            tellPeers(new PeerCommand.Forget(job));
+            tellPeers(new PeerCommand.CancelOutcomeQuery(job));
         }
 
         @Override
         public CompletionStage<Boolean> nobodyHas(SubmissionKey key, long sinceNanos) {
             CompletableFuture<Boolean> answer = new CompletableFuture<>();
-            tellPeers(new PeerCommand.AskKey(key, sinceNanos, answer));
+            tellPeers(new PeerCommand.QueryKey(key, sinceNanos, answer));
             return answer;
         }
 
--- a/library/src/main/java/org/chivetally/entry/dispatch/AgentRoster.java
+++ b/library/src/main/java/org/chivetally/entry/dispatch/AgentRoster.java
@@ -27,13 +27,13 @@
  */
 final class AgentRoster {
     /** How long an agent that left is waited for while it owes answers; drains take less. */
-    private static final long LEFT_PATIENCE_NANOS = Duration.ofSeconds(60).toNanos();
+    private static final long LEFT_AGENT_TIMEOUT_NANOS = Duration.ofSeconds(60).toNanos();
 
     private final Predicate<String> idempotent;
-    private final Predicate<String> awaited;
-    private final Map<AgentId, Named> named = new LinkedHashMap<>();
-    private final Map<String, Hello> connected = new HashMap<>();
-    private List<DispatchEvent> events = new ArrayList<>();
+    private final Predicate<String> hasPendingAnswers;
+    private final Map<AgentId, TrackedAgent> agents = new LinkedHashMap<>();
+    private final Map<String, Hello> helloByProcess = new HashMap<>();
+    private List<DispatchEvent> pendingEvents = new ArrayList<>();
 
     /**
      * Creates an empty roster.
@@ -41,151 +41,151 @@
      * @param idempotent tells whether a service's tasks may run twice
      * @param awaited tells whether an agent, by its process id, owes answers
      */
-    AgentRoster(Predicate<String> idempotent, Predicate<String> awaited) {
+    AgentRoster(Predicate<String> idempotent, Predicate<String> hasPendingAnswers) {
         this.idempotent = idempotent;
-        this.awaited = awaited;
+        this.hasPendingAnswers = hasPendingAnswers;
     }
 
     /** Takes a new list of members in. */
-    List<DispatchEvent> list(MemberList list, long now) {
+    List<DispatchEvent> updateMembers(MemberList members, long now) {
         Set<AgentId> listed = new HashSet<>();
-        for (Member agent : list.agents()) {
-            boolean announced = !list.unannounced().contains(agent.id());
-            listed.add(name(agent.id(), agent.service(), announced, null));
+        for (Member agent : members.agents()) {
+            boolean announced = !members.unannounced().contains(agent.id());
+            listed.add(track(agent.id(), agent.service(), announced, null));
         }
-        for (EndedMember over : list.ended()) {
-            if (over.mayBeAgent()) {
-                listed.add(name(over.id(), over.service(), true, over.reason()));
+        for (EndedMember ended : members.ended()) {
+            if (ended.mayBeAgent()) {
+                listed.add(track(ended.id(), ended.service(), true, ended.reason()));
             }
         }
-        forgetOthers(listed);
-        return settle(now);
+        endUnlisted(listed);
+        return reevaluate(now);
     }
 
     /** A connection to an agent can be used. */
     List<DispatchEvent> up(Hello hello, long now) {
-        Hello before = connected.put(hello.getProcessId(), hello);
+        Hello before = helloByProcess.put(hello.getProcessId(), hello);
         if (before != null) {
             disconnect(idOf(before));
         }
-        return settle(now);
+        return reevaluate(now);
     }
 
     /** No connection to an agent can be used. */
     List<DispatchEvent> down(AgentId agent, long now) {
-        Hello hello = connected.get(agent.processId());
+        Hello hello = helloByProcess.get(agent.processId());
         if (hello != null && idOf(hello).equals(agent)) {
-            connected.remove(agent.processId());
+            helloByProcess.remove(agent.processId());
             disconnect(agent);
         }
-        return settle(now);
+        return reevaluate(now);
     }
 
     /** Looks again at what may have changed with time or with the services' declarations. */
-    List<DispatchEvent> settle(long now) {
-        List.copyOf(named.entrySet()).forEach(one -> settle(one.getKey(), one.getValue(), now));
-        List<DispatchEvent> taken = events;
-        events = new ArrayList<>();
-        return taken;
+    List<DispatchEvent> reevaluate(long now) {
+        List.copyOf(agents.entrySet()).forEach(agent -> reevaluate(agent.getKey(), agent.getValue(), now));
+        List<DispatchEvent> events = pendingEvents;
+        pendingEvents = new ArrayList<>();
+        return events;
     }
 
     /** Tells whether the dispatcher uses this incarnation now. */
     boolean isAdmitted(AgentId agent) {
-        Named one = named.get(agent);
+        TrackedAgent one = agents.get(agent);
         return one != null && one.admitted;
     }
 
     /** Tells whether a process's connections are of use still. */
-    boolean isWanted(String processId) {
-        return named.entrySet().stream()
-                .anyMatch(one -> one.getKey().processId().equals(processId) && !one.getValue().toldGone);
+    boolean needsConnection(String processId) {
+        return agents.entrySet().stream()
+                .anyMatch(agent -> agent.getKey().processId().equals(processId) && !agent.getValue().goneReported);
     }
 
-    private AgentId name(Incarnation member, String service, boolean announced, EndedMember.Reason reason) {
+    private AgentId track(Incarnation member, String service, boolean announced, EndedMember.Reason reason) {
         AgentId id = idOf(member);
-        Named one = named.get(id);
-        if (one == null) {
-            one = new Named();
-            named.put(id, one);
-            events.add(new DispatchEvent.AgentNamed(id, service));
+        TrackedAgent agent = agents.get(id);
+        if (agent == null) {
+            agent = new TrackedAgent();
+            agents.put(id, agent);
+            pendingEvents.add(new DispatchEvent.AgentNamed(id, service));
         }
-        one.toldPresumed &= reason == EndedMember.Reason.PRESUMED_GONE;
-        one.announced = announced;
-        one.reason = reason;
+        agent.presumedGoneReported &= reason == EndedMember.Reason.PRESUMED_GONE;
+        agent.announced = announced;
+        agent.reason = reason;
         return id;
     }
 
-    private void forgetOthers(Set<AgentId> listed) {
-        Iterator<Map.Entry<AgentId, Named>> all = named.entrySet().iterator();
-        while (all.hasNext()) {
-            Map.Entry<AgentId, Named> one = all.next();
-            if (!listed.contains(one.getKey())) {
-                all.remove();
-                end(one.getKey(), one.getValue());
+    private void endUnlisted(Set<AgentId> listed) {
+        Iterator<Map.Entry<AgentId, TrackedAgent>> remaining = agents.entrySet().iterator();
+        while (remaining.hasNext()) {
+            Map.Entry<AgentId, TrackedAgent> agent = remaining.next();
+            if (!listed.contains(agent.getKey())) {
+                remaining.remove();
+                reportGone(agent.getKey(), agent.getValue());
             }
         }
     }
 
     private void disconnect(AgentId agent) {
-        Named one = named.get(agent);
+        TrackedAgent one = agents.get(agent);
         if (one != null) {
             one.admitted = false;
         }
-        events.add(new DispatchEvent.AgentUnreachable(agent));
+        pendingEvents.add(new DispatchEvent.AgentUnreachable(agent));
     }
 
-    private void settle(AgentId id, Named one, long now) {
-        Hello hello = connected.get(id.processId());
+    private void reevaluate(AgentId id, TrackedAgent agent, long now) {
+        Hello hello = helloByProcess.get(id.processId());
         if (hello != null && idOf(hello).equals(id)) {
-            one.disconnectedAt = now;
-            if (!one.admitted && mayBeUsed(one, hello)) {
-                one.admitted = true;
-                one.toldGone = false;
-                events.add(new DispatchEvent.AgentConnected(id, hello));
+            agent.disconnectedAtNanos = now;
+            if (!agent.admitted && isUsable(agent, hello)) {
+                agent.admitted = true;
+                agent.goneReported = false;
+                pendingEvents.add(new DispatchEvent.AgentConnected(id, hello));
             }
             return;
         }
-        if (one.reason == null) {
-            one.disconnectedAt = now;
+        if (agent.reason == null) {
+            agent.disconnectedAtNanos = now;
             return;
         }
-        switch (one.reason) {
-            case SUPERSEDED -> end(id, one);
-            case LEFT -> endIfDone(id, one, now);
-            case PRESUMED_GONE -> presume(id, one);
+        switch (agent.reason) {
+            case SUPERSEDED -> reportGone(id, agent);
+            case LEFT -> endLeftAgent(id, agent, now);
+            case PRESUMED_GONE -> reportPresumedGone(id, agent);
         }
     }
 
     // A coordinator that takes a job over learns from the log which agents may hold its tasks. One that is known by its
     // introduction only may die before its announcement is written, and nobody would ask about what ran there; it gets
     // such work only as may run twice. One that was declared gone is used again once it has announced itself anew.
-    private boolean mayBeUsed(Named one, Hello hello) {
-        if (one.reason != null) {
-            return one.reason == EndedMember.Reason.LEFT;
+    private boolean isUsable(TrackedAgent agent, Hello hello) {
+        if (agent.reason != null) {
+            return agent.reason == EndedMember.Reason.LEFT;
         }
-        return one.announced || idempotent.test(hello.getService());
+        return agent.announced || idempotent.test(hello.getService());
     }
 
     // An agent that leaves is taken out of the view while its last attempts still run; their results may need a new
     // connection.
-    private void endIfDone(AgentId id, Named one, long now) {
-        boolean patient = now - one.disconnectedAt < LEFT_PATIENCE_NANOS;
-        if (!awaited.test(id.processId()) || !patient) {
-            end(id, one);
+    private void endLeftAgent(AgentId id, TrackedAgent agent, long now) {
+        boolean withinTimeout = now - agent.disconnectedAtNanos < LEFT_AGENT_TIMEOUT_NANOS;
+        if (!hasPendingAnswers.test(id.processId()) || !withinTimeout) {
+            reportGone(id, agent);
         }
     }
 
-    private void presume(AgentId id, Named one) {
-        if (!one.toldPresumed) {
-            one.toldPresumed = true;
-            events.add(new DispatchEvent.AgentPresumedGone(id));
+    private void reportPresumedGone(AgentId id, TrackedAgent agent) {
+        if (!agent.presumedGoneReported) {
+            agent.presumedGoneReported = true;
+            pendingEvents.add(new DispatchEvent.AgentPresumedGone(id));
         }
     }
 
-    private void end(AgentId id, Named one) {
-        if (!one.toldGone) {
-            one.toldGone = true;
-            events.add(new DispatchEvent.AgentGone(id));
+    private void reportGone(AgentId id, TrackedAgent agent) {
+        if (!agent.goneReported) {
+            agent.goneReported = true;
+            pendingEvents.add(new DispatchEvent.AgentGone(id));
         }
     }
 
@@ -197,12 +197,12 @@
         return new AgentId(hello.getProcessId(), hello.getIncarnation());
     }
 
-    private static final class Named {
+    private static final class TrackedAgent {
         private EndedMember.Reason reason;
         private boolean announced;
         private boolean admitted;
-        private boolean toldPresumed;
-        private boolean toldGone;
-        private long disconnectedAt;
+        private boolean presumedGoneReported;
+        private boolean goneReported;
+        private long disconnectedAtNanos;
     }
 }
--- a/library/src/main/java/org/chivetally/entry/dispatch/ConfigurationPushes.java
+++ b/library/src/main/java/org/chivetally/entry/dispatch/ConfigurationPushes.java
@@ -16,23 +16,23 @@
 
 /** Brings the configuration of this entry to agents that have an older one. Times are nanoseconds of one clock. */
 final class ConfigurationPushes {
-    private static final Duration TURN = Duration.ofMillis(500);
-    private static final Duration NEVER = Duration.ofNanos(-1);
-    private static final int MOST_AT_ONCE = 50;
+    private static final Duration PUSH_TURN = Duration.ofMillis(500);
+    private static final Duration NEVER_PUSHED = Duration.ofNanos(-1);
+    private static final int MAXIMUM_PUSHES_PER_CALL = 50;
 
     private final String self;
     private final ConfigurationExchange configuration;
     private final Map<String, Agent> agents = new LinkedHashMap<>();
     private List<String> entries = List.of();
     private long version;
-    private long versionSince;
+    private long versionChangedAtNanos;
 
     ConfigurationPushes(String self, ConfigurationExchange configuration) {
         this.self = self;
         this.configuration = configuration;
     }
 
-    void entries(Collection<String> names) {
+    void setEntries(Collection<String> names) {
         entries = List.copyOf(names);
     }
 
@@ -56,13 +56,13 @@
         long current = configuration.version();
         if (current != version) {
             version = current;
-            versionSince = now;
+            versionChangedAtNanos = now;
         }
         Map<String, Frame> due = new HashMap<>();
-        for (Map.Entry<String, Agent> one : agents.entrySet()) {
-            if (due.size() < MOST_AT_ONCE && isDue(one.getKey(), one.getValue(), now)) {
-                one.getValue().pushed(version, now);
-                due.put(one.getKey(), push(one.getValue().hello));
+        for (Map.Entry<String, Agent> agent : agents.entrySet()) {
+            if (due.size() < MAXIMUM_PUSHES_PER_CALL && isDue(agent.getKey(), agent.getValue(), now)) {
+                agent.getValue().recordPush(version, now);
+                due.put(agent.getKey(), pushFrame(agent.getValue().hello));
             }
         }
         return due;
@@ -72,14 +72,14 @@
         if (agent.version >= version) {
             return false;
         }
-        Duration sinceChange = Duration.ofNanos(now - Math.max(versionSince, agent.connectedAt));
-        Duration sincePush = agent.pushedVersion == version ? Duration.ofNanos(now - agent.pushedAt) : NEVER;
+        Duration sinceChange = Duration.ofNanos(now - Math.max(versionChangedAtNanos, agent.connectedAtNanos));
+        Duration sincePush = agent.pushedVersion == version ? Duration.ofNanos(now - agent.pushedAtNanos) : NEVER_PUSHED;
         return ConfigurationDistribution.decideForAgent(
-                        self, entries, processId, version, agent.version, sinceChange, sincePush, TURN)
+                        self, entries, processId, version, agent.version, sinceChange, sincePush, PUSH_TURN)
                 == ConfigurationDistribution.Decision.PUSH;
     }
 
-    private Frame push(Hello hello) {
+    private Frame pushFrame(Hello hello) {
         ConfigurationSnapshot snapshot = configuration.forAgent(hello.getService(), hello.getBackend());
         return Frame.newBuilder()
                 .setConfigurationPush(ConfigurationPush.newBuilder()
@@ -90,20 +90,20 @@
 
     private static final class Agent {
         private final Hello hello;
-        private final long connectedAt;
+        private final long connectedAtNanos;
         private long version;
         private long pushedVersion = -1;
-        private long pushedAt;
+        private long pushedAtNanos;
 
         private Agent(Hello hello, long now) {
             this.hello = hello;
-            this.connectedAt = now;
+            this.connectedAtNanos = now;
             this.version = hello.getConfigurationVersion();
         }
 
-        private void pushed(long newVersion, long now) {
+        private void recordPush(long newVersion, long now) {
             pushedVersion = newVersion;
-            pushedAt = now;
+            pushedAtNanos = now;
         }
     }
 }
--- a/library/src/main/java/org/chivetally/entry/dispatch/DispatchActor.java
+++ b/library/src/main/java/org/chivetally/entry/dispatch/DispatchActor.java
@@ -49,18 +49,18 @@
     private static final FluentLogger LOGGER = FluentLogger.forEnclosingClass();
     private static final Duration TICK_INTERVAL = Duration.ofMillis(20);
     private static final int TICKS_PER_REPORT = 100;
-    private static final int TICKS_PER_LOOK = 5;
+    private static final int TICKS_PER_ROSTER_CHECK = 5;
 
     private final Parts parts;
     private final LinkSet links;
     private final DispatchMeters meters;
-    private final AttemptsInFlight attempts = new AttemptsInFlight();
+    private final PendingAnswers pendingAnswers = new PendingAnswers();
     private final Map<String, AgentId> agents = new HashMap<>();
     private final AgentRoster roster;
     private final ConfigurationPushes pushes;
     private final Probes probes = new Probes();
-    private Set<Incarnation> viewed = Set.of();
-    private int entries;
+    private Set<Incarnation> viewedAgents = Set.of();
+    private int entryCount;
     private boolean leaseHeld;
     /** Reading of the clock until which the lease was told to be held; null before the first. */
     private Long leaseEndNanos;
@@ -73,7 +73,7 @@
         this.meters = new DispatchMeters(parts.meters());
         Consumer<LinkSignal> signals = signal -> context.getSelf().tell(new DispatchCommand.Signal(signal));
         this.links = new LinkSet(parts.wiring().apply(signals), parts.heartbeats(), this);
-        this.roster = new AgentRoster(parts.idempotent(), attempts::awaits);
+        this.roster = new AgentRoster(parts.idempotent(), pendingAnswers::hasPending);
         this.pushes = new ConfigurationPushes(parts.self(), parts.configuration());
     }
 
@@ -101,14 +101,14 @@
     }
 
     private void handle(DispatchCommand command) {
-        noticeLease();
+        checkLease();
         switch (command) {
             case DispatchCommand.Event event -> decide(event.event());
-            case DispatchCommand.Afterwards afterwards -> afterwards.then().run();
+            case DispatchCommand.RunAfterEvents afterwards -> afterwards.action().run();
             case DispatchCommand.Signal signal ->
                 links.signal(signal.signal(), parts.clock().nanos());
             case DispatchCommand.Send send -> links.send(send.processId(), send.frame());
-            case DispatchCommand.View view -> onView(view.view());
+            case DispatchCommand.MembersChanged view -> onMembersChanged(view.members());
             case DispatchCommand.LeaseExtended extended -> onLeaseExtended(extended.untilNanos());
             case DispatchCommand.Probe probe -> onProbe(probe);
             case DispatchCommand.Membership membership -> onMembership(membership.effect());
@@ -120,8 +120,8 @@
     // A process that was paused for longer than its lease resumes in the middle of its work and would send starts that
     // another entry's takeover does not expect. The lease is therefore looked at before each message, not only on
     // ticks; what slips through between look and send is refused by its ticket.
-    private void noticeLease() {
-        boolean held = isToldHeld() && parts.holdsLease().getAsBoolean();
+    private void checkLease() {
+        boolean held = isWithinReportedLease() && parts.holdsLease().getAsBoolean();
         if (held != leaseHeld) {
             leaseHeld = held;
             decide(new DispatchEvent.LeaseChanged(held));
@@ -131,61 +131,61 @@
     // The lease is lost by the clock, but regained only by a message: jobs that others took over while it had lapsed
     // are told of before that. Looked up, a renewal that the claims have just read would count at once, and whatever
     // message waits here would start tasks of a job that another entry has started already.
-    private boolean isToldHeld() {
+    private boolean isWithinReportedLease() {
         return leaseEndNanos != null && leaseEndNanos - parts.clock().nanos() > 0;
     }
 
     private void onLeaseExtended(long untilNanos) {
         leaseEndNanos = untilNanos;
-        noticeLease();
+        checkLease();
     }
 
-    private void onView(MemberList view) {
+    private void onMembersChanged(MemberList members) {
         long now = parts.clock().nanos();
-        decideAll(roster.list(view, now));
-        for (Member agent : view.agents()) {
+        decideAll(roster.updateMembers(members, now));
+        for (Member agent : members.agents()) {
             links.keep(agent.processId(), agent.address(), now);
         }
-        hurryArrivals(view, now);
-        dropUnwanted();
-        List<String> names = view.entries().stream().map(Member::processId).toList();
-        pushes.entries(names);
-        pace(view, names);
+        redialReturnedAgents(members, now);
+        dropUnneededLinks();
+        List<String> names = members.entries().stream().map(Member::processId).toList();
+        pushes.setEntries(names);
+        setHeartbeatIntervals(members, names);
         int count = Math.max(1, names.size());
-        if (count != entries) {
-            entries = count;
+        if (count != entryCount) {
+            entryCount = count;
             decide(new DispatchEvent.EntriesChanged(count));
         }
     }
 
     // While an agent was away its link came to be dialled every few seconds only; back, it would be left idle for as
     // long.
-    private void hurryArrivals(MemberList view, long now) {
+    private void redialReturnedAgents(MemberList view, long now) {
         Set<Incarnation> listed = new HashSet<>();
         for (Member agent : view.agents()) {
             listed.add(agent.id());
-            if (!viewed.contains(agent.id())) {
+            if (!viewedAgents.contains(agent.id())) {
                 links.hurry(agent.processId(), now);
             }
         }
-        viewed = listed;
+        viewedAgents = listed;
     }
 
-    private void pace(MemberList view, List<String> entryNames) {
+    private void setHeartbeatIntervals(MemberList view, List<String> entryNames) {
         int count = view.agents().size();
         Duration shortest = parts.heartbeats().idleInterval();
         for (Member agent : view.agents()) {
-            boolean own = RendezvousOrder.rank(parts.self(), entryNames, agent.processId()) == 0;
-            links.pace(agent.processId(), IdlePace.interval(own, count, entryNames.size(), shortest));
+            boolean preferred = RendezvousOrder.rank(parts.self(), entryNames, agent.processId()) == 0;
+            links.pace(agent.processId(), IdlePace.interval(preferred, count, entryNames.size(), shortest));
         }
     }
 
-    private void dropUnwanted() {
+    private void dropUnneededLinks() {
         for (String processId : links.processes()) {
             boolean usable = links.usable(processId).isPresent();
-            if (!usable && !roster.isWanted(processId)) {
+            if (!usable && !roster.needsConnection(processId)) {
                 links.drop(processId, "not a member");
-                attempts.forget(processId);
+                pendingAnswers.remove(processId);
                 agents.remove(processId);
             }
         }
@@ -194,13 +194,13 @@
     private void onProbe(DispatchCommand.Probe probe) {
         Incarnation id = probe.agent();
         boolean connected = new AgentId(id.processId(), id.incarnation()).equals(agents.get(id.processId()));
-        boolean asked = connected
+        boolean sent = connected
                 && links.send(
                         id.processId(),
                         Frame.newBuilder()
                                 .setHeartbeat(Heartbeat.getDefaultInstance())
                                 .build());
-        if (!asked) {
+        if (!sent) {
             probe.alive().accept(false);
             return;
         }
@@ -209,7 +209,7 @@
 
     private void onMembership(MembershipEffect effect) {
         switch (effect) {
-            case MembershipEffect.TellGone tell -> tellGone(tell.member());
+            case MembershipEffect.TellGone tell -> notifyDeclaredGone(tell.member());
             case MembershipEffect.HoldDown hold ->
                 decide(new DispatchEvent.AgentHeldDown(
                         new AgentId(hold.agent().processId(), hold.agent().incarnation()), hold.held()));
@@ -217,31 +217,31 @@
         }
     }
 
-    private void tellGone(Member member) {
-        SuspicionAnswer declared = SuspicionAnswer.newBuilder()
+    private void notifyDeclaredGone(Member member) {
+        SuspicionAnswer answer = SuspicionAnswer.newBuilder()
                 .setProcessId(member.processId())
                 .setIncarnation(member.incarnation())
                 .build();
         links.send(
                 member.processId(),
-                Frame.newBuilder().setSuspicionAnswer(declared).build());
+                Frame.newBuilder().setSuspicionAnswer(answer).build());
     }
 
     private void onTick() {
         long now = parts.clock().nanos();
         ticks++;
-        attempts.expire(now);
+        pendingAnswers.expire(now);
         probes.expire(now);
-        links.tick(now, attempts::awaits);
+        links.tick(now, pendingAnswers::hasPending);
         decide(new DispatchEvent.Ticked());
-        if (ticks % TICKS_PER_LOOK == 0) {
-            decideAll(roster.settle(now));
-            dropUnwanted();
+        if (ticks % TICKS_PER_ROSTER_CHECK == 0) {
+            decideAll(roster.reevaluate(now));
+            dropUnneededLinks();
             pushes.due(now).forEach(links::send);
         }
         if (ticks % TICKS_PER_REPORT == 0) {
             reportConnected();
-            parts.core().snapshot().ifPresent(meters::show);
+            parts.core().snapshot().ifPresent(meters::update);
         }
     }
 
@@ -252,7 +252,7 @@
                 connected.add(processId);
             }
         }
-        parts.members().accept(new MembershipEvent.Connected(connected));
+        parts.membershipEvents().accept(new MembershipEvent.Connected(connected));
     }
 
     @Override
@@ -261,34 +261,34 @@
         AgentId agent = AgentRoster.idOf(hello);
         AgentId before = agents.put(hello.getProcessId(), agent);
         if (before != null && !before.equals(agent)) {
-            attempts.forget(hello.getProcessId());
+            pendingAnswers.remove(hello.getProcessId());
         }
-        parts.usable().add(agent);
+        parts.reachableAgents().add(agent);
         parts.observer().up(hello);
         pushes.connected(hello, now);
         decideAll(roster.up(hello, now));
-        MemberRecords.ofHello(hello).ifPresent(member -> parts.members().accept(new MembershipEvent.Reached(member)));
+        MemberRecords.ofHello(hello).ifPresent(member -> parts.membershipEvents().accept(new MembershipEvent.Reached(member)));
     }
 
     @Override
     public void down(Hello hello, String reason) {
         AgentId agent = AgentRoster.idOf(hello);
-        parts.usable().remove(agent);
+        parts.reachableAgents().remove(agent);
         parts.observer().down(hello, reason);
         pushes.disconnected(hello.getProcessId());
         decideAll(roster.down(agent, parts.clock().nanos()));
-        parts.members().accept(new MembershipEvent.Lost(new Incarnation(agent.processId(), agent.incarnation())));
+        parts.membershipEvents().accept(new MembershipEvent.Lost(new Incarnation(agent.processId(), agent.incarnation())));
     }
 
     @Override
     public void stranger(Hello hello) {
-        parts.introduced().accept(hello);
+        parts.introductions().accept(hello);
     }
 
     @Override
     public void received(Hello sender, Frame frame) {
         AgentId agent = AgentRoster.idOf(sender);
-        attempts.received(sender.getProcessId(), frame);
+        pendingAnswers.received(sender.getProcessId(), frame);
         parts.observer().received(sender, frame);
         probes.received(new Incarnation(agent.processId(), agent.incarnation()));
         if (frame.hasHeartbeat()) {
@@ -303,14 +303,14 @@
 
     private void decide(DispatchEvent event) {
         for (DispatchEffect effect : parts.core().handle(event, parts.clock().nanos())) {
-            carryOut(effect);
+            execute(effect);
         }
     }
 
-    private void carryOut(DispatchEffect effect) {
+    private void execute(DispatchEffect effect) {
         switch (effect) {
             case DispatchEffect.SendFrame send -> send(send.agent(), send.frame());
-            case DispatchEffect.JobFinished finished -> parts.finished().accept(finished.job(), finished.outcome());
+            case DispatchEffect.JobFinished finished -> parts.outcomes().accept(finished.job(), finished.outcome());
             case DispatchEffect.WriteLine write -> LOGGER.atInfo().log("%s", write.line());
             case DispatchEffect.CountWaste waste -> meters.wasted(waste.kind());
         }
@@ -319,7 +319,7 @@
     private void send(AgentId agent, Frame frame) {
         boolean current = agent.equals(agents.get(agent.processId()));
         if (current && links.send(agent.processId(), frame)) {
-            attempts.sent(agent.processId(), frame, parts.clock().nanos());
+            pendingAnswers.sent(agent.processId(), frame, parts.clock().nanos());
         }
     }
 
@@ -330,12 +330,12 @@
      * @param wiring makes the links' wiring for the actor's signals
      * @param holdsLease whether this process may start tasks; asked before each event, and only believed as far as
      *     {@link DispatchCommand.LeaseExtended} goes
-     * @param finished takes final outcomes
-     * @param introduced takes introductions of processes found at another's address
-     * @param members takes what connections say of members
+     * @param outcomes takes final outcomes
+     * @param introductions takes introductions of processes found at another's address
+     * @param membershipEvents takes what connections say of members
      * @param idempotent tells whether a service's tasks may run twice
      * @param configuration what agents are to have
-     * @param usable filled with the agents that can be reached; read by other threads
+     * @param reachableAgents filled with the agents that can be reached; read by other threads
      * @param observer told of the links as well; must not block
      */
     public record Parts(
@@ -344,12 +344,12 @@
             Function<Consumer<LinkSignal>, LinkSet.Wiring> wiring,
             HeartbeatSettings heartbeats,
             BooleanSupplier holdsLease,
-            BiConsumer<JobId, JobOutcome> finished,
-            Consumer<Hello> introduced,
-            Consumer<MembershipEvent> members,
+            BiConsumer<JobId, JobOutcome> outcomes,
+            Consumer<Hello> introductions,
+            Consumer<MembershipEvent> membershipEvents,
             Predicate<String> idempotent,
             ConfigurationExchange configuration,
-            Set<AgentId> usable,
+            Set<AgentId> reachableAgents,
             LinkObserver observer,
             MeterRegistry meters,
             NanoClock clock) {}
--- a/library/src/main/java/org/chivetally/entry/dispatch/DispatchCommand.java
+++ b/library/src/main/java/org/chivetally/entry/dispatch/DispatchCommand.java
@@ -14,13 +14,13 @@
     record Event(DispatchEvent event) implements DispatchCommand {}
 
     /** Something to run once the events told before have been decided; it must not wait. */
-    record Afterwards(Runnable then) implements DispatchCommand {}
+    record RunAfterEvents(Runnable action) implements DispatchCommand {}
 
     /** The transport reports about a connection to an agent. */
     record Signal(LinkSignal signal) implements DispatchCommand {}
 
     /** The members changed. */
-    record View(MemberList view) implements DispatchCommand {}
+    record MembersChanged(MemberList members) implements DispatchCommand {}
 
     /** Another entry asks whether an agent can be reached. */
     record Probe(Incarnation agent, Consumer<Boolean> alive) implements DispatchCommand {}
--- a/library/src/main/java/org/chivetally/entry/dispatch/DispatchMeters.java
+++ b/library/src/main/java/org/chivetally/entry/dispatch/DispatchMeters.java
@@ -17,7 +17,7 @@
     private final MultiGauge teamWaiting;
     private final MultiGauge teamRunning;
     private final MultiGauge agentSlots;
-    private final MultiGauge agentOwn;
+    private final MultiGauge agentAttempts;
 
     DispatchMeters(MeterRegistry registry) {
         this.registry = registry;
@@ -26,7 +26,7 @@
         this.teamWaiting = gauge("chivetally.team.tasks.waiting", "Tasks accepted and not started");
         this.teamRunning = gauge("chivetally.team.tasks.running", "Tasks started and not known to have ended");
         this.agentSlots = gauge("chivetally.agent.slots", "Slots of the agent's minion");
-        this.agentOwn = gauge("chivetally.agent.attempts", "Attempts of this entry in flight at the agent");
+        this.agentAttempts = gauge("chivetally.agent.attempts", "Attempts of this entry in flight at the agent");
     }
 
     /** Counts a message that did no good. */
@@ -36,13 +36,13 @@
     }
 
     /** Replaces the gauges' values. */
-    void show(DispatchSnapshot snapshot) {
+    void update(DispatchSnapshot snapshot) {
         serviceWaiting.register(rows("service", snapshot.services(), DispatchSnapshot.Counts::waiting), true);
         serviceRunning.register(rows("service", snapshot.services(), DispatchSnapshot.Counts::running), true);
         teamWaiting.register(rows("team", snapshot.teams(), DispatchSnapshot.Counts::waiting), true);
         teamRunning.register(rows("team", snapshot.teams(), DispatchSnapshot.Counts::running), true);
         agentSlots.register(agentRows(snapshot, DispatchSnapshot.Agent::slots), true);
-        agentOwn.register(agentRows(snapshot, DispatchSnapshot.Agent::own), true);
+        agentAttempts.register(agentRows(snapshot, DispatchSnapshot.Agent::own), true);
     }
 
     private MultiGauge gauge(String name, String description) {
--- a/library/src/main/java/org/chivetally/entry/peer/ConfigurationPulls.java
+++ b/library/src/main/java/org/chivetally/entry/peer/ConfigurationPulls.java
@@ -15,47 +15,47 @@
  * while, and one at a time.
  */
 final class ConfigurationPulls {
-    private static final Duration LOG_TIME = Duration.ofSeconds(1);
-    private static final long CHANGE_NANOS = Duration.ofMillis(200).toNanos();
-    private static final long ASK_AGAIN_NANOS = Duration.ofSeconds(2).toNanos();
+    private static final Duration LOG_GRACE_PERIOD = Duration.ofSeconds(1);
+    private static final long VERSION_QUERY_DELAY_NANOS = Duration.ofMillis(200).toNanos();
+    private static final long PULL_RETRY_INTERVAL_NANOS = Duration.ofSeconds(2).toNanos();
 
     private final ConfigurationExchange configuration;
-    private final Map<String, Long> versions = new HashMap<>();
-    private long changedTo;
-    private long askAllAt;
-    private boolean allAsked = true;
-    private long askAgainAt;
-    private boolean asked;
-    private long behindSince;
-    private long behindAt = -1;
+    private final Map<String, Long> versionsByEntry = new HashMap<>();
+    private long lastOwnVersion;
+    private long queryVersionsAtNanos;
+    private boolean versionsQueried = true;
+    private long nextPullAtNanos;
+    private boolean pulled;
+    private long behindSinceNanos;
+    private long behindVersion = -1;
 
     ConfigurationPulls(ConfigurationExchange configuration) {
         this.configuration = configuration;
     }
 
     void reported(String processId, long version) {
-        versions.put(processId, version);
+        versionsByEntry.put(processId, version);
     }
 
     void lost(String processId) {
-        versions.remove(processId);
+        versionsByEntry.remove(processId);
     }
 
     /**
      * Tells, once after each change here, that the other entries are to be asked for their versions; the next heartbeat
      * may be seconds away, and operators would see them lag until then.
      */
-    boolean asksAll(long now) {
+    boolean shouldQueryVersions(long now) {
         long own = configuration.version();
-        if (own != changedTo) {
-            changedTo = own;
-            askAllAt = now + CHANGE_NANOS;
-            allAsked = false;
+        if (own != lastOwnVersion) {
+            lastOwnVersion = own;
+            queryVersionsAtNanos = now + VERSION_QUERY_DELAY_NANOS;
+            versionsQueried = false;
         }
-        if (allAsked || now - askAllAt < 0) {
+        if (versionsQueried || now - queryVersionsAtNanos < 0) {
             return false;
         }
-        allAsked = true;
+        versionsQueried = true;
         return true;
     }
 
@@ -64,33 +64,33 @@
         long own = configuration.version();
         Map.Entry<String, Long> newest = newest();
         if (newest == null || newest.getValue() <= own) {
-            behindAt = -1;
+            behindVersion = -1;
             return Map.of();
         }
-        if (behindAt != own) {
-            behindAt = own;
-            behindSince = now;
+        if (behindVersion != own) {
+            behindVersion = own;
+            behindSinceNanos = now;
         }
-        Duration lag = Duration.ofNanos(now - behindSince);
-        boolean pull = ConfigurationDistribution.decideForEntry(own, newest.getValue(), lag, LOG_TIME)
+        Duration lag = Duration.ofNanos(now - behindSinceNanos);
+        boolean pull = ConfigurationDistribution.decideForEntry(own, newest.getValue(), lag, LOG_GRACE_PERIOD)
                 == ConfigurationDistribution.Decision.PULL;
-        if (!pull || asked && now - askAgainAt < 0) {
+        if (!pull || pulled && now - nextPullAtNanos < 0) {
             return Map.of();
         }
-        asked = true;
-        askAgainAt = now + ASK_AGAIN_NANOS;
-        ConfigurationPull question =
+        pulled = true;
+        nextPullAtNanos = now + PULL_RETRY_INTERVAL_NANOS;
+        ConfigurationPull request =
                 ConfigurationPull.newBuilder().setHaveVersion(own).build();
         return Map.of(
                 newest.getKey(),
-                Frame.newBuilder().setConfigurationPull(question).build());
+                Frame.newBuilder().setConfigurationPull(request).build());
     }
 
     private Map.Entry<String, Long> newest() {
         Map.Entry<String, Long> newest = null;
-        for (Map.Entry<String, Long> one : versions.entrySet()) {
-            if (newest == null || one.getValue() > newest.getValue()) {
-                newest = one;
+        for (Map.Entry<String, Long> candidate : versionsByEntry.entrySet()) {
+            if (newest == null || candidate.getValue() > newest.getValue()) {
+                newest = candidate;
             }
         }
         return newest;
--- a/library/src/main/java/org/chivetally/entry/peer/InboundFrames.java
+++ b/library/src/main/java/org/chivetally/entry/peer/InboundFrames.java
@@ -34,7 +34,7 @@
 /** Answers other processes that dial this entry. */
 public final class InboundFrames implements FrameListener {
     /** Longest outcome that one frame carries, in bytes. */
-    private static final int LONGEST_OUTCOME = 3 * 1024 * 1024;
+    private static final int MAXIMUM_OUTCOME_BYTES = 3 * 1024 * 1024;
 
     private final Parts parts;
 
@@ -54,13 +54,13 @@
     @Override
     public void received(FrameConnection connection, Frame frame) {
         switch (frame.getBodyCase()) {
-            case HELLO -> parts.introduced().accept(frame.getHello());
-            case HEARTBEAT -> beat(connection, frame);
+            case HELLO -> parts.introductions().accept(frame.getHello());
+            case HEARTBEAT -> answerHeartbeat(connection, frame);
             case ATTACH -> attach(connection, frame.getRequestId(), frame.getAttach());
             case CANCEL -> frame.getCancel().getJobIdsList().forEach(this::cancel);
-            case SUSPICION_QUERY -> suspicion(connection, frame.getRequestId(), frame.getSuspicionQuery());
-            case CONFIGURATION_PULL -> pull(connection, frame);
-            case MEMBERS_PULL -> members(connection, frame.getRequestId());
+            case SUSPICION_QUERY -> answerSuspicionQuery(connection, frame.getRequestId(), frame.getSuspicionQuery());
+            case CONFIGURATION_PULL -> answerConfigurationPull(connection, frame);
+            case MEMBERS_PULL -> answerMembersPull(connection, frame.getRequestId());
             default -> {
                 // An answer to a question of this entry goes over its own connections.
             }
@@ -72,7 +72,7 @@
         // Whatever is still awaited over it is asked for again over another.
     }
 
-    private void beat(FrameConnection connection, Frame frame) {
+    private void answerHeartbeat(FrameConnection connection, Frame frame) {
         if (frame.getHeartbeat().getAnswer()) {
             return;
         }
@@ -88,7 +88,7 @@
         if (attach.getJobId().isEmpty()) {
             parts.submissions()
                     .accept(new SubmissionCommand.AskKey(
-                            KeyQuestions.key(attach), known -> answerKey(connection, requestId, known)));
+                            KeyQueries.key(attach), known -> answerKey(connection, requestId, known)));
             return;
         }
         parts.submissions()
@@ -106,7 +106,7 @@
                 .setJobId(answer.job().text())
                 .setKnown(answer.outcome().isPresent())
                 .setOutcome(answer.outcome()
-                        .map(outcome -> fitting(answer.job(), outcome))
+                        .map(outcome -> limitedDocument(answer.job(), outcome))
                         .orElse(""));
         send(connection, requestId, body);
     }
@@ -118,9 +118,9 @@
 
     // A frame over the transport's limit would close the connection, and the asking entry would dial and ask again for
     // ever. It is told instead that the answer has to be fetched from this entry.
-    private static String fitting(JobId job, JobOutcome outcome) {
+    private static String limitedDocument(JobId job, JobOutcome outcome) {
         String document = OutcomeDocument.write(job, outcome);
-        if (document.getBytes(StandardCharsets.UTF_8).length <= LONGEST_OUTCOME) {
+        if (document.getBytes(StandardCharsets.UTF_8).length <= MAXIMUM_OUTCOME_BYTES) {
             return document;
         }
         String detail = "the whole answer is too large to pass between entries; ask the entry that coordinates the job";
@@ -134,7 +134,7 @@
         }
     }
 
-    private void suspicion(FrameConnection connection, long requestId, SuspicionQuery query) {
+    private void answerSuspicionQuery(FrameConnection connection, long requestId, SuspicionQuery query) {
         Incarnation suspect = new Incarnation(query.getProcessId(), query.getIncarnation());
         parts.probe()
                 .accept(
@@ -148,7 +148,7 @@
                                 .build()));
     }
 
-    private void pull(FrameConnection connection, Frame frame) {
+    private void answerConfigurationPull(FrameConnection connection, Frame frame) {
         long have = frame.getConfigurationPull().getHaveVersion();
         parts.executor()
                 .execute(() -> parts.configuration()
@@ -161,7 +161,7 @@
                                 .build())));
     }
 
-    private void members(FrameConnection connection, long requestId) {
+    private void answerMembersPull(FrameConnection connection, long requestId) {
         parts.members().accept(known -> {
             MembersPush.Builder push = MembersPush.newBuilder();
             known.forEach(member -> push.addMembers(MemberRecords.toHello(member)));
@@ -176,7 +176,7 @@
      * What the listener works with; all parts are safe from any thread.
      *
      * @param hello introduction of this process
-     * @param introduced takes introductions of processes that dialled
+     * @param introductions takes introductions of processes that dialled
      * @param submissions takes questions about jobs
      * @param probe asks a member for a sign of life, and tells whether it came
      * @param members gives the members known here
@@ -186,7 +186,7 @@
     public record Parts(
             Supplier<Hello> hello,
             LongSupplier requestIds,
-            Consumer<Hello> introduced,
+            Consumer<Hello> introductions,
             Consumer<SubmissionCommand> submissions,
             BiConsumer<Incarnation, Consumer<Boolean>> probe,
             Consumer<Consumer<List<Member>>> members,
--- a/library/src/main/java/org/chivetally/entry/peer/KeyQuestions.java
+++ b/library/src/main/java/org/chivetally/entry/peer/KeyQueries.java
@@ -12,11 +12,11 @@
 import org.chivetally.wire.v1.Frame;
 
 /** Questions to all other entries whether they have a job of a key. Owned by one actor. */
-final class KeyQuestions {
-    private static final long PATIENCE_NANOS = Duration.ofMillis(500).toNanos();
+final class KeyQueries {
+    private static final long QUERY_TIMEOUT_NANOS = Duration.ofMillis(500).toNanos();
     private static final String SEPARATOR = "\n";
 
-    private final Map<Long, Question> byRequest = new HashMap<>();
+    private final Map<Long, Query> queriesByRequest = new HashMap<>();
 
     /** Returns the frame that asks about a key under a request id. */
     static Frame frame(long requestId, SubmissionKey key) {
@@ -35,9 +35,9 @@
     }
 
     /** Opens a question that was sent to several entries under these request ids. */
-    void open(List<Long> requests, CompletableFuture<Boolean> nobodyHas, long now) {
-        Question question = new Question(new HashSet<>(requests), nobodyHas, now + PATIENCE_NANOS);
-        requests.forEach(request -> byRequest.put(request, question));
+    void open(List<Long> requests, CompletableFuture<Boolean> unknownToAll, long now) {
+        Query query = new Query(new HashSet<>(requests), unknownToAll, now + QUERY_TIMEOUT_NANOS);
+        requests.forEach(request -> queriesByRequest.put(request, query));
     }
 
     /**
@@ -45,42 +45,42 @@
      *
      * <p>A denial that is taken in late, as by an entry that was paused in between, may be false by now.
      */
-    boolean answered(long request, boolean known, long now) {
-        Question question = byRequest.remove(request);
-        if (question == null) {
+    boolean onAnswer(long request, boolean known, long now) {
+        Query query = queriesByRequest.remove(request);
+        if (query == null) {
             return false;
         }
-        question.open.remove(request);
-        boolean late = now - question.until >= 0;
-        if (known || late || question.open.isEmpty()) {
-            end(question, !known && !late);
+        query.pendingRequests.remove(request);
+        boolean late = now - query.deadlineNanos >= 0;
+        if (known || late || query.pendingRequests.isEmpty()) {
+            complete(query, !known && !late);
         }
         return true;
     }
 
     /** Ends questions that wait too long: nothing is certain then. */
     void expire(long now) {
-        for (Question question : Set.copyOf(byRequest.values())) {
-            if (now - question.until >= 0) {
-                end(question, false);
+        for (Query query : Set.copyOf(queriesByRequest.values())) {
+            if (now - query.deadlineNanos >= 0) {
+                complete(query, false);
             }
         }
     }
 
-    private void end(Question question, boolean nobodyHas) {
-        question.open.forEach(byRequest::remove);
-        question.nobodyHas.complete(nobodyHas);
+    private void complete(Query query, boolean unknownToAll) {
+        query.pendingRequests.forEach(queriesByRequest::remove);
+        query.unknownToAll.complete(unknownToAll);
     }
 
-    private static final class Question {
-        private final Set<Long> open;
-        private final CompletableFuture<Boolean> nobodyHas;
-        private final long until;
+    private static final class Query {
+        private final Set<Long> pendingRequests;
+        private final CompletableFuture<Boolean> unknownToAll;
+        private final long deadlineNanos;
 
-        private Question(Set<Long> open, CompletableFuture<Boolean> nobodyHas, long until) {
-            this.open = open;
-            this.nobodyHas = nobodyHas;
-            this.until = until;
+        private Query(Set<Long> pendingRequests, CompletableFuture<Boolean> unknownToAll, long deadlineNanos) {
+            this.pendingRequests = pendingRequests;
+            this.unknownToAll = unknownToAll;
+            this.deadlineNanos = deadlineNanos;
         }
     }
 }
--- a/library/src/main/java/org/chivetally/entry/peer/PeerActor.java
+++ b/library/src/main/java/org/chivetally/entry/peer/PeerActor.java
@@ -55,20 +55,20 @@
 public final class PeerActor extends AbstractBehavior<PeerCommand> implements LinkObserver {
     private static final FluentLogger LOGGER = FluentLogger.forEnclosingClass();
     private static final Duration TICK_INTERVAL = Duration.ofMillis(50);
-    private static final int MOST_SUSPICIONS = 4_096;
-    private static final long ASK_AGAIN_NANOS = Duration.ofMillis(500).toNanos();
+    private static final int MAXIMUM_SUSPICION_QUERIES = 4_096;
+    private static final long QUERY_RETRY_INTERVAL_NANOS = Duration.ofMillis(500).toNanos();
 
     private final Parts parts;
     private final LinkSet links;
-    private final Map<JobId, Question> questions = new HashMap<>();
-    private final KeyQuestions keyQuestions = new KeyQuestions();
-    private final SequencedMap<Long, Incarnation> suspicions = new LinkedHashMap<>();
+    private final Map<JobId, OutcomeQuery> outcomeQueries = new HashMap<>();
+    private final KeyQueries keyQueries = new KeyQueries();
+    private final SequencedMap<Long, Incarnation> suspicionQueries = new LinkedHashMap<>();
     private final Probes probes = new Probes();
     private final ConfigurationPulls pulls;
-    private Set<String> viewed = Set.of();
-    private Set<Incarnation> ended = Set.of();
+    private Set<String> viewedEntries = Set.of();
+    private Set<Incarnation> endedIncarnations = Set.of();
     /** Reading of the clock when an entry was last seen to be no member any more; null when that never happened. */
-    private Long departureNanos;
+    private Long lastDepartureNanos;
 
     private PeerActor(ActorContext<PeerCommand> context, Parts parts) {
         super(context);
@@ -103,66 +103,66 @@
 
     private void handle(PeerCommand command) {
         switch (command) {
-            case PeerCommand.Ask ask -> onAsk(ask);
-            case PeerCommand.Forget forget -> questions.remove(forget.job());
-            case PeerCommand.AskKey ask -> onAskKey(ask);
+            case PeerCommand.QueryOutcome query -> onQueryOutcome(query);
+            case PeerCommand.CancelOutcomeQuery forget -> outcomeQueries.remove(forget.job());
+            case PeerCommand.QueryKey query -> onQueryKey(query);
             case PeerCommand.CancelJob cancel -> onCancel(cancel);
             case PeerCommand.Signal signal ->
                 links.signal(signal.signal(), parts.clock().nanos());
             case PeerCommand.Send send -> links.send(send.processId(), send.frame());
-            case PeerCommand.View view -> onView(view.view());
-            case PeerCommand.AskSuspicion ask -> onAskSuspicion(ask);
+            case PeerCommand.MembersChanged view -> onMembersChanged(view.members());
+            case PeerCommand.QuerySuspicion query -> onQuerySuspicion(query);
             case PeerCommand.Probe probe -> onProbe(probe);
             case PeerCommand.Tick tick -> onTick();
             case PeerCommand.Stop stop -> throw new IllegalStateException("handled before");
         }
     }
 
-    private void onAsk(PeerCommand.Ask ask) {
-        Question question = new Question(ask.coordinator(), ask.job(), ask.key());
-        questions.put(ask.job(), question);
-        keep(ask.coordinator());
-        send(question);
+    private void onQueryOutcome(PeerCommand.QueryOutcome command) {
+        OutcomeQuery query = new OutcomeQuery(command.coordinator(), command.job(), command.key());
+        outcomeQueries.put(command.job(), query);
+        keepLink(command.coordinator());
+        send(query);
     }
 
     // An entry that is not in the view any more may have claimed the key just before it ended, in a record that could
     // not be read here yet. Nothing is certain without it, for as long as its jobs may be taken over.
-    private void onAskKey(PeerCommand.AskKey ask) {
+    private void onQueryKey(PeerCommand.QueryKey query) {
         boolean allReachable =
-                viewed.stream().allMatch(entry -> links.usable(entry).isPresent());
-        if (!parts.membersRead().getAsBoolean() || !allReachable || hasOneLeftSince(ask.sinceNanos())) {
-            ask.nobodyHas().complete(false);
+                viewedEntries.stream().allMatch(entry -> links.usable(entry).isPresent());
+        if (!parts.membersRead().getAsBoolean() || !allReachable || hasDepartureSince(query.sinceNanos())) {
+            query.unknownToAll().complete(false);
             return;
         }
-        if (viewed.isEmpty()) {
-            ask.nobodyHas().complete(true);
+        if (viewedEntries.isEmpty()) {
+            query.unknownToAll().complete(true);
             return;
         }
         List<Long> requests = new ArrayList<>();
-        for (String entry : viewed) {
+        for (String entry : viewedEntries) {
             long request = parts.requestIds().getAsLong();
             requests.add(request);
-            links.send(entry, KeyQuestions.frame(request, ask.key()));
+            links.send(entry, KeyQueries.frame(request, query.key()));
         }
-        keyQuestions.open(requests, ask.nobodyHas(), parts.clock().nanos());
+        keyQueries.open(requests, query.unknownToAll(), parts.clock().nanos());
     }
 
     // Also names entries that came and ended between two reads of the members, and so were never in the view.
     private Set<Incarnation> endedEntries(MemberList view) {
         return view.ended().stream()
-                .filter(over -> over.mayBeEntry() && !over.id().processId().equals(parts.self()))
+                .filter(ended -> ended.mayBeEntry() && !ended.id().processId().equals(parts.self()))
                 .map(EndedMember::id)
                 .collect(Collectors.toUnmodifiableSet());
     }
 
     // An entry that left may have claimed the key after this one last read the claims, and run its job. Nobody else
     // need know of that, so that the answers of those who stayed prove nothing.
-    private boolean hasOneLeftSince(long sinceNanos) {
-        return departureNanos != null && departureNanos - sinceNanos >= 0;
+    private boolean hasDepartureSince(long sinceNanos) {
+        return lastDepartureNanos != null && lastDepartureNanos - sinceNanos >= 0;
     }
 
     private void onCancel(PeerCommand.CancelJob cancel) {
-        keep(cancel.coordinator());
+        keepLink(cancel.coordinator());
         Frame frame = Frame.newBuilder()
                 .setCancel(Cancel.newBuilder().addJobIds(cancel.job().text()))
                 .build();
@@ -171,7 +171,7 @@
 
     // The view may name a newer address of the process than an old claim does, so the claim's is only used when the
     // view names none.
-    private void keep(Coordinator coordinator) {
+    private void keepLink(Coordinator coordinator) {
         if (links.processes().contains(coordinator.processId())) {
             return;
         }
@@ -179,39 +179,39 @@
         links.keep(coordinator.processId(), address, parts.clock().nanos());
     }
 
-    private void onView(MemberList view) {
-        Set<String> named = new HashSet<>();
-        for (Member entry : view.entries()) {
+    private void onMembersChanged(MemberList members) {
+        Set<String> listed = new HashSet<>();
+        for (Member entry : members.entries()) {
             if (entry.processId().equals(parts.self())) {
                 continue;
             }
-            named.add(entry.processId());
+            listed.add(entry.processId());
             links.keep(entry.processId(), entry.address(), parts.clock().nanos());
         }
-        Set<Incarnation> over = endedEntries(view);
-        if (!named.containsAll(viewed) || !ended.containsAll(over)) {
-            departureNanos = parts.clock().nanos();
+        Set<Incarnation> ended = endedEntries(members);
+        if (!listed.containsAll(viewedEntries) || !endedIncarnations.containsAll(ended)) {
+            lastDepartureNanos = parts.clock().nanos();
         }
-        viewed = Set.copyOf(named);
-        ended = over;
-        dropUnwanted();
+        viewedEntries = Set.copyOf(listed);
+        endedIncarnations = ended;
+        dropUnneededLinks();
     }
 
-    private void onAskSuspicion(PeerCommand.AskSuspicion ask) {
+    private void onQuerySuspicion(PeerCommand.QuerySuspicion command) {
         long request = parts.requestIds().getAsLong();
         SuspicionQuery query = SuspicionQuery.newBuilder()
-                .setProcessId(ask.suspect().processId())
-                .setIncarnation(ask.suspect().incarnation())
+                .setProcessId(command.suspect().processId())
+                .setIncarnation(command.suspect().incarnation())
                 .build();
         Frame frame = Frame.newBuilder()
                 .setRequestId(request)
                 .setSuspicionQuery(query)
                 .build();
-        if (links.send(ask.entry().processId(), frame)) {
-            suspicions.put(request, ask.suspect());
+        if (links.send(command.entry().processId(), frame)) {
+            suspicionQueries.put(request, command.suspect());
         }
-        if (suspicions.size() > MOST_SUSPICIONS) {
-            suspicions.pollFirstEntry();
+        if (suspicionQueries.size() > MAXIMUM_SUSPICION_QUERIES) {
+            suspicionQueries.pollFirstEntry();
         }
     }
 
@@ -228,9 +228,9 @@
         probes.begin(probe.entry(), probe.alive(), parts.clock().nanos());
     }
 
-    private void dropUnwanted() {
+    private void dropUnneededLinks() {
         for (String processId : links.processes()) {
-            if (!viewed.contains(processId) && !awaits(processId)) {
+            if (!viewedEntries.contains(processId) && !hasPendingQuery(processId)) {
                 links.drop(processId, "not a member");
             }
         }
@@ -238,31 +238,31 @@
 
     private void onTick() {
         long now = parts.clock().nanos();
-        links.tick(now, this::awaits);
-        keyQuestions.expire(now);
+        links.tick(now, this::hasPendingQuery);
+        keyQueries.expire(now);
         probes.expire(now);
         pulls.due(now).forEach(links::send);
-        if (pulls.asksAll(now)) {
+        if (pulls.shouldQueryVersions(now)) {
             links.processes().forEach(processId -> links.send(processId, heartbeat()));
         }
-        for (Question question : questions.values()) {
-            if (question.dueAgain && now - question.askAt >= 0) {
-                send(question);
+        for (OutcomeQuery query : outcomeQueries.values()) {
+            if (query.retryScheduled && now - query.retryAtNanos >= 0) {
+                send(query);
             }
         }
     }
 
-    private void send(Question question) {
-        question.dueAgain = false;
+    private void send(OutcomeQuery query) {
+        query.retryScheduled = false;
         Frame frame = Frame.newBuilder()
-                .setAttach(Attach.newBuilder().setJobId(question.job.text()).setKey(question.key))
+                .setAttach(Attach.newBuilder().setJobId(query.job.text()).setKey(query.key))
                 .build();
-        links.send(question.coordinator.processId(), frame);
+        links.send(query.coordinator.processId(), frame);
     }
 
-    private boolean awaits(String processId) {
-        return questions.values().stream()
-                .anyMatch(question -> question.coordinator.processId().equals(processId));
+    private boolean hasPendingQuery(String processId) {
+        return outcomeQueries.values().stream()
+                .anyMatch(query -> query.coordinator.processId().equals(processId));
     }
 
     private Frame heartbeat() {
@@ -276,9 +276,9 @@
     public void up(Hello hello) {
         parts.observer().up(hello);
         pulls.reported(hello.getProcessId(), hello.getConfigurationVersion());
-        MemberRecords.ofHello(hello).ifPresent(member -> parts.members().accept(new MembershipEvent.Reached(member)));
-        questions.values().stream()
-                .filter(question -> question.coordinator.processId().equals(hello.getProcessId()))
+        MemberRecords.ofHello(hello).ifPresent(member -> parts.membershipEvents().accept(new MembershipEvent.Reached(member)));
+        outcomeQueries.values().stream()
+                .filter(query -> query.coordinator.processId().equals(hello.getProcessId()))
                 .forEach(this::send);
     }
 
@@ -287,12 +287,12 @@
         // Questions are asked again on the next connection.
         parts.observer().down(hello, reason);
         pulls.lost(hello.getProcessId());
-        parts.members().accept(new MembershipEvent.Lost(idOf(hello)));
+        parts.membershipEvents().accept(new MembershipEvent.Lost(idOf(hello)));
     }
 
     @Override
     public void stranger(Hello hello) {
-        parts.introduced().accept(hello);
+        parts.introductions().accept(hello);
     }
 
     @Override
@@ -316,16 +316,16 @@
     }
 
     private void onJobAnswer(long request, JobAnswer answer) {
-        if (!keyQuestions.answered(request, answer.getKnown(), parts.clock().nanos())) {
-            onAnswer(answer);
+        if (!keyQueries.onAnswer(request, answer.getKnown(), parts.clock().nanos())) {
+            onOutcomeAnswer(answer);
         }
     }
 
     private void onSuspicionAnswer(Hello sender, Frame frame) {
-        Incarnation suspect = suspicions.remove(frame.getRequestId());
+        Incarnation suspect = suspicionQueries.remove(frame.getRequestId());
         if (suspect != null) {
             boolean alive = frame.getSuspicionAnswer().getAlive();
-            parts.members().accept(new MembershipEvent.Answered(suspect, idOf(sender), alive));
+            parts.membershipEvents().accept(new MembershipEvent.Answered(suspect, idOf(sender), alive));
         }
     }
 
@@ -333,21 +333,21 @@
         return new Incarnation(hello.getProcessId(), hello.getIncarnation());
     }
 
-    private void onAnswer(JobAnswer answer) {
-        Question question = answer.getJobId().isEmpty() ? null : questions.get(new JobId(answer.getJobId()));
-        if (question == null) {
+    private void onOutcomeAnswer(JobAnswer answer) {
+        OutcomeQuery query = answer.getJobId().isEmpty() ? null : outcomeQueries.get(new JobId(answer.getJobId()));
+        if (query == null) {
             return;
         }
         if (!answer.getKnown()) {
-            question.dueAgain = true;
-            question.askAt = parts.clock().nanos() + ASK_AGAIN_NANOS;
+            query.retryScheduled = true;
+            query.retryAtNanos = parts.clock().nanos() + QUERY_RETRY_INTERVAL_NANOS;
             return;
         }
-        questions.remove(question.job);
-        parts.answered().accept(question.job, read(answer));
+        outcomeQueries.remove(query.job);
+        parts.outcomes().accept(query.job, readOutcome(answer));
     }
 
-    private static JobOutcome read(JobAnswer answer) {
+    private static JobOutcome readOutcome(JobAnswer answer) {
         try {
             return OutcomeDocument.read(answer.getOutcome());
         } catch (IllegalArgumentException malformed) {
@@ -358,14 +358,14 @@
         }
     }
 
-    private static final class Question {
+    private static final class OutcomeQuery {
         private final Coordinator coordinator;
         private final JobId job;
         private final String key;
-        private boolean dueAgain;
-        private long askAt;
+        private boolean retryScheduled;
+        private long retryAtNanos;
 
-        private Question(Coordinator coordinator, JobId job, String key) {
+        private OutcomeQuery(Coordinator coordinator, JobId job, String key) {
             this.coordinator = coordinator;
             this.job = job;
             this.key = key;
@@ -377,11 +377,11 @@
      *
      * @param self process id of this entry
      * @param wiring makes the links' wiring for the actor's signals
-     * @param answered takes outcomes
-     * @param introduced takes introductions of processes found at another's address
+     * @param outcomes takes outcomes
+     * @param introductions takes introductions of processes found at another's address
      * @param observer told of the links as well; must not block
      * @param requestIds request ids of this process, never repeated
-     * @param members takes what connections say of members
+     * @param membershipEvents takes what connections say of members
      * @param configuration what other entries may have newer
      * @param membersRead whether the members are known as the log has them
      */
@@ -389,11 +389,11 @@
             String self,
             Function<Consumer<LinkSignal>, LinkSet.Wiring> wiring,
             HeartbeatSettings heartbeats,
-            BiConsumer<JobId, JobOutcome> answered,
-            Consumer<Hello> introduced,
+            BiConsumer<JobId, JobOutcome> outcomes,
+            Consumer<Hello> introductions,
             LinkObserver observer,
             LongSupplier requestIds,
-            Consumer<MembershipEvent> members,
+            Consumer<MembershipEvent> membershipEvents,
             ConfigurationExchange configuration,
             BooleanSupplier membersRead,
             NanoClock clock) {}
--- a/library/src/main/java/org/chivetally/entry/peer/PeerCommand.java
+++ b/library/src/main/java/org/chivetally/entry/peer/PeerCommand.java
@@ -13,13 +13,13 @@
 /** Messages of {@link PeerActor}. */
 public sealed interface PeerCommand {
     /** Ask a coordinator for its job's outcome until it answers or the question is forgotten. */
-    record Ask(Coordinator coordinator, JobId job, String key) implements PeerCommand {}
+    record QueryOutcome(Coordinator coordinator, JobId job, String key) implements PeerCommand {}
 
     /** The answer is no longer wanted. */
-    record Forget(JobId job) implements PeerCommand {}
+    record CancelOutcomeQuery(JobId job) implements PeerCommand {}
 
     /** Ask all other entries whether they have a job of a key, which this one would know if it was claimed before. */
-    record AskKey(SubmissionKey key, long sinceNanos, CompletableFuture<Boolean> nobodyHas) implements PeerCommand {}
+    record QueryKey(SubmissionKey key, long sinceNanos, CompletableFuture<Boolean> unknownToAll) implements PeerCommand {}
 
     /** Ask a coordinator to cancel its job. */
     record CancelJob(Coordinator coordinator, JobId job) implements PeerCommand {}
@@ -28,10 +28,10 @@
     record Signal(LinkSignal signal) implements PeerCommand {}
 
     /** The members changed. */
-    record View(MemberList view) implements PeerCommand {}
+    record MembersChanged(MemberList members) implements PeerCommand {}
 
     /** Ask an entry whether it reaches a member. */
-    record AskSuspicion(Incarnation entry, Incarnation suspect) implements PeerCommand {}
+    record QuerySuspicion(Incarnation entry, Incarnation suspect) implements PeerCommand {}
 
     /** Another entry asks whether an entry can be reached. */
     record Probe(Incarnation entry, Consumer<Boolean> alive) implements PeerCommand {}
--- a/library/src/test/java/org/chivetally/entry/dispatch/ConfigurationPushesTest.java
+++ b/library/src/test/java/org/chivetally/entry/dispatch/ConfigurationPushesTest.java
@@ -25,25 +25,25 @@
     ConfigurationPushesTest() {
         for (String entry : ENTRIES) {
             ConfigurationPushes pushes = new ConfigurationPushes(entry, new Versioned());
-            pushes.entries(ENTRIES);
+            pushes.setEntries(ENTRIES);
             pushes.connected(Hello.newBuilder().setProcessId("agent").build(), now);
             entries.add(pushes);
         }
     }
 
     @Test
-    void oneEntryPushesEachVersionWhenTheAgentTellsAll() {
+    void onlyOneEntryPushesEachVersionWhenTheAgentReportsIt() {
         assertThat(dueWithin(Duration.ZERO), hasSize(1));
-        tellAll();
+        reportVersionToAll();
         assertThat(dueWithin(Duration.ofSeconds(5)), is(empty()));
         version = 8;
         assertThat(dueWithin(Duration.ZERO), hasSize(1));
-        tellAll();
+        reportVersionToAll();
         assertThat(dueWithin(Duration.ofSeconds(5)), is(empty()));
     }
 
     @Test
-    void othersTakeTheirTurnWhenTheFirstOnesPushIsLost() {
+    void anotherEntryPushesWhenTheFirstPushIsLost() {
         // The first entry's connection goes silent with the push in it. The agent would stay behind until that is
         // noticed; the next entry pushes half a second later.
         assertThat(dueWithin(Duration.ZERO), hasSize(1));
@@ -52,12 +52,12 @@
     }
 
     @Test
-    void anAgentThatIsAheadGetsNothing() {
+    void agentsWithANewerVersionReceiveNoPush() {
         entries.forEach(entry -> entry.reported("agent", 9));
         assertThat(dueWithin(Duration.ofSeconds(5)), is(empty()));
     }
 
-    private void tellAll() {
+    private void reportVersionToAll() {
         entries.forEach(entry -> entry.reported("agent", version));
     }
 
--- a/library/src/test/java/org/chivetally/entry/dispatch/DispatchActorTest.java
+++ b/library/src/test/java/org/chivetally/entry/dispatch/DispatchActorTest.java
@@ -74,7 +74,7 @@
     // An agent ran tasks for an entry that died, and this entry has not reached the agent yet when it takes the job
     // over. The decisions must count it among those to be asked, so they are told of it when it is announced.
     @Test
-    void tellsOfAnnouncedAgentsBeforeTheyAreReached() {
+    void reportsAnnouncedAgentsBeforeTheyAreReached() {
         view(List.of(member("1")), List.of());
         assertThat(events, hasItem(new DispatchEvent.AgentNamed(FIRST, "routing")));
         view(List.of(member("1")), List.of());
@@ -88,7 +88,7 @@
     // An agent was replaced while this entry did not run yet, and all that its first run did for others is lost with
     // it. The decisions are told that the first run has ended, so that they do not take its tasks for never started.
     @Test
-    void tellsOfAgentsThatEndedBeforeTheyWereReached() {
+    void reportsAgentsThatEndedBeforeTheyWereReached() {
         view(List.of(member("2")), ended(EndedMember.Reason.SUPERSEDED));
         assertThat(events, hasItem(new DispatchEvent.AgentNamed(FIRST, "routing")));
         assertThat(events, hasItem(new DispatchEvent.AgentGone(FIRST)));
@@ -96,7 +96,7 @@
     }
 
     @Test
-    void aConnectedAgentIsGoneOnceANewRunAnswersInItsPlace() {
+    void aConnectedAgentIsGoneOnceANewIncarnationReplacesIt() {
         view(List.of(member("1")), List.of());
         connect(1, "1");
         assertThat(events, hasItem(new DispatchEvent.AgentConnected(FIRST, hello("1"))));
@@ -122,7 +122,7 @@
     // The process is paused past its lease and resumes with frames waiting. The decisions hear of the lost lease
     // before anything else, so that no frame makes them start a task.
     @Test
-    void theLostLeaseIsToldBeforeAnythingElse() {
+    void aLostLeaseIsReportedBeforeAnyOtherEvent() {
         leaseHeld = false;
         actor.run(new DispatchCommand.Event(new DispatchEvent.EntriesChanged(2)));
         assertThat(events, contains(new DispatchEvent.LeaseChanged(false), new DispatchEvent.EntriesChanged(2)));
@@ -132,7 +132,7 @@
     // older messages still wait here. Were the lease looked up, the first of them would start tasks of the lost job.
     // It counts as held from the message on that follows the one about the job.
     @Test
-    void theRegainedLeaseIsToldAfterTheJobsThatWereLost() {
+    void aRegainedLeaseIsReportedAfterTheJobsTakenOver() {
         DispatchEvent takenOver = new DispatchEvent.JobTakenOver(new JobId("job"));
         now = LEASE_END;
         actor.run(new DispatchCommand.Event(new DispatchEvent.EntriesChanged(2)));
@@ -152,7 +152,7 @@
     }
 
     private void view(List<Member> members, List<EndedMember> ended) {
-        actor.run(new DispatchCommand.View(new MemberList(members, Set.of(), ended)));
+        actor.run(new DispatchCommand.MembersChanged(new MemberList(members, Set.of(), ended)));
         tick();
     }
 
@@ -161,7 +161,7 @@
     }
 
     private void connect(long dial, String incarnation) {
-        actor.run(new DispatchCommand.Signal(new LinkSignal.Opened(dial, new Unheard())));
+        actor.run(new DispatchCommand.Signal(new LinkSignal.Opened(dial, new DiscardingConnection())));
         Frame frame = Frame.newBuilder().setHello(hello(incarnation)).build();
         actor.run(new DispatchCommand.Signal(new LinkSignal.Received(dial, frame)));
     }
@@ -196,7 +196,7 @@
                 MemberCapacity.NONE);
     }
 
-    private record Unheard() implements FrameConnection {
+    private record DiscardingConnection() implements FrameConnection {
         @Override
         public void send(Frame frame) {}
 
--- a/library/src/test/java/org/chivetally/entry/dispatch/AttemptsInFlightTest.java
+++ b/library/src/test/java/org/chivetally/entry/dispatch/PendingAnswersTest.java
@@ -14,32 +14,32 @@
 import org.chivetally.wire.v1.TaskStatus;
 import org.junit.jupiter.api.Test;
 
-class AttemptsInFlightTest {
-    private final AttemptsInFlight attempts = new AttemptsInFlight();
+class PendingAnswersTest {
+    private final PendingAnswers pendingAnswers = new PendingAnswers();
 
     @Test
-    void anAgentOwesAnAnswerUntilEachAttemptHasOne() {
+    void answersArePendingUntilEachAttemptIsAnswered() {
         start("a");
         start("b");
-        attempts.received(
+        pendingAnswers.received(
                 "agent",
                 Frame.newBuilder()
                         .setResult(Result.newBuilder().setAttemptId("a"))
                         .build());
-        assertThat(attempts.awaits("agent"), is(true));
-        attempts.received(
+        assertThat(pendingAnswers.hasPending("agent"), is(true));
+        pendingAnswers.received(
                 "agent",
                 Frame.newBuilder()
                         .setRefusal(Refusal.newBuilder().setAttemptId("b"))
                         .build());
-        assertThat(attempts.awaits("agent"), is(false));
+        assertThat(pendingAnswers.hasPending("agent"), is(false));
     }
 
     @Test
-    void anInquirySettlesWhatIsNotRunningAnyMore() {
+    void anInquiryAnswerCompletesAttemptsThatNoLongerRun() {
         start("a");
         start("b");
-        attempts.sent(
+        pendingAnswers.sent(
                 "agent",
                 Frame.newBuilder()
                         .setInquiry(Inquiry.newBuilder().setJobId("j"))
@@ -49,28 +49,28 @@
                 .setJobId("j")
                 .addTasks(state("a", TaskStatus.TASK_STATUS_DONE))
                 .addTasks(state("b", TaskStatus.TASK_STATUS_RUNNING));
-        attempts.received("agent", Frame.newBuilder().setInquiryAnswer(answer).build());
-        assertThat(attempts.awaits("agent"), is(true));
-        attempts.received(
+        pendingAnswers.received("agent", Frame.newBuilder().setInquiryAnswer(answer).build());
+        assertThat(pendingAnswers.hasPending("agent"), is(true));
+        pendingAnswers.received(
                 "agent",
                 Frame.newBuilder()
                         .setResult(Result.newBuilder().setAttemptId("b"))
                         .build());
-        assertThat(attempts.awaits("agent"), is(false));
+        assertThat(pendingAnswers.hasPending("agent"), is(false));
     }
 
     @Test
-    void anAnswerThatNeverComesStopsCountingAfterTheLease() {
+    void aMissingAnswerExpiresAfterTheLease() {
         start("a");
-        attempts.expire(Duration.ofSeconds(10).toNanos());
-        assertThat(attempts.awaits("agent"), is(true));
-        attempts.expire(Duration.ofSeconds(11).toNanos());
-        assertThat(attempts.awaits("agent"), is(false));
+        pendingAnswers.expire(Duration.ofSeconds(10).toNanos());
+        assertThat(pendingAnswers.hasPending("agent"), is(true));
+        pendingAnswers.expire(Duration.ofSeconds(11).toNanos());
+        assertThat(pendingAnswers.hasPending("agent"), is(false));
     }
 
     private void start(String attempt) {
         Start.Builder start = Start.newBuilder().setAttemptId(attempt).setLeaseMillis(1_000);
-        attempts.sent("agent", Frame.newBuilder().setStart(start).build(), 0);
+        pendingAnswers.sent("agent", Frame.newBuilder().setStart(start).build(), 0);
     }
 
     private static TaskState state(String attempt, TaskStatus status) {
--- a/library/src/test/java/org/chivetally/entry/peer/PeerActorTest.java
+++ b/library/src/test/java/org/chivetally/entry/peer/PeerActorTest.java
@@ -47,33 +47,33 @@
     // left
     // would have shown it.
     @Test
-    void nothingIsCertainOfAKeyIfAnEntryLeftSinceTheClaimsWereRead() {
-        assertThat(nobodyHas(DEPARTURE - 1), is(true));
+    void keyIsNotUnknownToAllIfAnEntryLeftSinceTheClaimsWereRead() {
+        assertThat(isUnknownToAll(DEPARTURE - 1), is(true));
         view(List.of(member()), List.of());
         now = DEPARTURE;
         view(List.of(), List.of());
-        assertThat(nobodyHas(DEPARTURE - 1), is(false));
-        assertThat(nobodyHas(DEPARTURE + 1), is(true));
+        assertThat(isUnknownToAll(DEPARTURE - 1), is(false));
+        assertThat(isUnknownToAll(DEPARTURE + 1), is(true));
     }
 
     // As above, but the entry came and left between two reads of the members, so that it was never in the view.
     @Test
-    void anEntryThatCameAndLeftUnseenCountsAsWell() {
+    void anEntryThatJoinedAndLeftBetweenTwoReadsIsADeparture() {
         view(List.of(), List.of());
         now = DEPARTURE;
         view(List.of(), List.of(EndedMember.of(member(), EndedMember.Reason.LEFT)));
-        assertThat(nobodyHas(DEPARTURE - 1), is(false));
-        assertThat(nobodyHas(DEPARTURE + 1), is(true));
+        assertThat(isUnknownToAll(DEPARTURE - 1), is(false));
+        assertThat(isUnknownToAll(DEPARTURE + 1), is(true));
     }
 
-    private boolean nobodyHas(long sinceNanos) {
-        CompletableFuture<Boolean> nobody = new CompletableFuture<>();
-        actor.run(new PeerCommand.AskKey(KEY, sinceNanos, nobody));
-        return nobody.join();
+    private boolean isUnknownToAll(long sinceNanos) {
+        CompletableFuture<Boolean> unknownToAll = new CompletableFuture<>();
+        actor.run(new PeerCommand.QueryKey(KEY, sinceNanos, unknownToAll));
+        return unknownToAll.join();
     }
 
     private void view(List<Member> members, List<EndedMember> ended) {
-        actor.run(new PeerCommand.View(new MemberList(members, Set.of(), ended)));
+        actor.run(new PeerCommand.MembersChanged(new MemberList(members, Set.of(), ended)));
     }
 
     private LinkSet.Wiring wiring(Consumer<LinkSignal> signals) {
