--- a/library/src/main/java/org/chivetally/daemon/AgentDaemon.java
+++ b/library/src/main/java/org/chivetally/daemon/AgentDaemon.java
@@ -36,9 +36,9 @@
             ActorSystem<?> system, AgentDaemonSettings settings, PlatformLog log, NanoClock clock) {
         MeterRegistry meters = new PrometheusMeterRegistry(PrometheusConfig.DEFAULT);
         FrameTransport transport = new FrameTransport(meters);
-        AgentParts parts = new AgentParts(settings.minion().backend(), clock);
-        return AgentServer.start(system, agent(settings), transport, meters, clock, parts)
-                .thenApply(server -> started(system, settings, log, server, transport, parts));
+        AgentDaemonCallbacks callbacks = new AgentDaemonCallbacks(settings.minion().backend(), clock);
+        return AgentServer.start(system, agent(settings), transport, meters, clock, callbacks)
+                .thenApply(server -> started(system, settings, log, server, transport, callbacks));
     }
 
     /** Returns where entries are served. */
@@ -65,12 +65,12 @@
             PlatformLog log,
             AgentServer server,
             FrameTransport transport,
-            AgentParts parts) {
-        SeedIntroduction seeds =
-                new SeedIntroduction(log, transport, settings.process().seeds(), server.member());
+            AgentDaemonCallbacks callbacks) {
+        SeedIntroducingLog introducingLog =
+                new SeedIntroducingLog(log, transport, settings.process().seeds(), server.member());
         MemberAnnouncer announcer =
-                new MemberAnnouncer(system, seeds, server.member(), MemberAnnouncer.DEFAULT_INTERVAL);
-        parts.announceBy(announcer);
+                new MemberAnnouncer(system, introducingLog, server.member(), MemberAnnouncer.DEFAULT_INTERVAL);
+        callbacks.setAnnouncer(announcer);
         return new AgentDaemon(server, announcer, transport);
     }
 
@@ -99,17 +99,17 @@
     }
 
     private static AgentLimits limits(AgentDaemonSettings settings) {
-        AgentLimits usual = AgentLimits.forSlots(settings.minion().slots());
+        AgentLimits defaults = AgentLimits.forSlots(settings.minion().slots());
         return new AgentLimits(
                 settings.queue(),
                 settings.ticketAge(),
                 settings.retention(),
-                usual.resultBytes(),
-                usual.answerBytes(),
-                usual.failuresUntilUnhealthy(),
-                usual.statePoll(),
-                usual.drainLinger(),
-                usual.peerSilence(),
-                usual.logDecisions());
+                defaults.resultBytes(),
+                defaults.answerBytes(),
+                defaults.failuresUntilUnhealthy(),
+                defaults.statePoll(),
+                defaults.drainLinger(),
+                defaults.peerSilence(),
+                defaults.logDecisions());
     }
 }
--- a/library/src/main/java/org/chivetally/daemon/AgentParts.java
+++ b/library/src/main/java/org/chivetally/daemon/AgentDaemonCallbacks.java
@@ -11,31 +11,31 @@
 import org.chivetally.time.NanoClock;
 
 /** The parts of an agent's process around the agent: its configuration and its announcements. */
-final class AgentParts implements AgentSurroundings {
+final class AgentDaemonCallbacks implements AgentSurroundings {
     private static final FluentLogger LOGGER = FluentLogger.forEnclosingClass();
 
     private final String backend;
-    private final ReceivedConfiguration received;
+    private final ReceivedConfiguration configuration;
     private final CompletableFuture<MemberAnnouncer> announcer = new CompletableFuture<>();
 
-    AgentParts(String backend, NanoClock clock) {
+    AgentDaemonCallbacks(String backend, NanoClock clock) {
         this.backend = backend;
-        this.received = new ReceivedConfiguration(clock);
+        this.configuration = new ReceivedConfiguration(clock);
     }
 
     /** Sets who announces, once the agent's address is known. */
-    void announceBy(MemberAnnouncer started) {
+    void setAnnouncer(MemberAnnouncer started) {
         announcer.complete(started);
     }
 
     @Override
     public AgentConfiguration offer(long version, byte[] snapshot) {
-        received.offerSnapshot(version, snapshot);
-        boolean draining = received.policies()
+        configuration.offerSnapshot(version, snapshot);
+        boolean draining = configuration.policies()
                 .backendServer(backend)
                 .map(BackendServerPolicy::draining)
                 .orElse(false);
-        return new AgentConfiguration(received.version(), draining);
+        return new AgentConfiguration(configuration.version(), draining);
     }
 
     @Override
--- a/library/src/main/java/org/chivetally/daemon/DecisionMemory.java
+++ b/library/src/main/java/org/chivetally/daemon/DecisionHistory.java
@@ -17,24 +17,24 @@
  *
  * <p>At most {@link #MAXIMUM_LINES} lines are kept; the job without a decision for longest is forgotten first.
  */
-final class DecisionMemory {
+final class DecisionHistory {
     /** Most lines kept over all jobs. */
     static final int MAXIMUM_LINES = 20_000;
 
     private static final Pattern JOB = Pattern.compile("(?:^| )job=(\\S+)");
     private static final int INITIAL_JOBS = 64;
-    private static final float USUAL_LOAD_FACTOR = 0.75f;
+    private static final float LOAD_FACTOR = 0.75f;
 
-    private final Map<String, List<String>> linesByJob = new LinkedHashMap<>(INITIAL_JOBS, USUAL_LOAD_FACTOR, true);
-    private int kept;
+    private final Map<String, List<String>> linesByJob = new LinkedHashMap<>(INITIAL_JOBS, LOAD_FACTOR, true);
+    private int lineCount;
 
     /** Returns the same decisions, whose lines are remembered. */
-    DispatchCore remembering(DispatchCore core) {
-        return new Remembered(core);
+    DispatchCore recording(DispatchCore core) {
+        return new RecordingCore(core);
     }
 
     /** Returns the lines about a job in their order; empty when none is remembered. */
-    synchronized List<String> of(String job) {
+    synchronized List<String> linesOf(String job) {
         return List.copyOf(linesByJob.getOrDefault(job, List.of()));
     }
 
@@ -47,17 +47,17 @@
 
     private synchronized void add(String job, String line) {
         linesByJob.computeIfAbsent(job, unused -> new ArrayList<>()).add(line);
-        kept++;
-        while (kept > MAXIMUM_LINES) {
+        lineCount++;
+        while (lineCount > MAXIMUM_LINES) {
             String oldest = linesByJob.keySet().iterator().next();
-            kept -= linesByJob.remove(oldest).size();
+            lineCount -= linesByJob.remove(oldest).size();
         }
     }
 
-    private final class Remembered implements DispatchCore {
+    private final class RecordingCore implements DispatchCore {
         private final DispatchCore core;
 
-        Remembered(DispatchCore core) {
+        RecordingCore(DispatchCore core) {
             this.core = core;
         }
 
--- a/library/src/main/java/org/chivetally/daemon/DecisionRoutes.java
+++ b/library/src/main/java/org/chivetally/daemon/DecisionRoutes.java
@@ -15,10 +15,10 @@
 
 /** Route of the decisions about a job, {@code /v1/jobs/{name}/decisions}. */
 final class DecisionRoutes extends AllDirectives {
-    private final DecisionMemory memory;
+    private final DecisionHistory history;
 
-    DecisionRoutes(DecisionMemory memory) {
-        this.memory = memory;
+    DecisionRoutes(DecisionHistory history) {
+        this.history = history;
     }
 
     Route route() {
@@ -31,7 +31,7 @@
     }
 
     private HttpResponse decisions(String job) {
-        List<String> lines = memory.of(job);
+        List<String> lines = history.linesOf(job);
         if (lines.isEmpty()) {
             String detail = "no decisions about job " + job + " are remembered here; ask the entry that coordinates it";
             return ProblemDocument.of(ErrorCode.NOT_FOUND, detail).response();
--- a/library/src/main/java/org/chivetally/daemon/EntryDaemon.java
+++ b/library/src/main/java/org/chivetally/daemon/EntryDaemon.java
@@ -23,7 +23,7 @@
 
 /** One entry with all its parts. */
 public final class EntryDaemon {
-    private static final String RESOURCES_MISSING = "resources are not read to their end yet";
+    private static final String RESOURCES_NOT_READY = "resources are not read to their end yet";
 
     private final EntryServer server;
     private final ResourceService resources;
@@ -38,18 +38,18 @@
     /** Starts an entry; completes once it listens, or exceptionally when an address can't be bound. */
     public static CompletionStage<EntryDaemon> start(
             ActorSystem<?> system, EntryDaemonSettings settings, PlatformLog log, NanoClock clock) {
-        EntrySettings entry = EntryMapping.entry(settings);
+        EntrySettings entry = EntrySettingsMapper.entry(settings);
         PrometheusMeterRegistry meters = new PrometheusMeterRegistry(PrometheusConfig.DEFAULT);
         FrameTransport transport = new FrameTransport(meters);
-        ResourceService resources = ResourceService.start(system, log, EntryMapping.resources(settings), clock);
-        DecisionMemory memory = new DecisionMemory();
+        ResourceService resources = ResourceService.start(system, log, EntrySettingsMapper.resources(settings), clock);
+        DecisionHistory history = new DecisionHistory();
         ObservedState observed = new ObservedState();
-        EntryExtension extension = extension(settings, resources, memory, observed, clock);
+        EntryExtension extension = extension(settings, resources, history, observed, clock);
         EntryServer.Decisions decisions =
-                new Remembering(EntryServer.loggedDecisions(system, entry, log, clock, meters), memory);
+                new RecordingDecisions(EntryServer.loggedDecisions(system, entry, log, clock, meters), history);
         return EntryServer.start(system, entry, log, transport, meters, clock, extension, decisions)
                 .thenApply(server -> {
-                    observed.observe(server::processes);
+                    observed.setSource(server::processes);
                     return started(server, resources, transport);
                 });
     }
@@ -86,20 +86,20 @@
     private static EntryExtension extension(
             EntryDaemonSettings settings,
             ResourceService resources,
-            DecisionMemory memory,
+            DecisionHistory history,
             ObservedState observed,
             NanoClock clock) {
         ResourceRoutes routes = new ResourceRoutes(
                 resources, observed, observed, settings.process().name(), clock);
         return new EntryExtension(
                 resources,
-                List.of(routes.route(), new DecisionRoutes(memory).route()),
-                () -> resources.isUsable() ? List.of() : List.of(RESOURCES_MISSING),
+                List.of(routes.route(), new DecisionRoutes(history).route()),
+                () -> resources.isUsable() ? List.of() : List.of(RESOURCES_NOT_READY),
                 new SharedConfiguration(resources));
     }
 
     /** Decisions whose lines are remembered. */
-    private record Remembering(EntryServer.Decisions decisions, DecisionMemory memory)
+    private record RecordingDecisions(EntryServer.Decisions decisions, DecisionHistory history)
             implements EntryServer.Decisions {
         @Override
         public Claims claims(Coordinator self) {
@@ -108,7 +108,7 @@
 
         @Override
         public DispatchCore core(Coordinator self) {
-            return memory.remembering(decisions.core(self));
+            return history.recording(decisions.core(self));
         }
     }
 }
--- a/library/src/main/java/org/chivetally/daemon/EntryMapping.java
+++ b/library/src/main/java/org/chivetally/daemon/EntrySettingsMapper.java
@@ -17,12 +17,12 @@
 import org.chivetally.settings.ProcessSettings;
 
 /** Maps an entry's settings file to the settings of its parts. */
-final class EntryMapping {
-    private static final int RENEWALS_IN_LEASE = 3;
-    private static final int WINDOWS_GONE = 2;
-    private static final int SNAPSHOTS_IN_RETENTION = 4;
+final class EntrySettingsMapper {
+    private static final int RENEWALS_PER_LEASE = 3;
+    private static final int GONE_RETENTION_WINDOWS = 2;
+    private static final int SNAPSHOTS_PER_RETENTION = 4;
 
-    private EntryMapping() {}
+    private EntrySettingsMapper() {}
 
     static EntrySettings entry(EntryDaemonSettings settings) {
         ProcessSettings process = settings.process();
@@ -32,7 +32,7 @@
                 address(settings.http()),
                 address(process.frames()),
                 address(process.advertised()),
-                process.seeds().stream().map(EntryMapping::address).toList(),
+                process.seeds().stream().map(EntrySettingsMapper::address).toList(),
                 claims(settings.claims()),
                 dispatch(settings),
                 HeartbeatSettings.standard(),
@@ -40,73 +40,73 @@
     }
 
     private static DispatchSettings dispatch(EntryDaemonSettings settings) {
-        DispatchSettings usual = DispatchSettings.defaults(settings.process().failureDomain());
+        DispatchSettings defaults = DispatchSettings.defaults(settings.process().failureDomain());
         return new DispatchSettings(
-                usual.failureDomain(),
-                usual.decisionLines(),
-                usual.policy(),
-                fencing(usual.fencing(), settings.claims()),
-                usual.queues(),
-                usual.retries(),
-                usual.speculation(),
-                usual.quarantine());
+                defaults.failureDomain(),
+                defaults.decisionLines(),
+                defaults.policy(),
+                fencing(defaults.fencing(), settings.claims()),
+                defaults.queues(),
+                defaults.retries(),
+                defaults.speculation(),
+                defaults.quarantine());
     }
 
     static ResourceSettings resources(EntryDaemonSettings settings) {
         Duration retention = settings.claims().logRetention();
         return ResourceSettings.defaults(settings.process().name())
-                .withSnapshotEvery(retention.dividedBy(SNAPSHOTS_IN_RETENTION));
+                .withSnapshotEvery(retention.dividedBy(SNAPSHOTS_PER_RETENTION));
     }
 
     // Agents and entries must agree on these: an entry that counts on an agent's memory for longer than it lasts
     // would take "not known here" for "never started", and start work twice. For the same reason an agent that ended
     // counts for as long as a job that it may have held can be taken over.
-    private static DispatchSettings.Fencing fencing(DispatchSettings.Fencing usual, EntryClaimSettings claims) {
+    private static DispatchSettings.Fencing fencing(DispatchSettings.Fencing defaults, EntryClaimSettings claims) {
         return new DispatchSettings.Fencing(
                 claims.ticketAge(),
                 claims.ticketAge().multipliedBy(2).dividedBy(3),
-                usual.clockMargin(),
-                usual.inquiryRepeat(),
-                usual.takeoverPatience(),
+                defaults.clockMargin(),
+                defaults.inquiryRepeat(),
+                defaults.takeoverPatience(),
                 claims.agentRetention(),
-                claims.window().multipliedBy(WINDOWS_GONE));
+                claims.window().multipliedBy(GONE_RETENTION_WINDOWS));
     }
 
     private static ClaimSettings claims(EntryClaimSettings claims) {
-        GroupCommitSettings usual = GroupCommitSettings.defaults();
+        GroupCommitSettings defaults = GroupCommitSettings.defaults();
         GroupCommitSettings commit = new GroupCommitSettings(
                 claims.appendsPerSecond(),
-                usual.burst(),
-                usual.maximumQueued(),
-                usual.maximumBatch(),
-                usual.settleTime(),
-                usual.retryInterval());
+                defaults.burst(),
+                defaults.maximumQueued(),
+                defaults.maximumBatch(),
+                defaults.settleTime(),
+                defaults.retryInterval());
         return new ClaimSettings(
                 claims.window(),
                 claims.logRetention(),
                 claims.lease(),
-                claims.lease().dividedBy(RENEWALS_IN_LEASE),
+                claims.lease().dividedBy(RENEWALS_PER_LEASE),
                 claims.ticketAge(),
                 claims.claimTimeout(),
                 commit,
                 TailSettings.defaults(),
-                SnapshotSettings.every(claims.logRetention().dividedBy(SNAPSHOTS_IN_RETENTION)));
+                SnapshotSettings.every(claims.logRetention().dividedBy(SNAPSHOTS_PER_RETENTION)));
     }
 
     // The jobs' part of the drain leaves time for what follows it: answers on their way, the lease's end, the leave.
     private static EntryLimits limits(Duration drainTimeout) {
-        Duration afterJobs = drainTimeout.dividedBy(4);
-        EntryLimits usual = EntryLimits.standard();
+        Duration timeAfterJobs = drainTimeout.dividedBy(4);
+        EntryLimits defaults = EntryLimits.standard();
         return new EntryLimits(
-                usual.maximumBodyBytes(),
-                usual.maximumOpenSubmissions(),
-                usual.maximumConnections(),
-                usual.maximumKeptBytes(),
-                usual.drainNotice(),
-                drainTimeout.minus(afterJobs));
+                defaults.maximumBodyBytes(),
+                defaults.maximumOpenSubmissions(),
+                defaults.maximumConnections(),
+                defaults.maximumKeptBytes(),
+                defaults.drainNotice(),
+                drainTimeout.minus(timeAfterJobs));
     }
 
-    private static Address address(HostPort place) {
-        return new Address(place.host(), place.port());
+    private static Address address(HostPort hostPort) {
+        return new Address(hostPort.host(), hostPort.port());
     }
 }
--- a/library/src/main/java/org/chivetally/daemon/ObservedState.java
+++ b/library/src/main/java/org/chivetally/daemon/ObservedState.java
@@ -23,7 +23,7 @@
     private final AtomicReference<Supplier<List<ObservedProcess>>> processes = new AtomicReference<>(List::of);
 
     /** Takes the entry's observations from now on; nothing is known before. */
-    void observe(Supplier<List<ObservedProcess>> source) {
+    void setSource(Supplier<List<ObservedProcess>> source) {
         processes.set(source);
     }
 
--- a/library/src/main/java/org/chivetally/daemon/SeedIntroduction.java
+++ b/library/src/main/java/org/chivetally/daemon/SeedIntroducingLog.java
@@ -21,13 +21,13 @@
  * <p>Safeguard: an agent that starts while the log is down can't announce itself, and no entry would ever dial it. The
  * seeds pass it into their views as if they had read it; entries that are no seeds learn of it once the log is back.
  */
-final class SeedIntroduction implements PlatformLog {
+final class SeedIntroducingLog implements PlatformLog {
     private final PlatformLog log;
     private final FrameTransport transport;
     private final List<HostPort> seeds;
     private final Hello hello;
 
-    SeedIntroduction(PlatformLog log, FrameTransport transport, List<HostPort> seeds, Member agent) {
+    SeedIntroducingLog(PlatformLog log, FrameTransport transport, List<HostPort> seeds, Member agent) {
         this.log = log;
         this.transport = transport;
         this.seeds = seeds;
@@ -46,7 +46,7 @@
 
     @Override
     public CompletionStage<AppendOutcome> append(String stream, List<NewRecord> records) {
-        return log.append(stream, records).thenApply(this::introducedIfNotWritten);
+        return log.append(stream, records).thenApply(this::introduceIfNotAppended);
     }
 
     @Override
@@ -54,14 +54,14 @@
         return log.read(stream, from, limit, wait);
     }
 
-    private AppendOutcome introducedIfNotWritten(AppendOutcome outcome) {
+    private AppendOutcome introduceIfNotAppended(AppendOutcome outcome) {
         if (!(outcome instanceof AppendOutcome.Appended)) {
-            seeds.forEach(seed -> transport.dial(seed.host(), seed.port(), new Introducing()));
+            seeds.forEach(seed -> transport.dial(seed.host(), seed.port(), new IntroductionListener()));
         }
         return outcome;
     }
 
-    private final class Introducing implements FrameListener {
+    private final class IntroductionListener implements FrameListener {
         @Override
         public void connected(FrameConnection connection) {
             connection.send(Frame.newBuilder().setHello(hello).build());
--- a/library/src/main/java/org/chivetally/daemon/TeamChanges.java
+++ b/library/src/main/java/org/chivetally/daemon/TeamChanges.java
@@ -14,7 +14,7 @@
 final class TeamChanges implements Consumer<List<Resource>> {
     private final ServicePolicies policies;
     private final Consumer<TeamPolicy> changed;
-    private final Map<String, TeamPolicy> told = new HashMap<>();
+    private final Map<String, TeamPolicy> reportedPolicies = new HashMap<>();
 
     TeamChanges(ServicePolicies policies, Consumer<TeamPolicy> changed) {
         this.policies = policies;
@@ -23,16 +23,16 @@
 
     @Override
     public void accept(List<Resource> teams) {
-        Set<String> names = new HashSet<>(told.keySet());
+        Set<String> names = new HashSet<>(reportedPolicies.keySet());
         for (Resource team : teams) {
             names.add(team.key().name());
         }
-        names.forEach(this::tell);
+        names.forEach(this::reportIfChanged);
     }
 
-    private void tell(String name) {
+    private void reportIfChanged(String name) {
         TeamPolicy policy = policies.team(name);
-        if (!policy.equals(told.put(name, policy))) {
+        if (!policy.equals(reportedPolicies.put(name, policy))) {
             changed.accept(policy);
         }
     }
--- a/library/src/test/java/org/chivetally/daemon/DecisionMemoryTest.java
+++ b/library/src/test/java/org/chivetally/daemon/DecisionHistoryTest.java
@@ -12,33 +12,33 @@
 import org.chivetally.logging.EventLine;
 import org.junit.jupiter.api.Test;
 
-class DecisionMemoryTest {
-    private final DecisionMemory memory = new DecisionMemory();
+class DecisionHistoryTest {
+    private final DecisionHistory history = new DecisionHistory();
 
     @Test
     void keepsTheLinesOfEachJobInOrder() {
         decide("placed", "a");
         decide("placed", "b");
         decide("outcome", "a");
-        assertThat(memory.of("a"), contains("event=placed job=a", "event=outcome job=a"));
-        assertThat(memory.of("c"), empty());
+        assertThat(history.linesOf("a"), contains("event=placed job=a", "event=outcome job=a"));
+        assertThat(history.linesOf("c"), empty());
     }
 
     @Test
-    void forgetsTheJobWithoutDecisionsForLongest() {
+    void discardsTheJobWithoutDecisionsForLongest() {
         decide("placed", "old");
-        for (int line = 1; line < DecisionMemory.MAXIMUM_LINES; line++) {
+        for (int line = 1; line < DecisionHistory.MAXIMUM_LINES; line++) {
             decide("placed", "busy");
         }
-        assertThat(memory.of("busy"), hasSize(DecisionMemory.MAXIMUM_LINES - 1));
+        assertThat(history.linesOf("busy"), hasSize(DecisionHistory.MAXIMUM_LINES - 1));
         decide("placed", "new");
-        assertThat(memory.of("old"), empty());
-        assertThat(memory.of("new"), hasSize(1));
+        assertThat(history.linesOf("old"), empty());
+        assertThat(history.linesOf("new"), hasSize(1));
     }
 
     private void decide(String event, String job) {
         DispatchCore core = (ignored, nanos) ->
                 List.of(new DispatchEffect.WriteLine(EventLine.of(event).with("job", job)));
-        memory.remembering(core).handle(new DispatchEvent.Ticked(), 0);
+        history.recording(core).handle(new DispatchEvent.Ticked(), 0);
     }
 }
--- a/library/src/test/java/org/chivetally/daemon/EntryDaemonTest.java
+++ b/library/src/test/java/org/chivetally/daemon/EntryDaemonTest.java
@@ -45,7 +45,7 @@
             frames: {host: 127.0.0.1, port: 0}
             log: {url: "http://127.0.0.1:1"}
             """;
-    private static final String MARK = "@";
+    private static final String PLACEHOLDER = "@";
     private static final List<String> NOT_NUMBERS = List.of(
             "[]",
             "{}",
@@ -63,9 +63,9 @@
     private static final List<String> NOT_SECTIONS = List.of("[]", "[{}]", "7", "true", "\"text\"");
     private static final List<String> NOT_LISTS = List.of("{}", "{\"a\":[]}", "7", "true", "\"text\"", "null");
     private static final List<String> NOT_TEXTS = List.of("[]", "{}", "null", "[\"a\"]");
-    private static final List<String> NOT_VALUES =
+    private static final List<String> INVALID_JSON_VALUES =
             List.of("tru", "NaN", "01", "1.", "'x'", "[1,]", "{\"a\":1,\"a\":1}", "[1e-99999999999]", "\"\\x\"", "");
-    private static final List<String> NOT_UTF_8 =
+    private static final List<String> INVALID_UTF_8 =
             List.of("ff", "80", "c3", "c080", "eda080", "f0808080", "f4908080", "e282", "f09f8c");
     private static final List<Request> REQUESTS = readRequests();
     private static ActorTestKit kit;
@@ -73,22 +73,22 @@
     private static URI root;
 
     /** A request that is answered with success as it stands, and the places of its values by their types. */
-    private record Request(String method, String path, ObjectNode body, List<Wrong> wrongValues) {
-        private String with(String pointer, String raw) {
+    private record Request(String method, String path, ObjectNode body, List<InvalidValues> invalidValues) {
+        private String withValue(String pointer, String raw) {
             ObjectNode changed = body.deepCopy();
             int end = pointer.lastIndexOf('/');
             String key = pointer.substring(end + 1);
             switch (changed.at(pointer.substring(0, end))) {
-                case ObjectNode parent -> parent.put(key, MARK);
-                case ArrayNode parent -> parent.set(Integer.parseInt(key), MARK);
+                case ObjectNode parent -> parent.put(key, PLACEHOLDER);
+                case ArrayNode parent -> parent.set(Integer.parseInt(key), PLACEHOLDER);
                 case JsonNode other -> throw new IllegalArgumentException(pointer + " leads to " + other);
             }
-            return changed.toString().replace("\"" + MARK + "\"", raw);
+            return changed.toString().replace("\"" + PLACEHOLDER + "\"", raw);
         }
     }
 
     /** A place in a request's body, and what must not stand there. */
-    private record Wrong(String pointer, List<String> values) {}
+    private record InvalidValues(String pointer, List<String> values) {}
 
     /** A request with a body that must be refused. */
     private record Malformed(Request request, byte[] body) {
@@ -124,7 +124,7 @@
     }
 
     @Property(tries = 1500)
-    void refusesMalformedBodiesAndNamesThePlaceOfEachMistake(@ForAll("malformed") Malformed malformed)
+    void rejectsMalformedBodiesAndReportsTheLocationOfEachMistake(@ForAll("malformed") Malformed malformed)
             throws Exception {
         HttpResponse<String> response = send(malformed.request, malformed.body);
         assertThat(
@@ -135,7 +135,7 @@
     }
 
     @Property(tries = 500)
-    void neverFailsAtAnyBytes(@ForAll("requests") Request request, @ForAll byte[] body) throws Exception {
+    void arbitraryBytesNeverCauseAServerError(@ForAll("requests") Request request, @ForAll byte[] body) throws Exception {
         HttpResponse<String> response = send(request, body);
         assertThat(response.body(), response.statusCode(), lessThan(500));
         if (response.statusCode() >= 400) {
@@ -172,8 +172,8 @@
         return Arbitraries.of(REQUESTS)
                 .flatMap(request -> Arbitraries.oneOf(
                         truncated(request),
-                        ofWrongType(request),
-                        deep(request),
+                        withWrongType(request),
+                        deeplyNested(request),
                         notUtf8(request),
                         notAnObject(request)));
     }
@@ -185,16 +185,16 @@
                 .map(length -> new Malformed(request, Arrays.copyOf(whole, length)));
     }
 
-    private static Arbitrary<Malformed> ofWrongType(Request request) {
-        return Arbitraries.of(request.wrongValues)
+    private static Arbitrary<Malformed> withWrongType(Request request) {
+        return Arbitraries.of(request.invalidValues)
                 .flatMap(wrong -> Arbitraries.of(wrong.values)
-                        .map(value -> new Malformed(request, request.with(wrong.pointer, value))));
+                        .map(value -> new Malformed(request, request.withValue(wrong.pointer, value))));
     }
 
-    private static Arbitrary<Malformed> deep(Request request) {
+    private static Arbitrary<Malformed> deeplyNested(Request request) {
         Arbitrary<Integer> depths = Arbitraries.integers().between(600, 50_000);
         Arbitrary<String> places =
-                Arbitraries.of(request.wrongValues.stream().map(Wrong::pointer).toList());
+                Arbitraries.of(request.invalidValues.stream().map(InvalidValues::pointer).toList());
         Arbitrary<List<String>> brackets = Arbitraries.of(
                 List.of("[", "]"),
                 List.of("[", ""),
@@ -203,7 +203,7 @@
                 List.of("[{\"a\":", "}]"));
         return depths.flatMap(depth -> places.flatMap(place -> brackets.map(pair -> {
             String raw = pair.getFirst().repeat(depth) + "1" + pair.getLast().repeat(depth);
-            return new Malformed(request, request.with(place, raw));
+            return new Malformed(request, request.withValue(place, raw));
         })));
     }
 
@@ -211,7 +211,7 @@
         byte[] whole = bytes(request);
         return Arbitraries.integers()
                 .between(0, whole.length)
-                .flatMap(at -> Arbitraries.of(NOT_UTF_8).map(hex -> {
+                .flatMap(at -> Arbitraries.of(INVALID_UTF_8).map(hex -> {
                     byte[] inserted = HexFormat.of().parseHex(hex);
                     byte[] body = Arrays.copyOf(whole, whole.length + inserted.length);
                     System.arraycopy(inserted, 0, body, at, inserted.length);
@@ -234,17 +234,17 @@
         try (InputStream stream = EntryDaemonTest.class.getResourceAsStream("requests.json")) {
             List<Request> all = new ArrayList<>();
             for (JsonNode node : JsonMapper.shared().readTree(stream)) {
-                List<Wrong> wrong = new ArrayList<>();
-                node.path("numbers").forEach(place -> wrong.add(new Wrong(place.stringValue(), NOT_NUMBERS)));
-                node.path("sections").forEach(place -> wrong.add(new Wrong(place.stringValue(), NOT_SECTIONS)));
-                node.path("lists").forEach(place -> wrong.add(new Wrong(place.stringValue(), NOT_LISTS)));
-                node.path("texts").forEach(place -> wrong.add(new Wrong(place.stringValue(), NOT_TEXTS)));
-                node.path("values").forEach(place -> wrong.add(new Wrong(place.stringValue(), NOT_VALUES)));
+                List<InvalidValues> invalid = new ArrayList<>();
+                node.path("numbers").forEach(place -> invalid.add(new InvalidValues(place.stringValue(), NOT_NUMBERS)));
+                node.path("sections").forEach(place -> invalid.add(new InvalidValues(place.stringValue(), NOT_SECTIONS)));
+                node.path("lists").forEach(place -> invalid.add(new InvalidValues(place.stringValue(), NOT_LISTS)));
+                node.path("texts").forEach(place -> invalid.add(new InvalidValues(place.stringValue(), NOT_TEXTS)));
+                node.path("values").forEach(place -> invalid.add(new InvalidValues(place.stringValue(), INVALID_JSON_VALUES)));
                 all.add(new Request(
                         node.path("method").stringValue(),
                         node.path("path").stringValue(),
                         (ObjectNode) node.path("body"),
-                        wrong));
+                        invalid));
             }
             return all;
         } catch (IOException unreadable) {
--- a/library/src/test/java/org/chivetally/daemon/EntryMappingTest.java
+++ b/library/src/test/java/org/chivetally/daemon/EntrySettingsMapperTest.java
@@ -9,7 +9,7 @@
 import org.chivetally.settings.EntryDaemonSettings;
 import org.junit.jupiter.api.Test;
 
-class EntryMappingTest {
+class EntrySettingsMapperTest {
     private static final String SETTINGS = """
             process: {name: entry-1, failureDomain: north}
             frames: {host: 127.0.0.1, port: 0}
@@ -19,12 +19,12 @@
             """;
 
     @Test
-    void deadAgentsCountForAsLongAsTheirJobsMayBeTakenOver() {
+    void goneAgentsAreRetainedWhileTheirJobsMayBeTakenOver() {
         // Keys are remembered for 20 hours. An agent runs a task and dies; an hour later its coordinator dies too,
         // and the caller sends the job again. Had the dead agent been forgotten by then, the task would start a
         // second time.
         Document document = Document.parse("entry.yaml", SETTINGS);
-        EntrySettings settings = EntryMapping.entry(EntryDaemonSettings.read(document.root()));
+        EntrySettings settings = EntrySettingsMapper.entry(EntryDaemonSettings.read(document.root()));
         assertThat(settings.dispatch().fencing().goneRetention(), greaterThanOrEqualTo(Duration.ofHours(20)));
     }
 }
--- a/library/src/test/java/org/chivetally/daemon/SeedIntroductionTest.java
+++ b/library/src/test/java/org/chivetally/daemon/SeedIntroducingLogTest.java
@@ -24,7 +24,7 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-class SeedIntroductionTest {
+class SeedIntroducingLogTest {
     private static final String HOST = "127.0.0.1";
 
     private final FrameTransport transport = new FrameTransport(new SimpleMeterRegistry());
@@ -40,13 +40,13 @@
      * and says who it is, and the seed may dial it at once.
      */
     @Test
-    void aRefusedAnnouncementIsToldToTheSeeds() throws Exception {
+    void aRefusedAnnouncementIsSentToTheSeeds() throws Exception {
         InetSocketAddress seed =
                 transport.listen(HOST, 0, new Seed()).toCompletableFuture().get(5, TimeUnit.SECONDS);
         MinionCapacity capacity = new MinionCapacity(8, 64, 0, 0, 0);
         Member agent = new Member("agent-1", "i", "agent", HOST, 7000, "north", "routing", "minion-1", capacity);
-        SeedIntroduction log =
-                new SeedIntroduction(new DownLog(), transport, List.of(new HostPort(HOST, seed.getPort())), agent);
+        SeedIntroducingLog log =
+                new SeedIntroducingLog(new UnavailableLog(), transport, List.of(new HostPort(HOST, seed.getPort())), agent);
         AppendOutcome outcome =
                 log.append("members", List.of()).toCompletableFuture().join();
         assertThat(outcome, is(new AppendOutcome.Refused("down")));
@@ -73,7 +73,7 @@
         }
     }
 
-    private static final class DownLog implements PlatformLog {
+    private static final class UnavailableLog implements PlatformLog {
         @Override
         public CompletionStage<AppendOutcome> append(String stream, List<NewRecord> records) {
             return CompletableFuture.completedFuture(new AppendOutcome.Refused("down"));
--- a/library/src/test/java/org/chivetally/daemon/TeamChangesTest.java
+++ b/library/src/test/java/org/chivetally/daemon/TeamChangesTest.java
@@ -19,20 +19,20 @@
 
 class TeamChangesTest {
     private final Map<String, TeamPolicy> declared = new HashMap<>();
-    private final List<TeamPolicy> told = new ArrayList<>();
-    private final TeamChanges changes = new TeamChanges(new Declared(), told::add);
+    private final List<TeamPolicy> reported = new ArrayList<>();
+    private final TeamChanges changes = new TeamChanges(new Declared(), reported::add);
 
     @Test
-    void tellsOfNewChangedAndRemovedTeamsOnly() {
+    void reportsOnlyNewChangedAndRemovedTeams() {
         TeamPolicy first = new TeamPolicy("rangers", 5, 5, 1);
         declare(first);
-        assertThat(told, contains(first));
-        told.clear();
+        assertThat(reported, contains(first));
+        reported.clear();
         declare(first);
-        assertThat(told, empty());
+        assertThat(reported, empty());
         declared.clear();
         changes.accept(List.of());
-        assertThat(told, contains(TeamPolicy.undeclared("rangers")));
+        assertThat(reported, contains(TeamPolicy.undeclared("rangers")));
     }
 
     private void declare(TeamPolicy team) {
