--- a/library/src/main/java/org/chivetally/daemon/AgentDaemon.java
+++ b/library/src/main/java/org/chivetally/daemon/AgentDaemon.java
@@ -36,7 +36,8 @@
             ActorSystem<?> system, AgentDaemonSettings settings, PlatformLog log, NanoClock clock) {
         MeterRegistry meters = new PrometheusMeterRegistry(PrometheusConfig.DEFAULT);
         FrameTransport transport = new FrameTransport(meters);
-        AgentDaemonCallbacks callbacks = new AgentDaemonCallbacks(settings.minion().backend(), clock);
+        AgentDaemonCallbacks callbacks =
+                new AgentDaemonCallbacks(settings.minion().backend(), clock);
         return AgentServer.start(system, agent(settings), transport, meters, clock, callbacks)
                 .thenApply(server -> started(system, settings, log, server, transport, callbacks));
     }
--- a/library/src/main/java/org/chivetally/daemon/AgentDaemonCallbacks.java
+++ b/library/src/main/java/org/chivetally/daemon/AgentDaemonCallbacks.java
@@ -31,7 +31,8 @@
     @Override
     public AgentConfiguration offer(long version, byte[] snapshot) {
         configuration.offerSnapshot(version, snapshot);
-        boolean draining = configuration.policies()
+        boolean draining = configuration
+                .policies()
                 .backendServer(backend)
                 .map(BackendServerPolicy::draining)
                 .orElse(false);
--- a/library/src/main/java/org/chivetally/entry/dispatch/ConfigurationPushes.java
+++ b/library/src/main/java/org/chivetally/entry/dispatch/ConfigurationPushes.java
@@ -73,7 +73,8 @@
             return false;
         }
         Duration sinceChange = Duration.ofNanos(now - Math.max(versionChangedAtNanos, agent.connectedAtNanos));
-        Duration sincePush = agent.pushedVersion == version ? Duration.ofNanos(now - agent.pushedAtNanos) : NEVER_PUSHED;
+        Duration sincePush =
+                agent.pushedVersion == version ? Duration.ofNanos(now - agent.pushedAtNanos) : NEVER_PUSHED;
         return ConfigurationDistribution.decideForAgent(
                         self, entries, processId, version, agent.version, sinceChange, sincePush, PUSH_TURN)
                 == ConfigurationDistribution.Decision.PUSH;
--- a/library/src/main/java/org/chivetally/entry/dispatch/DispatchActor.java
+++ b/library/src/main/java/org/chivetally/entry/dispatch/DispatchActor.java
@@ -104,7 +104,8 @@
         checkLease();
         switch (command) {
             case DispatchCommand.Event event -> decide(event.event());
-            case DispatchCommand.RunAfterEvents afterwards -> afterwards.action().run();
+            case DispatchCommand.RunAfterEvents afterwards ->
+                afterwards.action().run();
             case DispatchCommand.Signal signal ->
                 links.signal(signal.signal(), parts.clock().nanos());
             case DispatchCommand.Send send -> links.send(send.processId(), send.frame());
@@ -267,7 +268,8 @@
         parts.observer().up(hello);
         pushes.connected(hello, now);
         decideAll(roster.up(hello, now));
-        MemberRecords.ofHello(hello).ifPresent(member -> parts.membershipEvents().accept(new MembershipEvent.Reached(member)));
+        MemberRecords.ofHello(hello)
+                .ifPresent(member -> parts.membershipEvents().accept(new MembershipEvent.Reached(member)));
     }
 
     @Override
@@ -277,7 +279,8 @@
         parts.observer().down(hello, reason);
         pushes.disconnected(hello.getProcessId());
         decideAll(roster.down(agent, parts.clock().nanos()));
-        parts.membershipEvents().accept(new MembershipEvent.Lost(new Incarnation(agent.processId(), agent.incarnation())));
+        parts.membershipEvents()
+                .accept(new MembershipEvent.Lost(new Incarnation(agent.processId(), agent.incarnation())));
     }
 
     @Override
--- a/library/src/main/java/org/chivetally/entry/peer/PeerActor.java
+++ b/library/src/main/java/org/chivetally/entry/peer/PeerActor.java
@@ -56,7 +56,8 @@
     private static final FluentLogger LOGGER = FluentLogger.forEnclosingClass();
     private static final Duration TICK_INTERVAL = Duration.ofMillis(50);
     private static final int MAXIMUM_SUSPICION_QUERIES = 4_096;
-    private static final long QUERY_RETRY_INTERVAL_NANOS = Duration.ofMillis(500).toNanos();
+    private static final long QUERY_RETRY_INTERVAL_NANOS =
+            Duration.ofMillis(500).toNanos();
 
     private final Parts parts;
     private final LinkSet links;
@@ -276,7 +277,8 @@
     public void up(Hello hello) {
         parts.observer().up(hello);
         pulls.reported(hello.getProcessId(), hello.getConfigurationVersion());
-        MemberRecords.ofHello(hello).ifPresent(member -> parts.membershipEvents().accept(new MembershipEvent.Reached(member)));
+        MemberRecords.ofHello(hello)
+                .ifPresent(member -> parts.membershipEvents().accept(new MembershipEvent.Reached(member)));
         outcomeQueries.values().stream()
                 .filter(query -> query.coordinator.processId().equals(hello.getProcessId()))
                 .forEach(this::send);
--- a/library/src/main/java/org/chivetally/entry/peer/PeerCommand.java
+++ b/library/src/main/java/org/chivetally/entry/peer/PeerCommand.java
@@ -19,7 +19,8 @@
     record CancelOutcomeQuery(JobId job) implements PeerCommand {}
 
     /** Ask all other entries whether they have a job of a key, which this one would know if it was claimed before. */
-    record QueryKey(SubmissionKey key, long sinceNanos, CompletableFuture<Boolean> unknownToAll) implements PeerCommand {}
+    record QueryKey(SubmissionKey key, long sinceNanos, CompletableFuture<Boolean> unknownToAll)
+            implements PeerCommand {}
 
     /** Ask a coordinator to cancel its job. */
     record CancelJob(Coordinator coordinator, JobId job) implements PeerCommand {}
--- a/library/src/test/java/org/chivetally/daemon/EntryDaemonTest.java
+++ b/library/src/test/java/org/chivetally/daemon/EntryDaemonTest.java
@@ -135,7 +135,8 @@
     }
 
     @Property(tries = 500)
-    void arbitraryBytesNeverCauseAServerError(@ForAll("requests") Request request, @ForAll byte[] body) throws Exception {
+    void arbitraryBytesNeverCauseAServerError(@ForAll("requests") Request request, @ForAll byte[] body)
+            throws Exception {
         HttpResponse<String> response = send(request, body);
         assertThat(response.body(), response.statusCode(), lessThan(500));
         if (response.statusCode() >= 400) {
@@ -193,8 +194,8 @@
 
     private static Arbitrary<Malformed> deeplyNested(Request request) {
         Arbitrary<Integer> depths = Arbitraries.integers().between(600, 50_000);
-        Arbitrary<String> places =
-                Arbitraries.of(request.invalidValues.stream().map(InvalidValues::pointer).toList());
+        Arbitrary<String> places = Arbitraries.of(
+                request.invalidValues.stream().map(InvalidValues::pointer).toList());
         Arbitrary<List<String>> brackets = Arbitraries.of(
                 List.of("[", "]"),
                 List.of("[", ""),
@@ -236,10 +237,12 @@
             for (JsonNode node : JsonMapper.shared().readTree(stream)) {
                 List<InvalidValues> invalid = new ArrayList<>();
                 node.path("numbers").forEach(place -> invalid.add(new InvalidValues(place.stringValue(), NOT_NUMBERS)));
-                node.path("sections").forEach(place -> invalid.add(new InvalidValues(place.stringValue(), NOT_SECTIONS)));
+                node.path("sections")
+                        .forEach(place -> invalid.add(new InvalidValues(place.stringValue(), NOT_SECTIONS)));
                 node.path("lists").forEach(place -> invalid.add(new InvalidValues(place.stringValue(), NOT_LISTS)));
                 node.path("texts").forEach(place -> invalid.add(new InvalidValues(place.stringValue(), NOT_TEXTS)));
-                node.path("values").forEach(place -> invalid.add(new InvalidValues(place.stringValue(), INVALID_JSON_VALUES)));
+                node.path("values")
+                        .forEach(place -> invalid.add(new InvalidValues(place.stringValue(), INVALID_JSON_VALUES)));
                 all.add(new Request(
                         node.path("method").stringValue(),
                         node.path("path").stringValue(),
--- a/library/src/test/java/org/chivetally/daemon/SeedIntroducingLogTest.java
+++ b/library/src/test/java/org/chivetally/daemon/SeedIntroducingLogTest.java
@@ -45,8 +45,8 @@
                 transport.listen(HOST, 0, new Seed()).toCompletableFuture().get(5, TimeUnit.SECONDS);
         MinionCapacity capacity = new MinionCapacity(8, 64, 0, 0, 0);
         Member agent = new Member("agent-1", "i", "agent", HOST, 7000, "north", "routing", "minion-1", capacity);
-        SeedIntroducingLog log =
-                new SeedIntroducingLog(new UnavailableLog(), transport, List.of(new HostPort(HOST, seed.getPort())), agent);
+        SeedIntroducingLog log = new SeedIntroducingLog(
+                new UnavailableLog(), transport, List.of(new HostPort(HOST, seed.getPort())), agent);
         AppendOutcome outcome =
                 log.append("members", List.of()).toCompletableFuture().join();
         assertThat(outcome, is(new AppendOutcome.Refused("down")));
--- a/library/src/test/java/org/chivetally/entry/dispatch/PendingAnswersTest.java
+++ b/library/src/test/java/org/chivetally/entry/dispatch/PendingAnswersTest.java
@@ -49,7 +49,8 @@
                 .setJobId("j")
                 .addTasks(state("a", TaskStatus.TASK_STATUS_DONE))
                 .addTasks(state("b", TaskStatus.TASK_STATUS_RUNNING));
-        pendingAnswers.received("agent", Frame.newBuilder().setInquiryAnswer(answer).build());
+        pendingAnswers.received(
+                "agent", Frame.newBuilder().setInquiryAnswer(answer).build());
         assertThat(pendingAnswers.hasPending("agent"), is(true));
         pendingAnswers.received(
                 "agent",
