--- a/library/src/main/java/org/chivetally/claim/LeaseManager.java
+++ b/library/src/main/java/org/chivetally/claim/LeaseManager.java
@@ -75,7 +75,7 @@
         return isNew;
     }
 
-    /** Returns whether the departure has not been confirmed within the claim timeout. */
+    /** Returns whether the claim timeout has passed since the departure, after which it counts as confirmed. */
     boolean isDepartureOverdue(long nanos) {
         return departing && nanos - departedNanos >= settings.claimTimeout().toNanos();
     }
