--- a/scripts/faults.sh
+++ b/scripts/faults.sh
@@ -83,7 +83,7 @@
     esac
 }
 
-# Waits for pending starts, whose processes would otherwise survive, and resumes suspended processes, which ignore SIGTERM.
+# Waits for pending starts, whose processes would otherwise survive, and resumes suspended processes, which do not act on SIGTERM.
 clean_up() {
     local name
     if [[ -n "$load" ]]; then
