--- a/command/src/main/java/org/chivetally/command/losses/LossTable.java
+++ b/command/src/main/java/org/chivetally/command/losses/LossTable.java
@@ -48,9 +48,9 @@
             case "run-ended" -> unfinishedJob(line.text("task")).ifPresent(job -> job.runEnded(line));
             case "job-ended" -> {
                 Optional<JobHistory> job = Optional.ofNullable(unfinishedJobs.remove(line.text("job")));
-                job.ifPresent(course -> {
-                    course.ended(line);
-                    count(course);
+                job.ifPresent(history -> {
+                    history.ended(line);
+                    count(history);
                 });
             }
             case "started" -> starts.merge(windowStart(line.time()), 1, Integer::sum);
--- a/standins/src/main/java/org/chivetally/standins/MinionStandIn.java
+++ b/standins/src/main/java/org/chivetally/standins/MinionStandIn.java
@@ -78,14 +78,14 @@
             ActorSystem<?> system, String host, int port, MinionStandInSettings settings) {
         Minion minion = new Minion(system, NanoClock.system(), settings);
         MinionStandIn standIn = new MinionStandIn(minion, settings);
-        return StandInHttp.bindFlow(system, host, port, standIn.requestFlow(system));
+        return StandInHttp.bindFlow(system, host, port, standIn.requests(system));
     }
 
-    private Flow<HttpRequest, HttpResponse, ?> requestFlow(ActorSystem<?> system) {
-        return Flow.fromMaterializer((materializer, attributes) -> connectionFlow(system));
+    private Flow<HttpRequest, HttpResponse, ?> requests(ActorSystem<?> system) {
+        return Flow.fromMaterializer((materializer, attributes) -> requestsOfConnection(system));
     }
 
-    private Flow<HttpRequest, HttpResponse, NotUsed> connectionFlow(ActorSystem<?> system) {
+    private Flow<HttpRequest, HttpResponse, NotUsed> requestsOfConnection(ActorSystem<?> system) {
         TaskConnections.Connection connection = connections.newConnection();
         Function<HttpRequest, CompletionStage<HttpResponse>> handler =
                 routes(connection).function(system);
--- a/standins/src/test/java/org/chivetally/log/HttpPlatformLogTest.java
+++ b/standins/src/test/java/org/chivetally/log/HttpPlatformLogTest.java
@@ -88,7 +88,8 @@
                 await(log.read("claims", 0, 10, Duration.ZERO)), Matchers.is(new ReadOutcome.Expired(1)));
     }
 
-    // The log reports that it is down, so the append must count as refused: nothing was written.
+    // The log reports that it is down. The append must count as refused, so that an entry can answer its caller that
+    // nothing was claimed.
     @Test
     void aDownLogRefusesAppendsAndFailsReads() {
         backingLog.setFaults(LogFaults.NONE.withDown(true));
--- a/standins/src/test/java/org/chivetally/standins/RelayDirectionTest.java
+++ b/standins/src/test/java/org/chivetally/standins/RelayDirectionTest.java
@@ -63,6 +63,7 @@
         MatcherAssert.assertThat(withheld.sum(), Matchers.is(3L));
     }
 
+    // Bytes that arrive after the delay was reduced are due before earlier bytes, but must not overtake them.
     @Property
     void delayChangesNeverReorderBytes(
             @ForAll @Size(max = 30) List<@IntRange(max = MAXIMUM_DELAY_MILLIS) Integer> delays,
