--- a/standins/src/main/java/org/chivetally/standins/TcpRelay.java
+++ b/standins/src/main/java/org/chivetally/standins/TcpRelay.java
@@ -66,7 +66,7 @@
     /**
      * Starts a relay without delay; throws {@link IllegalStateException} if the port can't be bound.
      *
-     * @param listenPort port on the loopback address; 0 takes a free one
+     * @param listenPort port on the loopback address; 0 selects a free port
      * @param targetHost host that each connection is forwarded to
      * @param targetPort port that each connection is forwarded to
      */
@@ -78,7 +78,7 @@
     /**
      * Starts a relay with a delay; throws {@link IllegalStateException} if the port can't be bound.
      *
-     * @param listenPort port on the loopback address; 0 takes a free one
+     * @param listenPort port on the loopback address; 0 selects a free port
      * @param target supplies the address to forward to for each connection, so that the target may start after the
      *     relay
      * @param oneWayDelay delay of each byte in each direction, in addition to the delay of the faults
