--- a/library/src/test/java/org/chivetally/claim/ClaimStateMachinePropertiesTest.java
+++ b/library/src/test/java/org/chivetally/claim/ClaimStateMachinePropertiesTest.java
@@ -25,12 +25,13 @@
 import org.chivetally.log.LogRecord;
 import org.chivetally.log.NewRecord;
 
+/** Runs several claim state machines against a simulated log with random faults. */
 class ClaimStateMachinePropertiesTest {
     /**
-     * Whatever the log does to appends and answers, and however long processes stand still: a key and generation is won
-     * once, each caller gets a decision, all processes agree in the end, no key belongs to a process that told its
-     * caller "not run", and no process gives up what it was told to have won. Appends land late, several times or
-     * never; answers are lost or come late; processes race.
+     * Checks that for random log faults and pauses of processes a key and generation is won at most once, each caller
+     * gets a decision, all processes finally agree, no key belongs to a process that answered "not run", and no process
+     * abandons a claim that it was reported to have won. Appends are written late, several times or never, answers are
+     * lost or late, and processes race.
      */
     @Property(tries = 2_000)
     void oneWinnerAndNoOrphans(@ForAll("schedules") List<Step> schedule) {
@@ -41,15 +42,18 @@
         simulation.replies.forEach(reply -> assertThat(reply.isDone(), is(true)));
         TableImage image = simulation.processes.getFirst().stateMachine.image();
         simulation.processes.forEach(process -> assertThat(process.stateMachine.image(), is(image)));
-        for (CompactClaim held : image.claims()) {
-            boolean nobody = held.coordinator().equals(Coordinator.NONE);
+        for (CompactClaim claim : image.claims()) {
+            boolean unassigned = claim.coordinator().equals(Coordinator.NONE);
             List<Coordinator> winners =
-                    simulation.winners.getOrDefault(Simulation.generationKey(held.claim()), List.of());
-            assertThat(nobody ? winners.isEmpty() : winners.contains(held.coordinator()), is(true));
+                    simulation.winners.getOrDefault(Simulation.generationKey(claim.toClaim()), List.of());
+            assertThat(unassigned ? winners.isEmpty() : winners.contains(claim.coordinator()), is(true));
         }
     }
 
-    /** A snapshot that covers less than was read changes nothing: claims known once are never forgotten early. */
+    /**
+     * A snapshot that covers fewer records than were read must change nothing, or claims would be removed before the
+     * end of their windows.
+     */
     @Example
     void olderSnapshotDoesNotReplaceNewerTable() {
         Simulation simulation = new Simulation();
@@ -136,7 +140,7 @@
                 case SEND -> send(process);
                 case READ -> read(process);
                 case WRITE -> pickAppend(step.number()).ifPresent(this::write);
-                case ANSWER -> pickAppend(step.number()).ifPresent(flight -> answer(flight, step.number()));
+                case ANSWER -> pickAppend(step.number()).ifPresent(append -> answer(append, step.number()));
                 case CLAIM -> claim(process, step.number());
                 case TAKE_OVER -> takeOver(process, step.number());
                 case RUN_ALONE -> runAlone(process);
@@ -166,13 +170,13 @@
             });
         }
 
-        /** All others stand still for longer than their leases. */
+        /** Runs one process alone for longer than the leases of all others. */
         private void runAlone(Process process) {
             for (int round = 0; round < 4; round++) {
                 clock.advance(Duration.ofSeconds(3));
                 send(process);
                 appends.stream()
-                        .filter(flight -> flight.sender == process.stateMachine())
+                        .filter(append -> append.sender == process.stateMachine())
                         .forEach(this::write);
                 read(process);
             }
@@ -192,30 +196,30 @@
             perform(process);
             process.stateMachine().nextAppend(clock.nanos()).ifPresent(batch -> {
                 List<NewRecord> records = batch.records().stream()
-                        .map(outgoing -> ClaimSamples.written(
+                        .map(outgoing -> ClaimSamples.newRecord(
                                 process.self().processId(),
                                 outgoing.sequence(),
                                 outgoing.content(),
-                                outgoing.entry().streamMillis()))
+                                outgoing.timestamped().streamMillis()))
                         .toList();
                 appends.add(new InFlightAppend(process.stateMachine(), batch.number(), records));
             });
         }
 
-        private void write(InFlightAppend flight) {
-            if (flight.refused) {
+        private void write(InFlightAppend append) {
+            if (append.refused) {
                 return;
             }
-            flight.written = true;
-            flight.records.forEach(record -> stream.add(new LogRecord(stream.size(), record.id(), record.payload())));
+            append.written = true;
+            append.records.forEach(record -> stream.add(new LogRecord(stream.size(), record.id(), record.payload())));
         }
 
-        private void answer(InFlightAppend flight, int number) {
-            boolean refuse = number % 3 == 0 && !flight.written;
-            flight.refused = flight.refused || refuse;
-            AppendOutcome known = flight.written ? new AppendOutcome.Appended(0) : new AppendOutcome.Unknown("late");
+        private void answer(InFlightAppend append, int number) {
+            boolean refuse = number % 3 == 0 && !append.written;
+            append.refused = append.refused || refuse;
+            AppendOutcome truthful = append.written ? new AppendOutcome.Appended(0) : new AppendOutcome.Unknown("late");
             AppendOutcome lost = refuse ? new AppendOutcome.Refused("down") : new AppendOutcome.Unknown("lost");
-            flight.sender.appendCompleted(flight.number, number % 3 == 1 ? known : lost, clock.nanos());
+            append.sender.appendCompleted(append.number, number % 3 == 1 ? truthful : lost, clock.nanos());
         }
 
         private void read(Process process) {
@@ -227,15 +231,15 @@
 
         private void deliverAll() {
             processes.forEach(this::send);
-            appends.stream().filter(flight -> !flight.written).forEach(this::write);
-            appends.stream().filter(flight -> flight.written).forEach(flight -> answer(flight, 1));
+            appends.stream().filter(append -> !append.written).forEach(this::write);
+            appends.stream().filter(append -> append.written).forEach(append -> answer(append, 1));
             processes.forEach(this::read);
         }
 
-        /** The log works again, and whatever was under way either lands or never does. */
+        /** Ends all faults; appends in flight are either written or never will be. */
         private void quiesce() {
-            appends.forEach(flight -> answer(flight, 2));
-            appends.forEach(flight -> flight.written = true);
+            appends.forEach(append -> answer(append, 2));
+            appends.forEach(append -> append.written = true);
             for (int round = 0; round < 30; round++) {
                 clock.advance(Duration.ofMillis(500));
                 deliverAll();
