--- a/library/src/main/java/org/chivetally/document/Document.java
+++ b/library/src/main/java/org/chivetally/document/Document.java
@@ -41,16 +41,16 @@
      * @param place name of the file or source, used as prefix of the place of each mistake
      */
     public static Document parse(String place, String text) {
-        NodeReader.ParseResult reading = NodeReader.read(place, text);
-        if (reading.mistake().isPresent()) {
-            return new Document(place, reading.mistake().get());
+        NodeReader.ParseResult result = NodeReader.read(place, text);
+        if (result.mistake().isPresent()) {
+            return new Document(place, result.mistake().get());
         }
-        if (reading.documents().isEmpty()) {
+        if (result.documents().isEmpty()) {
             return new Document(place, new DocumentNode.Scalar("", true, 1, 1));
         }
-        Document document = new Document(place, reading.documents().getFirst());
-        if (reading.documents().size() > 1) {
-            document.addMistake(reading.documents().get(1), "", "only one document is allowed");
+        Document document = new Document(place, result.documents().getFirst());
+        if (result.documents().size() > 1) {
+            document.addMistake(result.documents().get(1), "", "only one document is allowed here");
         }
         return document;
     }
@@ -62,14 +62,14 @@
      * @return the documents, each with its own mistakes; parsing ends at a malformed one, which is the last in the list
      */
     public static List<Document> parseAll(String place, String text) {
-        NodeReader.ParseResult reading = NodeReader.read(place, text);
+        NodeReader.ParseResult result = NodeReader.read(place, text);
         List<Document> documents = new ArrayList<>();
-        for (DocumentNode node : reading.documents()) {
+        for (DocumentNode node : result.documents()) {
             if (!node.isNull()) {
                 documents.add(new Document(place, node));
             }
         }
-        reading.mistake().ifPresent(mistake -> documents.add(new Document(place, mistake)));
+        result.mistake().ifPresent(mistake -> documents.add(new Document(place, mistake)));
         return List.copyOf(documents);
     }
 
@@ -81,7 +81,7 @@
     /** Records a mistake if the document is empty. */
     public void requireNotEmpty() {
         if (empty) {
-            mistakes.add(new Mistake(name + ":1:1", "", "must be a mapping, not nothing"));
+            mistakes.add(new Mistake(name + ":1:1", "", "a section of keys and values is needed, not nothing"));
         }
     }
 
@@ -136,7 +136,7 @@
             String keyPath = Section.join(path, key);
             DocumentNode.Scalar earlier = first.putIfAbsent(key, entry.key());
             if (earlier != null) {
-                addMistake(entry.key(), keyPath, "duplicate key, first defined at " + placeOf(earlier));
+                addMistake(entry.key(), keyPath, "the key stands twice, first at " + placeOf(earlier));
             }
             reportRepeatedKeys(entry.value(), keyPath);
         }
@@ -147,7 +147,7 @@
             return newSection(values, "");
         }
         if (!node.isNull()) {
-            addMistake(node, "", "must be a mapping, not " + node.kind());
+            addMistake(node, "", "a section of keys and values is needed, not " + node.kind());
         }
         return newSection(emptySection(node.line(), node.column()), "");
     }
--- a/library/src/main/java/org/chivetally/document/DocumentNode.java
+++ b/library/src/main/java/org/chivetally/document/DocumentNode.java
@@ -15,7 +15,7 @@
         return switch (this) {
             case Scalar scalar -> scalar.isNull() ? "nothing" : "a single value";
             case Sequence ignored -> "a list";
-            case Mapping ignored -> "a mapping";
+            case Mapping ignored -> "a section";
         };
     }
 
--- a/library/src/main/java/org/chivetally/document/NodeReader.java
+++ b/library/src/main/java/org/chivetally/document/NodeReader.java
@@ -63,9 +63,8 @@
             return new ParseResult(documents, Optional.of(mistakeOf(malformed)));
         } catch (RuntimeException fault) {
             // A bug of the parser, such as an index out of bounds on unusual input, would otherwise fail the request or
-            // the start of the daemon with a stack trace. The text is rejected like any malformed one; the place is
-            // that
-            // of the last parsed event.
+            // the start of the daemon with a stack trace. The text is rejected like any malformed one, and the mistake
+            // is reported at the last parsed event.
             return new ParseResult(documents, Optional.of(mistakeAtLastEvent("malformed text: " + fault.getMessage())));
         }
     }
@@ -165,7 +164,7 @@
                     .orElseGet(() -> mistakeAtLastEvent(message));
         }
         if (malformed instanceof ReaderException unreadable) {
-            return mistakeAt(unreadable.getPosition(), "contains a character that is not allowed");
+            return mistakeAt(unreadable.getPosition(), "a character that a text can't hold");
         }
         return mistakeAtLastEvent("malformed text: " + malformed.getMessage());
     }
--- a/library/src/main/java/org/chivetally/document/Section.java
+++ b/library/src/main/java/org/chivetally/document/Section.java
@@ -250,7 +250,7 @@
             return document.newSection(section, pathOf(key));
         }
         if (value != null && !value.isNull()) {
-            mistake(key, "must be a mapping, not " + value.kind());
+            mistake(key, "a section of keys and values is needed, not " + value.kind());
         }
         return emptySection(pathOf(key));
     }
@@ -259,7 +259,7 @@
         if (item instanceof DocumentNode.Mapping section) {
             return document.newSection(section, itemPath);
         }
-        document.addMistake(item, itemPath, "must be a mapping, not " + item.kind());
+        document.addMistake(item, itemPath, "a section of keys and values is needed, not " + item.kind());
         return document.newSection(Document.emptySection(item.line(), item.column()), itemPath);
     }
 
@@ -276,7 +276,7 @@
         if (value instanceof DocumentNode.Sequence list) {
             return list.items();
         }
-        mistake(key, "must be a list, not " + value.kind());
+        mistake(key, "a list is needed, not " + value.kind());
         return List.of();
     }
 
@@ -299,7 +299,7 @@
         if (value instanceof DocumentNode.Scalar scalar && !scalar.isNull()) {
             return Optional.of(scalar.text());
         }
-        document.addMistake(value, valuePath, "must be a single value, not " + value.kind());
+        document.addMistake(value, valuePath, "a single value is needed, not " + value.kind());
         return Optional.empty();
     }
 
--- a/library/src/main/java/org/chivetally/document/Utf8.java
+++ b/library/src/main/java/org/chivetally/document/Utf8.java
@@ -54,7 +54,7 @@
         try {
             bytes = Files.readAllBytes(file);
         } catch (IOException unreadable) {
-            throw new ChivetallyException(ErrorCode.INVALID_INPUT, file + " cannot be read: " + unreadable, unreadable);
+            throw new ChivetallyException(ErrorCode.INVALID_INPUT, file + " can't be read: " + unreadable, unreadable);
         }
         return switch (decode(bytes)) {
             case Decoded.Text whole -> whole.text();
--- a/library/src/main/java/org/chivetally/log/HttpPlatformLog.java
+++ b/library/src/main/java/org/chivetally/log/HttpPlatformLog.java
@@ -87,8 +87,8 @@
             BiFunction<HttpResponse, byte[], T> onResponse,
             Function<Throwable, T> onFailure) {
         CompletableFuture<T> outcome = new CompletableFuture<>();
-        // A request on a connection that has gone silent would never complete. The timer fails the request in any
-        // case, and the pool's idle timeout closes the connection.
+        // A request would never complete if its connection stopped responding. The timer fails the request in any case,
+        // and the pool's idle timeout closes the connection.
         Cancellable timer = system.scheduler()
                 .scheduleOnce(
                         responseTimeout,
@@ -189,7 +189,7 @@
         private static final long serialVersionUID = 1L;
 
         ResponseTimeout(Duration timeout) {
-            super("no response within " + timeout.toMillis() + " ms", null, false, false);
+            super("no answer within " + timeout.toMillis() + " ms", null, false, false);
         }
     }
 }
--- a/library/src/main/java/org/chivetally/log/InMemoryPlatformLog.java
+++ b/library/src/main/java/org/chivetally/log/InMemoryPlatformLog.java
@@ -28,7 +28,7 @@
 public final class InMemoryPlatformLog implements PlatformLog {
     private static final FluentLogger LOG = FluentLogger.forEnclosingClass();
     private static final String DOWN = "the log is down";
-    private static final String RESPONSE_LOST = "the response was lost";
+    private static final String RESPONSE_LOST = "the answer was lost";
 
     private final ActorSystem<?> system;
     private final NanoClock clock;
--- a/library/src/main/java/org/chivetally/time/Timers.java
+++ b/library/src/main/java/org/chivetally/time/Timers.java
@@ -54,7 +54,8 @@
             if (cancelled) {
                 return;
             }
-            // Armed first, so that an exception in the action does not end the repetition and with it all heartbeats.
+            // Scheduled first, so that an exception in the action does not end the repetition and with it all
+            // heartbeats.
             schedule();
             action.run();
         }
--- a/library/src/test/java/org/chivetally/http/HttpListenerTest.java
+++ b/library/src/test/java/org/chivetally/http/HttpListenerTest.java
@@ -104,6 +104,7 @@
         }
     }
 
+    /** A malformed request must get an error response instead of a closed or hanging connection. */
     @Test
     void rejectsMalformedRequests() throws Exception {
         try (Socket socket = connect("nonsense\r\n\r\n")) {
@@ -134,6 +135,7 @@
         }
     }
 
+    /** A connection that is not returned to the pool would block the second call. */
     @Test
     void reusesOneConnectionForSuccessiveCalls() throws Exception {
         PooledHttpClient client = new PooledHttpClient(loop, new EventLoopTimers(loop), address, 1);
--- a/library/src/test/java/org/chivetally/log/InMemoryPlatformLogTest.java
+++ b/library/src/test/java/org/chivetally/log/InMemoryPlatformLogTest.java
@@ -30,6 +30,7 @@
         kit.shutdownTestKit();
     }
 
+    /** A read must neither skip nor repeat records. */
     @Test
     void readsFromAnOffsetUpToTheLimit() {
         InMemoryPlatformLog log = log(InMemoryLogSettings.immediate());
@@ -39,6 +40,7 @@
         MatcherAssert.assertThat(read(log, 4, 2), Matchers.is(found(4)));
     }
 
+    /** A missed wake-up would delay a reader; a wrong one would return a read without records. */
     @Test
     void appendCompletesTheReadThatWaitsForItsOffset() {
         InMemoryPlatformLog log = log(InMemoryLogSettings.immediate());
@@ -49,6 +51,7 @@
         MatcherAssert.assertThat(comparable(second), Matchers.nullValue());
     }
 
+    /** A read whose wait is over must complete even if no record is appended. */
     @Test
     void waitingReadReturnsNoRecordsAfterItsTimeout() {
         InMemoryPlatformLog log = log(InMemoryLogSettings.immediate());
@@ -59,6 +62,7 @@
         MatcherAssert.assertThat(comparable(read), Matchers.is(found(0)));
     }
 
+    /** A reader below the retained offsets must get Expired instead of silently missing records. */
     @Test
     void retainsTheNewestRecordsAndReportsTheEarliestOffset() {
         InMemoryPlatformLog log = log(new InMemoryLogSettings(3, Duration.ofHours(1), Duration.ZERO, 0, 0));
@@ -69,6 +73,7 @@
         MatcherAssert.assertThat(read(log, 97, 10), Matchers.is(found(100, "97b", "98a", "99b")));
     }
 
+    /** Records over the maximum age must not be returned, although nothing is appended meanwhile. */
     @Test
     void recordsExpireByAge() {
         InMemoryPlatformLog log = log(new InMemoryLogSettings(10, Duration.ofNanos(100), Duration.ZERO, 0, 0));
@@ -135,6 +140,7 @@
         MatcherAssert.assertThat(read(log, 0, 10), Matchers.is(found(3, "0a", "1a", "2a")));
     }
 
+    /** At 500 appends per second, each further append must take effect 2 ms after the previous one. */
     @Test
     void delaysAppendsOverTheRateLimit() {
         InMemoryPlatformLog log = log(new InMemoryLogSettings(10, Duration.ofHours(1), Duration.ofMillis(4), 500, 0));
--- a/library/src/test/java/org/chivetally/logging/BoundedLogHandlerTest.java
+++ b/library/src/test/java/org/chivetally/logging/BoundedLogHandlerTest.java
@@ -25,6 +25,7 @@
         return written.toString(StandardCharsets.UTF_8);
     }
 
+    /** Queued lines would be lost at the end of the process if a flush did not write them. */
     @Test
     void writesQueuedLinesOnFlush() {
         log("event=one");
--- a/library/src/test/java/org/chivetally/settings/SchedulingSettingsTest.java
+++ b/library/src/test/java/org/chivetally/settings/SchedulingSettingsTest.java
@@ -12,6 +12,7 @@
         return SettingsFile.read("test", text, SchedulingSettings::read);
     }
 
+    /** A feature that is enabled without its setting would change the scheduling of existing deployments. */
     @Test
     void disablesAllFeaturesByDefault() {
         assertThat(read("{}"), equalTo(SchedulingSettings.NONE));
--- a/library/src/test/java/org/chivetally/settings/SettingsTest.java
+++ b/library/src/test/java/org/chivetally/settings/SettingsTest.java
@@ -56,6 +56,7 @@
         assertThat(settings.process().drainTimeout(), is(Duration.ofMinutes(2)));
     }
 
+    /** A missing file must be reported as invalid input; the daemon must not start with defaults. */
     @Test
     void rejectsAMissingFile() {
         ChivetallyException refusal = Assertions.assertThrows(
--- a/library/src/test/java/org/chivetally/transport/DelayRoundingIoHandlerTest.java
+++ b/library/src/test/java/org/chivetally/transport/DelayRoundingIoHandlerTest.java
@@ -33,9 +33,8 @@
     }
 
     /**
-     * A hundred timers expire one after the other, each after a fraction of a millisecond. Without rounding up, the
-     * loop busy-polls during the half millisecond before each timer, up to a hundred times; one or two iterations
-     * suffice.
+     * A hundred timers expire one after the other, each 2.3 ms after the previous one. Without rounding up, the loop
+     * busy-polls during the half millisecond before each timer, up to a hundred times; one or two iterations suffice.
      */
     @Test
     void sleepsUntilTheNextTimerIsDue() throws InterruptedException {
--- a/library/src/test/java/org/chivetally/transport/FrameTransportTest.java
+++ b/library/src/test/java/org/chivetally/transport/FrameTransportTest.java
@@ -37,6 +37,7 @@
         transport.close();
     }
 
+    /** Batching of frames must not reorder, drop or duplicate them. */
     @Test
     void carriesFramesBothWaysInOrder() throws InterruptedException {
         transport.dial(LOOPBACK, address.getPort(), client);
@@ -55,6 +56,7 @@
         assertThat(count("chivetally.transport.bytes", "in", "hello"), is((double) hello().getSerializedSize()));
     }
 
+    /** The size limit must not reject a frame that is barely within it. */
     @Test
     void carriesAFrameOfTheMaximumSize() throws InterruptedException {
         transport.dial(LOOPBACK, address.getPort(), client);
--- a/load/src/main/java/org/chivetally/load/RoleUsage.java
+++ b/load/src/main/java/org/chivetally/load/RoleUsage.java
@@ -16,7 +16,7 @@
 
     /** Rejects null components. */
     public RoleUsage {
-        Objects.requireNonNull(processorTime, "processor");
+        Objects.requireNonNull(processorTime, "processorTime");
     }
 
     /** Returns the sum of this usage and another. */
--- a/load/src/main/java/org/chivetally/load/Schedule.java
+++ b/load/src/main/java/org/chivetally/load/Schedule.java
@@ -37,9 +37,8 @@
             if (nanos >= plan.duration().toNanos()) {
                 return new Schedule(jobs);
             }
-            // Thinning: candidates arrive at the highest rate of the run. Each one is accepted with a probability that
-            // is
-            // the current rate divided by the highest rate.
+            // Thinning: candidates arrive at the highest rate of the run. Each one is accepted with a probability equal
+            // to the current rate divided by the highest rate.
             double rate = workload.jobsPerSecond() * factorAt(workload, nanos);
             if (arrivals.nextDouble() * highestRate < rate) {
                 jobs.add(job(jobs.size(), nanos, workload, attributes));
--- a/scripts/configuration-check.sh
+++ b/scripts/configuration-check.sh
@@ -509,7 +509,7 @@
     [[ "$(events "$folder/doubt")" == "added doubt $version" ]] || fail_step "it took effect twice: $(events "$folder/doubt")"
 }
 
-# --- silent sources ---
+# --- status without reports ---
 
 state_is() {
     request GET "$1/v1/backendservers/minion-1"
