--- a/library/src/main/java/org/chivetally/log/LogFaults.java
+++ b/library/src/main/java/org/chivetally/log/LogFaults.java
@@ -29,13 +29,13 @@
     /** Rejects negative numbers and shares over 1; replaces a missing map by an empty one. */
     public LogFaults {
         if (appendDelayMillis < 0 || readDelayMillis < 0 || lateWriteMillis < 0 || lateDuplicateMillis < 0) {
-            throw new IllegalArgumentException("delays must not be negative");
+            throw new IllegalArgumentException("delays can't be negative");
         }
         if (loseNextAnswers < 0) {
-            throw new IllegalArgumentException("loseNextAnswers must not be negative");
+            throw new IllegalArgumentException("loseNextAnswers can't be negative");
         }
         if (!(lostAnswerShare >= 0 && lostAnswerShare <= 1)) {
-            throw new IllegalArgumentException("lostAnswerShare must be between 0 and 1");
+            throw new IllegalArgumentException("lostAnswerShare lies between 0 and 1");
         }
         expireUpTo = expireUpTo == null ? Map.of() : Map.copyOf(expireUpTo);
     }
--- a/load/src/main/java/org/chivetally/load/LoadRun.java
+++ b/load/src/main/java/org/chivetally/load/LoadRun.java
@@ -112,10 +112,10 @@
     }
 
     private void awaitReadiness() throws InterruptedException {
-        long timeoutNanos = System.nanoTime() + READINESS_TIMEOUT.toNanos();
+        long deadlineNanos = System.nanoTime() + READINESS_TIMEOUT.toNanos();
         for (Target entry : plan.targets().entries()) {
             while (!loadBalancer.isReady(entry)) {
-                if (System.nanoTime() > timeoutNanos) {
+                if (System.nanoTime() > deadlineNanos) {
                     throw new ChivetallyException(
                             ErrorCode.NOT_READY, "entry did not become ready: " + entry.at("/readyz"));
                 }
