--- a/library/src/main/java/org/chivetally/daemon/ObservedState.java
+++ b/library/src/main/java/org/chivetally/daemon/ObservedState.java
@@ -7,7 +7,7 @@
 import java.util.concurrent.atomic.AtomicReference;
 import java.util.function.Supplier;
 import org.chivetally.entry.link.HeartbeatSettings;
-import org.chivetally.entry.link.IdlePace;
+import org.chivetally.entry.link.IdleHeartbeats;
 import org.chivetally.entry.link.ObservedProcess;
 import org.chivetally.entry.member.Member;
 import org.chivetally.resource.BackendServerReport;
@@ -52,7 +52,7 @@
                 .count();
         int entries = all.size() - agents + 1;
         Duration shortest = HeartbeatSettings.standard().idleInterval();
-        return IdlePace.interval(false, agents, entries, shortest).multipliedBy(MISSED_HEARTBEATS);
+        return IdleHeartbeats.interval(false, agents, entries, shortest).multipliedBy(MISSED_HEARTBEATS);
     }
 
     private static BackendServerReport report(ObservedProcess process) {
--- a/library/src/main/java/org/chivetally/entry/dispatch/DispatchActor.java
+++ b/library/src/main/java/org/chivetally/entry/dispatch/DispatchActor.java
@@ -23,7 +23,7 @@
 import org.chivetally.coordination.DispatchEffect;
 import org.chivetally.coordination.DispatchEvent;
 import org.chivetally.entry.link.HeartbeatSettings;
-import org.chivetally.entry.link.IdlePace;
+import org.chivetally.entry.link.IdleHeartbeats;
 import org.chivetally.entry.link.LinkObserver;
 import org.chivetally.entry.link.LinkSet;
 import org.chivetally.entry.link.LinkSignal;
@@ -145,7 +145,7 @@
         long now = parts.clock().nanos();
         decideAll(roster.updateMembers(members, now));
         for (Member agent : members.agents()) {
-            links.keep(agent.processId(), agent.address(), now);
+            links.add(agent.processId(), agent.address(), now);
         }
         redialReturnedAgents(members, now);
         dropUnneededLinks();
@@ -166,7 +166,7 @@
         for (Member agent : view.agents()) {
             listed.add(agent.id());
             if (!viewedAgents.contains(agent.id())) {
-                links.hurry(agent.processId(), now);
+                links.resetBackoff(agent.processId(), now);
             }
         }
         viewedAgents = listed;
@@ -177,7 +177,8 @@
         Duration shortest = parts.heartbeats().idleInterval();
         for (Member agent : view.agents()) {
             boolean preferred = RendezvousOrder.rank(parts.self(), entryNames, agent.processId()) == 0;
-            links.pace(agent.processId(), IdlePace.interval(preferred, count, entryNames.size(), shortest));
+            links.setIdleInterval(
+                    agent.processId(), IdleHeartbeats.interval(preferred, count, entryNames.size(), shortest));
         }
     }
 
@@ -185,7 +186,7 @@
         for (String processId : links.processes()) {
             boolean usable = links.usable(processId).isPresent();
             if (!usable && !roster.needsConnection(processId)) {
-                links.drop(processId, "not a member");
+                links.remove(processId, "not a member");
                 pendingAnswers.remove(processId);
                 agents.remove(processId);
             }
@@ -284,7 +285,7 @@
     }
 
     @Override
-    public void stranger(Hello hello) {
+    public void unexpectedProcess(Hello hello) {
         parts.introductions().accept(hello);
     }
 
--- a/library/src/main/java/org/chivetally/entry/link/IdlePace.java
+++ b/library/src/main/java/org/chivetally/entry/link/IdleHeartbeats.java
@@ -9,14 +9,14 @@
  * that their own connection is dead; see docs/design/0005-membership.md. Starts rest on neither: they need a ticket
  * that arrived within seconds.
  */
-public final class IdlePace {
+public final class IdleHeartbeats {
     /** Heartbeats, with their answers, that an entry may spend in a second on idle agents. */
-    static final double EXCHANGES_PER_SECOND = 10;
+    static final double MAXIMUM_HEARTBEATS_PER_SECOND = 10;
 
-    private static final double SHARE_OF_OWN = 0.75;
-    private static final Duration LONGEST = Duration.ofSeconds(240);
+    private static final double PREFERRED_SHARE = 0.75;
+    private static final Duration LONGEST_INTERVAL = Duration.ofSeconds(240);
 
-    private IdlePace() {}
+    private IdleHeartbeats() {}
 
     /**
      * Returns the time between heartbeats on an idle connection.
@@ -26,13 +26,13 @@
      * @param entries entries there are, this one included
      * @param shortest the time where there are few agents
      */
-    public static Duration interval(boolean own, int agents, int entries, Duration shortest) {
-        double probed = (double) agents / Math.max(1, entries);
-        double connections = own ? probed : agents - probed;
-        double rate = EXCHANGES_PER_SECOND * (own ? SHARE_OF_OWN : 1 - SHARE_OF_OWN);
-        Duration needed = Duration.ofNanos(
+    public static Duration interval(boolean preferred, int agents, int entries, Duration shortest) {
+        double preferredAgents = (double) agents / Math.max(1, entries);
+        double connections = preferred ? preferredAgents : agents - preferredAgents;
+        double rate = MAXIMUM_HEARTBEATS_PER_SECOND * (preferred ? PREFERRED_SHARE : 1 - PREFERRED_SHARE);
+        Duration required = Duration.ofNanos(
                 (long) (connections / rate * Duration.ofSeconds(1).toNanos()));
-        Duration bounded = needed.compareTo(LONGEST) > 0 ? LONGEST : needed;
+        Duration bounded = required.compareTo(LONGEST_INTERVAL) > 0 ? LONGEST_INTERVAL : required;
         return bounded.compareTo(shortest) < 0 ? shortest : bounded;
     }
 }
--- a/library/src/main/java/org/chivetally/entry/link/Link.java
+++ b/library/src/main/java/org/chivetally/entry/link/Link.java
@@ -16,54 +16,54 @@
  * <p>Times are readings of one monotonic clock, in nanoseconds. Not safe for several threads.
  */
 final class Link {
-    private static final int LARGEST_BACKOFF_SHIFT = 10;
+    private static final int MAXIMUM_BACKOFF_SHIFT = 10;
 
     private final String processId;
     private final Address address;
     private final HeartbeatSettings settings;
-    private final LongSupplier dials;
+    private final LongSupplier connectionIds;
     private final RandomGenerator jitter;
     private final Map<Long, Retired> retired = new HashMap<>();
 
-    private State state = State.WAITING;
-    private long dial;
-    private long dialAt;
-    private long dialledAt;
+    private State state = State.DISCONNECTED;
+    private long connectionId;
+    private long nextDialNanos;
+    private long dialledNanos;
     private int failures;
     private Hello hello;
-    private long lastReceived;
-    private long lastBeat;
-    private boolean busy;
-    private long busySince;
-    private long lastTick;
-    private long idleInterval;
+    private long lastReceivedNanos;
+    private long lastHeartbeatNanos;
+    private boolean awaitingAnswers;
+    private long awaitingSinceNanos;
+    private long lastTickNanos;
+    private long idleIntervalNanos;
 
     Link(
             String processId,
             Address address,
             HeartbeatSettings settings,
-            LongSupplier dials,
+            LongSupplier connectionIds,
             RandomGenerator jitter,
             long now) {
         this.processId = processId;
         this.address = address;
         this.settings = settings;
-        this.dials = dials;
+        this.connectionIds = connectionIds;
         this.jitter = jitter;
-        this.dialAt = now;
-        this.lastTick = now;
-        this.idleInterval = settings.idleInterval().toNanos();
+        this.nextDialNanos = now;
+        this.lastTickNanos = now;
+        this.idleIntervalNanos = settings.idleInterval().toNanos();
     }
 
     /** Sets the time between heartbeats while nothing is awaited. */
-    void pace(long intervalNanos) {
-        idleInterval = intervalNanos;
+    void setIdleInterval(long intervalNanos) {
+        idleIntervalNanos = intervalNanos;
     }
 
     /** Dials at the next tick instead of after the wait that earlier failures brought. */
-    void hurry(long now) {
+    void resetBackoff(long now) {
         failures = 0;
-        dialAt = now;
+        nextDialNanos = now;
     }
 
     Address address() {
@@ -71,8 +71,8 @@
     }
 
     /** Returns the number of the usable connection, or -1. */
-    long usableDial() {
-        return state == State.USABLE ? dial : -1;
+    long usableConnectionId() {
+        return state == State.USABLE ? connectionId : -1;
     }
 
     /** Returns the last introduction of the usable connection, or null. */
@@ -83,53 +83,53 @@
     /** Time passed; {@code awaiting} tells whether answers of the process are awaited. */
     List<LinkEffect> tick(long now, boolean awaiting) {
         List<LinkEffect> effects = new ArrayList<>();
-        forgivePause(now);
-        if (awaiting && !busy) {
-            busySince = now;
+        resetSilenceAfterPause(now);
+        if (awaiting && !awaitingAnswers) {
+            awaitingSinceNanos = now;
         }
-        busy = awaiting;
+        awaitingAnswers = awaiting;
         switch (state) {
-            case WAITING -> dialWhenDue(now, effects);
-            case DIALLING, GREETING -> giveUpWhenOverdue(now, effects);
-            default -> watch(now, effects);
+            case DISCONNECTED -> dialWhenDue(now, effects);
+            case DIALLING, AWAITING_HELLO -> abortDialAfterTimeout(now, effects);
+            default -> checkUsableConnection(now, effects);
         }
         closeRetired(now, effects);
         return effects;
     }
 
     /** The connection is open. */
-    List<LinkEffect> opened(long opened, long now) {
-        if (opened != dial || state != State.DIALLING) {
-            return List.of(new LinkEffect.Hangup(opened));
+    List<LinkEffect> opened(long openedId, long now) {
+        if (openedId != connectionId || state != State.DIALLING) {
+            return List.of(new LinkEffect.Close(openedId));
         }
-        state = State.GREETING;
-        lastReceived = now;
-        return List.of(new LinkEffect.Greet(opened));
+        state = State.AWAITING_HELLO;
+        lastReceivedNanos = now;
+        return List.of(new LinkEffect.SendHello(openedId));
     }
 
     /** A frame arrived on any of the connections. */
-    List<LinkEffect> received(long from, Frame frame, long now) {
-        Retired old = retired.get(from);
+    List<LinkEffect> received(long fromId, Frame frame, long now) {
+        Retired old = retired.get(fromId);
         if (old != null) {
-            return frame.hasHello() ? List.of() : deliver(from, old.hello(), frame);
+            return frame.hasHello() ? List.of() : deliver(fromId, old.hello(), frame);
         }
-        if (from != dial) {
+        if (fromId != connectionId) {
             return List.of();
         }
-        lastReceived = now;
+        lastReceivedNanos = now;
         if (frame.hasHello()) {
-            return greeted(frame.getHello());
+            return helloReceived(frame.getHello());
         }
-        return state == State.USABLE ? deliver(from, hello, frame) : List.of();
+        return state == State.USABLE ? deliver(fromId, hello, frame) : List.of();
     }
 
     /** A connection is closed, or a dial failed. */
-    List<LinkEffect> closed(long closed, String reason, long now) {
-        if (retired.remove(closed) != null || closed != dial) {
+    List<LinkEffect> closed(long closedId, String reason, long now) {
+        if (retired.remove(closedId) != null || closedId != connectionId) {
             return List.of();
         }
         boolean wasUsable = state == State.USABLE;
-        if (state == State.WAITING) {
+        if (state == State.DISCONNECTED) {
             return List.of();
         }
         backOff(now);
@@ -139,90 +139,93 @@
     /** Ends all connections. */
     List<LinkEffect> close() {
         List<LinkEffect> effects = new ArrayList<>();
-        if (state != State.WAITING) {
-            effects.add(new LinkEffect.Hangup(dial));
+        if (state != State.DISCONNECTED) {
+            effects.add(new LinkEffect.Close(connectionId));
         }
-        retired.keySet().forEach(old -> effects.add(new LinkEffect.Hangup(old)));
+        retired.keySet().forEach(old -> effects.add(new LinkEffect.Close(old)));
         retired.clear();
-        state = State.WAITING;
-        dialAt = Long.MAX_VALUE;
+        state = State.DISCONNECTED;
+        nextDialNanos = Long.MAX_VALUE;
         return effects;
     }
 
-    private List<LinkEffect> greeted(Hello arrived) {
-        if (state != State.GREETING) {
+    private List<LinkEffect> helloReceived(Hello receivedHello) {
+        if (state != State.AWAITING_HELLO) {
             return List.of();
         }
-        if (!arrived.getProcessId().equals(processId)) {
-            backOff(lastReceived);
-            return List.of(new LinkEffect.Hangup(dial), new LinkEffect.Stranger(arrived));
+        if (!receivedHello.getProcessId().equals(processId)) {
+            backOff(lastReceivedNanos);
+            return List.of(new LinkEffect.Close(connectionId), new LinkEffect.UnexpectedProcess(receivedHello));
         }
         state = State.USABLE;
-        hello = arrived;
+        hello = receivedHello;
         failures = 0;
-        lastBeat = lastReceived;
-        busySince = lastReceived;
-        return List.of(new LinkEffect.Up(arrived));
+        lastHeartbeatNanos = lastReceivedNanos;
+        awaitingSinceNanos = lastReceivedNanos;
+        return List.of(new LinkEffect.Up(receivedHello));
     }
 
-    private static List<LinkEffect> deliver(long from, Hello sender, Frame frame) {
-        boolean asks = frame.hasHeartbeat() && !frame.getHeartbeat().getAnswer();
+    private static List<LinkEffect> deliver(long fromId, Hello sender, Frame frame) {
+        boolean needsAnswer = frame.hasHeartbeat() && !frame.getHeartbeat().getAnswer();
         LinkEffect delivered = new LinkEffect.Deliver(sender, frame);
-        return asks ? List.of(new LinkEffect.AnswerBeat(from, frame.getRequestId()), delivered) : List.of(delivered);
+        return needsAnswer
+                ? List.of(new LinkEffect.AnswerHeartbeat(fromId, frame.getRequestId()), delivered)
+                : List.of(delivered);
     }
 
     // A pause of this process makes every connection look silent at once; all would be dialled anew although their
     // answers wait unread in the sockets. After a late tick the time of silence therefore starts again.
-    private void forgivePause(long now) {
-        long gap = now - lastTick;
-        lastTick = now;
+    private void resetSilenceAfterPause(long now) {
+        long gap = now - lastTickNanos;
+        lastTickNanos = now;
         if (gap > settings.silentAfter().toNanos() / 2) {
-            lastReceived = now;
+            lastReceivedNanos = now;
         }
     }
 
     private void dialWhenDue(long now, List<LinkEffect> effects) {
-        if (now - dialAt < 0) {
+        if (now - nextDialNanos < 0) {
             return;
         }
         state = State.DIALLING;
-        dial = dials.getAsLong();
-        dialledAt = now;
-        effects.add(new LinkEffect.Dial(dial));
+        connectionId = connectionIds.getAsLong();
+        dialledNanos = now;
+        effects.add(new LinkEffect.Dial(connectionId));
     }
 
-    private void giveUpWhenOverdue(long now, List<LinkEffect> effects) {
-        if (now - dialledAt < settings.dialTimeout().toNanos()) {
+    private void abortDialAfterTimeout(long now, List<LinkEffect> effects) {
+        if (now - dialledNanos < settings.dialTimeout().toNanos()) {
             return;
         }
-        effects.add(new LinkEffect.Hangup(dial));
+        effects.add(new LinkEffect.Close(connectionId));
         backOff(now);
     }
 
-    private void watch(long now, List<LinkEffect> effects) {
-        long quietSince = busy ? Math.max(lastReceived, busySince) : lastReceived;
-        long silentAfter = busy
+    private void checkUsableConnection(long now, List<LinkEffect> effects) {
+        long silentSince = awaitingAnswers ? Math.max(lastReceivedNanos, awaitingSinceNanos) : lastReceivedNanos;
+        long silentAfter = awaitingAnswers
                 ? settings.silentAfter().toNanos()
                 : settings.idleSilentAfter().toNanos()
-                        + idleInterval
+                        + idleIntervalNanos
                         - settings.idleInterval().toNanos();
-        if (now - quietSince >= silentAfter) {
-            retire(now, effects);
+        if (now - silentSince >= silentAfter) {
+            replaceSilentConnection(now, effects);
             return;
         }
-        long interval = busy ? settings.busyInterval().toNanos() : idleInterval;
-        if (now - Math.max(lastReceived, lastBeat) >= interval) {
-            lastBeat = now;
-            effects.add(new LinkEffect.Beat(dial));
+        long interval = awaitingAnswers ? settings.busyInterval().toNanos() : idleIntervalNanos;
+        if (now - Math.max(lastReceivedNanos, lastHeartbeatNanos) >= interval) {
+            lastHeartbeatNanos = now;
+            effects.add(new LinkEffect.SendHeartbeat(connectionId));
         }
     }
 
     // Something between the two ends may have lost track of the connection: frames go nowhere, and no error ever
     // comes. A new connection is not affected, and the old one may still bring answers, so it is kept for a while.
-    private void retire(long now, List<LinkEffect> effects) {
-        retired.put(dial, new Retired(hello, now + settings.lateAnswers().toNanos()));
-        state = State.WAITING;
-        dialAt = now;
+    private void replaceSilentConnection(long now, List<LinkEffect> effects) {
+        retired.put(
+                connectionId, new Retired(hello, now + settings.lateAnswers().toNanos()));
+        state = State.DISCONNECTED;
+        nextDialNanos = now;
         effects.add(new LinkEffect.Down(hello, "silent"));
         dialWhenDue(now, effects);
     }
@@ -231,29 +234,29 @@
         Iterator<Map.Entry<Long, Retired>> all = retired.entrySet().iterator();
         while (all.hasNext()) {
             Map.Entry<Long, Retired> old = all.next();
-            if (now - old.getValue().closeAt() < 0) {
+            if (now - old.getValue().closeAtNanos() < 0) {
                 continue;
             }
-            effects.add(new LinkEffect.Hangup(old.getKey()));
+            effects.add(new LinkEffect.Close(old.getKey()));
             all.remove();
         }
     }
 
     private void backOff(long now) {
         long longest = settings.longestBackoff().toNanos();
-        long grown = settings.shortestBackoff().toNanos() << Math.min(failures, LARGEST_BACKOFF_SHIFT);
-        long backoff = Math.min(longest, grown);
+        long exponential = settings.shortestBackoff().toNanos() << Math.min(failures, MAXIMUM_BACKOFF_SHIFT);
+        long backoff = Math.min(longest, exponential);
         failures++;
-        state = State.WAITING;
-        dialAt = now + backoff / 2 + jitter.nextLong(backoff / 2 + 1);
+        state = State.DISCONNECTED;
+        nextDialNanos = now + backoff / 2 + jitter.nextLong(backoff / 2 + 1);
     }
 
     private enum State {
-        WAITING,
+        DISCONNECTED,
         DIALLING,
-        GREETING,
+        AWAITING_HELLO,
         USABLE
     }
 
-    private record Retired(Hello hello, long closeAt) {}
+    private record Retired(Hello hello, long closeAtNanos) {}
 }
--- a/library/src/main/java/org/chivetally/entry/link/LinkEffect.java
+++ b/library/src/main/java/org/chivetally/entry/link/LinkEffect.java
@@ -6,19 +6,19 @@
 /** What a {@link Link} wants done, in order. */
 sealed interface LinkEffect {
     /** Open a connection under this number. */
-    record Dial(long dial) implements LinkEffect {}
+    record Dial(long connectionId) implements LinkEffect {}
 
     /** Introduce this process on the connection. */
-    record Greet(long dial) implements LinkEffect {}
+    record SendHello(long connectionId) implements LinkEffect {}
 
     /** Ask the far end for a sign of life. */
-    record Beat(long dial) implements LinkEffect {}
+    record SendHeartbeat(long connectionId) implements LinkEffect {}
 
     /** Repeat a heartbeat of the far end as its answer. */
-    record AnswerBeat(long dial, long requestId) implements LinkEffect {}
+    record AnswerHeartbeat(long connectionId, long requestId) implements LinkEffect {}
 
     /** Close the connection and forget it. */
-    record Hangup(long dial) implements LinkEffect {}
+    record Close(long connectionId) implements LinkEffect {}
 
     /** The link can be used from now on. */
     record Up(Hello hello) implements LinkEffect {}
@@ -27,7 +27,7 @@
     record Down(Hello hello, String reason) implements LinkEffect {}
 
     /** Another process than the expected one answers at the address. */
-    record Stranger(Hello hello) implements LinkEffect {}
+    record UnexpectedProcess(Hello hello) implements LinkEffect {}
 
     /** A frame for the link's owner, from the process that introduced itself so. */
     record Deliver(Hello sender, Frame frame) implements LinkEffect {}
--- a/library/src/main/java/org/chivetally/entry/link/LinkObserver.java
+++ b/library/src/main/java/org/chivetally/entry/link/LinkObserver.java
@@ -12,7 +12,7 @@
     void down(Hello hello, String reason);
 
     /** A process that was not expected answers at an address. */
-    void stranger(Hello hello);
+    void unexpectedProcess(Hello hello);
 
     /** A frame arrived from the process that introduced itself so. */
     void received(Hello sender, Frame frame);
--- a/library/src/main/java/org/chivetally/entry/link/LinkSet.java
+++ b/library/src/main/java/org/chivetally/entry/link/LinkSet.java
@@ -31,9 +31,9 @@
     private final HeartbeatSettings settings;
     private final LinkObserver observer;
     private final Map<String, Link> links = new HashMap<>();
-    private final Map<Long, String> owners = new HashMap<>();
+    private final Map<Long, String> processIds = new HashMap<>();
     private final Map<Long, FrameConnection> connections = new HashMap<>();
-    private long lastDial;
+    private long lastConnectionId;
 
     /** Creates an empty set. */
     public LinkSet(Wiring wiring, HeartbeatSettings settings, LinkObserver observer) {
@@ -43,45 +43,45 @@
     }
 
     /** Keeps a link to a process at an address; an earlier link to another address of it is closed. */
-    public void keep(String processId, Address address, long now) {
+    public void add(String processId, Address address, long now) {
         Link present = links.get(processId);
         if (present != null && present.address().equals(address)) {
             return;
         }
         if (present != null) {
-            drop(processId, "moved");
+            remove(processId, "moved");
         }
-        links.put(processId, new Link(processId, address, settings, () -> ++lastDial, wiring.jitter(), now));
+        links.put(processId, new Link(processId, address, settings, () -> ++lastConnectionId, wiring.jitter(), now));
         LOGGER.atInfo().log(
                 "%s", EventLine.of("link-kept").with("process", processId).with("address", address));
     }
 
     /** Dials a process at once if its link waits after failures, since it is known to be there again. */
-    public void hurry(String processId, long now) {
+    public void resetBackoff(String processId, long now) {
         Link link = links.get(processId);
         if (link != null) {
-            link.hurry(now);
+            link.resetBackoff(now);
         }
     }
 
     /** Sets the time between heartbeats on an idle link. */
-    public void pace(String processId, Duration interval) {
+    public void setIdleInterval(String processId, Duration interval) {
         Link link = links.get(processId);
         if (link != null) {
-            link.pace(interval.toNanos());
+            link.setIdleInterval(interval.toNanos());
         }
     }
 
     /** Closes the link to a process; the observer hears of it when the link was usable. */
-    public void drop(String processId, String reason) {
+    public void remove(String processId, String reason) {
         Link link = links.remove(processId);
         if (link == null) {
             return;
         }
         Hello usable = link.usableHello();
-        carryOut(processId, link, link.close());
+        execute(processId, link, link.close());
         if (usable != null) {
-            lost(usable, reason);
+            linkDown(usable, reason);
         }
     }
 
@@ -98,21 +98,21 @@
     /** Sends a frame, with a new request id when it has none; false when the process can't be reached now. */
     public boolean send(String processId, Frame frame) {
         Link link = links.get(processId);
-        FrameConnection connection = link == null ? null : connections.get(link.usableDial());
+        FrameConnection connection = link == null ? null : connections.get(link.usableConnectionId());
         if (connection == null) {
             return false;
         }
-        connection.send(frame.getRequestId() == 0 ? numbered(frame) : frame);
+        connection.send(frame.getRequestId() == 0 ? withRequestId(frame) : frame);
         return true;
     }
 
-    private Frame numbered(Frame frame) {
+    private Frame withRequestId(Frame frame) {
         return frame.toBuilder().setRequestId(wiring.requestIds().getAsLong()).build();
     }
 
     /** Passes on what the transport reported. */
     public void signal(LinkSignal signal, long now) {
-        String processId = owners.get(signal.dial());
+        String processId = processIds.get(signal.connectionId());
         Link link = processId == null ? null : links.get(processId);
         switch (signal) {
             case LinkSignal.Opened opened -> opened(processId, link, opened, now);
@@ -125,13 +125,13 @@
     public void tick(long now, Predicate<String> awaiting) {
         for (Map.Entry<String, Link> entry : Map.copyOf(links).entrySet()) {
             Link link = entry.getValue();
-            carryOut(entry.getKey(), link, link.tick(now, awaiting.test(entry.getKey())));
+            execute(entry.getKey(), link, link.tick(now, awaiting.test(entry.getKey())));
         }
     }
 
     /** Closes all links without telling the observer. */
     public void close() {
-        links.forEach((processId, link) -> carryOut(processId, link, link.close()));
+        links.forEach((processId, link) -> execute(processId, link, link.close()));
         links.clear();
     }
 
@@ -140,46 +140,49 @@
             opened.connection().close();
             return;
         }
-        connections.put(opened.dial(), opened.connection());
-        carryOut(processId, link, link.opened(opened.dial(), now));
+        connections.put(opened.connectionId(), opened.connection());
+        execute(processId, link, link.opened(opened.connectionId(), now));
     }
 
     private void received(String processId, Link link, LinkSignal.Received received, long now) {
         if (link != null) {
-            carryOut(processId, link, link.received(received.dial(), received.frame(), now));
+            execute(processId, link, link.received(received.connectionId(), received.frame(), now));
         }
     }
 
     private void closed(String processId, Link link, LinkSignal.Closed closed, long now) {
-        owners.remove(closed.dial());
-        connections.remove(closed.dial());
+        processIds.remove(closed.connectionId());
+        connections.remove(closed.connectionId());
         if (link != null) {
-            carryOut(processId, link, link.closed(closed.dial(), closed.reason(), now));
+            execute(processId, link, link.closed(closed.connectionId(), closed.reason(), now));
         }
     }
 
-    private void carryOut(String processId, Link link, List<LinkEffect> effects) {
+    private void execute(String processId, Link link, List<LinkEffect> effects) {
         for (LinkEffect effect : effects) {
-            carryOut(processId, link, effect);
+            execute(processId, link, effect);
         }
     }
 
-    private void carryOut(String processId, Link link, LinkEffect effect) {
+    private void execute(String processId, Link link, LinkEffect effect) {
         switch (effect) {
-            case LinkEffect.Dial dial -> dial(processId, link, dial.dial());
-            case LinkEffect.Greet greet ->
-                sendOn(greet.dial(), Frame.newBuilder().setHello(wiring.hello().get()));
-            case LinkEffect.Beat beat -> sendOn(beat.dial(), Frame.newBuilder().setHeartbeat(heartbeat(false)));
-            case LinkEffect.AnswerBeat answer -> answer(answer);
-            case LinkEffect.Hangup hangup -> hangUp(hangup.dial());
-            case LinkEffect.Up up -> found(link, up.hello());
-            case LinkEffect.Down down -> lost(down.hello(), down.reason());
-            case LinkEffect.Stranger stranger -> observer.stranger(stranger.hello());
+            case LinkEffect.Dial dial -> dial(processId, link, dial.connectionId());
+            case LinkEffect.SendHello sendHello ->
+                sendOn(
+                        sendHello.connectionId(),
+                        Frame.newBuilder().setHello(wiring.hello().get()));
+            case LinkEffect.SendHeartbeat sendHeartbeat ->
+                sendOn(sendHeartbeat.connectionId(), Frame.newBuilder().setHeartbeat(heartbeat(false)));
+            case LinkEffect.AnswerHeartbeat answer -> answerHeartbeat(answer);
+            case LinkEffect.Close close -> closeConnection(close.connectionId());
+            case LinkEffect.Up up -> linkUp(link, up.hello());
+            case LinkEffect.Down down -> linkDown(down.hello(), down.reason());
+            case LinkEffect.UnexpectedProcess unexpected -> observer.unexpectedProcess(unexpected.hello());
             case LinkEffect.Deliver deliver -> observer.received(deliver.sender(), deliver.frame());
         }
     }
 
-    private void found(Link link, Hello hello) {
+    private void linkUp(Link link, Hello hello) {
         LOGGER.atInfo().log(
                 "%s",
                 EventLine.of("link-up")
@@ -189,28 +192,29 @@
         observer.up(hello);
     }
 
-    private void lost(Hello hello, String reason) {
+    private void linkDown(Hello hello, String reason) {
         LOGGER.atInfo().log(
                 "%s",
                 EventLine.of("link-down").with("process", hello.getProcessId()).with("reason", reason));
         observer.down(hello, reason);
     }
 
-    private void dial(String processId, Link link, long dial) {
-        owners.put(dial, processId);
-        wiring.dialer().dial(link.address().host(), link.address().port(), new SignalListener(dial, wiring.signals()));
+    private void dial(String processId, Link link, long connectionId) {
+        processIds.put(connectionId, processId);
+        wiring.dialer()
+                .dial(link.address().host(), link.address().port(), new SignalListener(connectionId, wiring.signals()));
     }
 
-    private void hangUp(long dial) {
-        owners.remove(dial);
-        FrameConnection connection = connections.remove(dial);
+    private void closeConnection(long connectionId) {
+        processIds.remove(connectionId);
+        FrameConnection connection = connections.remove(connectionId);
         if (connection != null) {
             connection.close();
         }
     }
 
-    private void answer(LinkEffect.AnswerBeat answer) {
-        FrameConnection connection = connections.get(answer.dial());
+    private void answerHeartbeat(LinkEffect.AnswerHeartbeat answer) {
+        FrameConnection connection = connections.get(answer.connectionId());
         if (connection == null) {
             return;
         }
@@ -226,8 +230,8 @@
                 .setConfigurationVersion(wiring.configurationVersion().getAsLong());
     }
 
-    private void sendOn(long dial, Frame.Builder frame) {
-        FrameConnection connection = connections.get(dial);
+    private void sendOn(long connectionId, Frame.Builder frame) {
+        FrameConnection connection = connections.get(connectionId);
         if (connection != null) {
             connection.send(frame.setRequestId(wiring.requestIds().getAsLong()).build());
         }
@@ -251,20 +255,20 @@
             RandomGenerator jitter,
             Consumer<LinkSignal> signals) {}
 
-    private record SignalListener(long dial, Consumer<LinkSignal> signals) implements FrameListener {
+    private record SignalListener(long connectionId, Consumer<LinkSignal> signals) implements FrameListener {
         @Override
         public void connected(FrameConnection connection) {
-            signals.accept(new LinkSignal.Opened(dial, connection));
+            signals.accept(new LinkSignal.Opened(connectionId, connection));
         }
 
         @Override
         public void received(FrameConnection connection, Frame frame) {
-            signals.accept(new LinkSignal.Received(dial, frame));
+            signals.accept(new LinkSignal.Received(connectionId, frame));
         }
 
         @Override
         public void disconnected(FrameConnection connection, String reason) {
-            signals.accept(new LinkSignal.Closed(dial, reason));
+            signals.accept(new LinkSignal.Closed(connectionId, reason));
         }
     }
 }
--- a/library/src/main/java/org/chivetally/entry/link/LinkSignal.java
+++ b/library/src/main/java/org/chivetally/entry/link/LinkSignal.java
@@ -6,14 +6,14 @@
 /** What the transport reports about one dial; dials are numbered and never reused. */
 public sealed interface LinkSignal {
     /** Returns the number of the dial. */
-    long dial();
+    long connectionId();
 
     /** The connection is open. */
-    record Opened(long dial, FrameConnection connection) implements LinkSignal {}
+    record Opened(long connectionId, FrameConnection connection) implements LinkSignal {}
 
     /** A frame arrived. */
-    record Received(long dial, Frame frame) implements LinkSignal {}
+    record Received(long connectionId, Frame frame) implements LinkSignal {}
 
     /** The connection is closed, or was never opened. */
-    record Closed(long dial, String reason) implements LinkSignal {}
+    record Closed(long connectionId, String reason) implements LinkSignal {}
 }
--- a/library/src/main/java/org/chivetally/entry/link/ObservedProcesses.java
+++ b/library/src/main/java/org/chivetally/entry/link/ObservedProcesses.java
@@ -12,7 +12,7 @@
 
 /** Keeps what was last heard of each linked process, for operators. Safe from any thread. */
 public final class ObservedProcesses implements LinkObserver {
-    private static final long KEPT_NANOS = Duration.ofMinutes(10).toNanos();
+    private static final long RETENTION_NANOS = Duration.ofMinutes(10).toNanos();
 
     private final NanoClock clock;
     private final Map<String, ObservedProcess> processes = new ConcurrentHashMap<>();
@@ -25,7 +25,7 @@
     /** Returns all processes that can be reached or were heard of in the last ten minutes. */
     public List<ObservedProcess> all() {
         long now = clock.nanos();
-        processes.values().removeIf(last -> !last.reachable() && now - last.observedNanos() > KEPT_NANOS);
+        processes.values().removeIf(last -> !last.reachable() && now - last.observedNanos() > RETENTION_NANOS);
         return List.copyOf(processes.values());
     }
 
@@ -45,21 +45,21 @@
     }
 
     @Override
-    public void stranger(Hello hello) {
+    public void unexpectedProcess(Hello hello) {
         // Nothing is known of a process before it is linked.
     }
 
     @Override
     public void received(Hello sender, Frame frame) {
-        processes.computeIfPresent(sender.getProcessId(), (name, last) -> newer(last, sender, frame));
+        processes.computeIfPresent(sender.getProcessId(), (name, last) -> update(last, sender, frame));
     }
 
-    private ObservedProcess newer(ObservedProcess last, Hello sender, Frame frame) {
+    private ObservedProcess update(ObservedProcess last, Hello sender, Frame frame) {
         if (!last.hello().getIncarnation().equals(sender.getIncarnation())) {
             return last;
         }
         Report report = reportOf(frame)
-                .filter(arrived -> arrived.getSequence() >= last.report().getSequence())
+                .filter(received -> received.getSequence() >= last.report().getSequence())
                 .orElse(last.report());
         long version =
                 frame.hasHeartbeat() ? frame.getHeartbeat().getConfigurationVersion() : last.configurationVersion();
--- a/library/src/main/java/org/chivetally/entry/link/Observers.java
+++ b/library/src/main/java/org/chivetally/entry/link/Observers.java
@@ -12,35 +12,35 @@
 public final class Observers implements LinkObserver {
     private static final FluentLogger LOGGER = FluentLogger.forEnclosingClass();
 
-    private final List<LinkObserver> all = new CopyOnWriteArrayList<>();
+    private final List<LinkObserver> observers = new CopyOnWriteArrayList<>();
 
     /** Adds an observer; it is called on the links' threads and must not block. */
     public void add(LinkObserver observer) {
-        all.add(observer);
+        observers.add(observer);
     }
 
     @Override
     public void up(Hello hello) {
-        tell(observer -> observer.up(hello));
+        notifyObservers(observer -> observer.up(hello));
     }
 
     @Override
     public void down(Hello hello, String reason) {
-        tell(observer -> observer.down(hello, reason));
+        notifyObservers(observer -> observer.down(hello, reason));
     }
 
     @Override
-    public void stranger(Hello hello) {
-        tell(observer -> observer.stranger(hello));
+    public void unexpectedProcess(Hello hello) {
+        notifyObservers(observer -> observer.unexpectedProcess(hello));
     }
 
     @Override
     public void received(Hello sender, Frame frame) {
-        tell(observer -> observer.received(sender, frame));
+        notifyObservers(observer -> observer.received(sender, frame));
     }
 
-    private void tell(Consumer<LinkObserver> call) {
-        for (LinkObserver observer : all) {
+    private void notifyObservers(Consumer<LinkObserver> call) {
+        for (LinkObserver observer : observers) {
             try {
                 call.accept(observer);
             } catch (RuntimeException failure) {
--- a/library/src/main/java/org/chivetally/entry/peer/PeerActor.java
+++ b/library/src/main/java/org/chivetally/entry/peer/PeerActor.java
@@ -177,7 +177,7 @@
             return;
         }
         Address address = new Address(coordinator.host(), coordinator.port());
-        links.keep(coordinator.processId(), address, parts.clock().nanos());
+        links.add(coordinator.processId(), address, parts.clock().nanos());
     }
 
     private void onMembersChanged(MemberList members) {
@@ -187,7 +187,7 @@
                 continue;
             }
             listed.add(entry.processId());
-            links.keep(entry.processId(), entry.address(), parts.clock().nanos());
+            links.add(entry.processId(), entry.address(), parts.clock().nanos());
         }
         Set<Incarnation> ended = endedEntries(members);
         if (!listed.containsAll(viewedEntries) || !endedIncarnations.containsAll(ended)) {
@@ -232,7 +232,7 @@
     private void dropUnneededLinks() {
         for (String processId : links.processes()) {
             if (!viewedEntries.contains(processId) && !hasPendingQuery(processId)) {
-                links.drop(processId, "not a member");
+                links.remove(processId, "not a member");
             }
         }
     }
@@ -293,7 +293,7 @@
     }
 
     @Override
-    public void stranger(Hello hello) {
+    public void unexpectedProcess(Hello hello) {
         parts.introductions().accept(hello);
     }
 
