--- a/library/src/main/java/org/chivetally/agent/AgentActor.java
+++ b/library/src/main/java/org/chivetally/agent/AgentActor.java
@@ -31,9 +31,9 @@
     private static final FluentLogger LOGGER = FluentLogger.forEnclosingClass();
     private static final Duration BUSY_TICK = Duration.ofMillis(20);
     private static final Duration IDLE_TICK = Duration.ofMillis(250);
-    private static final Duration LONELY = Duration.ofSeconds(2);
-    private static final Duration LONELY_LIMIT = Duration.ofSeconds(30);
-    private static final int LONGEST_STASH = 1_000;
+    private static final Duration FIRST_REANNOUNCE_DELAY = Duration.ofSeconds(2);
+    private static final Duration REANNOUNCE_DELAY_LIMIT = Duration.ofSeconds(30);
+    private static final int STASH_CAPACITY = 1_000;
 
     private final AgentSettings settings;
     private final NanoClock clock;
@@ -41,32 +41,35 @@
     private final MinionClient minion;
     private final CompletableFuture<Void> stopped;
     private final String incarnation;
-    private final AgentSurroundings surroundings;
+    private final AgentCallbacks callbacks;
     private final TimerScheduler<Command> timers;
     private final AgentState state;
     private final Map<FrameConnection, Peer> peers = new IdentityHashMap<>();
     private final Map<PeerId, FrameConnection> connections = new HashMap<>();
-    private final Map<String, MinionExchange> runs = new HashMap<>();
-    private MinionExchange stateReading;
-    private long peersSeen;
-    private long aloneSince;
-    private Duration lonelyWait = LONELY;
+    private final Map<String, MinionExchange> exchanges = new HashMap<>();
+    private MinionExchange stateExchange;
+    private long lastPeerNumber;
+    private long disconnectedSinceNanos;
+    private Duration reannounceDelay = FIRST_REANNOUNCE_DELAY;
     private boolean tickIsBusy;
-    private boolean stopReady;
+    private boolean readyToStop;
 
     private AgentActor(
-            ActorContext<Command> context, TimerScheduler<Command> timers, Parts parts, InetSocketAddress bound) {
+            ActorContext<Command> context,
+            TimerScheduler<Command> timers,
+            Dependencies dependencies,
+            InetSocketAddress bound) {
         super(context);
-        this.settings = parts.settings();
-        this.clock = parts.clock();
-        this.meters = parts.meters();
-        this.minion = parts.minion();
-        this.stopped = parts.stopped();
-        this.incarnation = parts.incarnation();
-        this.surroundings = parts.surroundings();
-        this.aloneSince = clock.nanos();
+        this.settings = dependencies.settings();
+        this.clock = dependencies.clock();
+        this.meters = dependencies.meters();
+        this.minion = dependencies.minion();
+        this.stopped = dependencies.stopped();
+        this.incarnation = dependencies.incarnation();
+        this.callbacks = dependencies.callbacks();
+        this.disconnectedSinceNanos = clock.nanos();
         this.timers = timers;
-        Hello hello = settings.hello(parts.incarnation(), bound.getPort());
+        Hello hello = settings.hello(dependencies.incarnation(), bound.getPort());
         this.state = new AgentState(settings, hello, new SecureRandom().nextLong(), clock.nanos());
         timers.startSingleTimer(new Tick(), IDLE_TICK);
         timers.startTimerWithFixedDelay(
@@ -74,11 +77,11 @@
     }
 
     /** Returns the behavior of an agent; it begins its work once it knows its bound address. */
-    static Behavior<Command> create(Parts parts) {
+    static Behavior<Command> create(Dependencies dependencies) {
         return Behaviors.withStash(
-                LONGEST_STASH,
+                STASH_CAPACITY,
                 stash -> Behaviors.receive(Command.class)
-                        .onMessage(Bound.class, bound -> stash.unstashAll(running(parts, bound.address())))
+                        .onMessage(Bound.class, bound -> stash.unstashAll(running(dependencies, bound.address())))
                         .onAnyMessage(command -> {
                             stash.stash(command);
                             return Behaviors.same();
@@ -86,9 +89,9 @@
                         .build());
     }
 
-    private static Behavior<Command> running(Parts parts, InetSocketAddress bound) {
+    private static Behavior<Command> running(Dependencies dependencies, InetSocketAddress bound) {
         return Behaviors.setup(
-                context -> Behaviors.withTimers(timers -> new AgentActor(context, timers, parts, bound)));
+                context -> Behaviors.withTimers(timers -> new AgentActor(context, timers, dependencies, bound)));
     }
 
     @Override
@@ -111,8 +114,8 @@
             case StateRead read -> stateRead(read);
             case Bound bound -> throw new IllegalStateException("bound twice");
         }
-        meters.load(state.runningTasks(), state.waitingTasks());
-        if (stopReady && peers.isEmpty()) {
+        meters.updateLoad(state.runningTasks(), state.waitingTasks());
+        if (readyToStop && peers.isEmpty()) {
             stopped.complete(null);
             return Behaviors.stopped();
         }
@@ -124,7 +127,7 @@
         for (FrameConnection connection : peers.keySet()) {
             connection.close();
         }
-        for (MinionExchange run : runs.values()) {
+        for (MinionExchange run : exchanges.values()) {
             run.cancel();
         }
         minion.close();
@@ -132,12 +135,12 @@
     }
 
     private void connect(FrameConnection connection) {
-        if (stopReady) {
+        if (readyToStop) {
             connection.close();
             return;
         }
-        peersSeen++;
-        Peer peer = new Peer(new PeerId(peersSeen), clock.nanos());
+        lastPeerNumber++;
+        Peer peer = new Peer(new PeerId(lastPeerNumber), clock.nanos());
         peers.put(connection, peer);
         connections.put(peer.id, connection);
         apply(new AgentEvent.PeerConnected(peer.id));
@@ -157,7 +160,7 @@
         if (peer == null) {
             return;
         }
-        peer.lastHeardNanos = clock.nanos();
+        peer.lastFrameNanos = clock.nanos();
         if (!peer.identified && !frame.hasHello()) {
             // Results find their way back by the process that Hello names; without it they would be lost.
             LOGGER.atWarning().log(
@@ -186,7 +189,7 @@
             case INQUIRY -> apply(new AgentEvent.InquiryRequested(peer.id, requestId, frame.getInquiry()));
             case HELLO -> identify(peer, frame.getHello());
             case CONFIGURATION_PUSH -> configure(frame.getConfigurationPush());
-            case SUSPICION_ANSWER -> toldGone(frame.getSuspicionAnswer());
+            case SUSPICION_ANSWER -> handleSuspicionAnswer(frame.getSuspicionAnswer());
             case LEAVING ->
                 LOGGER.atFine().log("%s", EventLine.of("agent-peer-leaving").with("peer", connection.peer()));
             default ->
@@ -199,18 +202,18 @@
     }
 
     private void configure(ConfigurationPush push) {
-        AgentConfiguration configuration =
-                surroundings.offer(push.getVersion(), push.getSnapshot().toByteArray());
+        AgentConfiguration configuration = callbacks.offerConfiguration(
+                push.getVersion(), push.getSnapshot().toByteArray());
         apply(new AgentEvent.Configured(configuration));
     }
 
     // A process that was paused or cut off resumes unaware that the entries have dropped it, and would wait for work
     // that nobody sends. The first entry that reaches it says so.
-    private void toldGone(SuspicionAnswer declared) {
-        boolean self = declared.getProcessId().equals(settings.processId())
-                && declared.getIncarnation().equals(incarnation);
-        if (self && !declared.getAlive()) {
-            surroundings.announceAnew("declared gone");
+    private void handleSuspicionAnswer(SuspicionAnswer answer) {
+        boolean self = answer.getProcessId().equals(settings.processId())
+                && answer.getIncarnation().equals(incarnation);
+        if (self && !answer.getAlive()) {
+            callbacks.reannounce("declared gone");
         }
     }
 
@@ -220,7 +223,7 @@
     }
 
     private void runEnded(RunEnded ended) {
-        if (runs.remove(ended.attemptId()) == null) {
+        if (exchanges.remove(ended.attemptId()) == null) {
             return;
         }
         apply(new AgentEvent.MinionAnswered(ended.attemptId(), ended.answer()));
@@ -228,7 +231,7 @@
 
     private void tick() {
         closeSilentPeers();
-        noticeLoneliness();
+        reannounceWhenDisconnected();
         apply(new AgentEvent.Ticked());
         tickIsBusy = isBusy();
         timers.startSingleTimer(new Tick(), tickIsBusy ? BUSY_TICK : IDLE_TICK);
@@ -241,10 +244,10 @@
     private void closeSilentPeers() {
         // A process that died without a word leaves its connection open for hours; entries send something every two
         // minutes, so a longer silence means that nobody is there.
-        long longest = settings.limits().peerSilence().toNanos();
+        long maximumSilenceNanos = settings.limits().peerSilence().toNanos();
         long now = clock.nanos();
         for (Map.Entry<FrameConnection, Peer> entry : List.copyOf(peers.entrySet())) {
-            if (now - entry.getValue().lastHeardNanos > longest) {
+            if (now - entry.getValue().lastFrameNanos > maximumSilenceNanos) {
                 entry.getKey().close();
                 disconnect(entry.getKey());
             }
@@ -253,33 +256,35 @@
 
     // Entries that all started anew, or dropped this agent, learn of it from its announcements only; the next regular
     // one may be minutes away.
-    private void noticeLoneliness() {
+    private void reannounceWhenDisconnected() {
         long now = clock.nanos();
         if (!peers.isEmpty()) {
-            aloneSince = now;
-            lonelyWait = LONELY;
+            disconnectedSinceNanos = now;
+            reannounceDelay = FIRST_REANNOUNCE_DELAY;
             return;
         }
-        if (now - aloneSince >= lonelyWait.toNanos()) {
-            aloneSince = now;
-            lonelyWait = lonelyWait.compareTo(LONELY_LIMIT) < 0 ? lonelyWait.multipliedBy(2) : lonelyWait;
-            surroundings.announceAnew("no entry is connected");
+        if (now - disconnectedSinceNanos >= reannounceDelay.toNanos()) {
+            disconnectedSinceNanos = now;
+            reannounceDelay = reannounceDelay.compareTo(REANNOUNCE_DELAY_LIMIT) < 0
+                    ? reannounceDelay.multipliedBy(2)
+                    : reannounceDelay;
+            callbacks.reannounce("no entry is connected");
         }
     }
 
     private void readState() {
-        if (stateReading != null) {
-            stateReading.cancel();
+        if (stateExchange != null) {
+            stateExchange.cancel();
             return;
         }
-        long asked = clock.nanos();
-        stateReading = minion.get(statePath());
-        stateReading.answer().thenAccept(answer -> getContext().getSelf().tell(new StateRead(answer, asked)));
+        long requested = clock.nanos();
+        stateExchange = minion.get(statePath());
+        stateExchange.answer().thenAccept(answer -> getContext().getSelf().tell(new StateRead(answer, requested)));
     }
 
     private void stateRead(StateRead read) {
-        stateReading = null;
-        apply(new AgentEvent.MinionReported(stateOf(read.answer()), read.askedNanos()));
+        stateExchange = null;
+        apply(new AgentEvent.MinionReported(stateOf(read.answer()), read.requestedNanos()));
     }
 
     private String statePath() {
@@ -301,7 +306,7 @@
 
     private void apply(AgentEvent event) {
         for (AgentEffect effect : state.apply(event, clock.nanos())) {
-            carryOut(effect);
+            execute(effect);
         }
         if (!tickIsBusy && isBusy()) {
             tickIsBusy = true;
@@ -309,20 +314,20 @@
         }
     }
 
-    private void carryOut(AgentEffect effect) {
+    private void execute(AgentEffect effect) {
         switch (effect) {
             case AgentEffect.RunOnMinion run -> run(run);
             case AgentEffect.SendTo send -> send(send);
             case AgentEffect.WriteLine line -> LOGGER.atInfo().log("%s", line.line());
             case AgentEffect.AbandonRun abandon -> abandon(abandon.attemptId());
             case AgentEffect.CountWaste waste -> meters.wasted(waste.kind());
-            case AgentEffect.StopReady ready -> closeConnections();
+            case AgentEffect.ReadyToStop ready -> closeConnections();
         }
     }
 
     /** Closes all connections; the agent stops once each has flushed what was sent. */
     private void closeConnections() {
-        stopReady = true;
+        readyToStop = true;
         for (FrameConnection connection : peers.keySet()) {
             connection.close();
         }
@@ -331,7 +336,7 @@
     private void run(AgentEffect.RunOnMinion run) {
         meters.started();
         MinionExchange exchange = minion.run(run);
-        runs.put(run.attemptId(), exchange);
+        exchanges.put(run.attemptId(), exchange);
         exchange.answer().thenAccept(answer -> getContext().getSelf().tell(new RunEnded(run.attemptId(), answer)));
     }
 
@@ -345,20 +350,20 @@
     }
 
     private void abandon(String attemptId) {
-        MinionExchange exchange = runs.remove(attemptId);
+        MinionExchange exchange = exchanges.remove(attemptId);
         if (exchange != null) {
             exchange.cancel();
         }
     }
 
     /** What the shell is made of. */
-    record Parts(
+    record Dependencies(
             AgentSettings settings,
             String incarnation,
             MinionClient minion,
             AgentMeters meters,
             NanoClock clock,
-            AgentSurroundings surroundings,
+            AgentCallbacks callbacks,
             CompletableFuture<Void> stopped) {}
 
     /** Messages of the shell. */
@@ -376,7 +381,7 @@
 
     record ReadState() implements Command {}
 
-    record StateRead(MinionAnswer answer, long askedNanos) implements Command {}
+    record StateRead(MinionAnswer answer, long requestedNanos) implements Command {}
 
     record Drain(String reason) implements Command {}
 
@@ -385,12 +390,12 @@
     /** One connection as the shell sees it. */
     private static final class Peer {
         private final PeerId id;
-        private long lastHeardNanos;
+        private long lastFrameNanos;
         private boolean identified;
 
-        Peer(PeerId id, long lastHeardNanos) {
+        Peer(PeerId id, long lastFrameNanos) {
             this.id = id;
-            this.lastHeardNanos = lastHeardNanos;
+            this.lastFrameNanos = lastFrameNanos;
         }
     }
 }
--- a/library/src/main/java/org/chivetally/agent/AgentSurroundings.java
+++ b/library/src/main/java/org/chivetally/agent/AgentCallbacks.java
@@ -1,27 +1,27 @@
 package org.chivetally.agent;
 
 /** What other parts of its process do for an agent. Safe from any thread, and never blocking. */
-public interface AgentSurroundings {
+public interface AgentCallbacks {
     /** Takes a configuration that an entry pushed if it is whole and newer, and returns what is in force then. */
-    AgentConfiguration offer(long version, byte[] snapshot);
+    AgentConfiguration offerConfiguration(long version, byte[] snapshot);
 
     /** Announces the process to all entries again, as some may not know it any more. */
-    void announceAnew(String reason);
+    void reannounce(String reason);
 
     /** Returns the surroundings of an agent that is on its own. */
-    static AgentSurroundings none() {
-        return new Nothing();
+    static AgentCallbacks none() {
+        return new NoCallbacks();
     }
 
     /** No configuration and nobody to announce to. */
-    record Nothing() implements AgentSurroundings {
+    record NoCallbacks() implements AgentCallbacks {
         @Override
-        public AgentConfiguration offer(long version, byte[] snapshot) {
+        public AgentConfiguration offerConfiguration(long version, byte[] snapshot) {
             return AgentConfiguration.NONE;
         }
 
         @Override
-        public void announceAnew(String reason) {
+        public void reannounce(String reason) {
             // Nobody reads it.
         }
     }
--- a/library/src/main/java/org/chivetally/agent/AgentEffect.java
+++ b/library/src/main/java/org/chivetally/agent/AgentEffect.java
@@ -16,7 +16,7 @@
     record SendTo(PeerId peer, Frame frame) implements AgentEffect {}
 
     /** Draining is over; the process may stop. */
-    record StopReady() implements AgentEffect {}
+    record ReadyToStop() implements AgentEffect {}
 
     /** Write one line for a decision. */
     record WriteLine(EventLine line) implements AgentEffect {}
--- a/library/src/main/java/org/chivetally/agent/AgentEvent.java
+++ b/library/src/main/java/org/chivetally/agent/AgentEvent.java
@@ -36,7 +36,7 @@
     record MinionAnswered(String attemptId, MinionAnswer answer) implements AgentEvent {}
 
     /** The minion's state was read, by a request sent at a reading of the clock. */
-    record MinionReported(MinionState state, long askedNanos) implements AgentEvent {}
+    record MinionReported(MinionState state, long requestedNanos) implements AgentEvent {}
 
     /** Another configuration is in force. */
     record Configured(AgentConfiguration configuration) implements AgentEvent {}
--- a/library/src/main/java/org/chivetally/agent/AgentLimits.java
+++ b/library/src/main/java/org/chivetally/agent/AgentLimits.java
@@ -29,7 +29,7 @@
         Duration peerSilence,
         boolean logDecisions) {
     /** Most bytes of results in one frame, so that with all else it stays under the longest frame. */
-    static final int LONGEST_ANSWER_BYTES = 3 * 1024 * 1024;
+    static final int MAXIMUM_ANSWER_BYTES = 3 * 1024 * 1024;
 
     private static final long DEFAULT_RESULT_BYTES = 16L * 1024 * 1024;
     private static final int DEFAULT_ANSWER_BYTES = 2 * 1024 * 1024;
@@ -44,8 +44,8 @@
         if (queueBound < 0 || resultBytes < 0 || answerBytes < 0 || failuresUntilUnhealthy < 1) {
             throw new IllegalArgumentException("bounds can't be negative, and at least one failure makes unhealthy");
         }
-        if (answerBytes > LONGEST_ANSWER_BYTES) {
-            throw new IllegalArgumentException("an answer has at most " + LONGEST_ANSWER_BYTES + " bytes");
+        if (answerBytes > MAXIMUM_ANSWER_BYTES) {
+            throw new IllegalArgumentException("an answer has at most " + MAXIMUM_ANSWER_BYTES + " bytes");
         }
         if (resultRetention.compareTo(longestTicketAge.multipliedBy(2)) < 0) {
             throw new IllegalArgumentException("attempts are remembered for at least twice the longest ticket age");
--- a/library/src/main/java/org/chivetally/agent/AgentMeters.java
+++ b/library/src/main/java/org/chivetally/agent/AgentMeters.java
@@ -57,7 +57,7 @@
         }
     }
 
-    void load(int runningTasks, int waitingTasks) {
+    void updateLoad(int runningTasks, int waitingTasks) {
         running.set(runningTasks);
         waiting.set(waitingTasks);
     }
--- a/library/src/main/java/org/chivetally/agent/AgentServer.java
+++ b/library/src/main/java/org/chivetally/agent/AgentServer.java
@@ -46,7 +46,7 @@
             FrameTransport transport,
             MeterRegistry registry,
             NanoClock clock) {
-        return start(system, settings, transport, registry, clock, AgentSurroundings.none());
+        return start(system, settings, transport, registry, clock, AgentCallbacks.none());
     }
 
     /** Starts an agent within the other parts of its process. */
@@ -56,15 +56,15 @@
             FrameTransport transport,
             MeterRegistry registry,
             NanoClock clock,
-            AgentSurroundings surroundings) {
+            AgentCallbacks callbacks) {
         String incarnation = UUID.randomUUID().toString();
         MinionClient minion = new MinionClient(
                 system, settings.minionBase(), settings.limits().answerBytes(), clock);
         CompletableFuture<Void> stopped = new CompletableFuture<>();
-        AgentActor.Parts parts = new AgentActor.Parts(
-                settings, incarnation, minion, new AgentMeters(registry), clock, surroundings, stopped);
+        AgentActor.Dependencies dependencies = new AgentActor.Dependencies(
+                settings, incarnation, minion, new AgentMeters(registry), clock, callbacks, stopped);
         ActorRef<AgentActor.Command> actor =
-                system.systemActorOf(AgentActor.create(parts), "agent-" + incarnation, Props.empty());
+                system.systemActorOf(AgentActor.create(dependencies), "agent-" + incarnation, Props.empty());
         return transport
                 .listen(settings.host(), settings.port(), new ToActor(actor, stopped))
                 .thenApply(address -> {
--- a/library/src/main/java/org/chivetally/agent/AgentState.java
+++ b/library/src/main/java/org/chivetally/agent/AgentState.java
@@ -31,14 +31,14 @@
  */
 public final class AgentState {
     /** Error of a result whose attempt was ended by its lease. */
-    public static final String LEASE_OVER = "attempt lease over";
+    public static final String LEASE_EXPIRED = "attempt lease over";
 
     /** Error of a result whose texts were dropped for space. */
-    public static final String RESULT_NOT_KEPT = Attempt.RESULT_NOT_KEPT;
+    public static final String RESULT_DISCARDED = Attempt.RESULT_DISCARDED;
 
     private static final RefusalReason ADMITTED = RefusalReason.REFUSAL_REASON_UNSPECIFIED;
     private static final long DEFAULT_LEASE_MILLIS = 30_000;
-    private static final long LONGEST_MILLIS = 86_400_000;
+    private static final long MAXIMUM_DURATION_MILLIS = 86_400_000;
     private static final long NANOS_PER_MILLI = 1_000_000;
 
     private final AgentSettings settings;
@@ -47,19 +47,19 @@
     private final Peers peers = new Peers();
     private final Fences fences = new Fences();
     private final RecentRefusals recentRefusals = new RecentRefusals();
-    private final AttemptBook attempts;
+    private final AttemptTable attempts;
     private final MinionView minion;
     private final Deque<Attempt> waiting = new ArrayDeque<>();
     private final Map<String, Attempt> running = new LinkedHashMap<>();
 
     private List<AgentEffect> effects = List.of();
     private long now;
-    private long reports;
+    private long lastReportSequence;
     private AgentConfiguration configuration = AgentConfiguration.NONE;
     private boolean draining;
     private boolean stopped;
-    private boolean toldUnhealthy = true;
-    private boolean toldDraining;
+    private boolean reportedUnhealthy = true;
+    private boolean reportedDraining;
     private long lingerEndNanos;
 
     /**
@@ -74,7 +74,7 @@
         this.settings = settings;
         this.self = self;
         this.tickets = new Tickets(ticketOffset, startNanos, limits.longestTicketAge());
-        this.attempts = new AttemptBook(limits.resultRetention().toNanos(), limits.resultBytes());
+        this.attempts = new AttemptTable(limits.resultRetention().toNanos(), limits.resultBytes());
         this.minion = new MinionView(limits.failuresUntilUnhealthy());
         this.lingerEndNanos = startNanos;
     }
@@ -90,15 +90,15 @@
             case AgentEvent.CancelRequested request -> cancel(request);
             case AgentEvent.InquiryRequested request -> inquire(request);
             case AgentEvent.MinionReported reported ->
-                minion.observe(reported.state(), runsSince(reported.askedNanos()));
-            case AgentEvent.PeerConnected connected -> greet(connected.peer());
+                minion.update(reported.state(), runsStartedBy(reported.requestedNanos()));
+            case AgentEvent.PeerConnected connected -> sendHello(connected.peer());
             case AgentEvent.PeerIdentified identified -> identify(identified);
             case AgentEvent.PeerDisconnected disconnected -> peers.disconnected(disconnected.peer());
             case AgentEvent.Configured configured -> configure(configured.configuration());
             case AgentEvent.DrainRequested request -> drain(request.reason());
             case AgentEvent.Ticked ticked -> tick();
         }
-        settle();
+        updateAfterEvent();
         return effects;
     }
 
@@ -113,11 +113,11 @@
     }
 
     /** Returns the bytes of kept results. */
-    public long keptBytes() {
-        return attempts.keptBytes();
+    public long retainedBytes() {
+        return attempts.retainedBytes();
     }
 
-    private void greet(PeerId peer) {
+    private void sendHello(PeerId peer) {
         peers.connected(peer);
         Hello hello = self.toBuilder()
                 .setReport(report())
@@ -125,7 +125,7 @@
                 .build();
         send(peer, Frame.newBuilder().setHello(hello));
         if (draining) {
-            send(peer, leaving("draining"));
+            send(peer, leavingFrame("draining"));
         }
     }
 
@@ -152,10 +152,10 @@
         if (next.version() <= configuration.version()) {
             return;
         }
-        boolean wasLeaving = isLeaving();
+        boolean wasDraining = isDraining();
         configuration = next;
-        if (wasLeaving == isLeaving()) {
-            tellPeers();
+        if (wasDraining == isDraining()) {
+            broadcastHeartbeat();
         }
     }
 
@@ -163,45 +163,45 @@
         Start start = request.start();
         Attempt known = attempts.find(start.getAttemptId());
         if (known != null) {
-            repeatAttempt(known, request);
+            answerRepeatedAttempt(known, request);
             return;
         }
         RefusalReason recent = recentRefusals.reason(start.getAttemptId());
         if (recent != ADMITTED) {
-            waste(AgentEffect.WasteKind.REPEATED_START);
+            countWaste(AgentEffect.WasteKind.REPEATED_START);
             sendRefusal(request.peer(), request.requestId(), start.getAttemptId(), recent);
             return;
         }
-        RefusalReason fenced = fencedBecause(start);
+        RefusalReason fenced = fencingRefusal(start);
         if (fenced != ADMITTED) {
             refuse(request, fenced);
             return;
         }
         Attempt sameTask = attempts.find(start.getJobId(), start.getTaskIndex());
         if (sameTask != null && !mayRunAgain(sameTask, start)) {
-            repeatTask(sameTask, request);
+            answerRepeatedTask(sameTask, request);
             return;
         }
-        RefusalReason unfit = unfitBecause(start);
-        if (unfit != ADMITTED) {
-            refuse(request, unfit);
+        RefusalReason inadmissible = admissionRefusal(start);
+        if (inadmissible != ADMITTED) {
+            refuse(request, inadmissible);
             return;
         }
         admit(request);
     }
 
     /** Answers a second start of one attempt: it starts once, and its result goes to whoever asked last. */
-    private void repeatAttempt(Attempt known, AgentEvent.StartRequested request) {
-        waste(AgentEffect.WasteKind.REPEATED_START);
-        known.answerTo(request.peer(), peers.process(request.peer()));
+    private void answerRepeatedAttempt(Attempt known, AgentEvent.StartRequested request) {
+        countWaste(AgentEffect.WasteKind.REPEATED_START);
+        known.redirectTo(request.peer(), peers.process(request.peer()));
         if (known.ended()) {
             sendResult(request.peer(), request.requestId(), known.id, known);
         }
     }
 
-    private RefusalReason fencedBecause(Start start) {
+    private RefusalReason fencingRefusal(Start start) {
         if (!tickets.isFresh(start.getTicket(), now)
-                || !fences.admitsTicket(start.getJobId(), tickets.place(start.getTicket()))) {
+                || !fences.admitsTicket(start.getJobId(), tickets.position(start.getTicket()))) {
             return RefusalReason.REFUSAL_REASON_STALE_TICKET;
         }
         int floor = fences.generation(start.getJobId());
@@ -227,20 +227,20 @@
                 && attempt.status() != TaskStatus.TASK_STATUS_DONE;
     }
 
-    private void repeatTask(Attempt sameTask, AgentEvent.StartRequested request) {
+    private void answerRepeatedTask(Attempt sameTask, AgentEvent.StartRequested request) {
         if (!sameTask.ended()) {
             refuse(request, RefusalReason.REFUSAL_REASON_ALREADY_STARTED);
             return;
         }
-        waste(AgentEffect.WasteKind.REPEATED_START);
+        countWaste(AgentEffect.WasteKind.REPEATED_START);
         sendResult(request.peer(), request.requestId(), request.start().getAttemptId(), sameTask);
     }
 
-    private RefusalReason unfitBecause(Start start) {
+    private RefusalReason admissionRefusal(Start start) {
         if (!start.getService().equals(settings.service())) {
             return RefusalReason.REFUSAL_REASON_WRONG_SERVICE;
         }
-        if (isLeaving()) {
+        if (isDraining()) {
             return RefusalReason.REFUSAL_REASON_DRAINING;
         }
         if (!minion.healthy()) {
@@ -278,9 +278,9 @@
         return new Attempt.Times(now, now + nanosOf(start.getQueueMillis()), now + nanosOf(leaseMillis));
     }
 
-    private static long nanosOf(long unsignedMillis) {
-        boolean tooLong = unsignedMillis < 0 || unsignedMillis > LONGEST_MILLIS;
-        return (tooLong ? LONGEST_MILLIS : unsignedMillis) * NANOS_PER_MILLI;
+    private static long nanosOf(long unsignedMilliseconds) {
+        boolean tooLong = unsignedMilliseconds < 0 || unsignedMilliseconds > MAXIMUM_DURATION_MILLIS;
+        return (tooLong ? MAXIMUM_DURATION_MILLIS : unsignedMilliseconds) * NANOS_PER_MILLI;
     }
 
     private void run(Attempt attempt) {
@@ -291,7 +291,7 @@
     private void minionAnswered(AgentEvent.MinionAnswered answered) {
         Attempt attempt = running.remove(answered.attemptId());
         if (attempt == null) {
-            waste(AgentEffect.WasteKind.LATE_ANSWER);
+            countWaste(AgentEffect.WasteKind.LATE_ANSWER);
             return;
         }
         if (!(answered.answer() instanceof MinionAnswer.NotSent)) {
@@ -309,7 +309,7 @@
     private void declined(Attempt attempt) {
         // The minion has work that the agent does not know of; without holding the slot back, every waiting task would
         // be sent and declined in turn.
-        minion.addStrayRun();
+        minion.addUntrackedRun();
         refuse(attempt, RefusalReason.REFUSAL_REASON_FULL);
     }
 
@@ -328,11 +328,11 @@
         fillSlots();
         PeerId route = peers.route(attempt.peer(), attempt.process());
         if (route == null) {
-            waste(AgentEffect.WasteKind.UNDELIVERED);
+            countWaste(AgentEffect.WasteKind.UNDELIVERED);
         } else {
             sendResult(route, attempt.requestId(), attempt.id, attempt);
         }
-        attempts.keep(attempt);
+        attempts.retainResult(attempt);
     }
 
     private void cancel(AgentEvent.CancelRequested request) {
@@ -349,29 +349,29 @@
         int generation = request.inquiry().getGeneration();
         if (generation < fences.generation(jobId)) {
             // No answer: a coordinator that was taken over from would read tasks missing here as never to be run.
-            waste(AgentEffect.WasteKind.OLD_INQUIRY);
+            countWaste(AgentEffect.WasteKind.OLD_INQUIRY);
             return;
         }
-        raiseFence(jobId, generation, tickets.lastPlace());
+        raiseFence(jobId, generation, tickets.lastPosition());
         Peers.ProcessKey process = peers.process(request.peer());
         for (Attempt attempt : attempts.ofJob(jobId)) {
-            attempt.answerTo(request.peer(), process);
+            attempt.redirectTo(request.peer(), process);
         }
         answerInquiry(request, attempts.ofJob(jobId));
     }
 
-    private void raiseFence(String jobId, int generation, long ticketPlace) {
-        fences.raise(jobId, generation, ticketPlace, now);
+    private void raiseFence(String jobId, int generation, long ticketPosition) {
+        fences.raise(jobId, generation, ticketPosition, now);
         refuseWaiting(
                 attempt -> attempt.jobId.equals(jobId) && attempt.generation < generation,
                 RefusalReason.REFUSAL_REASON_OLD_GENERATION);
     }
 
     /** Returns how many runs go on now that had begun at a time: those that a report asked for then must count. */
-    private int runsSince(long nanos) {
+    private int runsStartedBy(long nanos) {
         int runs = 0;
         for (Attempt attempt : running.values()) {
-            runs += attempt.begunBy(nanos) ? 1 : 0;
+            runs += attempt.startedBy(nanos) ? 1 : 0;
         }
         return runs;
     }
@@ -381,12 +381,12 @@
         InquiryAnswer.Builder answer = InquiryAnswer.newBuilder()
                 .setJobId(request.inquiry().getJobId())
                 .setReport(report());
-        List<Attempt> following = new ArrayList<>();
+        List<Attempt> deferred = new ArrayList<>();
         int bytes = 0;
         for (Attempt attempt : known) {
-            bytes += attempt.keptBytes();
-            if (bytes > AgentLimits.LONGEST_ANSWER_BYTES) {
-                following.add(attempt);
+            bytes += attempt.resultBytes();
+            if (bytes > AgentLimits.MAXIMUM_ANSWER_BYTES) {
+                deferred.add(attempt);
                 answer.addTasks(attempt.toTaskState().toBuilder()
                         .setStatus(TaskStatus.TASK_STATUS_RUNNING)
                         .clearBody()
@@ -404,7 +404,7 @@
         send(
                 request.peer(),
                 Frame.newBuilder().setRequestId(request.requestId()).setInquiryAnswer(answer));
-        for (Attempt attempt : following) {
+        for (Attempt attempt : deferred) {
             if (attempt.ended()) {
                 sendResult(request.peer(), 0, attempt.id, attempt);
             }
@@ -421,47 +421,47 @@
                 .with("queued", waiting.size())
                 .with("running", running.size()));
         for (PeerId peer : peers.all()) {
-            send(peer, leaving(reason));
+            send(peer, leavingFrame(reason));
         }
     }
 
     private void tick() {
         AgentLimits limits = settings.limits();
-        endLeases();
+        endExpiredAttempts();
         refuseWaiting(attempt -> !attempt.mayWait(now), RefusalReason.REFUSAL_REASON_EXPIRED);
-        attempts.forget(now);
-        fences.forget(now, limits.resultRetention().toNanos());
-        recentRefusals.forget(now, 2 * limits.longestTicketAge().toNanos());
+        attempts.removeExpired(now);
+        fences.removeExpired(now, limits.resultRetention().toNanos());
+        recentRefusals.removeExpired(now, 2 * limits.longestTicketAge().toNanos());
     }
 
-    private void endLeases() {
-        List<Attempt> over = new ArrayList<>(0);
+    private void endExpiredAttempts() {
+        List<Attempt> expired = new ArrayList<>(0);
         for (Attempt attempt : running.values()) {
-            if (attempt.leaseOver(now)) {
-                over.add(attempt);
+            if (attempt.leaseExpired(now)) {
+                expired.add(attempt);
             }
         }
-        for (Attempt attempt : over) {
+        for (Attempt attempt : expired) {
             running.remove(attempt.id);
-            minion.addStrayRun();
+            minion.addUntrackedRun();
             effects.add(new AgentEffect.AbandonRun(attempt.id));
-            end(attempt, TaskStatus.TASK_STATUS_UNKNOWN, "", LEASE_OVER);
+            end(attempt, TaskStatus.TASK_STATUS_UNKNOWN, "", LEASE_EXPIRED);
         }
     }
 
     /** Brings the queue and what peers were told in line with the state after an event. */
-    private void settle() {
-        if (isLeaving()) {
+    private void updateAfterEvent() {
+        if (isDraining()) {
             refuseWaiting(attempt -> true, RefusalReason.REFUSAL_REASON_DRAINING);
         } else if (!minion.healthy()) {
             refuseWaiting(attempt -> true, RefusalReason.REFUSAL_REASON_MINION_DOWN);
         }
         fillSlots();
-        tellPeersOfChange();
+        broadcastAvailabilityChange();
         boolean idle = running.isEmpty() && now - lingerEndNanos >= 0;
         if (draining && idle && !stopped) {
             stopped = true;
-            effects.add(new AgentEffect.StopReady());
+            effects.add(new AgentEffect.ReadyToStop());
         }
     }
 
@@ -479,35 +479,35 @@
         }
     }
 
-    private void tellPeersOfChange() {
+    private void broadcastAvailabilityChange() {
         boolean unhealthy = !minion.healthy();
-        boolean leaving = isLeaving();
-        if (unhealthy == toldUnhealthy && leaving == toldDraining) {
+        boolean nowDraining = isDraining();
+        if (unhealthy == reportedUnhealthy && nowDraining == reportedDraining) {
             return;
         }
-        toldUnhealthy = unhealthy;
-        toldDraining = leaving;
+        reportedUnhealthy = unhealthy;
+        reportedDraining = nowDraining;
         writeLine(
-                EventLine.of("agent-availability").with("unhealthy", unhealthy).with("draining", leaving));
-        tellPeers();
+                EventLine.of("agent-availability").with("unhealthy", unhealthy).with("draining", nowDraining));
+        broadcastHeartbeat();
     }
 
-    private void tellPeers() {
+    private void broadcastHeartbeat() {
         for (PeerId peer : peers.all()) {
             send(peer, Frame.newBuilder().setHeartbeat(heartbeat()));
         }
     }
 
     private boolean accepts() {
-        return minion.healthy() && !isLeaving();
+        return minion.healthy() && !isDraining();
     }
 
-    private boolean isLeaving() {
+    private boolean isDraining() {
         return draining || minion.draining() || configuration.draining();
     }
 
     private int freeSlots() {
-        return Math.max(0, settings.capacity().runnableTasks() - running.size() - minion.strayRuns());
+        return Math.max(0, settings.capacity().runnableTasks() - running.size() - minion.untrackedRuns());
     }
 
     private void refuseWaiting(Predicate<Attempt> condition, RefusalReason reason) {
@@ -536,14 +536,14 @@
 
     /** Refuses an admitted attempt that did not run. */
     private void refuse(Attempt attempt, RefusalReason reason) {
-        attempts.withdraw(attempt);
+        attempts.remove(attempt);
         recentRefusals.add(attempt.id, reason, now);
         if (settings.limits().logDecisions()) {
             writeLine(attemptLine("agent-refuse", attempt).with("reason", reason));
         }
         PeerId route = peers.route(attempt.peer(), attempt.process());
         if (route == null) {
-            waste(AgentEffect.WasteKind.UNDELIVERED);
+            countWaste(AgentEffect.WasteKind.UNDELIVERED);
             return;
         }
         sendRefusal(route, attempt.requestId(), attempt.id, reason);
@@ -572,19 +572,19 @@
     }
 
     private Report report() {
-        reports++;
+        lastReportSequence++;
         return Report.newBuilder()
                 .setTicket(tickets.issue(now))
                 .setFreeSlots(accepts() ? freeSlots() : 0)
                 .setQueued(waiting.size())
                 .setRunning(running.size())
-                .setDraining(isLeaving())
+                .setDraining(isDraining())
                 .setMinionUnhealthy(!minion.healthy())
-                .setSequence(reports)
+                .setSequence(lastReportSequence)
                 .build();
     }
 
-    private static Frame.Builder leaving(String reason) {
+    private static Frame.Builder leavingFrame(String reason) {
         return Frame.newBuilder().setLeaving(Leaving.newBuilder().setReason(reason));
     }
 
@@ -592,7 +592,7 @@
         effects.add(new AgentEffect.SendTo(peer, frame.build()));
     }
 
-    private void waste(AgentEffect.WasteKind kind) {
+    private void countWaste(AgentEffect.WasteKind kind) {
         effects.add(new AgentEffect.CountWaste(kind));
     }
 
--- a/library/src/main/java/org/chivetally/agent/Attempt.java
+++ b/library/src/main/java/org/chivetally/agent/Attempt.java
@@ -9,7 +9,7 @@
 /** One admitted attempt of a task, from waiting over running to its kept result. */
 final class Attempt {
     /** Error of a result whose text was dropped for space. */
-    static final String RESULT_NOT_KEPT = "result no longer kept";
+    static final String RESULT_DISCARDED = "result no longer kept";
 
     final String id;
     final String jobId;
@@ -59,7 +59,7 @@
     }
 
     /** Sends the outcome to another connection from now on. */
-    void answerTo(PeerId newPeer, Peers.ProcessKey newProcess) {
+    void redirectTo(PeerId newPeer, Peers.ProcessKey newProcess) {
         if (!newProcess.equals(process)) {
             // Request ids are counted by each process, so this one means nothing to the new process.
             requestId = 0;
@@ -73,7 +73,7 @@
     }
 
     /** Notes the attempt of the same task that this one takes the place of. */
-    void follows(Attempt previous) {
+    void setEarlier(Attempt previous) {
         earlier = previous;
     }
 
@@ -99,14 +99,14 @@
 
     /** Marks the begin of the run and gives up the payload. */
     ByteString begin(long nowNanos) {
-        ByteString handedOut = payload;
+        ByteString taken = payload;
         startedNanos = nowNanos;
         payload = ByteString.EMPTY;
-        return handedOut;
+        return taken;
     }
 
     /** Tells whether the run had begun at a time. */
-    boolean begunBy(long nanos) {
+    boolean startedBy(long nanos) {
         return nanos - startedNanos >= 0;
     }
 
@@ -119,17 +119,17 @@
     }
 
     /** Drops the texts for space; what is left says only that the attempt started. */
-    void dropTexts() {
+    void discardResult() {
         status = TaskStatus.TASK_STATUS_UNKNOWN;
         body = "";
-        error = RESULT_NOT_KEPT;
+        error = RESULT_DISCARDED;
     }
 
     boolean mayWait(long nowNanos) {
         return nowNanos - queueEndNanos < 0 && nowNanos - leaseEndNanos < 0;
     }
 
-    boolean leaseOver(long nowNanos) {
+    boolean leaseExpired(long nowNanos) {
         return nowNanos - leaseEndNanos >= 0;
     }
 
@@ -142,7 +142,7 @@
     }
 
     /** Returns the bytes that the kept texts take in a frame. */
-    int keptBytes() {
+    int resultBytes() {
         return CodedOutputStream.computeStringSizeNoTag(body) + CodedOutputStream.computeStringSizeNoTag(error);
     }
 
--- a/library/src/main/java/org/chivetally/agent/AttemptBook.java
+++ b/library/src/main/java/org/chivetally/agent/AttemptTable.java
@@ -8,18 +8,18 @@
 import java.util.Map;
 
 /** All admitted attempts that are remembered, by id and by task; kept texts stay under a bound. */
-final class AttemptBook {
+final class AttemptTable {
     private final long retentionNanos;
-    private final long boundBytes;
+    private final long maximumBytes;
     private final Map<String, Attempt> byId = new HashMap<>();
     private final Map<String, List<Attempt>> newestByJob = new HashMap<>();
     private final Deque<Attempt> ended = new ArrayDeque<>();
-    private final Deque<Attempt> withTexts = new ArrayDeque<>();
-    private long keptBytes;
+    private final Deque<Attempt> withResults = new ArrayDeque<>();
+    private long retainedBytes;
 
-    AttemptBook(long retentionNanos, long boundBytes) {
+    AttemptTable(long retentionNanos, long maximumBytes) {
         this.retentionNanos = retentionNanos;
-        this.boundBytes = boundBytes;
+        this.maximumBytes = maximumBytes;
     }
 
     /** Returns the attempt of an id, or null. */
@@ -42,55 +42,55 @@
         return newestByJob.getOrDefault(jobId, List.of());
     }
 
-    long keptBytes() {
-        return keptBytes;
+    long retainedBytes() {
+        return retainedBytes;
     }
 
     void add(Attempt attempt) {
-        attempt.follows(find(attempt.jobId, attempt.taskIndex));
+        attempt.setEarlier(find(attempt.jobId, attempt.taskIndex));
         byId.put(attempt.id, attempt);
         replace(attempt.jobId, attempt.earlier(), attempt);
     }
 
     /** Takes out an attempt that did not run, so that an earlier one of its task speaks for the task again. */
-    void withdraw(Attempt attempt) {
+    void remove(Attempt attempt) {
         byId.remove(attempt.id);
         Attempt earlier = attempt.earlier();
-        boolean remembered = earlier != null && byId.get(earlier.id) == earlier;
-        replace(attempt.jobId, attempt, remembered ? earlier : null);
+        boolean stillRetained = earlier != null && byId.get(earlier.id) == earlier;
+        replace(attempt.jobId, attempt, stillRetained ? earlier : null);
     }
 
     /** Keeps the result of an ended attempt, dropping the oldest texts for space. */
-    void keep(Attempt attempt) {
+    void retainResult(Attempt attempt) {
         ended.add(attempt);
-        withTexts.add(attempt);
-        keptBytes += attempt.keptBytes();
-        while (keptBytes > boundBytes) {
-            Attempt oldest = withTexts.remove();
-            keptBytes -= oldest.keptBytes();
-            oldest.dropTexts();
+        withResults.add(attempt);
+        retainedBytes += attempt.resultBytes();
+        while (retainedBytes > maximumBytes) {
+            Attempt oldest = withResults.remove();
+            retainedBytes -= oldest.resultBytes();
+            oldest.discardResult();
         }
     }
 
     /** Forgets attempts that ended longer ago than the retention. */
-    void forget(long nowNanos) {
+    void removeExpired(long nowNanos) {
         while (!ended.isEmpty() && nowNanos - ended.peek().endedNanos() >= retentionNanos) {
             Attempt oldest = ended.remove();
             byId.remove(oldest.id);
             replace(oldest.jobId, oldest, null);
-            if (withTexts.peek() == oldest) {
-                withTexts.remove();
-                keptBytes -= oldest.keptBytes();
+            if (withResults.peek() == oldest) {
+                withResults.remove();
+                retainedBytes -= oldest.resultBytes();
             }
         }
     }
 
     /** Puts one attempt of a job in place of another; null stands for none. */
-    private void replace(String jobId, Attempt old, Attempt fresh) {
+    private void replace(String jobId, Attempt old, Attempt replacement) {
         List<Attempt> attempts = newestByJob.computeIfAbsent(jobId, id -> new ArrayList<>(1));
         boolean removed = old != null && attempts.remove(old);
-        if (fresh != null && (old == null || removed)) {
-            attempts.add(fresh);
+        if (replacement != null && (old == null || removed)) {
+            attempts.add(replacement);
         }
         if (attempts.isEmpty()) {
             newestByJob.remove(jobId);
--- a/library/src/main/java/org/chivetally/agent/Fences.java
+++ b/library/src/main/java/org/chivetally/agent/Fences.java
@@ -23,26 +23,26 @@
     }
 
     /** Tells whether a ticket of this place was issued after the last inquiry about the job. */
-    boolean admitsTicket(String jobId, long place) {
-        return place > fences.getOrDefault(jobId, NONE).ticketPlace();
+    boolean admitsTicket(String jobId, long position) {
+        return position > fences.getOrDefault(jobId, NONE).ticketPosition();
     }
 
     /** Raises the floors of a job; they never sink. */
-    void raise(String jobId, int generation, long ticketPlace, long nowNanos) {
+    void raise(String jobId, int generation, long ticketPosition, long nowNanos) {
         Fence before = fences.getOrDefault(jobId, NONE);
         int higher = Math.max(before.generation(), generation);
-        long later = Math.max(before.ticketPlace(), ticketPlace);
+        long later = Math.max(before.ticketPosition(), ticketPosition);
         fences.remove(jobId);
         fences.put(jobId, new Fence(higher, later, nowNanos));
     }
 
     /** Forgets what was raised longer ago than the retention. */
-    void forget(long nowNanos, long retentionNanos) {
+    void removeExpired(long nowNanos, long retentionNanos) {
         Iterator<Fence> oldestFirst = fences.values().iterator();
         while (oldestFirst.hasNext() && nowNanos - oldestFirst.next().raisedNanos() >= retentionNanos) {
             oldestFirst.remove();
         }
     }
 
-    private record Fence(int generation, long ticketPlace, long raisedNanos) {}
+    private record Fence(int generation, long ticketPosition, long raisedNanos) {}
 }
--- a/library/src/main/java/org/chivetally/agent/MemberAnnouncer.java
+++ b/library/src/main/java/org/chivetally/agent/MemberAnnouncer.java
@@ -37,7 +37,7 @@
     public MemberAnnouncer(ActorSystem<?> system, PlatformLog log, Member member, Duration interval) {
         actor = system.systemActorOf(
                 Behaviors.setup(context ->
-                        Behaviors.withTimers(timers -> new Announcing(context, timers, log, member, interval))),
+                        Behaviors.withTimers(timers -> new AnnouncerBehavior(context, timers, log, member, interval))),
                 "announcer-" + member.incarnation(),
                 Props.empty());
     }
@@ -49,9 +49,9 @@
 
     /** Stops announcing and appends the leave; completes when that is written, or after five seconds. */
     public CompletionStage<Void> leave() {
-        CompletableFuture<Void> left = new CompletableFuture<>();
-        actor.tell(new Leave(left));
-        return left;
+        CompletableFuture<Void> completion = new CompletableFuture<>();
+        actor.tell(new Leave(completion));
+        return completion;
     }
 
     private sealed interface Command {}
@@ -62,16 +62,16 @@
 
     private record AnnounceNow() implements Command {}
 
-    private record Leave(CompletableFuture<Void> left) implements Command {}
+    private record Leave(CompletableFuture<Void> completion) implements Command {}
 
-    private record GiveUp() implements Command {}
+    private record LeaveTimedOut() implements Command {}
 
-    private static final class Announcing extends AbstractBehavior<Command> {
+    private static final class AnnouncerBehavior extends AbstractBehavior<Command> {
         private static final Duration FIRST_BACKOFF = Duration.ofMillis(500);
         /** In an outage each failed try introduces the process to all seeds, so the tries get rare. */
-        private static final int BACKOFFS_IN_INTERVAL = 4;
+        private static final int BACKOFFS_PER_INTERVAL = 4;
 
-        private static final Duration LEAVE_LIMIT = Duration.ofSeconds(5);
+        private static final Duration LEAVE_TIMEOUT = Duration.ofSeconds(5);
 
         private final TimerScheduler<Command> timers;
         private final PlatformLog log;
@@ -79,13 +79,13 @@
         private final Duration interval;
         private NewRecord record;
         private Duration backoff = FIRST_BACKOFF;
-        private long records;
+        private long lastRecordNumber;
         private boolean inFlight;
-        private boolean again;
+        private boolean announceAgain;
         private boolean leaveSent;
-        private CompletableFuture<Void> left;
+        private CompletableFuture<Void> leaveCompletion;
 
-        Announcing(
+        AnnouncerBehavior(
                 ActorContext<Command> context,
                 TimerScheduler<Command> timers,
                 PlatformLog log,
@@ -110,8 +110,8 @@
                 case Append due -> append();
                 case AnnounceNow now -> announceNow();
                 case Appended appended -> appended(appended.outcome());
-                case Leave leave -> leave(leave.left());
-                case GiveUp giveUp -> stop();
+                case Leave leave -> leave(leave.completion());
+                case LeaveTimedOut giveUp -> stop();
             };
         }
 
@@ -125,18 +125,18 @@
 
         // The announcement under way may come to stand before the record that makes another one necessary.
         private Behavior<Command> announceNow() {
-            again = inFlight;
-            return inFlight || left != null ? this : append();
+            announceAgain = inFlight;
+            return inFlight || leaveCompletion != null ? this : append();
         }
 
-        private Behavior<Command> leave(CompletableFuture<Void> whenLeft) {
-            if (left != null) {
-                left.thenAccept(whenLeft::complete);
+        private Behavior<Command> leave(CompletableFuture<Void> completion) {
+            if (leaveCompletion != null) {
+                leaveCompletion.thenAccept(completion::complete);
                 return this;
             }
-            left = whenLeft;
+            leaveCompletion = completion;
             timers.cancelAll();
-            timers.startSingleTimer(new GiveUp(), LEAVE_LIMIT);
+            timers.startSingleTimer(new LeaveTimedOut(), LEAVE_TIMEOUT);
             // An announce in flight is waited for, so that the leave stands after it.
             return inFlight ? this : appendLeave();
         }
@@ -150,23 +150,23 @@
         private Behavior<Command> appended(AppendOutcome outcome) {
             inFlight = false;
             boolean written = outcome instanceof AppendOutcome.Appended;
-            if (left != null) {
-                return leaving(written);
+            if (leaveCompletion != null) {
+                return continueLeave(written);
             }
             if (!written) {
                 return appendAfterBackoff();
             }
             backoff = FIRST_BACKOFF;
             record = nextRecord(new MemberRecord.Announced(member));
-            if (again) {
-                again = false;
+            if (announceAgain) {
+                announceAgain = false;
                 return append();
             }
             timers.startSingleTimer(new Append(), interval);
             return this;
         }
 
-        private Behavior<Command> leaving(boolean written) {
+        private Behavior<Command> continueLeave(boolean written) {
             if (!leaveSent) {
                 return appendLeave();
             }
@@ -174,21 +174,21 @@
         }
 
         private Behavior<Command> stop() {
-            left.complete(null);
+            leaveCompletion.complete(null);
             return Behaviors.stopped();
         }
 
         private Behavior<Command> appendAfterBackoff() {
             timers.startSingleTimer(new Append(), backoff);
             Duration doubled = backoff.multipliedBy(2);
-            Duration longest = interval.dividedBy(BACKOFFS_IN_INTERVAL);
-            backoff = doubled.compareTo(longest) < 0 ? doubled : longest;
+            Duration maximumBackoff = interval.dividedBy(BACKOFFS_PER_INTERVAL);
+            backoff = doubled.compareTo(maximumBackoff) < 0 ? doubled : maximumBackoff;
             return this;
         }
 
         private NewRecord nextRecord(MemberRecord content) {
-            records++;
-            String id = member.processId() + "/" + member.incarnation() + "/" + records;
+            lastRecordNumber++;
+            String id = member.processId() + "/" + member.incarnation() + "/" + lastRecordNumber;
             return new NewRecord(id, content.toJson());
         }
     }
--- a/library/src/main/java/org/chivetally/agent/MinionConnection.java
+++ b/library/src/main/java/org/chivetally/agent/MinionConnection.java
@@ -22,7 +22,7 @@
     private final SharedKillSwitch killSwitch = KillSwitches.shared("minion-connection");
     private final BoundedSourceQueue<HttpRequest> requests;
     private final CompletionStage<OutgoingConnection> connected;
-    private volatile CompletableFuture<HttpResponse> awaited = new CompletableFuture<>();
+    private volatile CompletableFuture<HttpResponse> pendingResponse = new CompletableFuture<>();
     private volatile boolean ended;
     private long idleSinceNanos;
 
@@ -52,7 +52,7 @@
      */
     CompletionStage<HttpResponse> send(HttpRequest request) {
         CompletableFuture<HttpResponse> answer = new CompletableFuture<>();
-        awaited = answer;
+        pendingResponse = answer;
         if (ended) {
             return null;
         }
@@ -81,14 +81,14 @@
     }
 
     private void answered(HttpResponse response) {
-        awaited.complete(response);
+        pendingResponse.complete(response);
     }
 
     private void end(Throwable failure) {
         // Set before the look at the awaited answer; a sender does it the other way round, so one of them sees the
         // other.
         ended = true;
-        awaited.completeExceptionally(lost(failure));
+        pendingResponse.completeExceptionally(lost(failure));
     }
 
     private static IllegalStateException lost(Throwable cause) {
--- a/library/src/main/java/org/chivetally/agent/MinionExchange.java
+++ b/library/src/main/java/org/chivetally/agent/MinionExchange.java
@@ -19,7 +19,7 @@
     static final String NOT_RUN_HEADER = "Chivetally-Not-Run";
 
     private static final Duration BODY_TIMEOUT = Duration.ofDays(1);
-    private static final int LONGEST_ERROR_BYTES = 16 * 1024;
+    private static final int MAXIMUM_ERROR_BYTES = 16 * 1024;
 
     private final HttpRequest request;
     private final int answerBytes;
@@ -117,16 +117,16 @@
 
     private static MinionAnswer failed(HttpResponse response, ByteString body) {
         boolean unavailable = response.status().intValue() == StatusCodes.SERVICE_UNAVAILABLE.intValue();
-        if (unavailable && saysNotRun(response)) {
+        if (unavailable && hasNotRunHeader(response)) {
             return new MinionAnswer.Declined();
         }
         if (body.isEmpty()) {
             return new MinionAnswer.Failure("HTTP status " + response.status().intValue());
         }
-        return new MinionAnswer.Failure(body.take(LONGEST_ERROR_BYTES).utf8String());
+        return new MinionAnswer.Failure(body.take(MAXIMUM_ERROR_BYTES).utf8String());
     }
 
-    private static boolean saysNotRun(HttpResponse response) {
+    private static boolean hasNotRunHeader(HttpResponse response) {
         return response.getHeader(NOT_RUN_HEADER)
                 .filter(header -> "true".equalsIgnoreCase(header.value()))
                 .isPresent();
--- a/library/src/main/java/org/chivetally/agent/MinionView.java
+++ b/library/src/main/java/org/chivetally/agent/MinionView.java
@@ -6,7 +6,7 @@
     private boolean healthy;
     private boolean draining;
     private int failures;
-    private int strayRuns;
+    private int untrackedRuns;
 
     MinionView(int failuresUntilUnhealthy) {
         this.failuresUntilUnhealthy = failuresUntilUnhealthy;
@@ -22,8 +22,8 @@
     }
 
     /** Returns how many slots runs hold that the agent no longer counts as its own. */
-    int strayRuns() {
-        return strayRuns;
+    int untrackedRuns() {
+        return untrackedRuns;
     }
 
     /**
@@ -32,8 +32,8 @@
      * <p>A broken-off request frees the agent's slot while the minion may still work on it; a new task would then be
      * one too many. The slot is held until the next report shows it free.
      */
-    void addStrayRun() {
-        strayRuns++;
+    void addUntrackedRun() {
+        untrackedRuns++;
     }
 
     void connected() {
@@ -56,7 +56,7 @@
      *
      * @param ownRuns runs of the agent that had begun before the report was asked for and still go on
      */
-    void observe(MinionState state, int ownRuns) {
+    void update(MinionState state, int ownRuns) {
         switch (state) {
             case MinionState.Reported reported -> accept(reported, ownRuns);
             case MinionState.Unreachable unreachable -> connectFailed();
@@ -67,7 +67,7 @@
         failures = 0;
         healthy = reported.healthy();
         draining = reported.draining();
-        int beyondOwn = Math.max(0, reported.running() - ownRuns);
-        strayRuns = Math.min(strayRuns, beyondOwn);
+        int otherRuns = Math.max(0, reported.running() - ownRuns);
+        untrackedRuns = Math.min(untrackedRuns, otherRuns);
     }
 }
--- a/library/src/main/java/org/chivetally/agent/NativeStateReader.java
+++ b/library/src/main/java/org/chivetally/agent/NativeStateReader.java
@@ -7,7 +7,7 @@
 /** Reads the minion's own state document: freeSlots, running, draining and healthy. */
 final class NativeStateReader implements MinionStateSource.StateReader {
     private static final JsonMapper MAPPER = JsonMapper.shared();
-    private static final int NOT_TOLD = -1;
+    private static final int NOT_REPORTED = -1;
 
     @Override
     public MinionState read(String body) {
@@ -16,8 +16,8 @@
             return new MinionState.Reported(
                     state.path("healthy").asBoolean(true),
                     state.path("draining").asBoolean(false),
-                    state.path("freeSlots").asInt(NOT_TOLD),
-                    state.path("running").asInt(NOT_TOLD));
+                    state.path("freeSlots").asInt(NOT_REPORTED),
+                    state.path("running").asInt(NOT_REPORTED));
         } catch (JacksonException e) {
             return new MinionState.Unreachable("state can't be read: " + e.getOriginalMessage());
         }
--- a/library/src/main/java/org/chivetally/agent/RecentRefusals.java
+++ b/library/src/main/java/org/chivetally/agent/RecentRefusals.java
@@ -25,7 +25,7 @@
         return known == null ? RefusalReason.REFUSAL_REASON_UNSPECIFIED : known.reason();
     }
 
-    void forget(long nowNanos, long retentionNanos) {
+    void removeExpired(long nowNanos, long retentionNanos) {
         Iterator<Refused> oldestFirst = refused.values().iterator();
         while (oldestFirst.hasNext() && nowNanos - oldestFirst.next().atNanos() > retentionNanos) {
             oldestFirst.remove();
--- a/library/src/main/java/org/chivetally/agent/Tickets.java
+++ b/library/src/main/java/org/chivetally/agent/Tickets.java
@@ -20,7 +20,7 @@
     private final long offset;
     private final long startNanos;
     private final long longestAgeMillis;
-    private long lastPlace;
+    private long lastPosition;
 
     Tickets(long offset, long startNanos, Duration longestAge) {
         this.offset = offset;
@@ -30,17 +30,17 @@
 
     /** Returns a new ticket. */
     long issue(long nowNanos) {
-        lastPlace = Math.max(lastPlace + 1, millis(nowNanos) << SEQUENCE_BITS);
-        return offset + lastPlace;
+        lastPosition = Math.max(lastPosition + 1, millis(nowNanos) << SEQUENCE_BITS);
+        return offset + lastPosition;
     }
 
     /** Returns the place of the newest ticket in the order of issue. */
-    long lastPlace() {
-        return lastPlace;
+    long lastPosition() {
+        return lastPosition;
     }
 
     /** Returns the place of a ticket in the order of issue; means nothing for foreign ones. */
-    long place(long ticket) {
+    long position(long ticket) {
         return ticket - offset;
     }
 
@@ -54,11 +54,11 @@
         if (!isOwn(ticket)) {
             return -1;
         }
-        return millis(nowNanos) - (place(ticket) >>> SEQUENCE_BITS);
+        return millis(nowNanos) - (position(ticket) >>> SEQUENCE_BITS);
     }
 
     private boolean isOwn(long ticket) {
-        return place(ticket) > 0 && place(ticket) <= lastPlace;
+        return position(ticket) > 0 && position(ticket) <= lastPosition;
     }
 
     private long millis(long nowNanos) {
--- a/library/src/main/java/org/chivetally/daemon/AgentParts.java
+++ b/library/src/main/java/org/chivetally/daemon/AgentParts.java
@@ -2,8 +2,8 @@
 
 import com.google.common.flogger.FluentLogger;
 import java.util.concurrent.CompletableFuture;
+import org.chivetally.agent.AgentCallbacks;
 import org.chivetally.agent.AgentConfiguration;
-import org.chivetally.agent.AgentSurroundings;
 import org.chivetally.agent.MemberAnnouncer;
 import org.chivetally.logging.EventLine;
 import org.chivetally.resource.BackendServerPolicy;
@@ -11,7 +11,7 @@
 import org.chivetally.time.NanoClock;
 
 /** The parts of an agent's process around the agent: its configuration and its announcements. */
-final class AgentParts implements AgentSurroundings {
+final class AgentParts implements AgentCallbacks {
     private static final FluentLogger LOGGER = FluentLogger.forEnclosingClass();
 
     private final String backend;
@@ -29,7 +29,7 @@
     }
 
     @Override
-    public AgentConfiguration offer(long version, byte[] snapshot) {
+    public AgentConfiguration offerConfiguration(long version, byte[] snapshot) {
         received.offerSnapshot(version, snapshot);
         boolean draining = received.policies()
                 .backendServer(backend)
@@ -39,7 +39,7 @@
     }
 
     @Override
-    public void announceAnew(String reason) {
+    public void reannounce(String reason) {
         LOGGER.atInfo().log("%s", EventLine.of("announce-anew").with("reason", reason));
         announcer.thenAccept(MemberAnnouncer::announceNow);
     }
--- a/library/src/test/java/org/chivetally/agent/AgentFixture.java
+++ b/library/src/test/java/org/chivetally/agent/AgentFixture.java
@@ -22,12 +22,12 @@
 
     private final AgentState state;
     private final List<Frame> frames = new ArrayList<>();
-    private final List<PeerId> receivers = new ArrayList<>();
+    private final List<PeerId> recipients = new ArrayList<>();
     private final List<String> runs = new ArrayList<>();
     private final List<String> abandoned = new ArrayList<>();
     private final List<AgentEffect.WasteKind> wasted = new ArrayList<>();
     private long now = -7_000_000_000L;
-    private boolean stopReady;
+    private boolean readyToStop;
 
     AgentFixture() {
         this(LIMITS);
@@ -35,7 +35,7 @@
 
     AgentFixture(AgentLimits limits) {
         state = new AgentState(settings(limits), Hello.getDefaultInstance(), TICKET_OFFSET, now);
-        join(PEER, "entry-1");
+        connectPeer(PEER, "entry-1");
         apply(new AgentEvent.MinionReported(HEALTHY, now));
     }
 
@@ -73,19 +73,19 @@
         return state;
     }
 
-    void join(PeerId peer, String processId) {
+    void connectPeer(PeerId peer, String processId) {
         apply(new AgentEvent.PeerConnected(peer));
         apply(new AgentEvent.PeerIdentified(peer, processId, "1"));
     }
 
     /** Advances the clock and lets the agent notice. */
-    void pass(Duration time) {
-        pause(time);
+    void advance(Duration time) {
+        advanceWithoutTick(time);
         apply(new AgentEvent.Ticked());
     }
 
     /** Advances the clock while the agent is stopped and notices nothing. */
-    void pause(Duration time) {
+    void advanceWithoutTick(Duration time) {
         now += time.toNanos();
     }
 
@@ -94,7 +94,7 @@
         int before = frames.size();
         apply(new AgentEvent.HeartbeatRequested(PEER, 1));
         Report report = frames.remove(before).getHeartbeat().getReport();
-        receivers.remove(before);
+        recipients.remove(before);
         return report.getTicket();
     }
 
@@ -113,17 +113,17 @@
     }
 
     /** Asks for one attempt of task 0 of a job of its own for each id. */
-    void startAll(String... attemptIds) {
+    void requestStarts(String... attemptIds) {
         for (String id : attemptIds) {
-            ask(start(id, "job-of-" + id, 0));
+            requestStart(start(id, "job-of-" + id, 0));
         }
     }
 
-    void ask(Start.Builder start) {
-        ask(PEER, start);
+    void requestStart(Start.Builder start) {
+        requestStart(PEER, start);
     }
 
-    void ask(PeerId peer, Start.Builder start) {
+    void requestStart(PeerId peer, Start.Builder start) {
         apply(new AgentEvent.StartRequested(peer, 77, start.build()));
     }
 
@@ -142,13 +142,13 @@
     }
 
     void report(boolean healthy, boolean draining, int running) {
-        reportAsOf(now, healthy, draining, running);
+        reportRequestedAt(now, healthy, draining, running);
     }
 
     /** The same in answer to a question sent at an earlier reading of the clock. */
-    void reportAsOf(long askedNanos, boolean healthy, boolean draining, int running) {
+    void reportRequestedAt(long requestedNanos, boolean healthy, boolean draining, int running) {
         MinionState state = new MinionState.Reported(healthy, draining, 2 - running, running);
-        apply(new AgentEvent.MinionReported(state, askedNanos));
+        apply(new AgentEvent.MinionReported(state, requestedNanos));
     }
 
     /** Returns the reading of the clock. */
@@ -159,21 +159,21 @@
     List<AgentEffect> apply(AgentEvent event) {
         List<AgentEffect> effects = state.apply(event, now);
         for (AgentEffect effect : effects) {
-            note(effect);
+            record(effect);
         }
         return effects;
     }
 
-    private void note(AgentEffect effect) {
+    private void record(AgentEffect effect) {
         switch (effect) {
             case AgentEffect.SendTo send -> {
                 frames.add(send.frame());
-                receivers.add(send.peer());
+                recipients.add(send.peer());
             }
             case AgentEffect.RunOnMinion run -> runs.add(run.attemptId());
             case AgentEffect.AbandonRun abandon -> abandoned.add(abandon.attemptId());
             case AgentEffect.CountWaste waste -> wasted.add(waste.kind());
-            case AgentEffect.StopReady ready -> stopReady = true;
+            case AgentEffect.ReadyToStop ready -> readyToStop = true;
             case AgentEffect.WriteLine line -> line.line().toString();
         }
     }
@@ -191,16 +191,16 @@
         return wasted;
     }
 
-    boolean stopReady() {
-        return stopReady;
+    boolean readyToStop() {
+        return readyToStop;
     }
 
     Frame lastFrame() {
         return frames.getLast();
     }
 
-    PeerId lastReceiver() {
-        return receivers.getLast();
+    PeerId lastRecipient() {
+        return recipients.getLast();
     }
 
     List<Frame> frames() {
--- a/library/src/test/java/org/chivetally/agent/AgentServerTest.java
+++ b/library/src/test/java/org/chivetally/agent/AgentServerTest.java
@@ -45,31 +45,31 @@
         FrameConnection connection = connect(agent);
         long ticket = ticketOfHealthyAgent();
         connection.send(start("a1", 3, ticket));
-        LoopbackMinion.Arrival arrival = minion.nextArrival();
-        assertThat(arrival.attempt(), is("a1"));
-        assertThat(arrival.job(), is("j1"));
-        assertThat(arrival.task(), is("3"));
-        assertThat(arrival.body(), is("{\"plot\":\"Gärten\"}"));
-        arrival.succeed("[\"größer\"]");
+        LoopbackMinion.TaskRequest task = minion.nextTask();
+        assertThat(task.attempt(), is("a1"));
+        assertThat(task.job(), is("j1"));
+        assertThat(task.task(), is("3"));
+        assertThat(task.body(), is("{\"plot\":\"Gärten\"}"));
+        task.succeed("[\"größer\"]");
         Result result = coordinator.nextFrame().getResult();
         assertThat(result.getStatus(), is(TaskStatus.TASK_STATUS_DONE));
         assertThat(result.getBody(), is("[\"größer\"]"));
     }
 
     @Test
-    void tellsFailuresOfTheMinionApart() throws InterruptedException {
+    void distinguishesFailuresOfTheMinion() throws InterruptedException {
         FrameConnection connection = connect(startAgent(minion.base()));
         long ticket = ticketOfHealthyAgent();
         connection.send(start("a1", 1, ticket));
-        minion.nextArrival().fail(500, "no such plot");
+        minion.nextTask().fail(500, "no such plot");
         Result failed = coordinator.nextFrame().getResult();
         assertThat(failed.getStatus(), is(TaskStatus.TASK_STATUS_FAILED));
         assertThat(failed.getError(), is("no such plot"));
         connection.send(start("a2", 2, ticket));
-        minion.nextArrival().decline();
+        minion.nextTask().decline();
         assertThat(coordinator.nextFrame().getRefusal().getReason(), is(RefusalReason.REFUSAL_REASON_FULL));
         connection.send(start("a3", 3, ticket));
-        minion.nextArrival().succeed("\"" + "x".repeat(3_000_000) + "\"");
+        minion.nextTask().succeed("\"" + "x".repeat(3_000_000) + "\"");
         Result tooLong = coordinator.nextFrame().getResult();
         assertThat(tooLong.getStatus(), is(TaskStatus.TASK_STATUS_FAILED));
         assertThat(tooLong.getError(), containsString("more than"));
@@ -81,11 +81,11 @@
      * listening: nothing was sent, so the refusal that says "not run" is true.
      */
     @Test
-    void tellsALostTaskFromOneThatWasNeverSent() throws InterruptedException {
+    void distinguishesALostTaskFromOneNeverSent() throws InterruptedException {
         FrameConnection connection = connect(startAgent(minion.base()));
         long ticket = ticketOfHealthyAgent();
         connection.send(start("a1", 1, ticket));
-        minion.nextArrival();
+        minion.nextTask();
         minionKit.shutdownTestKit();
         Frame lost = nextOutcome();
         assertThat(lost.getResult().getStatus(), is(TaskStatus.TASK_STATUS_UNKNOWN));
@@ -98,16 +98,16 @@
      * below the request, so the minion can notice, and its late answer goes nowhere.
      */
     @Test
-    void breaksOffTheRequestAtTheLeaseEnd() throws InterruptedException {
+    void cancelsTheRequestWhenTheLeaseExpires() throws InterruptedException {
         FrameConnection connection = connect(startAgent(minion.base()));
         Frame start = start("a1", 1, ticketOfHealthyAgent());
         connection.send(start.toBuilder()
                 .setStart(start.getStart().toBuilder().setLeaseMillis(100))
                 .build());
-        LoopbackMinion.Arrival arrival = minion.nextArrival();
+        LoopbackMinion.TaskRequest task = minion.nextTask();
         Result result = nextOutcome().getResult();
-        assertThat(result.getError(), is(AgentState.LEASE_OVER));
-        arrival.succeed("1");
+        assertThat(result.getError(), is(AgentState.LEASE_EXPIRED));
+        task.succeed("1");
         connection.send(heartbeat());
         assertThat(coordinator.nextFrame().getHeartbeat().getReport().getRunning(), is(0));
     }
@@ -123,23 +123,23 @@
         FrameConnection connection = connect(agent);
         long ticket = ticketOfHealthyAgent();
         connection.send(start("a1", 1, ticket));
-        LoopbackMinion.Arrival arrival = minion.nextArrival();
+        LoopbackMinion.TaskRequest task = minion.nextTask();
         CompletableFuture<Void> drained = agent.drain("replaced").toCompletableFuture();
         assertThat(coordinator.nextFrame().getLeaving().getReason(), is("replaced"));
         connection.send(start("a2", 2, ticket));
         assertThat(nextOutcome().getRefusal().getReason(), is(RefusalReason.REFUSAL_REASON_DRAINING));
-        arrival.succeed("1");
+        task.succeed("1");
         assertThat(nextOutcome().getResult().getStatus(), is(TaskStatus.TASK_STATUS_DONE));
         assertThat(coordinator.nextDisconnectReason(), is("closed by the peer"));
         drained.join();
-        assertThat(minion.arrivalsLeft(), is(0));
+        assertThat(minion.pendingTasks(), is(0));
     }
 
     @Test
-    void hearsThatTheMinionIsLeaving() throws InterruptedException {
+    void reportsThatTheMinionIsDraining() throws InterruptedException {
         connect(startAgent(minion.base()));
         ticketOfHealthyAgent();
-        minion.tellState("{\"freeSlots\":0,\"running\":0,\"draining\":true,\"healthy\":true}");
+        minion.setState("{\"freeSlots\":0,\"running\":0,\"draining\":true,\"healthy\":true}");
         assertThat(coordinator.nextFrame().getHeartbeat().getReport().getDraining(), is(true));
     }
 
--- a/library/src/test/java/org/chivetally/agent/AgentStatePropertyTest.java
+++ b/library/src/test/java/org/chivetally/agent/AgentStatePropertyTest.java
@@ -33,37 +33,37 @@
             new MinionAnswer.NotSent("refused"));
 
     @Property(tries = 3_000)
-    void keepsItsPromisesUnderAnyEvents(@ForAll("schedules") List<Step> schedule, @ForAll boolean drainAtEnd) {
-        World world = new World();
+    void startsAndAnswersEachAttemptAtMostOnce(@ForAll("schedules") List<Step> schedule, @ForAll boolean drainAtEnd) {
+        Simulation simulation = new Simulation();
         for (Step step : schedule) {
-            world.take(step);
+            simulation.perform(step);
         }
-        world.finish(drainAtEnd);
+        simulation.finish(drainAtEnd);
     }
 
     @Provide
     Arbitrary<List<Step>> schedules() {
         Arbitrary<Integer> small = Arbitraries.integers().between(0, 2);
         Arbitrary<Integer> generations = Arbitraries.of(1, 1, 1, 2, 3);
-        Arbitrary<Boolean> mostly = Arbitraries.of(true, true, true, false);
-        Arbitrary<Step> asks = Combinators.combine(small, small, generations).as(Step.Ask::new);
-        Arbitrary<Step> repeats = Arbitraries.integers().between(0, 60).map(Step.Repeat::new);
+        Arbitrary<Boolean> mostlyTrue = Arbitraries.of(true, true, true, false);
+        Arbitrary<Step> starts = Combinators.combine(small, small, generations).as(Step.RequestStart::new);
+        Arbitrary<Step> repeats = Arbitraries.integers().between(0, 60).map(Step.RepeatStart::new);
         Arbitrary<Step> answers = Combinators.combine(
                         Arbitraries.integers().between(0, 1),
                         Arbitraries.integers().between(0, ANSWERS.size() - 1))
                 .as(Step.Answer::new);
         Arbitrary<Step> inquiries = Combinators.combine(small, generations).as(Step.Inquire::new);
-        Arbitrary<Step> reports = Combinators.combine(mostly, mostly.map(wanted -> !wanted), small)
-                .as(Step.Tell::new);
-        Arbitrary<Step> passes = Arbitraries.of(1, 100, 1_000, 3_500).map(Step.Pass::new);
+        Arbitrary<Step> reports = Combinators.combine(mostlyTrue, mostlyTrue.map(wanted -> !wanted), small)
+                .as(Step.ReportState::new);
+        Arbitrary<Step> advances = Arbitraries.of(1, 100, 1_000, 3_500).map(Step.Advance::new);
         Arbitrary<Step> cancels = small.map(Step.Cancel::new);
         return Arbitraries.frequencyOf(
-                        Tuple.of(8, asks),
+                        Tuple.of(8, starts),
                         Tuple.of(3, repeats),
                         Tuple.of(6, answers),
                         Tuple.of(2, inquiries),
                         Tuple.of(2, reports),
-                        Tuple.of(4, passes),
+                        Tuple.of(4, advances),
                         Tuple.of(1, cancels),
                         Tuple.of(1, Arbitraries.just(new Step.Reconnect())))
                 .list()
@@ -72,9 +72,9 @@
 
     /** One event of a schedule; numbers choose among what there is. */
     sealed interface Step {
-        record Ask(int job, int task, int generation) implements Step {}
+        record RequestStart(int job, int task, int generation) implements Step {}
 
-        record Repeat(int which) implements Step {}
+        record RepeatStart(int which) implements Step {}
 
         record Answer(int which, int answer) implements Step {}
 
@@ -82,36 +82,37 @@
 
         record Cancel(int job) implements Step {}
 
-        record Tell(boolean healthy, boolean draining, int running) implements Step {}
+        record ReportState(boolean healthy, boolean draining, int running) implements Step {}
 
-        record Pass(int millis) implements Step {}
+        record Advance(int millis) implements Step {}
 
         record Reconnect() implements Step {}
     }
 
     /** Plays coordinators and the minion, and checks each effect. Tasks of job 2 are idempotent. */
-    private static final class World {
+    private static final class Simulation {
         private final AgentFixture agent = new AgentFixture();
-        private final List<Start> asked = new ArrayList<>();
+        private final List<Start> requested = new ArrayList<>();
         private final Map<String, Start> byAttempt = new HashMap<>();
         private final List<String> running = new ArrayList<>();
-        private final Set<String> begun = new HashSet<>();
+        private final Set<String> started = new HashSet<>();
         private final Set<String> mayHaveRun = new HashSet<>();
-        private final Set<String> onceOnlyDone = new HashSet<>();
+        private final Set<String> startedOnceOnly = new HashSet<>();
         private final Set<String> answered = new HashSet<>();
         private PeerId peer = AgentFixture.PEER;
 
-        void take(Step step) {
+        void perform(Step step) {
             switch (step) {
-                case Step.Ask ask -> ask(ask);
-                case Step.Repeat repeat -> repeat(repeat.which());
+                case Step.RequestStart ask -> requestStart(ask);
+                case Step.RepeatStart repeat -> repeatStart(repeat.which());
                 case Step.Answer answer -> answer(answer.which(), ANSWERS.get(answer.answer()));
                 case Step.Inquire inquire ->
                     observe("", () -> agent.inquire(peer, "j" + inquire.job(), inquire.generation()));
                 case Step.Cancel cancel ->
                     observe("", () -> agent.apply(new AgentEvent.CancelRequested(peer, List.of("j" + cancel.job()))));
-                case Step.Tell tell -> observe("", () -> agent.report(tell.healthy(), tell.draining(), tell.running()));
-                case Step.Pass pass -> observe("", () -> agent.pass(Duration.ofMillis(pass.millis())));
+                case Step.ReportState tell ->
+                    observe("", () -> agent.report(tell.healthy(), tell.draining(), tell.running()));
+                case Step.Advance pass -> observe("", () -> agent.advance(Duration.ofMillis(pass.millis())));
                 case Step.Reconnect reconnect -> reconnect();
             }
         }
@@ -124,27 +125,27 @@
             while (!running.isEmpty()) {
                 answer(0, ANSWERS.getFirst());
             }
-            observe("", () -> agent.pass(Duration.ofMinutes(1)));
+            observe("", () -> agent.advance(Duration.ofMinutes(1)));
             assertThat(answered, is(byAttempt.keySet()));
-            assertThat(agent.stopReady(), is(drain));
+            assertThat(agent.readyToStop(), is(drain));
         }
 
-        private void ask(Step.Ask ask) {
-            Start start = agent.start("a" + asked.size(), "j" + ask.job(), ask.task())
+        private void requestStart(Step.RequestStart ask) {
+            Start start = agent.start("a" + requested.size(), "j" + ask.job(), ask.task())
                     .setGeneration(ask.generation())
                     .setIdempotent(ask.job() == 2)
                     .build();
-            asked.add(start);
+            requested.add(start);
             byAttempt.put(start.getAttemptId(), start);
-            observe(start.getAttemptId(), () -> agent.ask(peer, start.toBuilder()));
+            observe(start.getAttemptId(), () -> agent.requestStart(peer, start.toBuilder()));
         }
 
-        private void repeat(int which) {
-            if (asked.isEmpty()) {
+        private void repeatStart(int which) {
+            if (requested.isEmpty()) {
                 return;
             }
-            Start start = asked.get(which % asked.size());
-            observe(start.getAttemptId(), () -> agent.ask(peer, start.toBuilder()));
+            Start start = requested.get(which % requested.size());
+            observe(start.getAttemptId(), () -> agent.requestStart(peer, start.toBuilder()));
         }
 
         private void answer(int which, MinionAnswer answer) {
@@ -154,24 +155,24 @@
             String attempt = running.remove(which % running.size());
             if (answer instanceof MinionAnswer.Declined || answer instanceof MinionAnswer.NotSent) {
                 mayHaveRun.remove(attempt);
-                onceOnlyDone.remove(taskOf(attempt));
+                startedOnceOnly.remove(taskOf(attempt));
             }
             observe("", () -> agent.answer(attempt, answer));
         }
 
         private void reconnect() {
             PeerId newer = new PeerId(peer.number() + 1);
-            agent.join(newer, "entry-1");
+            agent.connectPeer(newer, "entry-1");
             agent.apply(new AgentEvent.PeerDisconnected(peer));
             peer = newer;
         }
 
         /** Lets something happen and checks its effects; an attempt just asked for may be answered again. */
-        private void observe(String askedAttempt, Runnable happening) {
+        private void observe(String requestedAttempt, Runnable action) {
             int runsBefore = agent.runs().size();
             int framesBefore = agent.frames().size();
             int abandonedBefore = agent.abandoned().size();
-            happening.run();
+            action.run();
             running.removeAll(
                     agent.abandoned().subList(abandonedBefore, agent.abandoned().size()));
             for (String attempt : agent.runs().subList(runsBefore, agent.runs().size())) {
@@ -179,34 +180,34 @@
             }
             for (Frame frame :
                     agent.frames().subList(framesBefore, agent.frames().size())) {
-                checkAnswer(frame, askedAttempt);
+                checkAnswer(frame, requestedAttempt);
             }
         }
 
         private void checkRun(String attempt) {
             running.add(attempt);
             assertThat("slots", running.size(), lessThanOrEqualTo(SLOTS));
-            assertThat("second run of one attempt", begun.add(attempt), is(true));
+            assertThat("second run of one attempt", started.add(attempt), is(true));
             assertThat("run after its refusal", answered, not(hasItem(attempt)));
             mayHaveRun.add(attempt);
             if (!byAttempt.get(attempt).getIdempotent()) {
-                assertThat("second start of a task", onceOnlyDone.add(taskOf(attempt)), is(true));
+                assertThat("second start of a task", startedOnceOnly.add(taskOf(attempt)), is(true));
             }
         }
 
-        private void checkAnswer(Frame frame, String askedAttempt) {
+        private void checkAnswer(Frame frame, String requestedAttempt) {
             if (frame.hasRefusal()) {
                 String attempt = frame.getRefusal().getAttemptId();
                 assertThat("refused though it may have run", mayHaveRun, not(hasItem(attempt)));
-                checkOnce(attempt, askedAttempt);
+                checkOnce(attempt, requestedAttempt);
             } else if (frame.hasResult()) {
-                checkOnce(frame.getResult().getAttemptId(), askedAttempt);
+                checkOnce(frame.getResult().getAttemptId(), requestedAttempt);
             }
         }
 
-        private void checkOnce(String attempt, String askedAttempt) {
+        private void checkOnce(String attempt, String requestedAttempt) {
             boolean first = answered.add(attempt);
-            assertThat("second answer for " + attempt, first || attempt.equals(askedAttempt), is(true));
+            assertThat("second answer for " + attempt, first || attempt.equals(requestedAttempt), is(true));
         }
 
         private String taskOf(String attempt) {
--- a/library/src/test/java/org/chivetally/agent/AgentStateTest.java
+++ b/library/src/test/java/org/chivetally/agent/AgentStateTest.java
@@ -22,13 +22,13 @@
 class AgentStateTest {
     private static final PeerId PEER = AgentFixture.PEER;
     private static final PeerId SECOND_PEER = new PeerId(2);
-    private static final String KEPT_NO_LONGER = "UNKNOWN " + AgentState.RESULT_NOT_KEPT;
+    private static final String DISCARDED = "UNKNOWN " + AgentState.RESULT_DISCARDED;
 
     private final AgentFixture agent = new AgentFixture();
 
     @Test
     void runsAsManyTasksAsSlotsAndQueuesTheNextInOrder() {
-        agent.startAll("a", "b", "c", "d");
+        agent.requestStarts("a", "b", "c", "d");
         assertThat(agent.runs(), contains("a", "b"));
         agent.succeed("b");
         agent.succeed("a");
@@ -38,13 +38,13 @@
     }
 
     @Test
-    void connectionsBoundTheTasksToo() {
+    void connectionsLimitTheRunnableTasks() {
         assertThat(new MinionCapacity(8, 5, 0, 0, 0).runnableTasks(), is(4));
     }
 
     @Test
-    void reportsTheLoadAsItIsAfterTheResult() {
-        agent.startAll("a", "b", "c");
+    void resultReportsCountTheLoadAfterTheResult() {
+        agent.requestStarts("a", "b", "c");
         agent.succeed("a");
         Report report = agent.lastFrame().getResult().getReport();
         assertThat(List.of(report.getFreeSlots(), report.getRunning(), report.getQueued()), contains(0, 2, 0));
@@ -56,21 +56,21 @@
     }
 
     @Test
-    void refusesWhatTheQueueCannotHold() {
-        agent.startAll("a", "b", "c", "d", "e");
+    void refusesStartsBeyondTheQueueBound() {
+        agent.requestStarts("a", "b", "c", "d", "e");
         assertThat(agent.refusals(), contains("e FULL"));
         agent.succeed("a");
-        agent.ask(agent.start("f", "j", 0).setQueueMillis(0));
+        agent.requestStart(agent.start("f", "j", 0).setQueueMillis(0));
         assertThat(agent.refusals(), contains("e FULL", "f FULL"));
     }
 
     @Test
     void refusesAWaitingTaskAfterItsQueueTime() {
-        agent.startAll("a", "b");
-        agent.ask(agent.start("c", "j", 0).setQueueMillis(300));
-        agent.pass(Duration.ofMillis(299));
+        agent.requestStarts("a", "b");
+        agent.requestStart(agent.start("c", "j", 0).setQueueMillis(300));
+        agent.advance(Duration.ofMillis(299));
         assertThat(agent.refusals(), empty());
-        agent.pass(Duration.ofMillis(1));
+        agent.advance(Duration.ofMillis(1));
         assertThat(agent.refusals(), contains("c EXPIRED"));
         agent.succeed("a");
         assertThat(agent.runs(), contains("a", "b"));
@@ -82,9 +82,9 @@
      * tick, and frees a slot; the waiting task's time is looked at once more before it would start.
      */
     @Test
-    void aPausedAgentStartsNothingThatExpiredMeanwhile() {
-        agent.startAll("a", "b", "c");
-        agent.pause(Duration.ofMinutes(3));
+    void refusesTasksThatExpiredWhileTheAgentWasPaused() {
+        agent.requestStarts("a", "b", "c");
+        agent.advanceWithoutTick(Duration.ofMinutes(3));
         agent.succeed("a");
         assertThat(agent.runs(), contains("a", "b"));
         assertThat(agent.refusals(), contains("c EXPIRED"));
@@ -92,10 +92,10 @@
 
     @Test
     void refusesOtherServicesAndTasksThatNeverFit() {
-        agent.ask(agent.start("a", "j", 0).setService("other"));
-        agent.ask(agent.start("b", "j", 0).setProcessorMillis(4_001));
-        agent.ask(agent.start("c", "j", 0).setMemoryBytes(1_000_001));
-        agent.ask(agent.start("d", "j", 0).setAccelerators(1));
+        agent.requestStart(agent.start("a", "j", 0).setService("other"));
+        agent.requestStart(agent.start("b", "j", 0).setProcessorMillis(4_001));
+        agent.requestStart(agent.start("c", "j", 0).setMemoryBytes(1_000_001));
+        agent.requestStart(agent.start("d", "j", 0).setAccelerators(1));
         assertThat(agent.refusals(), contains("a WRONG_SERVICE", "b TOO_LARGE", "c TOO_LARGE", "d TOO_LARGE"));
     }
 
@@ -107,8 +107,8 @@
     @Test
     void refusesAStartThatWasDelayedForMinutes() {
         Start.Builder delayed = agent.start("a", "j", 0);
-        agent.pass(Duration.ofMinutes(4));
-        agent.ask(delayed);
+        agent.advance(Duration.ofMinutes(4));
+        agent.requestStart(delayed);
         assertThat(agent.refusals(), contains("a STALE_TICKET"));
         assertThat(agent.runs(), empty());
     }
@@ -117,24 +117,24 @@
     void admitsATicketOfExactlyTheLongestAge() {
         Start.Builder inTime = agent.start("a", "j", 0);
         Start.Builder late = agent.start("b", "k", 0);
-        agent.pass(Duration.ofMillis(3_000));
-        agent.ask(inTime);
-        agent.pass(Duration.ofMillis(1));
-        agent.ask(late);
+        agent.advance(Duration.ofMillis(3_000));
+        agent.requestStart(inTime);
+        agent.advance(Duration.ofMillis(1));
+        agent.requestStart(late);
         assertThat(agent.runs(), contains("a"));
         assertThat(agent.refusals(), contains("b STALE_TICKET"));
     }
 
     @Test
     void refusesTicketsOfTheFutureAndOfOtherIncarnations() {
-        agent.ask(agent.start("a", "j", 0).setTicket(agent.ticket() + 1));
-        agent.ask(agent.start("b", "j", 1).setTicket(0));
+        agent.requestStart(agent.start("a", "j", 0).setTicket(agent.ticket() + 1));
+        agent.requestStart(agent.start("b", "j", 1).setTicket(0));
         AgentState earlier = new AgentState(
                 AgentFixture.settings(AgentFixture.LIMITS), Hello.getDefaultInstance(), 0x1234_0000_0000_0000L, 0);
         AgentEffect.SendTo hello = (AgentEffect.SendTo)
                 earlier.apply(new AgentEvent.PeerConnected(PEER), 0).getFirst();
         long foreign = hello.frame().getHello().getReport().getTicket();
-        agent.ask(agent.start("c", "j", 2).setTicket(foreign));
+        agent.requestStart(agent.start("c", "j", 2).setTicket(foreign));
         assertThat(agent.refusals(), contains("a STALE_TICKET", "b STALE_TICKET", "c STALE_TICKET"));
     }
 
@@ -144,16 +144,16 @@
      * resumes and sends starts of generation 1, with fresh tickets: all refused, by the job's floor.
      */
     @Test
-    void refusesACoordinatorThatWasTakenOverFrom() {
-        agent.startAll("x", "y");
-        agent.ask(agent.start("a", "j", 0));
-        agent.join(SECOND_PEER, "entry-2");
+    void refusesStartsOfASupersededCoordinator() {
+        agent.requestStarts("x", "y");
+        agent.requestStart(agent.start("a", "j", 0));
+        agent.connectPeer(SECOND_PEER, "entry-2");
         agent.inquire(SECOND_PEER, "j", 2);
         assertThat(agent.refusals(), contains("a OLD_GENERATION"));
         assertThat(agent.lastInquiryAnswer(), empty());
-        agent.ask(agent.start("b", "j", 1));
+        agent.requestStart(agent.start("b", "j", 1));
         assertThat(agent.refusals(), hasItem("b OLD_GENERATION"));
-        agent.ask(SECOND_PEER, agent.start("c", "j", 0).setGeneration(2));
+        agent.requestStart(SECOND_PEER, agent.start("c", "j", 0).setGeneration(2));
         agent.succeed("x");
         assertThat(agent.runs(), contains("x", "y", "c"));
         agent.inquire(PEER, "j", 1);
@@ -170,36 +170,36 @@
     void refusesAStartThatWasSentBeforeAnInquiry() {
         Start.Builder late = agent.start("a", "j", 0);
         Start.Builder unrelated = agent.start("b", "k", 0);
-        agent.join(SECOND_PEER, "entry-1");
+        agent.connectPeer(SECOND_PEER, "entry-1");
         agent.inquire(SECOND_PEER, "j", 1);
         assertThat(agent.lastInquiryAnswer(), empty());
-        agent.ask(late);
-        agent.ask(unrelated);
+        agent.requestStart(late);
+        agent.requestStart(unrelated);
         assertThat(agent.refusals(), contains("a STALE_TICKET"));
-        agent.ask(SECOND_PEER, agent.start("c", "j", 0));
+        agent.requestStart(SECOND_PEER, agent.start("c", "j", 0));
         assertThat(agent.runs(), contains("b", "c"));
     }
 
     @Test
     void startsAnAttemptOnceAndAnswersItsRepeats() {
         Start.Builder start = agent.start("a", "j", 0);
-        agent.ask(start);
-        agent.ask(start);
+        agent.requestStart(start);
+        agent.requestStart(start);
         agent.succeed("a");
-        agent.pass(Duration.ofMinutes(4));
-        agent.ask(start);
+        agent.advance(Duration.ofMinutes(4));
+        agent.requestStart(start);
         assertThat(agent.runs(), contains("a"));
         assertThat(agent.results(), contains("a DONE \"of a\"", "a DONE \"of a\""));
         assertThat(agent.refusals(), empty());
     }
 
     @Test
-    void neverStartsARefusedAttempt() {
-        agent.startAll("x", "y");
+    void repeatsTheRefusalOfARefusedAttempt() {
+        agent.requestStarts("x", "y");
         Start.Builder start = agent.start("a", "j", 0).setQueueMillis(0);
-        agent.ask(start);
+        agent.requestStart(start);
         agent.succeed("x");
-        agent.ask(start);
+        agent.requestStart(start);
         assertThat(agent.refusals(), contains("a FULL", "a FULL"));
         assertThat(agent.runs(), contains("x", "y"));
     }
@@ -210,11 +210,11 @@
      * refused; afterwards it gets the kept result of the first.
      */
     @Test
-    void startsATaskOnceThatIsNotIdempotent() {
-        agent.ask(agent.start("a", "j", 0));
-        agent.ask(agent.start("b", "j", 0));
+    void startsANonIdempotentTaskOnce() {
+        agent.requestStart(agent.start("a", "j", 0));
+        agent.requestStart(agent.start("b", "j", 0));
         agent.answer("a", new MinionAnswer.Failure("no such plot"));
-        agent.ask(agent.start("c", "j", 0));
+        agent.requestStart(agent.start("c", "j", 0));
         assertThat(agent.refusals(), contains("b ALREADY_STARTED"));
         assertThat(agent.results(), contains("a FAILED no such plot", "c FAILED no such plot"));
         assertThat(agent.runs(), contains("a"));
@@ -222,44 +222,44 @@
 
     @Test
     void runsAnIdempotentTaskAgainOnlyAfterAFailure() {
-        agent.ask(agent.start("a", "j", 0).setIdempotent(true));
-        agent.ask(agent.start("b", "j", 0).setIdempotent(true));
+        agent.requestStart(agent.start("a", "j", 0).setIdempotent(true));
+        agent.requestStart(agent.start("b", "j", 0).setIdempotent(true));
         agent.answer("a", new MinionAnswer.Lost("connection lost"));
-        agent.ask(agent.start("c", "j", 0).setIdempotent(true));
+        agent.requestStart(agent.start("c", "j", 0).setIdempotent(true));
         agent.succeed("c");
-        agent.ask(agent.start("d", "j", 0).setIdempotent(true));
+        agent.requestStart(agent.start("d", "j", 0).setIdempotent(true));
         assertThat(agent.runs(), contains("a", "c"));
         assertThat(agent.refusals(), contains("b ALREADY_STARTED"));
         assertThat(agent.results(), contains("a UNKNOWN connection lost", "c DONE \"of c\"", "d DONE \"of c\""));
     }
 
     @Test
-    void anAttemptThatNeverRanLeavesTheEarlierOneKnown() {
-        agent.ask(agent.start("a", "j", 0).setIdempotent(true));
+    void inquiryReturnsTheEarlierAttemptWhenTheLaterNeverRan() {
+        agent.requestStart(agent.start("a", "j", 0).setIdempotent(true));
         agent.answer("a", new MinionAnswer.Lost("connection lost"));
-        agent.startAll("x", "y");
-        agent.ask(agent.start("b", "j", 0).setIdempotent(true).setQueueMillis(10));
-        agent.pass(Duration.ofMillis(10));
+        agent.requestStarts("x", "y");
+        agent.requestStart(agent.start("b", "j", 0).setIdempotent(true).setQueueMillis(10));
+        agent.advance(Duration.ofMillis(10));
         agent.inquire(PEER, "j", 1);
         assertThat(agent.refusals(), contains("b EXPIRED"));
         assertThat(agent.lastInquiryAnswer(), contains("a UNKNOWN connection lost"));
     }
 
     @Test
-    void tellsWhetherTheMinionRanTheTask() {
-        agent.ask(agent.start("a", "j", 0));
+    void distinguishesRefusedFromUnknownTasks() {
+        agent.requestStart(agent.start("a", "j", 0));
         agent.answer("a", new MinionAnswer.Declined());
-        agent.ask(agent.start("b", "j", 0));
+        agent.requestStart(agent.start("b", "j", 0));
         agent.answer("b", new MinionAnswer.NotSent("connection refused"));
-        agent.ask(agent.start("c", "j", 0));
+        agent.requestStart(agent.start("c", "j", 0));
         agent.answer("c", new MinionAnswer.Lost("connection reset"));
         assertThat(agent.refusals(), contains("a FULL", "b MINION_DOWN"));
         assertThat(agent.results(), contains("c UNKNOWN connection reset"));
     }
 
     @Test
-    void holdsASlotBackWhenTheMinionDeclinesUntilItReports() {
-        agent.startAll("a", "b", "c");
+    void reservesASlotAfterADeclinedTaskUntilTheNextReport() {
+        agent.requestStarts("a", "b", "c");
         agent.answer("a", new MinionAnswer.Declined());
         assertThat(agent.runs(), contains("a", "b"));
         agent.report(true, false, 1);
@@ -272,15 +272,15 @@
      * still work on it, so its slot is not given to the next task before the minion reports it free.
      */
     @Test
-    void endsAnAttemptAtItsLease() {
-        agent.startAll("a", "b", "c");
-        agent.pass(Duration.ofMillis(4_999));
-        agent.ask(agent.start("d", "j", 0));
-        agent.pass(Duration.ofMillis(5_001));
+    void endsAnAttemptWhenItsLeaseExpires() {
+        agent.requestStarts("a", "b", "c");
+        agent.advance(Duration.ofMillis(4_999));
+        agent.requestStart(agent.start("d", "j", 0));
+        agent.advance(Duration.ofMillis(5_001));
         assertThat(agent.abandoned(), contains("a", "b"));
         assertThat(agent.results(), contains("a UNKNOWN attempt lease over", "b UNKNOWN attempt lease over"));
         assertThat(agent.refusals(), contains("c EXPIRED", "d EXPIRED"));
-        agent.startAll("e");
+        agent.requestStarts("e");
         agent.succeed("a");
         assertThat(agent.wasted(), contains(AgentEffect.WasteKind.LATE_ANSWER));
         assertThat(agent.runs(), contains("a", "b"));
@@ -294,13 +294,13 @@
      * run is the abandoned one, not the new one, so no slot may be given away by it.
      */
     @Test
-    void aRunBegunAfterTheReportDoesNotHideAnAbandonedOne() {
-        agent.ask(agent.start("a", "j", 0).setLeaseMillis(1_000));
-        agent.pass(Duration.ofMillis(1_000));
+    void aRunStartedAfterTheReportDoesNotHideAnAbandonedOne() {
+        agent.requestStart(agent.start("a", "j", 0).setLeaseMillis(1_000));
+        agent.advance(Duration.ofMillis(1_000));
         long asked = agent.now();
-        agent.pause(Duration.ofMillis(1));
-        agent.startAll("b", "c");
-        agent.reportAsOf(asked, true, false, 1);
+        agent.advanceWithoutTick(Duration.ofMillis(1));
+        agent.requestStarts("b", "c");
+        agent.reportRequestedAt(asked, true, false, 1);
         assertThat(agent.runs(), contains("a", "b"));
         agent.report(true, false, 1);
         assertThat(agent.runs(), contains("a", "b", "c"));
@@ -308,11 +308,11 @@
 
     @Test
     void cancelDropsWaitingTasksOfTheSameProcessOnly() {
-        agent.join(SECOND_PEER, "entry-2");
-        agent.ask(agent.start("a", "j", 0));
-        agent.ask(agent.start("x", "k", 0));
-        agent.ask(agent.start("b", "j", 1));
-        agent.ask(SECOND_PEER, agent.start("c", "j", 2));
+        agent.connectPeer(SECOND_PEER, "entry-2");
+        agent.requestStart(agent.start("a", "j", 0));
+        agent.requestStart(agent.start("x", "k", 0));
+        agent.requestStart(agent.start("b", "j", 1));
+        agent.requestStart(SECOND_PEER, agent.start("c", "j", 2));
         agent.apply(new AgentEvent.CancelRequested(PEER, List.of("j", "unknown")));
         assertThat(agent.refusals(), contains("b CANCELLED"));
         agent.succeed("a");
@@ -327,121 +327,121 @@
      */
     @Test
     void drainsWithoutCuttingARequest() {
-        agent.startAll("a", "b", "c");
+        agent.requestStarts("a", "b", "c");
         int before = agent.frames().size();
         agent.apply(new AgentEvent.DrainRequested("replaced"));
         assertThat(agent.frames().get(before).getLeaving().getReason(), is("replaced"));
-        agent.startAll("d");
+        agent.requestStarts("d");
         assertThat(agent.refusals(), contains("c DRAINING", "d DRAINING"));
         agent.succeed("a");
-        agent.startAll("e");
+        agent.requestStarts("e");
         assertThat(agent.refusals(), hasItem("e DRAINING"));
-        agent.pass(Duration.ofSeconds(3));
+        agent.advance(Duration.ofSeconds(3));
         agent.succeed("b");
-        agent.pass(Duration.ofMillis(1_999));
-        assertThat(agent.stopReady(), is(false));
+        agent.advance(Duration.ofMillis(1_999));
+        assertThat(agent.readyToStop(), is(false));
         agent.inquire(PEER, "job-of-b", 1);
         assertThat(agent.lastInquiryAnswer(), contains("b DONE \"of b\""));
-        agent.pass(Duration.ofMillis(1));
-        assertThat(agent.stopReady(), is(true));
+        agent.advance(Duration.ofMillis(1));
+        assertThat(agent.readyToStop(), is(true));
     }
 
     @Test
     void anIdleAgentStopsAtOnce() {
         agent.apply(new AgentEvent.DrainRequested("replaced"));
-        assertThat(agent.stopReady(), is(true));
+        assertThat(agent.readyToStop(), is(true));
     }
 
     @Test
-    void aDrainingMinionGetsNothingNew() {
-        agent.startAll("a", "b", "c");
+    void refusesStartsWhileTheMinionIsDraining() {
+        agent.requestStarts("a", "b", "c");
         agent.report(true, true, 2);
         assertThat(agent.lastFrame().getHeartbeat().getReport().getDraining(), is(true));
-        agent.startAll("d");
+        agent.requestStarts("d");
         assertThat(agent.refusals(), contains("c DRAINING", "d DRAINING"));
         agent.report(true, false, 2);
         agent.succeed("a");
-        agent.startAll("e");
+        agent.requestStarts("e");
         assertThat(agent.runs(), contains("a", "b", "e"));
     }
 
     @Test
     void refusesWhileTheMinionIsDown() {
-        agent.startAll("a", "b", "c");
+        agent.requestStarts("a", "b", "c");
         agent.answer("a", new MinionAnswer.NotSent("connection refused"));
         agent.apply(new AgentEvent.MinionReported(new MinionState.Unreachable("connection refused"), agent.now()));
-        agent.startAll("d");
+        agent.requestStarts("d");
         assertThat(agent.refusals(), contains("a MINION_DOWN", "d MINION_DOWN"));
         assertThat(agent.lastFrame().getRefusal().getReport().getMinionUnhealthy(), is(true));
         agent.report(false, false, 0);
-        agent.startAll("e");
+        agent.requestStarts("e");
         agent.report(true, false, 0);
         agent.succeed("b");
-        agent.startAll("f");
+        agent.requestStarts("f");
         assertThat(agent.refusals(), contains("a MINION_DOWN", "d MINION_DOWN", "e MINION_DOWN"));
         assertThat(agent.runs(), contains("a", "b", "c", "f"));
     }
 
     @Test
-    void forgetsAfterTheRetention() {
-        agent.startAll("a");
+    void removesResultsAfterTheRetention() {
+        agent.requestStarts("a");
         agent.succeed("a");
-        agent.pass(Duration.ofMinutes(5).minusMillis(1));
+        agent.advance(Duration.ofMinutes(5).minusMillis(1));
         agent.inquire(PEER, "job-of-a", 1);
         assertThat(agent.lastInquiryAnswer(), contains("a DONE \"of a\""));
-        agent.pass(Duration.ofMillis(1));
+        agent.advance(Duration.ofMillis(1));
         agent.inquire(PEER, "job-of-a", 1);
         assertThat(agent.lastInquiryAnswer(), empty());
-        assertThat(agent.state().keptBytes(), is(0L));
+        assertThat(agent.state().retainedBytes(), is(0L));
     }
 
     @Test
-    void dropsTheOldestResultsForSpaceButKnowsThatTheyStarted() {
+    void discardsTheOldestResultsForSpaceButKeepsTheirAttempts() {
         AgentFixture small = new AgentFixture(AgentFixture.limits(20));
         Start.Builder start = small.start("a", "job-of-a", 0);
-        small.ask(start);
+        small.requestStart(start);
         small.succeed("a");
-        small.startAll("b", "c");
+        small.requestStarts("b", "c");
         small.succeed("b");
         small.succeed("c");
-        small.ask(start);
-        small.ask(small.start("d", "job-of-a", 0));
+        small.requestStart(start);
+        small.requestStart(small.start("d", "job-of-a", 0));
         small.inquire(PEER, "job-of-a", 1);
         assertThat(small.runs(), contains("a", "b", "c"));
-        assertThat(small.results().subList(3, 5), contains("a " + KEPT_NO_LONGER, "d " + KEPT_NO_LONGER));
-        assertThat(small.lastInquiryAnswer(), contains("a " + KEPT_NO_LONGER));
-        assertThat(small.state().keptBytes(), lessThan(21L));
+        assertThat(small.results().subList(3, 5), contains("a " + DISCARDED, "d " + DISCARDED));
+        assertThat(small.lastInquiryAnswer(), contains("a " + DISCARDED));
+        assertThat(small.state().retainedBytes(), lessThan(21L));
     }
 
     @Test
     void answersOverANewerConnectionOfTheSameProcess() {
-        agent.startAll("a");
-        agent.join(SECOND_PEER, "entry-1");
-        agent.join(new PeerId(3), "entry-2");
+        agent.requestStarts("a");
+        agent.connectPeer(SECOND_PEER, "entry-1");
+        agent.connectPeer(new PeerId(3), "entry-2");
         agent.apply(new AgentEvent.PeerDisconnected(PEER));
         agent.succeed("a");
         assertThat(agent.results(), contains("a DONE \"of a\""));
-        assertThat(agent.lastReceiver(), is(SECOND_PEER));
+        assertThat(agent.lastRecipient(), is(SECOND_PEER));
     }
 
     @Test
     void anInquiryMovesLaterResultsToItsConnection() {
-        agent.startAll("a");
-        agent.join(SECOND_PEER, "entry-2");
+        agent.requestStarts("a");
+        agent.connectPeer(SECOND_PEER, "entry-2");
         agent.inquire(SECOND_PEER, "job-of-a", 2);
         assertThat(agent.lastInquiryAnswer(), contains("a RUNNING "));
         agent.succeed("a");
-        assertThat(agent.lastReceiver(), is(SECOND_PEER));
+        assertThat(agent.lastRecipient(), is(SECOND_PEER));
         assertThat(agent.lastFrame().getRequestId(), is(0L));
     }
 
     @Test
-    void keepsAResultThatNobodyIsThereFor() {
-        agent.startAll("a");
+    void retainsAResultThatCannotBeDelivered() {
+        agent.requestStarts("a");
         agent.apply(new AgentEvent.PeerDisconnected(PEER));
         agent.succeed("a");
         assertThat(agent.wasted(), contains(AgentEffect.WasteKind.UNDELIVERED));
-        agent.join(SECOND_PEER, "entry-1");
+        agent.connectPeer(SECOND_PEER, "entry-1");
         agent.inquire(SECOND_PEER, "job-of-a", 1);
         assertThat(agent.lastInquiryAnswer(), contains("a DONE \"of a\""));
     }
@@ -456,7 +456,7 @@
         AgentFixture large = new AgentFixture(AgentFixture.limits(100_000_000));
         String body = "\"" + "x".repeat(1_000_000) + "\"";
         for (int task = 0; task < 10; task++) {
-            large.ask(large.start("a" + task, "j", task));
+            large.requestStart(large.start("a" + task, "j", task));
             large.answer("a" + task, new MinionAnswer.Success(body));
         }
         int before = large.frames().size();
@@ -484,19 +484,19 @@
      * version at once; one that did not would push it again.
      */
     @Test
-    void aDeclaredDrainHoldsUntilItIsTakenBack() {
-        agent.startAll("a");
+    void refusesStartsWhileTheBackendServerIsDeclaredDraining() {
+        agent.requestStarts("a");
         agent.apply(new AgentEvent.Configured(new AgentConfiguration(3, true)));
         Heartbeat told = agent.lastFrame().getHeartbeat();
         assertThat(told.getConfigurationVersion(), is(3L));
         assertThat(told.getReport().getDraining(), is(true));
-        agent.startAll("b");
+        agent.requestStarts("b");
         assertThat(agent.refusals(), contains("b DRAINING"));
         agent.succeed("a");
         assertThat(agent.results(), contains("a DONE \"of a\""));
         agent.apply(new AgentEvent.Configured(new AgentConfiguration(2, true)));
         agent.apply(new AgentEvent.Configured(new AgentConfiguration(4, false)));
-        agent.startAll("c");
+        agent.requestStarts("c");
         assertThat(agent.runs(), contains("a", "c"));
     }
 }
--- a/library/src/test/java/org/chivetally/agent/LoopbackMinion.java
+++ b/library/src/test/java/org/chivetally/agent/LoopbackMinion.java
@@ -22,7 +22,7 @@
 
     private final ActorSystem<?> system;
     private final ServerBinding binding;
-    private final BlockingQueue<Arrival> arrivals = new LinkedBlockingQueue<>();
+    private final BlockingQueue<TaskRequest> tasks = new LinkedBlockingQueue<>();
     private volatile String state = "{\"freeSlots\":2,\"running\":0,\"draining\":false,\"healthy\":true}";
 
     LoopbackMinion(ActorSystem<?> system) {
@@ -38,21 +38,21 @@
         return URI.create("http://127.0.0.1:" + binding.localAddress().getPort());
     }
 
-    void tellState(String json) {
+    void setState(String json) {
         state = json;
     }
 
     /** Waits for the next task. */
-    Arrival nextArrival() throws InterruptedException {
-        Arrival next = arrivals.poll(WAIT_SECONDS, TimeUnit.SECONDS);
+    TaskRequest nextTask() throws InterruptedException {
+        TaskRequest next = tasks.poll(WAIT_SECONDS, TimeUnit.SECONDS);
         if (next == null) {
             throw new AssertionError("no task came within " + WAIT_SECONDS + " s");
         }
         return next;
     }
 
-    int arrivalsLeft() {
-        return arrivals.size();
+    int pendingTasks() {
+        return tasks.size();
     }
 
     private CompletionStage<HttpResponse> handle(HttpRequest request) {
@@ -62,18 +62,18 @@
         }
         return request.entity()
                 .toStrict(BODY_MILLIS, system)
-                .thenCompose(entity -> arrive(request, entity.getData().utf8String()));
+                .thenCompose(entity -> addTask(request, entity.getData().utf8String()));
     }
 
-    private CompletionStage<HttpResponse> arrive(HttpRequest request, String body) {
-        Arrival arrival = new Arrival(
+    private CompletionStage<HttpResponse> addTask(HttpRequest request, String body) {
+        TaskRequest task = new TaskRequest(
                 header(request, "Chivetally-Attempt"),
                 header(request, "Chivetally-Job"),
                 header(request, "Chivetally-Task"),
                 body,
                 new CompletableFuture<>());
-        arrivals.add(arrival);
-        return arrival.answer();
+        tasks.add(task);
+        return task.answer();
     }
 
     private static String header(HttpRequest request, String name) {
@@ -81,7 +81,7 @@
     }
 
     /** One task as it reached the minion. */
-    record Arrival(String attempt, String job, String task, String body, CompletableFuture<HttpResponse> answer) {
+    record TaskRequest(String attempt, String job, String task, String body, CompletableFuture<HttpResponse> answer) {
         void succeed(String json) {
             answer.complete(HttpResponse.create().withEntity(ContentTypes.APPLICATION_JSON, json));
         }
--- a/library/src/test/java/org/chivetally/agent/MemberAnnouncerTest.java
+++ b/library/src/test/java/org/chivetally/agent/MemberAnnouncerTest.java
@@ -33,7 +33,7 @@
 
     private final ActorTestKit kit = ActorTestKit.create(ManualTime.config());
     private final ManualTime time = ManualTime.get(kit.system());
-    private final HeldLog log = new HeldLog();
+    private final ManualLog log = new ManualLog();
     private final MemberAnnouncer announcer = new MemberAnnouncer(kit.system(), log, MEMBER, INTERVAL);
 
     @AfterEach
@@ -43,10 +43,10 @@
 
     @Test
     void announcesOnStartAndEveryInterval() throws InterruptedException {
-        Held first = log.next();
+        PendingAppend first = log.next();
         assertThat(first.content(), is(Optional.of(new MemberRecord.Announced(MEMBER))));
         first.answer(WRITTEN);
-        Held second = advanceUntilNext(INTERVAL);
+        PendingAppend second = advanceUntilNext(INTERVAL);
         assertThat(second.content(), is(first.content()));
         assertThat(second.record().id(), is(not(first.record().id())));
     }
@@ -58,11 +58,11 @@
      */
     @Test
     void repeatsALostAppendUnderTheSameId() throws InterruptedException {
-        Held first = log.next();
+        PendingAppend first = log.next();
         first.answer(LOST);
-        Held second = advanceUntilNext(Duration.ofMillis(500));
+        PendingAppend second = advanceUntilNext(Duration.ofMillis(500));
         second.answer(new AppendOutcome.Refused("log is down"));
-        Held third = advanceUntilNext(Duration.ofSeconds(1));
+        PendingAppend third = advanceUntilNext(Duration.ofSeconds(1));
         assertThat(
                 List.of(second.record().id(), third.record().id()),
                 is(List.of(first.record().id(), first.record().id())));
@@ -70,11 +70,11 @@
 
     @Test
     void appendsTheLeaveAfterTheAnnounceInFlight() throws InterruptedException {
-        Held announce = log.next();
+        PendingAppend announce = log.next();
         CompletionStage<Void> left = announcer.leave();
-        assertThat(log.waiting, empty());
+        assertThat(log.pending, empty());
         announce.answer(WRITTEN);
-        Held leave = log.next();
+        PendingAppend leave = log.next();
         assertThat(leave.content(), is(Optional.of(new MemberRecord.Left("agent-1", "incarnation-1"))));
         leave.answer(WRITTEN);
         left.toCompletableFuture().join();
@@ -85,11 +85,11 @@
      * under way, which may come to stand before the record that declared it gone; so it announces itself once more.
      */
     @Test
-    void announcesOnceMoreWhenAskedToDuringAnAppend() throws InterruptedException {
-        Held first = log.next();
+    void announcesAgainWhenRequestedDuringAnAppend() throws InterruptedException {
+        PendingAppend first = log.next();
         announcer.announceNow();
         first.answer(WRITTEN);
-        Held second = log.next();
+        PendingAppend second = log.next();
         assertThat(second.record().id(), is(not(first.record().id())));
         second.answer(WRITTEN);
         announcer.announceNow();
@@ -97,7 +97,7 @@
     }
 
     @Test
-    void givesTheLeaveUpWhenTheLogStaysDown() throws InterruptedException {
+    void leaveTimesOutWhileTheLogIsDown() throws InterruptedException {
         log.next();
         CompletableFuture<Void> left = announcer.leave().toCompletableFuture();
         while (!left.isDone()) {
@@ -108,7 +108,7 @@
     }
 
     @Test
-    void membersSurviveTheirJson() {
+    void readsMembersBackFromJson() {
         Member entry = Member.entry("entry-1", "2", "10.0.0.1", 7_000, "south");
         MemberRecord announced = new MemberRecord.Announced(entry);
         assertThat(MemberRecord.fromJson(announced.toJson()), is(Optional.of(announced)));
@@ -118,24 +118,24 @@
     }
 
     /** The answer reaches the announcer on another thread, so the timer may be set after the first advance. */
-    private Held advanceUntilNext(Duration step) throws InterruptedException {
-        Held next = null;
+    private PendingAppend advanceUntilNext(Duration step) throws InterruptedException {
+        PendingAppend next = null;
         while (next == null) {
             time.timePasses(step);
-            next = log.waiting.poll(50, TimeUnit.MILLISECONDS);
+            next = log.pending.poll(50, TimeUnit.MILLISECONDS);
         }
         return next;
     }
 
     /** A log whose answers the test gives. */
-    private static final class HeldLog implements PlatformLog {
-        private final BlockingQueue<Held> waiting = new LinkedBlockingQueue<>();
+    private static final class ManualLog implements PlatformLog {
+        private final BlockingQueue<PendingAppend> pending = new LinkedBlockingQueue<>();
 
         @Override
         public CompletionStage<AppendOutcome> append(String stream, List<NewRecord> records) {
-            Held held = new Held(stream, records.getFirst(), new CompletableFuture<>());
-            waiting.add(held);
-            return held.outcome();
+            PendingAppend pendingAppend = new PendingAppend(stream, records.getFirst(), new CompletableFuture<>());
+            pending.add(pendingAppend);
+            return pendingAppend.outcome();
         }
 
         @Override
@@ -143,12 +143,12 @@
             throw new UnsupportedOperationException("announcers don't read");
         }
 
-        Held next() throws InterruptedException {
-            return waiting.take();
+        PendingAppend next() throws InterruptedException {
+            return pending.take();
         }
     }
 
-    private record Held(String stream, NewRecord record, CompletableFuture<AppendOutcome> outcome) {
+    private record PendingAppend(String stream, NewRecord record, CompletableFuture<AppendOutcome> outcome) {
         Optional<MemberRecord> content() {
             return MemberRecord.fromJson(record.payload());
         }
--- a/library/src/test/java/org/chivetally/entry/EntryMembershipTest.java
+++ b/library/src/test/java/org/chivetally/entry/EntryMembershipTest.java
@@ -13,11 +13,11 @@
 import java.util.Optional;
 import java.util.UUID;
 import java.util.concurrent.CopyOnWriteArrayList;
+import org.chivetally.agent.AgentCallbacks;
 import org.chivetally.agent.AgentConfiguration;
 import org.chivetally.agent.AgentLimits;
 import org.chivetally.agent.AgentServer;
 import org.chivetally.agent.AgentSettings;
-import org.chivetally.agent.AgentSurroundings;
 import org.chivetally.agent.MemberAnnouncer;
 import org.chivetally.agent.MinionCapacity;
 import org.chivetally.agent.MinionStateSource;
@@ -84,7 +84,7 @@
         // earlier; then it dies, and the coordinator too. Whoever takes the job over once the log is back has no
         // record of the agent, asks all others, and starts the task again. So it gets nothing before its record
         // stands in the log.
-        Agent agent = new Agent("agent-1", AgentSurroundings.none());
+        Agent agent = new Agent("agent-1", AgentCallbacks.none());
         EntryServer entry = start();
         agent.introduceTo(entry);
         AgentId id = new AgentId("agent-1", agent.server.incarnation());
@@ -100,7 +100,7 @@
     void agentThatTwoFailureDomainsLoseIsDeclaredGoneAndNotTakenForDead() {
         // An agent's process dies without a word. Entries of two failure domains lose it at once and stop using it.
         // They agree, one writes a record, and all drop it; as it might be paused only, its work stays in doubt.
-        Agent agent = new Agent("agent-1", AgentSurroundings.none());
+        Agent agent = new Agent("agent-1", AgentCallbacks.none());
         agent.announce();
         start();
         fixture.start(EntryFixture.settings("entry-2", "south", List.of()), EntryExtension.none());
@@ -152,7 +152,7 @@
     void entryStartedInAnOutageTakesMembersAndConfigurationFromASeed() {
         // The log is down when an entry is replaced. It can read neither members nor configuration, and would refuse
         // all until the log is back; its settings name an entry that knows both.
-        Agent agent = new Agent("agent-1", AgentSurroundings.none());
+        Agent agent = new Agent("agent-1", AgentCallbacks.none());
         agent.announce();
         EntryExtension ahead =
                 new EntryExtension(new UndeclaredPolicies(), List.of(), List::of, new StubConfiguration(7));
@@ -225,7 +225,7 @@
         private final FrameTransport transport = new FrameTransport(new SimpleMeterRegistry());
         private final AgentServer server;
 
-        private Agent(String name, AgentSurroundings surroundings) {
+        private Agent(String name, AgentCallbacks surroundings) {
             AgentSettings settings = new AgentSettings(
                     name,
                     "east",
@@ -309,18 +309,18 @@
         }
     }
 
-    private static final class StubSurroundings implements AgentSurroundings {
+    private static final class StubSurroundings implements AgentCallbacks {
         private final List<Long> offered = new CopyOnWriteArrayList<>();
         private volatile MemberAnnouncer announcer;
 
         @Override
-        public AgentConfiguration offer(long version, byte[] snapshot) {
+        public AgentConfiguration offerConfiguration(long version, byte[] snapshot) {
             offered.add(version);
             return new AgentConfiguration(version, false);
         }
 
         @Override
-        public void announceAnew(String reason) {
+        public void reannounce(String reason) {
             announcer.announceNow();
         }
     }
--- a/load/src/main/java/org/chivetally/load/experiment/ClusterSimulation.java
+++ b/load/src/main/java/org/chivetally/load/experiment/ClusterSimulation.java
@@ -233,7 +233,7 @@
                 case AgentEffect.CountWaste waste -> counts.wasted++;
                 case AgentEffect.AbandonRun abandon ->
                     throw new IllegalStateException("a simulated attempt was abandoned");
-                case AgentEffect.StopReady ready -> throw new IllegalStateException("a simulated agent stopped");
+                case AgentEffect.ReadyToStop ready -> throw new IllegalStateException("a simulated agent stopped");
             }
         }
     }
