--- a/library/src/main/java/org/chivetally/job/JobId.java
+++ b/library/src/main/java/org/chivetally/job/JobId.java
@@ -2,9 +2,13 @@
 
 import java.util.Objects;
 
-/** Name of one accepted submission, unique for all time. */
+/**
+ * Globally unique identifier of an accepted submission; never reused.
+ *
+ * @param text the identifier as it appears in documents and messages
+ */
 public record JobId(String text) {
-    /** Refuses a missing or empty name. */
+    /** Rejects a null or empty identifier. */
     public JobId {
         Objects.requireNonNull(text, "text");
         if (text.isEmpty()) {
--- a/library/src/main/java/org/chivetally/job/JobSpecification.java
+++ b/library/src/main/java/org/chivetally/job/JobSpecification.java
@@ -5,18 +5,18 @@
 import java.util.Objects;
 
 /**
- * A job as submitted.
+ * A job as submitted by a client.
  *
  * @param service name of the service that runs the tasks
  * @param team name of the submitting team
- * @param deadline longest time from submission to the final answer
- * @param tasks at least one task
+ * @param deadline maximum time from the submission to the final outcome
+ * @param tasks the tasks, from 1 to {@link #MAXIMUM_TASKS}
  */
 public record JobSpecification(String service, String team, Duration deadline, List<TaskSpecification> tasks) {
-    /** Most tasks that a job may have. */
+    /** Maximum number of tasks in a job. */
     public static final int MAXIMUM_TASKS = 250;
 
-    /** Copies the tasks and checks their number. */
+    /** Copies the tasks; rejects null components and an invalid number of tasks. */
     public JobSpecification {
         Objects.requireNonNull(service, "service");
         Objects.requireNonNull(team, "team");
--- a/library/src/main/java/org/chivetally/job/Resources.java
+++ b/library/src/main/java/org/chivetally/job/Resources.java
@@ -1,24 +1,24 @@
 package org.chivetally.job;
 
 /**
- * What a task says it needs of a worker.
+ * Resources that a task requires, or that a worker provides.
  *
- * @param processorMillis thousandths of a processor
+ * @param processorMillis processor time in thousandths of a processor
  * @param memoryBytes memory in bytes
- * @param accelerators whole accelerators
+ * @param accelerators number of accelerators
  */
 public record Resources(long processorMillis, long memoryBytes, int accelerators) {
-    /** Nothing declared. */
+    /** No resources; also stands for a task that declares none. */
     public static final Resources NONE = new Resources(0, 0, 0);
 
-    /** Refuses negative sizes. */
+    /** Rejects negative amounts. */
     public Resources {
         if (processorMillis < 0 || memoryBytes < 0 || accelerators < 0) {
             throw new IllegalArgumentException("resources can't be negative");
         }
     }
 
-    /** Tells whether these fit within the given ones. */
+    /** Returns whether these resources fit into the given capacity. */
     public boolean fitWithin(Resources whole) {
         return processorMillis <= whole.processorMillis
                 && memoryBytes <= whole.memoryBytes
--- a/library/src/main/java/org/chivetally/job/ServicePolicies.java
+++ b/library/src/main/java/org/chivetally/job/ServicePolicies.java
@@ -1,10 +1,10 @@
 package org.chivetally.job;
 
-/** What operators have declared, as far as this process knows; safe from any thread and never blocking. */
+/** Service and team policies known to this process, as declared by operators. Implementations are thread-safe and non-blocking. */
 public interface ServicePolicies {
-    /** Returns the policy of a service, or the safe one of a service that nobody declared. */
+    /** Returns the policy of a service, or {@link ServicePolicy#undeclared} if none is declared. */
     ServicePolicy service(String name);
 
-    /** Returns the policy of a team, or that of a team that nobody declared. */
+    /** Returns the policy of a team, or {@link TeamPolicy#undeclared} if none is declared. */
     TeamPolicy team(String name);
 }
--- a/library/src/main/java/org/chivetally/job/ServicePolicy.java
+++ b/library/src/main/java/org/chivetally/job/ServicePolicy.java
@@ -4,16 +4,16 @@
 import java.util.Objects;
 
 /**
- * How the tasks of one service may be run, as operators declare it.
+ * Rules for running the tasks of one service, as declared by operators.
  *
  * @param name name of the service
- * @param idempotent whether a task may run again after an attempt that may have started
- * @param claimMode where submissions are claimed
- * @param maximumAttempts most attempts of one task, counted from one
- * @param attemptLease longest run of one attempt; the agent ends it afterwards
- * @param defaultDeadline deadline of a job that names none
- * @param speculate whether a straggler may get a second copy; only for idempotent services
- * @param resources what a task needs that declares nothing
+ * @param idempotent whether a task may be started again after an attempt that may have started
+ * @param claimMode where submissions to the service are claimed
+ * @param maximumAttempts maximum number of attempts per task, including the first; at least 1
+ * @param attemptLease maximum run time of one attempt, after which the agent ends it
+ * @param defaultDeadline deadline of jobs that specify none
+ * @param speculate whether a second copy of a straggling task may be started; only for idempotent services
+ * @param resources resources required by tasks that declare none
  */
 public record ServicePolicy(
         String name,
@@ -24,7 +24,7 @@
         Duration defaultDeadline,
         boolean speculate,
         Resources resources) {
-    /** Refuses missing parts, fewer than one attempt, and second copies of what must run once. */
+    /** Rejects null components, less than one attempt, and duplicate runs of tasks that are not idempotent. */
     public ServicePolicy {
         Objects.requireNonNull(name, "name");
         Objects.requireNonNull(claimMode, "claimMode");
@@ -39,7 +39,7 @@
         }
     }
 
-    /** Returns the policy of a service that nobody declared: safe for work that must run once. */
+    /** Returns the policy of a service that is not declared; it is safe for tasks that must not run twice. */
     public static ServicePolicy undeclared(String name) {
         return new ServicePolicy(
                 name, false, ClaimMode.LOG, 3, Duration.ofSeconds(30), Duration.ofSeconds(60), false, Resources.NONE);
@@ -47,9 +47,9 @@
 
     /** Where submissions of a service are claimed. */
     public enum ClaimMode {
-        /** In the platform's log; refused as not run while the log is down. */
+        /** In the platform log. Submissions are refused as not run while the log is unavailable. */
         LOG,
-        /** In the log when it answers, otherwise in the entry's memory only. */
+        /** In the platform log if it is available, otherwise only in the memory of the entry. */
         MEMORY
     }
 }
--- a/library/src/main/java/org/chivetally/job/TaskOutcome.java
+++ b/library/src/main/java/org/chivetally/job/TaskOutcome.java
@@ -1,16 +1,20 @@
 package org.chivetally.job;
 
-/** What became of one task. */
+/** Outcome of one task. */
 public sealed interface TaskOutcome {
-    /** Ran once and answered; the body is the minion's JSON text. */
+    /**
+     * The task was completed.
+     *
+     * @param body the minion's answer as JSON text
+     */
     record Done(String body) implements TaskOutcome {}
 
-    /** Ran and answered with an error. */
+    /** The task ran and ended with an error. */
     record Failed(String error) implements TaskOutcome {}
 
-    /** Never started and never will be. */
+    /** The task has not started and will not start. */
     record NotRun(String reason) implements TaskOutcome {}
 
-    /** May have started; its outcome can't be known. */
+    /** The task may have started, and its outcome can't be determined. */
     record Unknown(String reason) implements TaskOutcome {}
 }
--- a/library/src/main/java/org/chivetally/job/TaskSpecification.java
+++ b/library/src/main/java/org/chivetally/job/TaskSpecification.java
@@ -5,11 +5,11 @@
 /**
  * One task of a job.
  *
- * @param payload JSON text handed to the minion as it is
- * @param resources what the task says it needs
+ * @param payload JSON text that is passed to the minion unchanged
+ * @param resources resources that the task declares to require; {@link Resources#NONE} if it declares none
  */
 public record TaskSpecification(String payload, Resources resources) {
-    /** Refuses missing parts. */
+    /** Rejects null components. */
     public TaskSpecification {
         Objects.requireNonNull(payload, "payload");
         Objects.requireNonNull(resources, "resources");
--- a/library/src/main/java/org/chivetally/job/TeamPolicy.java
+++ b/library/src/main/java/org/chivetally/job/TeamPolicy.java
@@ -1,22 +1,22 @@
 package org.chivetally.job;
 
 /**
- * What one team may have at once, over all entries.
+ * Quota of one team, summed over all entries.
  *
  * @param name name of the team
- * @param maximumRunning most tasks started and not ended
- * @param maximumQueued most tasks accepted and not started
- * @param weight share among teams that wait, at least 1
+ * @param maximumRunning maximum number of tasks that have started and not ended
+ * @param maximumQueued maximum number of tasks that are accepted and not started
+ * @param weight relative share of free slots among teams with queued tasks, at least 1
  */
 public record TeamPolicy(String name, int maximumRunning, int maximumQueued, int weight) {
-    /** Refuses negative limits and weights under one. */
+    /** Rejects negative limits and weights below 1. */
     public TeamPolicy {
         if (maximumRunning < 0 || maximumQueued < 0 || weight < 1) {
             throw new IllegalArgumentException("limits can't be negative and a weight is at least 1");
         }
     }
 
-    /** Returns the policy of a team that nobody declared. */
+    /** Returns the quota of a team that is not declared. */
     public static TeamPolicy undeclared(String name) {
         return new TeamPolicy(name, 100_000, 100_000, 1);
     }
--- a/library/src/main/java/org/chivetally/job/package-info.java
+++ b/library/src/main/java/org/chivetally/job/package-info.java
@@ -1,2 +1,2 @@
-/** Jobs, their tasks and their outcomes as values. */
+/** Immutable values for jobs, tasks, their outcomes, and the policies of services and teams. */
 package org.chivetally.job;
--- a/library/src/main/java/org/chivetally/membership/RendezvousOrder.java
+++ b/library/src/main/java/org/chivetally/membership/RendezvousOrder.java
@@ -4,10 +4,11 @@
 import java.util.Collection;
 
 /**
- * An order of the entries for each agent, the same for all that know the same entries.
+ * Order of the entries for each agent by rendezvous hashing. All processes that know the same entries compute the same
+ * order.
  *
- * <p>By rendezvous hashing: an entry that comes or goes changes the first place only of the agents whose first it
- * becomes or was.
+ * <p>An entry that joins or leaves changes the first-ranked entry only of those agents for which it becomes or was the
+ * first.
  */
 public final class RendezvousOrder {
     private static final long FNV_OFFSET_BASIS = 0xcbf29ce484222325L;
@@ -16,8 +17,12 @@
     private RendezvousOrder() {}
 
     /**
-     * Returns the place of an entry in an agent's order, from 0; an entry that is not among the given ones counts as if
-     * it were.
+     * Returns the rank of an entry in an agent's order, from 0. An entry that is not contained in {@code entries} is
+     * ranked as if it were.
+     *
+     * @param entry process id of the entry to rank
+     * @param entries process ids of the known entries
+     * @param agent process id of the agent
      */
     public static int rank(String entry, Collection<String> entries, String agent) {
         long entryWeight = weight(entry, agent);
@@ -40,7 +45,8 @@
         for (byte octet : (entry + "\n" + agent).getBytes(StandardCharsets.UTF_8)) {
             hash = (hash ^ (octet & 0xff)) * FNV_PRIME;
         }
-        // The last characters alone hardly reach the upper bits, which decide the order; the final mix spreads them.
+        // In FNV-1a the last characters hardly affect the upper bits, which determine the order. The 64-bit finalizer of
+        // MurmurHash3 mixes all bits.
         hash = (hash ^ (hash >>> 33)) * 0xff51afd7ed558ccdL;
         hash = (hash ^ (hash >>> 33)) * 0xc4ceb9fe1a85ec53L;
         return hash ^ (hash >>> 33);
--- a/library/src/main/java/org/chivetally/membership/package-info.java
+++ b/library/src/main/java/org/chivetally/membership/package-info.java
@@ -1,2 +1,2 @@
-/** What entries decide alike about members without asking each other. */
+/** Decisions about members that all entries make identically without communication. */
 package org.chivetally.membership;
--- a/library/src/main/java/org/chivetally/placement/AgentPool.java
+++ b/library/src/main/java/org/chivetally/placement/AgentPool.java
@@ -5,9 +5,9 @@
 import java.util.Map;
 import org.chivetally.job.Resources;
 
-/** Agents of one service whose workers have the same size, indexed by use and by load. */
+/** Agents of one service whose workers have the same capacity, indexed by availability and by load. */
 final class AgentPool {
-    /** Buckets of load: the last one holds agents without a free slot. */
+    /** Number of load buckets. The first holds idle agents, the last holds agents without a free slot. */
     private static final int LOAD_BUCKETS = 64;
 
     private final Resources workerCapacity;
@@ -27,28 +27,28 @@
         return workerCapacity;
     }
 
-    /** Agents that take new work, with or without a free slot. */
+    /** Returns the agents that accept new tasks, with or without a free slot. */
     IndexedSet accepting() {
         return accepting;
     }
 
-    /** Agents thought to have a free slot. */
+    /** Returns the agents with an estimated free slot. */
     IndexedSet withFreeSlot() {
         return withFreeSlot;
     }
 
-    /** Agents of the least load among those that accept work; empty when there are none. */
+    /** Returns the agents in the lowest occupied load bucket; empty when no agent accepts new tasks. */
     IndexedSet leastLoaded() {
         int bucket = nonEmptyBuckets == 0 ? 0 : Long.numberOfTrailingZeros(nonEmptyBuckets);
         return byLoad[bucket];
     }
 
-    /** Agents that accept work and have nothing to do. */
+    /** Returns the agents that accept new tasks and have none running or queued. */
     IndexedSet idle() {
         return byLoad[0];
     }
 
-    /** Returns the agents that are known and not gone. */
+    /** Returns the number of agents in this pool, reachable or not. */
     int agentCount() {
         return agentCount;
     }
--- a/library/src/main/java/org/chivetally/placement/AgentState.java
+++ b/library/src/main/java/org/chivetally/placement/AgentState.java
@@ -1,17 +1,17 @@
 package org.chivetally.placement;
 
-/** What an agent can be used for, as one coordinator sees it. */
+/** Whether one coordinator can place tasks on an agent, and if not, why. */
 public enum AgentState {
-    /** Takes new work. */
+    /** Accepts new tasks. */
     USABLE,
-    /** Finishes what it has and takes nothing new. */
+    /** Finishes its running and queued tasks and accepts no new ones. */
     DRAINING,
-    /** Its minion does not answer. */
+    /** Its minion is unhealthy or does not respond. */
     MINION_DOWN,
-    /** No usable connection; attempts there are in doubt. */
+    /** No usable connection; the state of attempts on it is unknown. */
     UNREACHABLE,
-    /** Withheld because its minion fails many different tasks. */
+    /** Receives no tasks because its minion fails many different ones. */
     QUARANTINED,
-    /** The incarnation is dead beyond doubt. */
+    /** The incarnation has certainly ended. */
     GONE
 }
--- a/library/src/main/java/org/chivetally/placement/AgentView.java
+++ b/library/src/main/java/org/chivetally/placement/AgentView.java
@@ -8,8 +8,9 @@
 import org.chivetally.wire.v1.Report;
 
 /**
- * One incarnation of an agent as one coordinator sees it: its own attempts there exactly, the rest as of the last
- * report. Changed only by its {@link Fleet}, which keeps the indexes in step.
+ * State of one incarnation of an agent, as known to one coordinator. The coordinator's own attempts are counted
+ * exactly; everything else is as of the agent's last report. Only {@link Fleet} modifies a view, so that its indexes
+ * stay consistent.
  */
 public final class AgentView {
     private static final int NO_LIMIT = Integer.MAX_VALUE;
@@ -49,77 +50,80 @@
         return id;
     }
 
-    /** Returns the service its minion runs; empty while neither a Hello of it nor the members' records named it. */
+    /** Returns the service that its minion runs; empty until a Hello or a membership record names it. */
     public String service() {
         return service;
     }
 
-    /** Returns the failure domain it said it is in. */
+    /** Returns the failure domain that the agent announced in its Hello. */
     public String failureDomain() {
         return failureDomain;
     }
 
-    /** Returns the slots of its minion. */
+    /** Returns the number of slots of its minion. */
     public int slots() {
         return slots;
     }
 
-    /** Returns what its worker gives to the minion. */
+    /** Returns the resources that its worker provides to the minion. */
     public Resources workerCapacity() {
         return workerCapacity;
     }
 
-    /** Tells whether a Hello of it was ever seen, so that service and capacity are known. */
+    /** Returns whether a Hello was received, so that service and capacity are known. */
     public boolean helloReceived() {
         return helloReceived;
     }
 
-    /** Tells whether a connection to it can be used. */
+    /** Returns whether there is a usable connection to the agent. */
     public boolean reachable() {
         return reachable;
     }
 
-    /** Tells whether the incarnation is dead beyond doubt. */
+    /** Returns whether the incarnation has certainly ended. */
     public boolean gone() {
         return gone;
     }
 
-    /** Returns this coordinator's attempts in flight there. */
+    /** Returns the number of this coordinator's attempts in flight on the agent. */
     public int inFlight() {
         return inFlight;
     }
 
-    /** Returns what other coordinators had running or queued there at the last report. */
+    /** Returns the number of tasks that other coordinators had running or queued on the agent at its last report. */
     public int externalTasks() {
         return externalTasks;
     }
 
-    /** Returns the newest ticket, to be sent back as it is. */
+    /** Returns the latest ticket, an opaque value that is sent back unchanged with each start. */
     public long ticket() {
         return ticket;
     }
 
-    /** Returns when the newest ticket arrived, in nanoseconds of this coordinator's clock. */
+    /** Returns when the latest ticket arrived, in nanoseconds of this coordinator's monotonic clock. */
     public long ticketReceivedAtNanos() {
         return ticketReceivedAtNanos;
     }
 
-    /** Tells whether a heartbeat was sent lately to refresh the ticket and nothing has come since. */
+    /**
+     * Returns whether a heartbeat that asks for a new ticket was sent within the refresh timeout and no report has
+     * arrived since.
+     */
     public boolean refreshPending(long nowNanos) {
         return refreshPending && nowNanos - refreshSentAtNanos < REFRESH_TIMEOUT_NANOS;
     }
 
-    /** Returns the most attempts in flight that quarantine and hold-down allow. */
+    /** Returns the maximum number of attempts in flight under quarantine and hold-down. */
     public int attemptLimit() {
         return heldDown ? Math.min(1, attemptLimit) : attemptLimit;
     }
 
-    /** Tells whether a ticket arrived within the last {@code freshness} nanoseconds. */
+    /** Returns whether a ticket arrived within the last {@code maximumAgeNanos} nanoseconds. */
     public boolean hasFreshTicket(long nowNanos, long maximumAgeNanos) {
         return reported && nowNanos - ticketReceivedAtNanos <= maximumAgeNanos;
     }
 
-    /** Returns what the agent can be used for. */
+    /** Returns whether tasks can be placed on the agent, and if not, why. */
     public AgentState state() {
         if (gone) {
             return AgentState.GONE;
@@ -136,7 +140,12 @@
         return attemptLimit() <= 0 ? AgentState.QUARANTINED : AgentState.USABLE;
     }
 
-    /** Returns the slots thought to be free, with some of the agent's queue counted as slots; never negative. */
+    /**
+     * Returns the estimated number of free slots.
+     *
+     * @param overcommit number of places in the agent's own queue that count as slots
+     * @return the estimate, never negative
+     */
     public int estimatedFree(int overcommit) {
         if (!acceptsAttempt()) {
             return 0;
@@ -145,17 +154,17 @@
         return Math.max(0, Math.min(bySlots, attemptLimit() - inFlight));
     }
 
-    /** Returns the share of slots thought to be taken; above 1 when tasks queue. */
+    /** Returns the estimated share of slots in use; above 1 when tasks are queued. */
     public double loadRatio() {
         return slots == 0 ? 1.0 : (double) (inFlight + externalTasks) / slots;
     }
 
-    /** Tells whether the agent takes new work and quarantine allows one attempt more. */
+    /** Returns whether the agent accepts new tasks and its attempt limit allows one more. */
     boolean acceptsAttempt() {
         return state() == AgentState.USABLE && inFlight < attemptLimit();
     }
 
-    /** Tells whether a task fits beside this coordinator's own attempts there. */
+    /** Returns whether a task fits into the worker's capacity next to this coordinator's own attempts. */
     boolean hasRoomFor(Resources required) {
         return processorMillisInFlight + required.processorMillis() <= workerCapacity.processorMillis()
                 && memoryBytesInFlight + required.memoryBytes() <= workerCapacity.memoryBytes()
@@ -210,8 +219,10 @@
     }
 
     /**
-     * Takes a report in unless a newer one was seen: frames of an old connection may arrive after those of a new one,
-     * and an old ticket or load would look like the newest.
+     * Applies a report unless a newer one was already applied. Frames of an old connection may arrive after those of a
+     * new one, and would otherwise replace the latest ticket and load by outdated ones.
+     *
+     * @return whether the report was applied
      */
     boolean applyReport(Report report, long nowNanos) {
         if (reported && Long.compareUnsigned(report.getSequence(), sequence) < 0) {
@@ -229,7 +240,7 @@
         return true;
     }
 
-    /** Counts the agent as full until its next report, whatever its last one said. */
+    /** Counts all slots of the agent as occupied until its next report. */
     void presumeFull() {
         externalTasks = Math.max(externalTasks, slots - inFlight);
     }
--- a/library/src/main/java/org/chivetally/placement/DecayingCount.java
+++ b/library/src/main/java/org/chivetally/placement/DecayingCount.java
@@ -1,6 +1,6 @@
 package org.chivetally.placement;
 
-/** A count whose value halves with every half-life. */
+/** A counter whose value decays exponentially with a half-life of 10 seconds. */
 final class DecayingCount {
     private static final double HALF_LIFE_NANOS = 10e9;
 
--- a/library/src/main/java/org/chivetally/placement/Fleet.java
+++ b/library/src/main/java/org/chivetally/placement/Fleet.java
@@ -17,7 +17,9 @@
 import org.chivetally.wire.v1.Hello;
 import org.chivetally.wire.v1.Report;
 
-/** All agents one coordinator knows, with those lately gone; every change to a view goes through here. */
+/**
+ * All agents known to one coordinator, including recently gone ones. Agent views are modified only through this class.
+ */
 public final class Fleet {
     private final int overcommit;
     private final long goneRetentionNanos;
@@ -29,20 +31,20 @@
     /**
      * Creates an empty fleet.
      *
-     * @param overcommit places in an agent's own queue that count as slots
-     * @param goneRetention how long a dead incarnation is remembered, in nanoseconds
+     * @param overcommit number of places in an agent's own queue that count as slots
+     * @param goneRetentionNanos how long a gone incarnation is retained, in nanoseconds
      */
     public Fleet(int overcommit, long goneRetentionNanos) {
         this.overcommit = overcommit;
         this.goneRetentionNanos = goneRetentionNanos;
     }
 
-    /** Returns the agent of that incarnation, gone ones included. */
+    /** Returns the agent with this process id and incarnation, even if it is gone. */
     public Optional<AgentView> find(AgentId id) {
         return Optional.ofNullable(agents.get(id));
     }
 
-    /** Returns all agents, gone ones included, in the order they became known. */
+    /** Returns all agents, including gone ones, in the order in which they were added. */
     public Collection<AgentView> all() {
         return Collections.unmodifiableCollection(agents.values());
     }
@@ -52,7 +54,7 @@
         return services.computeIfAbsent(service, name -> new ServiceFleet(name, overcommit));
     }
 
-    /** Forgets a service that has no agents. */
+    /** Removes a service if it has no agents. */
     public void removeServiceWithoutAgents(String service) {
         ServiceFleet serviceFleet = services.get(service);
         if (serviceFleet != null && serviceFleet.agents().isEmpty()) {
@@ -61,11 +63,12 @@
     }
 
     /**
-     * Returns every agent that may have run tasks of a service: living ones, not yet introduced ones, and lately gone
-     * ones.
+     * Returns every agent that may have run tasks of a service: current agents, agents without a Hello, and recently
+     * gone agents.
      *
-     * @param since time in nanoseconds before which no task in question started, so that agents gone by then ran none;
-     *     empty when none is known
+     * @param startedAfterNanos clock reading in nanoseconds before which none of the tasks started, so that agents gone
+     *     by then can't have run them; empty if unknown
+     * @param nowNanos monotonic clock reading in nanoseconds
      */
     public List<AgentView> possibleHolders(String service, OptionalLong startedAfterNanos, long nowNanos) {
         removeExpired(nowNanos);
@@ -89,7 +92,7 @@
         return agent.service().isEmpty() || agent.service().equals(service);
     }
 
-    /** Notes an incarnation that may hold tasks of a service, though nothing else is known of it. */
+    /** Adds an incarnation that may hold tasks of a service and of which no Hello has been received. */
     public AgentView addPossibleHolder(AgentId id, String service) {
         AgentView agent = agents.get(id);
         if (agent == null) {
@@ -103,7 +106,11 @@
         return agent;
     }
 
-    /** Takes in a Hello on a new connection; an incarnation that was thought gone counts as living again. */
+    /**
+     * Applies the Hello of a new connection. An incarnation that was marked as gone becomes reachable again.
+     *
+     * @param nowNanos monotonic clock reading in nanoseconds
+     */
     public AgentView connected(AgentId id, Hello hello, long nowNanos) {
         AgentView agent = agents.computeIfAbsent(id, AgentView::new);
         withoutHello.remove(agent);
@@ -116,7 +123,7 @@
         return agent;
     }
 
-    /** Notes that no connection to the agent can be used; an agent never seen before is remembered as well. */
+    /** Marks the agent as having no usable connection; adds it if it is not yet known. */
     public AgentView markUnreachable(AgentId id) {
         AgentView agent = agents.get(id);
         if (agent == null) {
@@ -129,7 +136,11 @@
         return agent;
     }
 
-    /** Notes that the incarnation is dead beyond doubt. */
+    /**
+     * Marks the incarnation as certainly ended; adds it if it is not yet known.
+     *
+     * @param nowNanos monotonic clock reading in nanoseconds, at which the retention of the gone agent starts
+     */
     public AgentView markGone(AgentId id, long nowNanos) {
         removeExpired(nowNanos);
         AgentView agent = agents.computeIfAbsent(id, AgentView::new);
@@ -143,50 +154,59 @@
         return agent;
     }
 
-    /** Takes in a report; tells whether it was the newest. */
+    /**
+     * Applies a report of the agent.
+     *
+     * @param nowNanos monotonic clock reading in nanoseconds
+     * @return whether the report was applied; false if a newer one already was
+     */
     public boolean applyReport(AgentView agent, Report report, long nowNanos) {
         boolean newest = agent.applyReport(report, nowNanos);
         update(agent);
         return newest;
     }
 
-    /** Notes that the agent takes no new work. */
+    /** Marks the agent as leaving, so that it receives no new tasks. */
     public void markLeaving(AgentView agent) {
         agent.markLeaving();
         update(agent);
     }
 
-    /** Counts the agent as full until its next report. */
+    /** Counts all slots of the agent as occupied until its next report. */
     public void presumeFull(AgentView agent) {
         agent.presumeFull();
         update(agent);
     }
 
-    /** Limits attempts in flight there; zero withholds all work. */
+    /** Limits the number of attempts in flight on the agent; zero withholds all tasks. */
     public void limitAttempts(AgentView agent, int limit) {
         agent.limitAttempts(limit);
         update(agent);
     }
 
-    /** Gives the agent one attempt at a time only, or as many as it takes again. */
+    /** Limits the agent to one attempt at a time while {@code held} is true; removes this limit otherwise. */
     public void setHeldDown(AgentView agent, boolean held) {
         agent.setHeldDown(held);
         update(agent);
     }
 
-    /** Counts an attempt as in flight there. */
+    /** Counts an attempt as in flight on the agent. */
     public void attemptStarted(AgentView agent, Resources required) {
         agent.startAttempt(required);
         update(agent);
     }
 
-    /** Counts an attempt there as ended. */
+    /** Counts an attempt on the agent as ended. */
     public void attemptEnded(AgentView agent, Resources required) {
         agent.endAttempt(required);
         update(agent);
     }
 
-    /** Notes that a heartbeat was sent for a fresh ticket or load. */
+    /**
+     * Records that a heartbeat was sent to obtain a new ticket and load.
+     *
+     * @param nowNanos monotonic clock reading in nanoseconds
+     */
     public void refreshSent(AgentView agent, long nowNanos) {
         agent.refreshSent(nowNanos);
     }
--- a/library/src/main/java/org/chivetally/placement/IndexedSet.java
+++ b/library/src/main/java/org/chivetally/placement/IndexedSet.java
@@ -6,7 +6,10 @@
 import java.util.List;
 import java.util.Map;
 
-/** A set of agents with constant-time adding, removal and access by position; the order depends only on its history. */
+/**
+ * A set of agents with insertion, removal and access by position in constant time. The order is determined by the
+ * sequence of insertions and removals alone, so that runs with the same seed are reproducible.
+ */
 final class IndexedSet {
     private final List<AgentView> agents = new ArrayList<>();
     private final Map<AgentView, Integer> positions = new HashMap<>();
--- a/library/src/main/java/org/chivetally/placement/PlacementPolicy.java
+++ b/library/src/main/java/org/chivetally/placement/PlacementPolicy.java
@@ -1,8 +1,8 @@
 package org.chivetally.placement;
 
-/** How the agent of the next task is chosen. */
+/** Policy that selects the agent for a task. */
 public sealed interface PlacementPolicy {
-    /** Any agent that accepts work, whatever its load: the baseline of measurements. */
+    /** A random agent that accepts new tasks, regardless of load; the baseline for comparing policies. */
     record UniformRandom() implements PlacementPolicy {}
 
     /** One of the agents with the least estimated load. */
@@ -11,17 +11,17 @@
     /** The less loaded of two agents drawn at random. */
     record PowerOfTwoChoices() implements PlacementPolicy {}
 
-    /** An agent with nothing to do; any agent that accepts work when there is none. */
+    /** An idle agent; if there is none, any agent that accepts new tasks. */
     record JoinIdleQueue() implements PlacementPolicy {}
 
     /**
-     * Late binding: a task leaves the coordinator only when an agent is thought to have a free slot; the less loaded of
-     * two such agents gets it.
+     * Late binding: a task stays queued at the coordinator until an agent has an estimated free slot, and is placed on
+     * the less loaded of two such agents drawn at random.
      *
-     * @param overcommit places in an agent's own queue that count as slots
+     * @param overcommit number of places in an agent's own queue that count as slots
      */
     record SlotCredits(int overcommit) implements PlacementPolicy {
-        /** Refuses a negative number of places. */
+        /** Rejects a negative overcommit. */
         public SlotCredits {
             if (overcommit < 0) {
                 throw new IllegalArgumentException("overcommit can't be negative");
@@ -30,13 +30,13 @@
     }
 
     /**
-     * Late binding to the least loaded: a task leaves the coordinator only when an agent is thought to have a free
-     * slot, and goes to one of those with the least estimated load.
+     * Late binding to the least loaded agent: a task stays queued at the coordinator until an agent has an estimated
+     * free slot, and is placed on one of those with the least estimated load.
      *
-     * @param overcommit places in an agent's own queue that count as slots
+     * @param overcommit number of places in an agent's own queue that count as slots
      */
     record LeastLoadedCredits(int overcommit) implements PlacementPolicy {
-        /** Refuses a negative number of places. */
+        /** Rejects a negative overcommit. */
         public LeastLoadedCredits {
             if (overcommit < 0) {
                 throw new IllegalArgumentException("overcommit can't be negative");
@@ -44,7 +44,7 @@
         }
     }
 
-    /** Returns the places in an agent's own queue that count as slots. */
+    /** Returns the number of places in an agent's own queue that count as slots. */
     default int overcommittedSlots() {
         return switch (this) {
             case SlotCredits credits -> credits.overcommit();
@@ -56,7 +56,9 @@
         };
     }
 
-    /** Tells whether the policy could place a task now, going by the indexes alone. */
+    /**
+     * Returns whether the indexes contain an agent that this policy may choose; checks neither tickets nor resources.
+     */
     default boolean hasCandidates(ServiceFleet fleet) {
         return switch (this) {
             case SlotCredits credits -> fleet.hasFreeSlot();
@@ -68,7 +70,7 @@
         };
     }
 
-    /** Returns the policy's name in logs. */
+    /** Returns the name of the policy in log lines. */
     default String logName() {
         return switch (this) {
             case SlotCredits credits -> "slot-credits";
--- a/library/src/main/java/org/chivetally/placement/Placer.java
+++ b/library/src/main/java/org/chivetally/placement/Placer.java
@@ -9,7 +9,7 @@
 import org.chivetally.coordination.AgentId;
 import org.chivetally.job.Resources;
 
-/** Chooses agents by a policy, in time that does not grow with their number. */
+/** Selects agents according to a placement policy, in time independent of the number of agents. */
 public final class Placer {
     private static final int MAXIMUM_RANDOM_DRAWS = 8;
     private static final int MAXIMUM_SCAN_STEPS = 64;
@@ -23,9 +23,11 @@
     /**
      * Creates a placer.
      *
-     * @param failureDomain where this coordinator runs
-     * @param ticketFreshness oldest ticket to start with, in nanoseconds since it arrived
-     * @param random all chance comes from here, so that a seed repeats a run
+     * @param policy how an agent is selected
+     * @param failureDomain failure domain of this coordinator, preferred among agents with equal load
+     * @param maximumTicketAgeNanos maximum age of a ticket that a task may be started with, in nanoseconds since its
+     *     arrival
+     * @param random the only source of randomness, so that a run is reproducible from its seed
      */
     public Placer(PlacementPolicy policy, String failureDomain, long maximumTicketAgeNanos, RandomGenerator random) {
         this.policy = policy;
@@ -35,10 +37,12 @@
     }
 
     /**
-     * Chooses an agent for one task.
+     * Selects an agent for one task.
      *
-     * @param need what the task needs of a worker
-     * @param avoid agents to use only when there is no other
+     * @param fleet agents of the task's service
+     * @param required resources that the task requires
+     * @param avoid agents to select only if no other agent accepts new tasks
+     * @param nowNanos monotonic clock reading in nanoseconds
      */
     public PlacementChoice choose(ServiceFleet fleet, Resources required, Set<AgentId> avoid, long nowNanos) {
         List<AgentPool> pools = fleet.poolsFor(required);
@@ -85,7 +89,7 @@
         return count;
     }
 
-    /** One choice: what is acceptable, and what was seen on the way. */
+    /** State of the selection for one task: acceptable agents, and agents skipped because of a stale ticket. */
     private final class Selection {
         private final Resources required;
         private final Set<AgentId> avoid;
@@ -119,7 +123,10 @@
             return this;
         }
 
-        /** An avoided agent is better than none, but not better than waiting for another that accepts work. */
+        /**
+         * Returns the best acceptable agent. An avoided agent is used only when no other agent accepts new tasks;
+         * otherwise the task waits for one of those.
+         */
         PlacementChoice choice(int accepting) {
             AgentView best = best();
             if (best == null && accepting <= avoid.size()) {
@@ -134,7 +141,10 @@
             }
         }
 
-        /** Looks at neighbours from a random place on: chance alone may miss the few agents that will do. */
+        /**
+         * Checks up to {@link #MAXIMUM_SCAN_STEPS} consecutive agents from a random position on, because random draws
+         * may miss the few acceptable ones.
+         */
         private void scan(List<IndexedSet> sets, int size) {
             int start = random.nextInt(size);
             int steps = Math.min(size, MAXIMUM_SCAN_STEPS);
--- a/library/src/main/java/org/chivetally/placement/Quarantine.java
+++ b/library/src/main/java/org/chivetally/placement/Quarantine.java
@@ -5,11 +5,11 @@
 import java.util.Optional;
 
 /**
- * Tells bad minions of one service from bad tasks and from a bad service, and withholds work from the first.
+ * Detects faulty minions of one service and withholds tasks from them.
  *
- * <p>A bad minion fails many different tasks while the others succeed. A task that fails on a second minion is itself
- * at fault, so its failures count against neither. When the other minions fail too, the service is at fault and nobody
- * is withheld: there is nowhere better to send the work.
+ * <p>A minion is faulty if it fails many different tasks while the other minions succeed. A task that fails on a second
+ * minion is itself at fault, so its failures count against neither minion. If the other minions fail as well, the
+ * service is at fault and no minion is quarantined, because no other minion would do better.
  */
 public final class Quarantine {
     private static final double SMOOTHING_FACTOR = 0.2;
@@ -23,16 +23,18 @@
     private final DecayingCount failed = new DecayingCount();
     private int limitedAgents;
 
-    /** Creates the quarantine of one service. */
+    /** Creates the quarantine of one service, with all its agents healthy. */
     public Quarantine(QuarantineSettings settings, ServiceFleet fleet) {
         this.settings = settings;
         this.fleet = fleet;
     }
 
     /**
-     * Takes in a task that was done.
+     * Records that a task succeeded.
      *
-     * @param slow whether it ran longer than nearly all of its service
+     * @param slow whether the task took longer than the 99th percentile of its service
+     * @param nowNanos monotonic clock reading in nanoseconds
+     * @return the change of the agent's attempt limit, if any
      */
     public Optional<QuarantineVerdict> taskSucceeded(AgentView agent, boolean slow, long nowNanos) {
         AgentHealth health = health(agent);
@@ -47,7 +49,12 @@
         };
     }
 
-    /** Takes in a task that failed at this agent and nowhere else before. */
+    /**
+     * Records that a task failed on this agent. Must not be called for a task that has failed on another agent before.
+     *
+     * @param nowNanos monotonic clock reading in nanoseconds
+     * @return the change of the agent's attempt limit, if any
+     */
     public Optional<QuarantineVerdict> taskFailed(AgentView agent, long nowNanos) {
         AgentHealth health = health(agent);
         health.failureRate += SMOOTHING_FACTOR * (1 - health.failureRate);
@@ -63,7 +70,11 @@
         };
     }
 
-    /** Takes back a failure counted against an agent: the task failed elsewhere as well. */
+    /**
+     * Removes a failure from an agent's statistics after the same task has failed on another agent as well.
+     *
+     * @param nowNanos monotonic clock reading in nanoseconds
+     */
     public void retractFailure(AgentView agent, long nowNanos) {
         AgentHealth health = health(agent);
         health.failureRate = Math.max(0, (health.failureRate - SMOOTHING_FACTOR) / (1 - SMOOTHING_FACTOR));
@@ -72,7 +83,12 @@
         failed.add(-1, nowNanos);
     }
 
-    /** Lets one task through to a withheld agent. */
+    /**
+     * Allows a single task on a quarantined agent, as a probe.
+     *
+     * @param nowNanos monotonic clock reading in nanoseconds
+     * @return the change of the agent's attempt limit; empty unless all tasks are withheld from the agent
+     */
     public Optional<QuarantineVerdict> probe(AgentView agent, long nowNanos) {
         AgentHealth health = healthByAgent.get(agent);
         if (health == null || health.stage != Stage.WITHHELD) {
@@ -83,7 +99,7 @@
         return verdict(agent, health, QuarantineVerdict.Kind.PROBING, 0, nowNanos);
     }
 
-    /** Forgets an agent that is gone. */
+    /** Removes the statistics of an agent that is gone. */
     public void remove(AgentView agent) {
         AgentHealth health = healthByAgent.remove(agent);
         if (health != null && health.stage != Stage.HEALTHY) {
@@ -91,13 +107,16 @@
         }
     }
 
-    /** Returns the weighted share of an agent's tasks that failed, from 0 to 1. */
+    /** Returns the exponentially weighted share of an agent's tasks that failed, from 0 to 1. */
     public double failureRate(AgentView agent) {
         AgentHealth health = healthByAgent.get(agent);
         return health == null ? 0 : health.failureRate;
     }
 
-    /** Returns the weighted share of an agent's tasks that ran longer than nearly all of its service, from 0 to 1. */
+    /**
+     * Returns the exponentially weighted share of an agent's tasks that took longer than the 99th percentile of their
+     * service, from 0 to 1.
+     */
     public double slowRate(AgentView agent) {
         AgentHealth health = healthByAgent.get(agent);
         return health == null ? 0 : health.slowRate;
@@ -137,7 +156,10 @@
         return verdict(agent, health, QuarantineVerdict.Kind.WITHHELD, health.probeDelayNanos, nowNanos);
     }
 
-    /** Doubles what is allowed once as many tasks succeeded as were allowed: a minion still bad costs few of them. */
+    /**
+     * Doubles the attempt limit once as many tasks succeeded as the limit allows, so that a minion that is still faulty
+     * fails only few tasks.
+     */
     private Optional<QuarantineVerdict> release(AgentView agent, AgentHealth health, long nowNanos) {
         health.successesAtLimit++;
         if (health.successesAtLimit < health.attemptLimit) {
--- a/library/src/main/java/org/chivetally/placement/QuarantineSettings.java
+++ b/library/src/main/java/org/chivetally/placement/QuarantineSettings.java
@@ -4,15 +4,15 @@
 import java.util.Objects;
 
 /**
- * When a minion counts as bad, and how it gets work again.
+ * Limits that decide when a minion is quarantined and when it is probed again.
  *
- * @param maximumShare most agents of a service withheld at once, as a share of those known
- * @param minimumFailures different tasks that must have failed there
- * @param failureRate weighted failure rate from which a minion is bad
- * @param othersFailureRate highest failure rate of the service's other minions at which the minion, not the service, is
- *     blamed
- * @param firstProbe time until the first single task is tried there again; doubles with each failed try
- * @param longestProbe longest time between tries
+ * @param maximumShare maximum share of a service's known agents that are quarantined at the same time, from 0 to 1
+ * @param minimumFailures number of different tasks that must have failed on a minion before it is quarantined
+ * @param failureRate exponentially weighted failure rate from which a minion counts as faulty, above 0 and at most 1
+ * @param othersFailureRate maximum failure rate of the service's other minions; above it the service is at fault, not
+ *     the minion
+ * @param firstProbe delay from the quarantine to the first probe; doubles with each failed probe
+ * @param longestProbe maximum delay between probes
  */
 public record QuarantineSettings(
         double maximumShare,
@@ -21,16 +21,16 @@
         double othersFailureRate,
         Duration firstProbe,
         Duration longestProbe) {
-    /** Refuses shares and rates outside 0 to 1. */
+    /** Rejects null delays, shares and rates outside their ranges. */
     public QuarantineSettings {
         Objects.requireNonNull(firstProbe, "firstProbe");
         Objects.requireNonNull(longestProbe, "longestProbe");
         if (maximumShare < 0 || maximumShare > 1 || failureRate <= 0 || failureRate > 1 || othersFailureRate < 0) {
-            throw new IllegalArgumentException("shares and rates of quarantine are between 0 and 1");
+            throw new IllegalArgumentException("shares and rates of the quarantine must be between 0 and 1");
         }
     }
 
-    /** Returns the settings in use where nobody chose others. */
+    /** Returns the default settings. */
     public static QuarantineSettings defaults() {
         return new QuarantineSettings(0.3, 5, 0.6, 0.2, Duration.ofSeconds(1), Duration.ofSeconds(30));
     }
--- a/library/src/main/java/org/chivetally/placement/QuarantineVerdict.java
+++ b/library/src/main/java/org/chivetally/placement/QuarantineVerdict.java
@@ -1,24 +1,26 @@
 package org.chivetally.placement;
 
 /**
- * A change of what quarantine allows an agent.
+ * A change of an agent's attempt limit, decided by {@link Quarantine}.
  *
- * @param allowed most attempts in flight from now on; zero withholds all work
- * @param probeAfterNanos time until {@link Quarantine#probe} is due; zero when it is not
- * @param failureRate the minion's weighted failure rate
+ * @param agent the agent whose limit changes
+ * @param kind the new stage of the quarantine
+ * @param allowed maximum number of attempts in flight from now on; zero withholds all tasks
+ * @param probeAfterNanos delay in nanoseconds until {@link Quarantine#probe} must be called; zero if no probe is due
+ * @param failureRate exponentially weighted failure rate of the agent's minion, from 0 to 1
  * @param othersRate failure rate of the service's other minions
  */
 public record QuarantineVerdict(
         AgentView agent, Kind kind, int allowed, long probeAfterNanos, double failureRate, double othersRate) {
-    /** Steps of quarantine. */
+    /** Stages of the quarantine. */
     public enum Kind {
-        /** All work is withheld. */
+        /** The agent receives no tasks. */
         WITHHELD,
-        /** One task is tried. */
+        /** The agent receives a single task as a probe. */
         PROBING,
-        /** More attempts are allowed, twice as many as before. */
+        /** The attempt limit has been doubled after successful tasks. */
         RELEASING,
-        /** No limit any more. */
+        /** The quarantine has ended; the agent has no attempt limit. */
         RELEASED
     }
 }
--- a/library/src/main/java/org/chivetally/placement/RunTimes.java
+++ b/library/src/main/java/org/chivetally/placement/RunTimes.java
@@ -3,8 +3,8 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Run times of one service as seen lately, in microseconds. Two histograms take turns, so that what was learned before
- * a change of the service is forgotten after some thousands of tasks.
+ * Statistics of recent run times of one service, in microseconds. Two histograms are rotated every 8192 tasks, so that
+ * run times from before a change of the service are discarded after at most 16384 tasks.
  */
 public final class RunTimes {
     private static final long MAXIMUM_MICROS = 3_600_000_000L;
@@ -22,7 +22,7 @@
     private long tailMicros;
     private double meanMicros;
 
-    /** Takes in the run time of one task that was done. */
+    /** Records the run time of one successful task, in microseconds. */
     public void record(long micros) {
         current.recordValue(Math.clamp(micros, 1L, MAXIMUM_MICROS));
         count++;
@@ -35,22 +35,22 @@
         }
     }
 
-    /** Returns how many run times were ever taken in. */
+    /** Returns how many run times have been recorded, including discarded ones. */
     public long count() {
         return count;
     }
 
-    /** Returns the median in microseconds; zero before the first. */
+    /** Returns the median in microseconds; zero before the first record. */
     public long p50Micros() {
         return medianMicros;
     }
 
-    /** Returns the 99th percentile in microseconds; zero before the first. */
+    /** Returns the 99th percentile in microseconds; zero before the first record. */
     public long p99Micros() {
         return tailMicros;
     }
 
-    /** Returns the mean in microseconds; zero before the first. */
+    /** Returns the mean in microseconds; zero before the first record. */
     public double meanMicros() {
         return meanMicros;
     }
--- a/library/src/main/java/org/chivetally/placement/ServiceFleet.java
+++ b/library/src/main/java/org/chivetally/placement/ServiceFleet.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 import org.chivetally.job.Resources;
 
-/** The agents of one service. */
+/** The agents of one service, grouped by the capacity of their workers. */
 public final class ServiceFleet {
     private final String service;
     private final int overcommit;
@@ -25,17 +25,17 @@
         return service;
     }
 
-    /** Returns the agents that are known and not gone, reachable or not. */
+    /** Returns the agents that are not gone, reachable or not. */
     public List<AgentView> agents() {
         return agents.asList();
     }
 
-    /** Returns the slots of all known agents. */
+    /** Returns the total number of slots of the agents. */
     public int slots() {
         return slots;
     }
 
-    /** Tells whether any agent is thought to have a free slot. */
+    /** Returns whether any agent has an estimated free slot. */
     public boolean hasFreeSlot() {
         for (AgentPool pool : pools.values()) {
             if (pool.withFreeSlot().size() > 0) {
@@ -45,7 +45,7 @@
         return false;
     }
 
-    /** Tells whether any agent takes new work, with or without a free slot. */
+    /** Returns whether any agent accepts new tasks, with or without a free slot. */
     public boolean hasAccepting() {
         for (AgentPool pool : pools.values()) {
             if (pool.accepting().size() > 0) {
@@ -55,7 +55,7 @@
         return false;
     }
 
-    /** Returns the pools of workers that are large enough for a task. */
+    /** Returns the pools whose workers have the required capacity. */
     List<AgentPool> poolsFor(Resources required) {
         List<AgentPool> fitting = new ArrayList<>(pools.size());
         for (AgentPool pool : pools.values()) {
--- a/library/src/main/java/org/chivetally/placement/package-info.java
+++ b/library/src/main/java/org/chivetally/placement/package-info.java
@@ -1,2 +1,2 @@
-/** Pure decisions about which agent gets the next task, from what its reports and results showed. */
+/** Selection of the agent for each task, based on the reports and results of the agents; free of side effects. */
 package org.chivetally.placement;
--- a/library/src/test/java/org/chivetally/placement/PlacementPolicyTest.java
+++ b/library/src/test/java/org/chivetally/placement/PlacementPolicyTest.java
@@ -21,6 +21,7 @@
 import org.chivetally.wire.v1.Report;
 import org.junit.jupiter.api.Test;
 
+/** Tests which agent each placement policy selects, and how agent views estimate load. */
 class PlacementPolicyTest {
     private static final String SERVICE = "routing";
     private static final int SLOTS = 8;
@@ -64,6 +65,7 @@
         return counts;
     }
 
+    /** A task sent to an agent without a free slot would wait there although another agent may be free sooner. */
     @Test
     void slotCreditsPlaceNothingWhileAllSlotsAreTaken() {
         agent("north", SLOTS);
@@ -72,6 +74,7 @@
         assertThat(new PlacementPolicy.PowerOfTwoChoices().hasCandidates(fleet.of(SERVICE)), equalTo(true));
     }
 
+    /** Random draws would sometimes miss the least loaded agent; the load index must always find it. */
     @Test
     void leastLoadedCreditsChooseTheLeastLoadedFreeAgent() {
         PlacementPolicy policy = new PlacementPolicy.LeastLoadedCredits(0);
@@ -82,6 +85,7 @@
         assertThat(countChoices(policy, 40), equalTo(new int[] {0, 40, 0}));
     }
 
+    /** The load index also contains full agents, which must not receive tasks under late binding. */
     @Test
     void leastLoadedCreditsPlaceNothingWhileAllSlotsAreTaken() {
         PlacementPolicy policy = new PlacementPolicy.LeastLoadedCredits(0);
@@ -92,6 +96,7 @@
         assertThat(choose(policy, 1, 0).agent(), equalTo(Optional.empty()));
     }
 
+    /** With overcommit, places in the agent's own queue count as slots, so that a full agent is still a candidate. */
     @Test
     void overcommitAddsSlots() {
         Fleet overcommitted = new Fleet(2, 0);
@@ -107,6 +112,7 @@
         assertThat(new PlacementPolicy.SlotCredits(2).hasCandidates(overcommitted.of(SERVICE)), equalTo(true));
     }
 
+    /** The fuller agent may be chosen only if both random draws hit it. */
     @Test
     void slotCreditsChooseTheLessLoadedOfTwo() {
         agent("north", 6);
@@ -115,6 +121,7 @@
         assertThat("only when drawn twice", counts[0], lessThan(40));
     }
 
+    /** Ignoring failure domains would send tasks across domains without need. */
     @Test
     void ownFailureDomainBreaksTies() {
         agent("south", 3);
@@ -123,6 +130,7 @@
         assertThat("only when drawn twice", counts[0], lessThan(40));
     }
 
+    /** An agent's report includes this coordinator's own attempts; counting them twice would hide free slots. */
     @Test
     void ownAttemptsAddToThoseOfOtherCoordinators() {
         AgentView view = agent("north", 5);
@@ -131,11 +139,12 @@
         assertThat(view.externalTasks(), equalTo(5));
         assertThat(view.estimatedFree(0), equalTo(1));
         fleet.applyReport(view, report(7), 0);
-        assertThat("own ones are in the report", view.externalTasks(), equalTo(5));
+        assertThat("the report includes own attempts", view.externalTasks(), equalTo(5));
         fleet.attemptEnded(view, Resources.NONE);
         assertThat(view.estimatedFree(0), equalTo(2));
     }
 
+    /** A report that arrives late must not replace the ticket and load of a newer one. */
     @Test
     void reportsOutOfOrderAreIgnored() {
         AgentView view = agent("north", 0);
@@ -147,6 +156,7 @@
         assertThat(view.ticketReceivedAtNanos(), equalTo(5L));
     }
 
+    /** The baseline policy must not be biased by load, or comparisons with it are meaningless. */
     @Test
     void uniformRandomIgnoresLoad() {
         agent("north", 0);
@@ -155,6 +165,7 @@
         assertThat((double) counts[0], closeTo(500, 80));
     }
 
+    /** A single agent with less load must be found among 100 others with equal load. */
     @Test
     void leastLoadedFindsOneAgentAmongMany() {
         for (int number = 0; number < 100; number++) {
@@ -164,6 +175,7 @@
         assertThat(choose(new PlacementPolicy.LeastLoaded(), 3, 0).agent(), equalTo(Optional.of(least)));
     }
 
+    /** An idle agent must be found among many busy ones, and no longer counts as idle once a task was placed on it. */
     @Test
     void joinIdleQueuePrefersIdleAgents() {
         for (int number = 0; number < 20; number++) {
@@ -173,9 +185,10 @@
         PlacementPolicy policy = new PlacementPolicy.JoinIdleQueue();
         assertThat(choose(policy, 3, 0).agent(), equalTo(Optional.of(idle)));
         fleet.attemptStarted(idle, Resources.NONE);
-        assertThat("any other when none is idle", choose(policy, 3, 0).agent().isPresent(), equalTo(true));
+        assertThat("any agent if none is idle", choose(policy, 3, 0).agent().isPresent(), equalTo(true));
     }
 
+    /** Agents refuse starts with an old ticket, so the caller must refresh it first, with one heartbeat only. */
     @Test
     void staleTicketsAreReturnedForRefresh() {
         AgentView view = agent("north", 0);
@@ -184,11 +197,12 @@
         assertThat(choice.staleTickets(), contains(view));
         fleet.refreshSent(view, MAXIMUM_TICKET_AGE_NANOS + 1);
         assertThat(
-                "one heartbeat is under way",
+                "a heartbeat is already in flight",
                 choose(CREDITS, 1, MAXIMUM_TICKET_AGE_NANOS + 2).staleTickets(),
                 empty());
     }
 
+    /** Random draws may hit only agents with stale tickets; the scan must then find the one with a fresh ticket. */
     @Test
     void oneFreshAgentAmongManyStaleIsFound() {
         for (int number = 0; number < 40; number++) {
@@ -200,6 +214,7 @@
         assertThat(choice.agent(), equalTo(Optional.of(fresh)));
     }
 
+    /** Tasks must not fail for lack of another agent, but must wait if another agent is only full. */
     @Test
     void avoidedAgentIsChosenOnlyWithoutAlternative() {
         AgentView only = agent("north", 0);
@@ -208,11 +223,12 @@
         assertThat(placer.choose(fleet.of(SERVICE), Resources.NONE, avoid, 0).agent(), equalTo(Optional.of(only)));
         agent("north", SLOTS);
         assertThat(
-                "waits for the other",
+                "waits for the other agent",
                 placer.choose(fleet.of(SERVICE), Resources.NONE, avoid, 0).agent(),
                 equalTo(Optional.empty()));
     }
 
+    /** Gone agents receive no tasks, but remain possible holders of tasks that were started before. */
     @Test
     void unreachableAndGoneAgentsAreNotCandidates() {
         AgentView view = agent("north", 0);
@@ -222,9 +238,10 @@
         fleet.markGone(view.id(), 0);
         assertThat(view.state(), equalTo(AgentState.GONE));
         assertThat(fleet.of(SERVICE).agents(), empty());
-        assertThat("may still have run something", fleet.possibleHolders(SERVICE, OptionalLong.empty(), 0), hasSize(1));
+        assertThat("may have run tasks before", fleet.possibleHolders(SERVICE, OptionalLong.empty(), 0), hasSize(1));
     }
 
+    /** Failed simulation runs must be reproducible from their seed. */
     @Test
     void sameSeedRepeatsTheChoices() {
         for (int number = 0; number < 50; number++) {
--- a/library/src/test/java/org/chivetally/placement/QuarantineTest.java
+++ b/library/src/test/java/org/chivetally/placement/QuarantineTest.java
@@ -15,6 +15,7 @@
 import org.chivetally.wire.v1.Hello;
 import org.junit.jupiter.api.Test;
 
+/** Tests when minions are quarantined, probed and released. */
 class QuarantineTest {
     private static final int AGENTS = 11;
     private static final long SECOND_NANOS = 1_000_000_000L;
@@ -35,7 +36,7 @@
         quarantine = new Quarantine(QuarantineSettings.defaults(), fleet.of("routing"));
     }
 
-    /** Lets the given agents fail and the others succeed, in turns; returns what was decided. */
+    /** Runs one task per agent and round, failing on the faulty agents only; returns the verdicts. */
     private List<QuarantineVerdict> runRounds(int rounds, List<AgentView> faulty) {
         List<QuarantineVerdict> verdicts = new ArrayList<>();
         for (int round = 0; round < rounds; round++) {
@@ -50,6 +51,7 @@
         return verdicts;
     }
 
+    /** Without quarantine, a minion that fails all of its tasks would keep receiving new ones. */
     @Test
     void withholdsWorkFromAMinionThatFailsManyTasks() {
         List<QuarantineVerdict> verdicts = runRounds(20, agents.subList(3, 4));
@@ -60,6 +62,7 @@
         assertThat(verdicts.getFirst().probeAfterNanos(), equalTo(SECOND_NANOS));
     }
 
+    /** Occasional successes must not hide a minion that fails 4 of 5 tasks. */
     @Test
     void detectsAMinionThatFailsMostTasks() {
         List<QuarantineVerdict> verdicts = new ArrayList<>();
@@ -70,6 +73,7 @@
         assertThat(verdicts.isEmpty(), equalTo(false));
     }
 
+    /** A minion that fails 1 of 5 tasks must keep receiving tasks. */
     @Test
     void toleratesOccasionalFailures() {
         for (int round = 0; round < 200; round++) {
@@ -79,11 +83,12 @@
 
     @Test
     void withholdsNothingWhenAllMinionsFail() {
-        // Every minion of the service fails, say because of a bad release. Withholding some of them would send their
-        // share of the load to others that fail as well, and leave the service short once it is mended.
+        // Every minion of the service fails, for example after a faulty release. Quarantining some of them would move
+        // their load to minions that fail as well, and would leave too little capacity once the service is repaired.
         assertThat(runRounds(50, agents), empty());
     }
 
+    /** Faulty tasks that fail everywhere must not quarantine the minion on which they ran first. */
     @Test
     void ignoresTasksThatFailOnSeveralMinions() {
         AgentView agent = agents.get(0);
@@ -95,6 +100,7 @@
         assertThat(quarantine.failureRate(agent) < 0.1, equalTo(true));
     }
 
+    /** Quarantining too many minions would leave the service without capacity. */
     @Test
     void withholdsAtMostTheMaximumShare() {
         List<QuarantineVerdict> verdicts = new ArrayList<>();
@@ -111,9 +117,10 @@
                 limited.taskFailed(agent, nowNanos).ifPresent(verdicts::add);
             }
         }
-        assertThat("0.3 of 11", verdicts, hasSize(3));
+        assertThat("30% of 11 agents", verdicts, hasSize(3));
     }
 
+    /** Releasing a minion at once would fail a full load of tasks if it is still faulty. */
     @Test
     void doublesTheLimitUntilReleased() {
         AgentView agent = agents.get(0);
@@ -131,6 +138,7 @@
         assertThat(kinds, contains(Kind.RELEASING, Kind.RELEASING, Kind.RELEASED));
     }
 
+    /** Probes at a constant interval would keep failing tasks on a minion that stays faulty. */
     @Test
     void failedProbeDoublesTheProbeDelay() {
         AgentView agent = agents.get(0);
