--- a/library/src/main/java/org/chivetally/coordination/AttemptEnds.java
+++ b/library/src/main/java/org/chivetally/coordination/AttemptEnds.java
@@ -70,7 +70,7 @@
                 notRun(attempt, reason.name());
             }
             default -> {
-                context.fleet.presumeFull(agent);
+                context.fleet.assumeFull(agent);
                 notRun(attempt, reason.name());
             }
         }
--- a/library/src/main/java/org/chivetally/coordination/Dispatcher.java
+++ b/library/src/main/java/org/chivetally/coordination/Dispatcher.java
@@ -71,7 +71,7 @@
             teams.put(team.name, new DispatchSnapshot.Counts(team.waiting, team.running));
         }
         List<DispatchSnapshot.Agent> agents = new ArrayList<>();
-        for (AgentView agent : context.fleet.all()) {
+        for (AgentView agent : context.fleet.agents()) {
             agents.add(describe(agent));
         }
         return new DispatchSnapshot(context.leaseHeld(), context.jobs.size(), services, teams, agents);
@@ -135,7 +135,7 @@
 
     private void connected(DispatchEvent.AgentConnected event) {
         context.fleet.find(event.agent()).ifPresent(doubts::doubtAll);
-        AgentView agent = context.fleet.connected(event.agent(), event.hello(), context.now);
+        AgentView agent = context.fleet.applyHello(event.agent(), event.hello(), context.now);
         context.touch(context.service(agent.service()));
         doubts.connected(agent);
         takeovers.connected(agent);
--- a/library/src/main/java/org/chivetally/job/ServicePolicies.java
+++ b/library/src/main/java/org/chivetally/job/ServicePolicies.java
@@ -1,6 +1,9 @@
 package org.chivetally.job;
 
-/** Service and team policies known to this process, as declared by operators. Implementations are thread-safe and non-blocking. */
+/**
+ * Service and team policies known to this process, as declared by operators. Implementations are thread-safe and
+ * non-blocking.
+ */
 public interface ServicePolicies {
     /** Returns the policy of a service, or {@link ServicePolicy#undeclared} if none is declared. */
     ServicePolicy service(String name);
--- a/library/src/main/java/org/chivetally/job/TeamPolicy.java
+++ b/library/src/main/java/org/chivetally/job/TeamPolicy.java
@@ -6,7 +6,7 @@
  * @param name name of the team
  * @param maximumRunning maximum number of tasks that have started and not ended
  * @param maximumQueued maximum number of tasks that are accepted and not started
- * @param weight relative share of free slots among teams with queued tasks, at least 1
+ * @param weight relative share of capacity among teams with queued tasks, at least 1
  */
 public record TeamPolicy(String name, int maximumRunning, int maximumQueued, int weight) {
     /** Rejects negative limits and weights below 1. */
--- a/library/src/main/java/org/chivetally/placement/AgentView.java
+++ b/library/src/main/java/org/chivetally/placement/AgentView.java
@@ -241,7 +241,7 @@
     }
 
     /** Counts all slots of the agent as occupied until its next report. */
-    void presumeFull() {
+    void assumeFull() {
         externalTasks = Math.max(externalTasks, slots - inFlight);
     }
 
--- a/library/src/main/java/org/chivetally/placement/Fleet.java
+++ b/library/src/main/java/org/chivetally/placement/Fleet.java
@@ -45,7 +45,7 @@
     }
 
     /** Returns all agents, including gone ones, in the order in which they were added. */
-    public Collection<AgentView> all() {
+    public Collection<AgentView> agents() {
         return Collections.unmodifiableCollection(agents.values());
     }
 
@@ -111,7 +111,7 @@
      *
      * @param nowNanos monotonic clock reading in nanoseconds
      */
-    public AgentView connected(AgentId id, Hello hello, long nowNanos) {
+    public AgentView applyHello(AgentId id, Hello hello, long nowNanos) {
         AgentView agent = agents.computeIfAbsent(id, AgentView::new);
         withoutHello.remove(agent);
         ServiceFleet previousFleet = of(agent.service());
@@ -173,8 +173,8 @@
     }
 
     /** Counts all slots of the agent as occupied until its next report. */
-    public void presumeFull(AgentView agent) {
-        agent.presumeFull();
+    public void assumeFull(AgentView agent) {
+        agent.assumeFull();
         update(agent);
     }
 
--- a/library/src/test/java/org/chivetally/placement/PlacementPolicyTest.java
+++ b/library/src/test/java/org/chivetally/placement/PlacementPolicyTest.java
@@ -39,7 +39,7 @@
                 .setCapacity(Capacity.newBuilder().setSlots(SLOTS))
                 .setReport(report(running))
                 .build();
-        AgentView agent = fleet.connected(new AgentId("agent" + agents.size(), "1"), hello, 0);
+        AgentView agent = fleet.applyHello(new AgentId("agent" + agents.size(), "1"), hello, 0);
         agents.add(agent);
         return agent;
     }
@@ -52,9 +52,9 @@
                 .build();
     }
 
-    private PlacementChoice choose(PlacementPolicy policy, long seed, long now) {
+    private PlacementChoice choose(PlacementPolicy policy, long seed, long nowNanos) {
         Placer placer = new Placer(policy, "north", MAXIMUM_TICKET_AGE_NANOS, new SplittableRandom(seed));
-        return placer.choose(fleet.of(SERVICE), Resources.NONE, Set.of(), now);
+        return placer.choose(fleet.of(SERVICE), Resources.NONE, Set.of(), nowNanos);
     }
 
     private int[] countChoices(PlacementPolicy policy, int choices) {
@@ -100,7 +100,7 @@
     @Test
     void overcommitAddsSlots() {
         Fleet overcommitted = new Fleet(2, 0);
-        AgentView view = overcommitted.connected(
+        AgentView view = overcommitted.applyHello(
                 new AgentId("a", "1"),
                 Hello.newBuilder()
                         .setService(SERVICE)
--- a/library/src/test/java/org/chivetally/placement/QuarantineTest.java
+++ b/library/src/test/java/org/chivetally/placement/QuarantineTest.java
@@ -31,7 +31,7 @@
                     .setService("routing")
                     .setCapacity(Capacity.newBuilder().setSlots(8))
                     .build();
-            agents.add(fleet.connected(new AgentId("agent" + number, "1"), hello, 0));
+            agents.add(fleet.applyHello(new AgentId("agent" + number, "1"), hello, 0));
         }
         quarantine = new Quarantine(QuarantineSettings.defaults(), fleet.of("routing"));
     }
