--- a/library/src/main/java/org/chivetally/entry/link/HeartbeatSettings.java
+++ b/library/src/main/java/org/chivetally/entry/link/HeartbeatSettings.java
@@ -3,16 +3,17 @@
 import java.time.Duration;
 
 /**
- * How connections are watched and reopened.
+ * Timing of heartbeats, silence detection and reconnection. A connection is busy while an answer of the process at its
+ * other end is awaited, and idle otherwise.
  *
- * @param busyInterval time without a received frame before a heartbeat, while answers are awaited
- * @param idleInterval the same while nothing is awaited
- * @param silentAfter time without a received frame after which a connection is silent, while answers are awaited
- * @param idleSilentAfter the same while nothing is awaited
- * @param lateAnswers how long a silent connection stays open for late answers
- * @param dialTimeout longest time from dialling to the far end's Hello
- * @param shortestBackoff wait before the first new dial
- * @param longestBackoff longest wait before a new dial
+ * @param busyInterval time without a received frame after which a heartbeat is sent on a busy connection
+ * @param idleInterval the same on an idle connection
+ * @param silentAfter time without a received frame after which a busy connection counts as silent
+ * @param idleSilentAfter the same for an idle connection
+ * @param lateAnswers how long a silent connection stays open to receive late answers
+ * @param dialTimeout maximum time from the start of a dial to the peer's Hello
+ * @param shortestBackoff upper bound of the wait before the first redial; the bound doubles with each further failure
+ * @param longestBackoff maximum wait before a redial
  */
 public record HeartbeatSettings(
         Duration busyInterval,
@@ -23,7 +24,12 @@
         Duration dialTimeout,
         Duration shortestBackoff,
         Duration longestBackoff) {
-    /** Refuses times that are not positive, and silence that comes before the heartbeat. */
+    /**
+     * Validates the settings.
+     *
+     * @throws IllegalArgumentException if a duration is not positive, a connection would count as silent before its
+     *     heartbeat is due, or the longest backoff is shorter than the shortest
+     */
     public HeartbeatSettings {
         requirePositive(busyInterval, "busyInterval");
         requirePositive(idleInterval, "idleInterval");
@@ -31,14 +37,14 @@
         requirePositive(dialTimeout, "dialTimeout");
         requirePositive(shortestBackoff, "shortestBackoff");
         if (silentAfter.compareTo(busyInterval) <= 0 || idleSilentAfter.compareTo(idleInterval) <= 0) {
-            throw new IllegalArgumentException("a connection can't be silent before its heartbeat is due");
+            throw new IllegalArgumentException("silentAfter and idleSilentAfter must be longer than their heartbeat intervals");
         }
         if (longestBackoff.compareTo(shortestBackoff) < 0) {
             throw new IllegalArgumentException("longestBackoff is shorter than shortestBackoff");
         }
     }
 
-    /** Returns the times of the design note. */
+    /** Returns the default settings. */
     public static HeartbeatSettings standard() {
         return new HeartbeatSettings(
                 Duration.ofMillis(500),
--- a/library/src/main/java/org/chivetally/entry/link/IdleHeartbeats.java
+++ b/library/src/main/java/org/chivetally/entry/link/IdleHeartbeats.java
@@ -3,14 +3,15 @@
 import java.time.Duration;
 
 /**
- * How often idle connections to agents are probed, so that the control cost of a process stays bounded at any size.
+ * Chooses the heartbeat interval of idle connections to agents. The heartbeat rate of an entry is bounded, whatever the
+ * number of agents.
  *
- * <p>Of the entries one probes an agent often enough to notice its death, and the others just often enough to notice
- * that their own connection is dead; see docs/design/0005-membership.md. Starts rest on neither: they need a ticket
- * that arrived within seconds.
+ * <p>Each agent has one preferred entry, which sends heartbeats often enough to detect that the agent has failed. The
+ * other entries only need to detect that their own connection is dead; see docs/design/0005-membership.md. Task starts
+ * depend on neither: they require a ticket that arrived within the last few seconds.
  */
 public final class IdleHeartbeats {
-    /** Heartbeats, with their answers, that an entry may spend in a second on idle agents. */
+    /** Maximum rate at which an entry sends heartbeats to idle agents; each heartbeat is answered by one frame. */
     static final double MAXIMUM_HEARTBEATS_PER_SECOND = 10;
 
     private static final double PREFERRED_SHARE = 0.75;
@@ -19,12 +20,12 @@
     private IdleHeartbeats() {}
 
     /**
-     * Returns the time between heartbeats on an idle connection.
+     * Returns the time between heartbeats on an idle connection to an agent.
      *
-     * @param own whether this entry is the agent's first
-     * @param agents agents there are
-     * @param entries entries there are, this one included
-     * @param shortest the time where there are few agents
+     * @param own whether this entry is the agent's preferred entry
+     * @param agents number of agents in the cluster
+     * @param entries number of entries in the cluster, this one included
+     * @param shortest lower bound of the result, which applies when there are few agents
      */
     public static Duration interval(boolean preferred, int agents, int entries, Duration shortest) {
         double preferredAgents = (double) agents / Math.max(1, entries);
--- a/library/src/main/java/org/chivetally/entry/link/Link.java
+++ b/library/src/main/java/org/chivetally/entry/link/Link.java
@@ -11,9 +11,11 @@
 import org.chivetally.wire.v1.Hello;
 
 /**
- * Decides about the connections to one process: at most one is usable, older silent ones stay open for late answers.
+ * State machine of the connections to one process. At most one connection is usable; connections that became silent
+ * stay open for a while to receive late answers.
  *
- * <p>Times are readings of one monotonic clock, in nanoseconds. Not safe for several threads.
+ * <p>The methods return the actions to be executed. All times are readings of one monotonic clock, in nanoseconds. Not
+ * thread-safe.
  */
 final class Link {
     private static final int MAXIMUM_BACKOFF_SHIFT = 10;
@@ -55,12 +57,12 @@
         this.idleIntervalNanos = settings.idleInterval().toNanos();
     }
 
-    /** Sets the time between heartbeats while nothing is awaited. */
+    /** Sets the time between heartbeats while no answer is awaited. */
     void setIdleInterval(long intervalNanos) {
         idleIntervalNanos = intervalNanos;
     }
 
-    /** Dials at the next tick instead of after the wait that earlier failures brought. */
+    /** Cancels the wait after failed dials: the next tick dials. */
     void resetBackoff(long now) {
         failures = 0;
         nextDialNanos = now;
@@ -70,17 +72,21 @@
         return address;
     }
 
-    /** Returns the number of the usable connection, or -1. */
+    /** Returns the id of the usable connection, or -1 if there is none. */
     long usableConnectionId() {
         return state == State.USABLE ? connectionId : -1;
     }
 
-    /** Returns the last introduction of the usable connection, or null. */
+    /** Returns the Hello received on the usable connection, or null if there is none. */
     Hello usableHello() {
         return state == State.USABLE ? hello : null;
     }
 
-    /** Time passed; {@code awaiting} tells whether answers of the process are awaited. */
+    /**
+     * Dials, sends a heartbeat or replaces a silent connection if due. Called periodically.
+     *
+     * @param awaiting whether an answer of the process is awaited
+     */
     List<LinkEffect> tick(long now, boolean awaiting) {
         List<LinkEffect> effects = new ArrayList<>();
         resetSilenceAfterPause(now);
@@ -97,7 +103,7 @@
         return effects;
     }
 
-    /** The connection is open. */
+    /** Handles the opening of a connection; one that the link no longer expects is closed. */
     List<LinkEffect> opened(long openedId, long now) {
         if (openedId != connectionId || state != State.DIALLING) {
             return List.of(new LinkEffect.Close(openedId));
@@ -107,7 +113,7 @@
         return List.of(new LinkEffect.SendHello(openedId));
     }
 
-    /** A frame arrived on any of the connections. */
+    /** Handles a frame received on any connection. */
     List<LinkEffect> received(long fromId, Frame frame, long now) {
         Retired old = retired.get(fromId);
         if (old != null) {
@@ -123,7 +129,7 @@
         return state == State.USABLE ? deliver(fromId, hello, frame) : List.of();
     }
 
-    /** A connection is closed, or a dial failed. */
+    /** Handles the closing of a connection or the failure of a dial. */
     List<LinkEffect> closed(long closedId, String reason, long now) {
         if (retired.remove(closedId) != null || closedId != connectionId) {
             return List.of();
@@ -136,7 +142,7 @@
         return wasUsable ? List.of(new LinkEffect.Down(hello, reason)) : List.of();
     }
 
-    /** Ends all connections. */
+    /** Closes all connections; the link does not dial again. */
     List<LinkEffect> close() {
         List<LinkEffect> effects = new ArrayList<>();
         if (state != State.DISCONNECTED) {
@@ -173,8 +179,8 @@
                 : List.of(delivered);
     }
 
-    // A pause of this process makes every connection look silent at once; all would be dialled anew although their
-    // answers wait unread in the sockets. After a late tick the time of silence therefore starts again.
+    // After a pause of this process every connection looks silent at once, although answers are waiting unread in the
+    // sockets, and all would be redialled. A late tick therefore restarts the measurement of silence.
     private void resetSilenceAfterPause(long now) {
         long gap = now - lastTickNanos;
         lastTickNanos = now;
@@ -219,8 +225,9 @@
         }
     }
 
-    // Something between the two ends may have lost track of the connection: frames go nowhere, and no error ever
-    // comes. A new connection is not affected, and the old one may still bring answers, so it is kept for a while.
+    // A network device between the two ends may have dropped the state of the connection: frames are lost and no error
+    // is ever reported. A new connection is not affected. The old one may still deliver answers, so it stays open for
+    // a while.
     private void replaceSilentConnection(long now, List<LinkEffect> effects) {
         retired.put(
                 connectionId, new Retired(hello, now + settings.lateAnswers().toNanos()));
--- a/library/src/main/java/org/chivetally/entry/link/LinkEffect.java
+++ b/library/src/main/java/org/chivetally/entry/link/LinkEffect.java
@@ -3,32 +3,32 @@
 import org.chivetally.wire.v1.Frame;
 import org.chivetally.wire.v1.Hello;
 
-/** What a {@link Link} wants done, in order. */
+/** An action that a {@link Link} requests; the caller executes the actions in the order given. */
 sealed interface LinkEffect {
-    /** Open a connection under this number. */
+    /** Opens a connection and assigns this id to it. */
     record Dial(long connectionId) implements LinkEffect {}
 
-    /** Introduce this process on the connection. */
+    /** Sends this process's Hello on the connection. */
     record SendHello(long connectionId) implements LinkEffect {}
 
-    /** Ask the far end for a sign of life. */
+    /** Sends a heartbeat, which the peer answers. */
     record SendHeartbeat(long connectionId) implements LinkEffect {}
 
-    /** Repeat a heartbeat of the far end as its answer. */
+    /** Answers a heartbeat of the peer under the heartbeat's request id. */
     record AnswerHeartbeat(long connectionId, long requestId) implements LinkEffect {}
 
-    /** Close the connection and forget it. */
+    /** Closes the connection and removes it. */
     record Close(long connectionId) implements LinkEffect {}
 
-    /** The link can be used from now on. */
+    /** Reports that the link is now usable. */
     record Up(Hello hello) implements LinkEffect {}
 
-    /** The link can't be used from now on. */
+    /** Reports that the link is no longer usable. */
     record Down(Hello hello, String reason) implements LinkEffect {}
 
-    /** Another process than the expected one answers at the address. */
+    /** Reports that the Hello received at the address came from a process other than the expected one. */
     record UnexpectedProcess(Hello hello) implements LinkEffect {}
 
-    /** A frame for the link's owner, from the process that introduced itself so. */
+    /** Passes a received frame to the link's owner, with the Hello of the process that sent it. */
     record Deliver(Hello sender, Frame frame) implements LinkEffect {}
 }
--- a/library/src/main/java/org/chivetally/entry/link/LinkObserver.java
+++ b/library/src/main/java/org/chivetally/entry/link/LinkObserver.java
@@ -3,17 +3,17 @@
 import org.chivetally.wire.v1.Frame;
 import org.chivetally.wire.v1.Hello;
 
-/** Told by a {@link LinkSet}, on the thread that drives it. */
+/** Receives the events of a {@link LinkSet}, on the thread that calls the set. */
 public interface LinkObserver {
-    /** The process can be reached; its introduction on the newest connection is given. */
+    /** Called when a process becomes reachable, with its Hello on the new connection. */
     void up(Hello hello);
 
-    /** The process can't be reached now. */
+    /** Called when a process becomes unreachable. */
     void down(Hello hello, String reason);
 
-    /** A process that was not expected answers at an address. */
+    /** Called when a process other than the expected one answers at an address. */
     void unexpectedProcess(Hello hello);
 
-    /** A frame arrived from the process that introduced itself so. */
+    /** Called when a frame arrives, with the Hello of the process that sent it. */
     void received(Hello sender, Frame frame);
 }
--- a/library/src/main/java/org/chivetally/entry/link/LinkSet.java
+++ b/library/src/main/java/org/chivetally/entry/link/LinkSet.java
@@ -20,9 +20,9 @@
 import org.chivetally.wire.v1.Hello;
 
 /**
- * Links to a set of processes, carried out over a transport and driven by the one actor that owns the set.
+ * Links to a set of processes over a transport. Not thread-safe: only the actor that owns the set calls it.
  *
- * <p>The transport's threads only hand signals to the owner, which passes them to {@link #signal}.
+ * <p>The transport's threads pass their signals to the owning actor, which calls {@link #signal}.
  */
 public final class LinkSet {
     private static final FluentLogger LOGGER = FluentLogger.forEnclosingClass();
@@ -42,7 +42,12 @@
         this.observer = observer;
     }
 
-    /** Keeps a link to a process at an address; an earlier link to another address of it is closed. */
+    /**
+     * Adds a link to a process at an address. An existing link to the same address is kept; one to another address is
+     * closed and replaced.
+     *
+     * @param now reading of the monotonic clock, in nanoseconds
+     */
     public void add(String processId, Address address, long now) {
         Link present = links.get(processId);
         if (present != null && present.address().equals(address)) {
@@ -56,7 +61,12 @@
                 "%s", EventLine.of("link-kept").with("process", processId).with("address", address));
     }
 
-    /** Dials a process at once if its link waits after failures, since it is known to be there again. */
+    /**
+     * Cancels the wait after failed dials: the link dials at the next tick. Called when the process is known to run
+     * again.
+     *
+     * @param now reading of the monotonic clock, in nanoseconds
+     */
     public void resetBackoff(String processId, long now) {
         Link link = links.get(processId);
         if (link != null) {
@@ -64,7 +74,7 @@
         }
     }
 
-    /** Sets the time between heartbeats on an idle link. */
+    /** Sets the time between heartbeats while no answer of the process is awaited. */
     public void setIdleInterval(String processId, Duration interval) {
         Link link = links.get(processId);
         if (link != null) {
@@ -72,7 +82,7 @@
         }
     }
 
-    /** Closes the link to a process; the observer hears of it when the link was usable. */
+    /** Closes and removes the link to a process; the observer is notified if the link was usable. */
     public void remove(String processId, String reason) {
         Link link = links.remove(processId);
         if (link == null) {
@@ -90,12 +100,16 @@
         return Set.copyOf(links.keySet());
     }
 
-    /** Returns the introduction of a process that can be reached now. */
+    /** Returns the Hello of a process if it is reachable. */
     public Optional<Hello> usable(String processId) {
         return Optional.ofNullable(links.get(processId)).map(Link::usableHello);
     }
 
-    /** Sends a frame, with a new request id when it has none; false when the process can't be reached now. */
+    /**
+     * Sends a frame to a process, with a new request id if the frame has none.
+     *
+     * @return whether the frame was sent; false if the process is not reachable
+     */
     public boolean send(String processId, Frame frame) {
         Link link = links.get(processId);
         FrameConnection connection = link == null ? null : connections.get(link.usableConnectionId());
@@ -110,7 +124,11 @@
         return frame.toBuilder().setRequestId(wiring.requestIds().getAsLong()).build();
     }
 
-    /** Passes on what the transport reported. */
+    /**
+     * Handles a signal of the transport.
+     *
+     * @param now reading of the monotonic clock, in nanoseconds
+     */
     public void signal(LinkSignal signal, long now) {
         String processId = processIds.get(signal.connectionId());
         Link link = processId == null ? null : links.get(processId);
@@ -121,7 +139,12 @@
         }
     }
 
-    /** Time passed; the predicate tells whether answers of a process are awaited. */
+    /**
+     * Dials, sends heartbeats and replaces silent connections where due. Called periodically.
+     *
+     * @param now reading of the monotonic clock, in nanoseconds
+     * @param awaiting tests whether an answer of the process with the given id is awaited
+     */
     public void tick(long now, Predicate<String> awaiting) {
         for (Map.Entry<String, Link> entry : Map.copyOf(links).entrySet()) {
             Link link = entry.getValue();
@@ -129,7 +152,7 @@
         }
     }
 
-    /** Closes all links without telling the observer. */
+    /** Closes all links without notifying the observer. */
     public void close() {
         links.forEach((processId, link) -> execute(processId, link, link.close()));
         links.clear();
@@ -238,14 +261,14 @@
     }
 
     /**
-     * What a set needs of its process.
+     * Dependencies of a set.
      *
      * @param dialer opens connections
-     * @param hello introduction of this process
-     * @param requestIds request ids of this process, never repeated
-     * @param configurationVersion version in force here, told with each heartbeat
-     * @param jitter spreads dials after a failure
-     * @param signals takes signals on the transport's threads to the owner
+     * @param hello supplies this process's Hello
+     * @param requestIds supplies request ids that are unique within this process
+     * @param configurationVersion supplies the configuration version in force here, which is sent with each heartbeat
+     * @param jitter random source that spreads the redials after failures
+     * @param signals passes signals to the owning actor; called on the transport's threads
      */
     public record Wiring(
             Dialer dialer,
--- a/library/src/main/java/org/chivetally/entry/link/LinkSignal.java
+++ b/library/src/main/java/org/chivetally/entry/link/LinkSignal.java
@@ -3,9 +3,9 @@
 import org.chivetally.transport.FrameConnection;
 import org.chivetally.wire.v1.Frame;
 
-/** What the transport reports about one dial; dials are numbered and never reused. */
+/** Event that the transport reports about one connection. Each dial gets a new connection id; ids are never reused. */
 public sealed interface LinkSignal {
-    /** Returns the number of the dial. */
+    /** Returns the id of the connection. */
     long connectionId();
 
     /** The connection is open. */
@@ -14,6 +14,6 @@
     /** A frame arrived. */
     record Received(long connectionId, Frame frame) implements LinkSignal {}
 
-    /** The connection is closed, or was never opened. */
+    /** The connection is closed, or the dial failed. */
     record Closed(long connectionId, String reason) implements LinkSignal {}
 }
--- a/library/src/main/java/org/chivetally/entry/link/ObservedProcess.java
+++ b/library/src/main/java/org/chivetally/entry/link/ObservedProcess.java
@@ -5,17 +5,17 @@
 import org.chivetally.wire.v1.Report;
 
 /**
- * What this entry last heard of an agent or another entry.
+ * Latest information that this entry received from an agent or another entry.
  *
- * @param hello its introduction
- * @param report its last report; empty for an entry
- * @param configurationVersion version of the configuration that it said was in force there
- * @param observedNanos reading of this process's clock when it was last heard of
- * @param reachable whether it can be reached from here now
+ * @param hello Hello that the process sent on its latest connection
+ * @param report latest report of the process; empty for an entry
+ * @param configurationVersion latest version of the configuration in force that the process reported
+ * @param observedNanos reading of this entry's monotonic clock, in nanoseconds, when the last frame arrived
+ * @param reachable whether this entry has a usable connection to the process
  */
 public record ObservedProcess(
         Hello hello, Report report, long configurationVersion, long observedNanos, boolean reachable) {
-    /** Refuses missing parts. */
+    /** Rejects null components. */
     public ObservedProcess {
         Objects.requireNonNull(hello, "hello");
         Objects.requireNonNull(report, "report");
--- a/library/src/main/java/org/chivetally/entry/link/ObservedProcesses.java
+++ b/library/src/main/java/org/chivetally/entry/link/ObservedProcesses.java
@@ -10,19 +10,19 @@
 import org.chivetally.wire.v1.Hello;
 import org.chivetally.wire.v1.Report;
 
-/** Keeps what was last heard of each linked process, for operators. Safe from any thread. */
+/** Keeps the latest information received from each linked process, for operators. Thread-safe. */
 public final class ObservedProcesses implements LinkObserver {
     private static final long RETENTION_NANOS = Duration.ofMinutes(10).toNanos();
 
     private final NanoClock clock;
     private final Map<String, ObservedProcess> processes = new ConcurrentHashMap<>();
 
-    /** Creates a book without entries. */
+    /** Creates an empty collection. */
     public ObservedProcesses(NanoClock clock) {
         this.clock = clock;
     }
 
-    /** Returns all processes that can be reached or were heard of in the last ten minutes. */
+    /** Returns the processes that are reachable or sent a frame in the last ten minutes; discards all others. */
     public List<ObservedProcess> all() {
         long now = clock.nanos();
         processes.values().removeIf(last -> !last.reachable() && now - last.observedNanos() > RETENTION_NANOS);
@@ -46,7 +46,7 @@
 
     @Override
     public void unexpectedProcess(Hello hello) {
-        // Nothing is known of a process before it is linked.
+        // Only linked processes are recorded.
     }
 
     @Override
--- a/library/src/main/java/org/chivetally/entry/link/Observers.java
+++ b/library/src/main/java/org/chivetally/entry/link/Observers.java
@@ -8,13 +8,13 @@
 import org.chivetally.wire.v1.Frame;
 import org.chivetally.wire.v1.Hello;
 
-/** Tells several observers; one that fails is logged and does not keep the others or the links from their work. */
+/** Forwards events to several observers. An exception of one is logged and affects neither the others nor the links. */
 public final class Observers implements LinkObserver {
     private static final FluentLogger LOGGER = FluentLogger.forEnclosingClass();
 
     private final List<LinkObserver> observers = new CopyOnWriteArrayList<>();
 
-    /** Adds an observer; it is called on the links' threads and must not block. */
+    /** Adds an observer, which is called on the threads that drive the links and must not block. */
     public void add(LinkObserver observer) {
         observers.add(observer);
     }
--- a/library/src/main/java/org/chivetally/entry/link/package-info.java
+++ b/library/src/main/java/org/chivetally/entry/link/package-info.java
@@ -1,2 +1,2 @@
-/** Connections to agents and other entries: dialling, heartbeats, silence, and the shell of the dispatcher. */
+/** Connections of an entry to agents and other entries: dialling, heartbeats, and detection of silent connections. */
 package org.chivetally.entry.link;
--- a/library/src/test/java/org/chivetally/entry/link/IdleHeartbeatsTest.java
+++ b/library/src/test/java/org/chivetally/entry/link/IdleHeartbeatsTest.java
@@ -10,6 +10,7 @@
 import net.jqwik.api.constraints.IntRange;
 import org.junit.jupiter.api.Test;
 
+/** Guards the bound on the rate of heartbeats that an entry sends to idle agents. */
 class IdleHeartbeatsTest {
     private static final Duration SHORTEST_INTERVAL = Duration.ofSeconds(5);
 
@@ -19,6 +20,7 @@
         assertThat(IdleHeartbeats.interval(false, 11, 3, SHORTEST_INTERVAL), is(SHORTEST_INTERVAL));
     }
 
+    // Preferred and other agents have different intervals; the rates of both together must stay within the limit.
     @Property
     void staysWithinHeartbeatRateLimit(
             @ForAll @IntRange(min = 1, max = 650) int agents, @ForAll @IntRange(min = 1, max = 9) int entries) {
--- a/library/src/test/java/org/chivetally/entry/link/LinkTest.java
+++ b/library/src/test/java/org/chivetally/entry/link/LinkTest.java
@@ -17,6 +17,7 @@
 import org.chivetally.wire.v1.Result;
 import org.junit.jupiter.api.Test;
 
+/** Tests dialling, heartbeats, silence detection and reconnection of one link against a simulated clock. */
 class LinkTest {
     private static final long NANOS_PER_MILLI = 1_000_000;
     private static final long TICK_NANOS = 20 * NANOS_PER_MILLI;
@@ -90,9 +91,9 @@
                 link.received(1, heartbeatAnswer, nowNanos), contains(new LinkEffect.Deliver(AGENT, heartbeatAnswer)));
     }
 
-    // A device between the ends loses track of the connection while tasks run: nothing arrives, and no error comes.
-    // After a second the connection is given up for new requests and another one dialled; the old one still brings its
-    // late answers for 30 seconds and is closed then.
+    // A network device drops the state of the connection while tasks run: no frame arrives and no error is reported.
+    // After one second the link dials a new connection and sends requests only on that one. The old connection stays
+    // open for another 30 seconds to receive late answers.
     @Test
     void replacesSilentConnectionAndDeliversItsLateAnswers() {
         makeUsable();
@@ -108,8 +109,9 @@
         assertThat(link.received(1, RESULT, nowNanos), is(empty()));
     }
 
-    // An idle connection was quiet for nearly two seconds, as it may be, when a task is started on it. Its silence
-    // counts from the start on, so it is not given up before the agent had a second to answer.
+    // An idle connection has received nothing for nearly two seconds, which is normal, when a task is started on it.
+    // Silence is measured from the start of the task; otherwise the connection would be replaced before the agent had
+    // one second to answer.
     @Test
     void measuresSilenceFromWhenAnAnswerIsFirstAwaited() {
         makeUsable();
@@ -117,8 +119,8 @@
         assertThat(untilNext(LinkEffect.Down.class, true), greaterThanOrEqualTo(1_000 * NANOS_PER_MILLI));
     }
 
-    // The process is paused for ten seconds while tasks run. On resuming, all connections look silent, but their
-    // answers wait unread in the sockets: none is given up for it.
+    // This process is paused for ten seconds while tasks run. When it resumes, all connections look silent although
+    // answers are waiting unread in the sockets: none of them may be replaced.
     @Test
     void ignoresSilenceDuringPauseOfThisProcess() {
         makeUsable();
