--- a/library/src/main/java/org/chivetally/entry/EntryServer.java
+++ b/library/src/main/java/org/chivetally/entry/EntryServer.java
@@ -303,7 +303,7 @@
         return Http.get(started.system())
                 .newServerAt(settings.http().host(), settings.http().port())
                 .withSettings(serverSettings(started))
-                .bind(new EntryRoutes().join(routes).handler(started.system()))
+                .bind(new EntryRoutes().combine(routes).handler(started.system()))
                 .thenApply(binding -> started(started, binding));
     }
 
--- a/library/src/main/java/org/chivetally/entry/http/EntryRoutes.java
+++ b/library/src/main/java/org/chivetally/entry/http/EntryRoutes.java
@@ -17,22 +17,22 @@
     private static final int BAD_REQUEST = 400;
 
     /** Returns the sealed route; earlier routes go first. */
-    public Route join(List<Route> routes) {
-        List<Route> others = new ArrayList<>(routes);
-        Route first = others.removeFirst();
-        return concat(first, others.toArray(Route[]::new)).seal(rejections(), exceptions());
+    public Route combine(List<Route> routes) {
+        List<Route> remaining = new ArrayList<>(routes);
+        Route first = remaining.removeFirst();
+        return concat(first, remaining.toArray(Route[]::new)).seal(rejections(), exceptions());
     }
 
     private RejectionHandler rejections() {
         return RejectionHandler.newBuilder()
                 .handleAll(
                         MethodRejection.class,
-                        rejected -> complete(Responses.mistakes(
+                        rejected -> complete(Responses.invalidInput(
                                 METHOD_NOT_ALLOWED, List.of(new InputMistake("method", "is not allowed here")))))
                 .handleNotFound(extractUnmatchedPath(path -> complete(Responses.notFound("nothing at " + path))))
                 .build()
                 .withFallback(RejectionHandler.defaultHandler()
-                        .mapRejectionResponse(response -> Responses.mistakes(
+                        .mapRejectionResponse(response -> Responses.invalidInput(
                                 BAD_REQUEST, List.of(new InputMistake("request", "can't be understood")))));
     }
 
--- a/library/src/main/java/org/chivetally/entry/http/JobRoutes.java
+++ b/library/src/main/java/org/chivetally/entry/http/JobRoutes.java
@@ -40,15 +40,15 @@
     private static final FluentLogger LOGGER = FluentLogger.forEnclosingClass();
     private static final String JOB_HEADER = "Chivetally-Job";
     private static final long BODY_TIMEOUT_MILLIS = 30_000;
-    private static final Duration AFTER_DEADLINE = Duration.ofSeconds(5);
-    private static final Duration CANCEL_WAIT = Duration.ofSeconds(1);
-    private static final int USUAL_LIST = 50;
-    private static final int LONGEST_LIST = 1_000;
+    private static final Duration OUTCOME_GRACE = Duration.ofSeconds(5);
+    private static final Duration DEFAULT_CANCEL_WAIT = Duration.ofSeconds(1);
+    private static final int DEFAULT_LIST_LIMIT = 50;
+    private static final int MAXIMUM_LIST_LIMIT = 1_000;
     private static final int BAD_REQUEST = 400;
-    private static final int TOO_LARGE = 413;
+    private static final int CONTENT_TOO_LARGE = 413;
 
     private final Parts parts;
-    private final AtomicInteger open = new AtomicInteger();
+    private final AtomicInteger openSubmissions = new AtomicInteger();
 
     /** Creates the routes. */
     public JobRoutes(Parts parts) {
@@ -82,29 +82,29 @@
 
     /** Returns how many submissions are held now. */
     public int openSubmissions() {
-        return open.get();
+        return openSubmissions.get();
     }
 
     private Route serve(Function<HttpRequest, CompletionStage<HttpResponse>> handler) {
-        return extractRequest(request -> completeWithFuture(guarded(handler, request)));
+        return extractRequest(request -> completeWithFuture(handleErrors(handler, request)));
     }
 
-    private CompletionStage<HttpResponse> guarded(
+    private CompletionStage<HttpResponse> handleErrors(
             Function<HttpRequest, CompletionStage<HttpResponse>> handler, HttpRequest request) {
         try {
-            return handler.apply(request).exceptionally(this::failed);
+            return handler.apply(request).exceptionally(this::errorResponse);
         } catch (IllegalArgumentException invalid) {
             request.discardEntityBytes(parts.materializer());
             InputMistake mistake = new InputMistake("wait", "must be a number of seconds");
-            return CompletableFuture.completedStage(Responses.mistakes(BAD_REQUEST, List.of(mistake)));
+            return CompletableFuture.completedStage(Responses.invalidInput(BAD_REQUEST, List.of(mistake)));
         }
     }
 
-    private HttpResponse failed(Throwable failure) {
+    private HttpResponse errorResponse(Throwable failure) {
         Throwable cause = failure instanceof CompletionException wrapped ? wrapped.getCause() : failure;
         if (cause instanceof EntityStreamSizeException) {
             String rule = "longer than " + parts.maximumBodyBytes() + " bytes";
-            return Responses.mistakes(TOO_LARGE, List.of(new InputMistake(InputMistake.BODY, rule)));
+            return Responses.invalidInput(CONTENT_TOO_LARGE, List.of(new InputMistake(InputMistake.BODY, rule)));
         }
         LOGGER.atSevere().withCause(cause).log("%s", EventLine.of("request-failed"));
         return Responses.internal("the request failed inside the entry");
@@ -112,12 +112,12 @@
 
     private CompletionStage<HttpResponse> submit(HttpRequest request) {
         Optional<Duration> wait = WaitPreference.of(request);
-        return counted(request, body -> {
+        return withBody(request, body -> {
             SubmissionReader reader = new SubmissionReader(parts.policies(), parts.newKey());
             SubmissionReader.Result read = reader.readJob(body, header(request, KEY_HEADER));
             return read.submission()
                     .map(submission -> submit(submission, wait))
-                    .orElseGet(() -> refused(read.mistakes()));
+                    .orElseGet(() -> invalidInput(read.mistakes()));
         });
     }
 
@@ -127,23 +127,23 @@
                 .thenCompose(reply -> switch (reply) {
                     case SubmissionReply.Refused refused ->
                         CompletableFuture.completedStage(Responses.failure(refused.failure()));
-                    case SubmissionReply.Accepted accepted -> held(submission, accepted, wait);
+                    case SubmissionReply.Accepted accepted -> awaitOutcome(submission, accepted, wait);
                 })
                 .thenApply(response -> response.addHeader(
                         RawHeader.create(KEY_HEADER, submission.key().key())));
     }
 
-    private CompletionStage<HttpResponse> held(
+    private CompletionStage<HttpResponse> awaitOutcome(
             Submission submission, SubmissionReply.Accepted accepted, Optional<Duration> wait) {
         return parts.waits()
                 .within(wait.orElse(Duration.ZERO), accepted.outcome())
                 .thenApplyAsync(
                         outcome -> outcome.map(last -> Responses.outcome(accepted.job(), last))
-                                .orElseGet(() -> Responses.pending(running(submission, accepted.job()))),
+                                .orElseGet(() -> Responses.pending(runningStatus(submission, accepted.job()))),
                         parts.executor());
     }
 
-    private JobStatus running(Submission submission, JobId job) {
+    private JobStatus runningStatus(Submission submission, JobId job) {
         return new JobStatus(
                 job,
                 submission.specification().service(),
@@ -159,16 +159,16 @@
     private CompletionStage<HttpResponse> run(String service, HttpRequest request) {
         Optional<String> team = request.getUri().query().get("team");
         Optional<String> deadline = request.getUri().query().get("deadlineMillis");
-        return counted(request, body -> {
+        return withBody(request, body -> {
             SubmissionReader reader = new SubmissionReader(parts.policies(), parts.newKey());
             SubmissionReader.Result read =
                     reader.readSingle(service, body, team, deadline, header(request, KEY_HEADER));
-            return read.submission().map(this::runSingle).orElseGet(() -> refused(read.mistakes()));
+            return read.submission().map(this::runSingle).orElseGet(() -> invalidInput(read.mistakes()));
         });
     }
 
     private CompletionStage<HttpResponse> runSingle(Submission submission) {
-        Duration longest = submission.specification().deadline().plus(AFTER_DEADLINE);
+        Duration maximumWait = submission.specification().deadline().plus(OUTCOME_GRACE);
         return parts.jobs()
                 .submit(submission)
                 .thenCompose(reply -> switch (reply) {
@@ -176,14 +176,14 @@
                         CompletableFuture.completedStage(Responses.failure(refused.failure()));
                     case SubmissionReply.Accepted accepted ->
                         parts.waits()
-                                .within(longest, accepted.outcome())
-                                .thenApplyAsync(outcome -> single(accepted.job(), outcome), parts.executor());
+                                .within(maximumWait, accepted.outcome())
+                                .thenApplyAsync(outcome -> singleResponse(accepted.job(), outcome), parts.executor());
                 })
                 .thenApply(response -> response.addHeader(
                         RawHeader.create(KEY_HEADER, submission.key().key())));
     }
 
-    private HttpResponse single(JobId job, Optional<JobOutcome> outcome) {
+    private HttpResponse singleResponse(JobId job, Optional<JobOutcome> outcome) {
         HttpResponse response = switch (outcome.orElseGet(() -> Failures.coordinatorSilent(parts.processId()))) {
             case JobOutcome.Complete complete ->
                 Responses.json(Responses.OK, complete.answers().getFirst());
@@ -199,7 +199,7 @@
                         found -> found.map(status -> Responses.json(
                                         Responses.OK,
                                         Responses.statusDocument(status).toString()))
-                                .orElseGet(() -> noJob(name)),
+                                .orElseGet(() -> jobNotFound(name)),
                         parts.executor());
     }
 
@@ -207,7 +207,7 @@
         Duration wait = WaitPreference.of(request).orElse(Duration.ZERO);
         return parts.jobs()
                 .outcome(new JobId(name), wait)
-                .thenApplyAsync(found -> found.map(JobRoutes::answerOf).orElseGet(() -> noJob(name)), parts.executor());
+                .thenApplyAsync(found -> found.map(JobRoutes::answerOf).orElseGet(() -> jobNotFound(name)), parts.executor());
     }
 
     private static HttpResponse answerOf(JobStatus status) {
@@ -217,32 +217,32 @@
     }
 
     private CompletionStage<HttpResponse> cancel(String name, HttpRequest request) {
-        Duration wait = WaitPreference.of(request).orElse(CANCEL_WAIT);
+        Duration wait = WaitPreference.of(request).orElse(DEFAULT_CANCEL_WAIT);
         return parts.jobs()
                 .cancel(new JobId(name), wait)
                 .thenApplyAsync(
-                        found -> found.map(JobRoutes::cancelled).orElseGet(() -> noJob(name)), parts.executor());
+                        found -> found.map(JobRoutes::cancelResponse).orElseGet(() -> jobNotFound(name)), parts.executor());
     }
 
-    private static HttpResponse cancelled(JobStatus status) {
+    private static HttpResponse cancelResponse(JobStatus status) {
         int code = status.outcome().isPresent() ? Responses.OK : Responses.ACCEPTED;
         return Responses.json(code, Responses.statusDocument(status).toString());
     }
 
     private CompletionStage<HttpResponse> list(HttpRequest request) {
         Optional<String> team = request.getUri().query().get("team");
-        int limit = request.getUri().query().get("limit").map(JobRoutes::limit).orElse(USUAL_LIST);
+        int limit = request.getUri().query().get("limit").map(JobRoutes::parseLimit).orElse(DEFAULT_LIST_LIMIT);
         if (limit < 1) {
-            InputMistake mistake = new InputMistake("limit", "must be a whole number from 1 to " + LONGEST_LIST);
-            return refused(List.of(mistake));
+            InputMistake mistake = new InputMistake("limit", "must be a whole number from 1 to " + MAXIMUM_LIST_LIMIT);
+            return invalidInput(List.of(mistake));
         }
         return parts.jobs().list(team, limit).thenApplyAsync(Responses::jobs, parts.executor());
     }
 
-    private static int limit(String text) {
+    private static int parseLimit(String text) {
         try {
             int limit = Integer.parseInt(text);
-            return limit > LONGEST_LIST ? 0 : limit;
+            return limit > MAXIMUM_LIST_LIMIT ? 0 : limit;
         } catch (NumberFormatException notWhole) {
             return 0;
         }
@@ -250,43 +250,43 @@
 
     // Every held submission keeps its content and its answer in memory. Without a bound, a burst ends the process by
     // lack of memory and every caller is left without an outcome.
-    private CompletionStage<HttpResponse> counted(
+    private CompletionStage<HttpResponse> withBody(
             HttpRequest request, Function<String, CompletionStage<HttpResponse>> handler) {
-        if (open.incrementAndGet() > parts.maximumOpen()) {
-            open.decrementAndGet();
+        if (openSubmissions.incrementAndGet() > parts.maximumOpenSubmissions()) {
+            openSubmissions.decrementAndGet();
             request.discardEntityBytes(parts.materializer());
-            return CompletableFuture.completedStage(tooMany(request));
+            return CompletableFuture.completedStage(overloaded(request));
         }
         return request.entity()
                 .withSizeLimit(parts.maximumBodyBytes())
                 .toStrict(BODY_TIMEOUT_MILLIS, parts.materializer())
-                .thenCompose(body -> decoded(body.getData().toArrayUnsafe(), handler))
-                .whenComplete((response, failure) -> open.decrementAndGet());
+                .thenCompose(body -> decode(body.getData().toArrayUnsafe(), handler))
+                .whenComplete((response, failure) -> openSubmissions.decrementAndGet());
     }
 
-    private static CompletionStage<HttpResponse> decoded(
+    private static CompletionStage<HttpResponse> decode(
             byte[] body, Function<String, CompletionStage<HttpResponse>> handler) {
         return switch (Utf8.decode(body)) {
             case Utf8.Decoded.Text whole -> handler.apply(whole.text());
             case Utf8.Decoded.Malformed malformed -> {
                 String place = SubmissionReader.place(malformed.line(), malformed.column());
-                yield refused(List.of(new InputMistake(place, Utf8.Decoded.Malformed.MESSAGE)));
+                yield invalidInput(List.of(new InputMistake(place, Utf8.Decoded.Malformed.MESSAGE)));
             }
         };
     }
 
-    private HttpResponse tooMany(HttpRequest request) {
+    private HttpResponse overloaded(HttpRequest request) {
         JobOutcome.Certainty certainty =
                 header(request, KEY_HEADER).isPresent() ? JobOutcome.Certainty.UNKNOWN : JobOutcome.Certainty.NOT_RUN;
         String detail = "too many requests are held by this entry; this one started nothing";
         return Responses.failure(Failures.overloaded(certainty, detail));
     }
 
-    private static CompletionStage<HttpResponse> refused(List<InputMistake> mistakes) {
-        return CompletableFuture.completedStage(Responses.mistakes(BAD_REQUEST, mistakes));
+    private static CompletionStage<HttpResponse> invalidInput(List<InputMistake> mistakes) {
+        return CompletableFuture.completedStage(Responses.invalidInput(BAD_REQUEST, mistakes));
     }
 
-    private static HttpResponse noJob(String name) {
+    private static HttpResponse jobNotFound(String name) {
         return Responses.failure(Failures.noJob(name));
     }
 
@@ -300,7 +300,7 @@
      * @param processId process id of this entry
      * @param newKey makes keys for submissions without one
      * @param maximumBodyBytes longest body of a request
-     * @param maximumOpen most submissions held at once
+     * @param maximumOpenSubmissions most submissions held at once
      * @param executor writes documents, which may be large
      */
     public record Parts(
@@ -310,7 +310,7 @@
             Supplier<String> newKey,
             Waits waits,
             long maximumBodyBytes,
-            int maximumOpen,
+            int maximumOpenSubmissions,
             Executor executor,
             Materializer materializer) {}
 }
--- a/library/src/main/java/org/chivetally/entry/http/OperationRoutes.java
+++ b/library/src/main/java/org/chivetally/entry/http/OperationRoutes.java
@@ -17,16 +17,16 @@
 /** Metrics, liveness and readiness. */
 public final class OperationRoutes extends AllDirectives {
     private final MeterRegistry meters;
-    private final Supplier<List<String>> missing;
+    private final Supplier<List<String>> unmetConditions;
 
     /**
      * Creates the routes.
      *
      * @param missing what keeps this process from taking requests now; empty when it is ready
      */
-    public OperationRoutes(MeterRegistry meters, Supplier<List<String>> missing) {
+    public OperationRoutes(MeterRegistry meters, Supplier<List<String>> unmetConditions) {
         this.meters = meters;
-        this.missing = missing;
+        this.unmetConditions = unmetConditions;
     }
 
     /** Returns the route of {@code /metrics}, {@code /healthz} and {@code /readyz}. */
@@ -49,14 +49,14 @@
             case PrometheusMeterRegistry found -> Optional.of(found);
             case CompositeMeterRegistry composite ->
                 composite.getRegistries().stream()
-                        .flatMap(part -> prometheus(part).stream())
+                        .flatMap(child -> prometheus(child).stream())
                         .findFirst();
             default -> Optional.empty();
         };
     }
 
     private HttpResponse readiness() {
-        List<String> reasons = missing.get();
+        List<String> reasons = unmetConditions.get();
         if (reasons.isEmpty()) {
             return Responses.json(Responses.OK, "{\"status\":\"ready\"}");
         }
--- a/library/src/main/java/org/chivetally/entry/http/Responses.java
+++ b/library/src/main/java/org/chivetally/entry/http/Responses.java
@@ -56,8 +56,8 @@
     }
 
     /** A request that was understood to be wrong; nothing was run for it. */
-    static HttpResponse mistakes(int status, List<InputMistake> mistakes) {
-        JobOutcome.Failure failure = plain(ErrorCode.INVALID_INPUT, mistakes.size() + " mistake(s) in the request");
+    static HttpResponse invalidInput(int status, List<InputMistake> mistakes) {
+        JobOutcome.Failure failure = notRun(ErrorCode.INVALID_INPUT, mistakes.size() + " mistake(s) in the request");
         ObjectNode document = OutcomeDocument.problem(failure).put("status", status);
         ArrayNode list = document.putArray("mistakes");
         for (InputMistake mistake : mistakes) {
@@ -68,7 +68,7 @@
 
     /** Nothing of that name. */
     static HttpResponse notFound(String detail) {
-        return failure(plain(ErrorCode.NOT_FOUND, detail));
+        return failure(notRun(ErrorCode.NOT_FOUND, detail));
     }
 
     /** A fault of this entry; what it did before is not known. */
@@ -130,7 +130,7 @@
         };
     }
 
-    private static JobOutcome.Failure plain(ErrorCode code, String detail) {
+    private static JobOutcome.Failure notRun(ErrorCode code, String detail) {
         return new JobOutcome.Failure(code, Certainty.NOT_RUN, detail, List.of(), 0);
     }
 
--- a/library/src/main/java/org/chivetally/entry/http/SubmissionReader.java
+++ b/library/src/main/java/org/chivetally/entry/http/SubmissionReader.java
@@ -25,10 +25,10 @@
     /** Team of a submission that names none. */
     static final String DEFAULT_TEAM = "default";
 
-    private static final int LONGEST_NAME = 200;
-    private static final long LONGEST_DEADLINE_MILLIS = Duration.ofHours(1).toMillis();
-    private static final int MOST_PROCESSORS = 100_000;
-    private static final int MOST_ACCELERATORS = 100_000;
+    private static final int MAXIMUM_NAME_LENGTH = 200;
+    private static final long MAXIMUM_DEADLINE_MILLIS = Duration.ofHours(1).toMillis();
+    private static final int MAXIMUM_PROCESSORS = 100_000;
+    private static final int MAXIMUM_ACCELERATORS = 100_000;
     private static final BigDecimal MILLIS_PER_PROCESSOR = BigDecimal.valueOf(1_000);
 
     private final ServicePolicies policies;
@@ -37,8 +37,8 @@
     private final Map<String, String> names = new HashMap<>();
     private final List<Task> tasks = new ArrayList<>();
     private Optional<Duration> deadline = Optional.empty();
-    private boolean tasksSeen;
-    private boolean single;
+    private boolean hasTasks;
+    private boolean singleTask;
 
     SubmissionReader(ServicePolicies policies, Supplier<String> newKey) {
         this.policies = policies;
@@ -55,7 +55,7 @@
             return new Result(Optional.empty(), mistakes);
         }
         requireName("service");
-        if (!tasksSeen) {
+        if (!hasTasks) {
             reject("tasks", "is missing: a list of 1 to " + JobSpecification.MAXIMUM_TASKS + " tasks");
         }
         return finish(key);
@@ -63,12 +63,12 @@
 
     /** Reads a job of one task whose payload is the whole body. */
     Result readSingle(
-            String service, String body, Optional<String> team, Optional<String> wanted, Optional<String> key) {
-        single = true;
+            String service, String body, Optional<String> team, Optional<String> deadlineMillis, Optional<String> key) {
+        singleTask = true;
         names.put("service", service);
         requireName("service");
         team.ifPresent(name -> names.put("team", name));
-        wanted.ifPresent(this::readDeadlineText);
+        deadlineMillis.ifPresent(this::readDeadlineText);
         try (JsonParser parser = RawJson.parser(body)) {
             parser.nextToken();
             tasks.add(new Task(RawJson.slice(parser, body), Optional.empty()));
@@ -89,13 +89,13 @@
         }
         String service = names.get("service");
         String team = names.getOrDefault("team", DEFAULT_TEAM);
-        Resources usual = policies.service(service).resources();
-        List<TaskSpecification> specified = tasks.stream()
+        Resources defaultResources = policies.service(service).resources();
+        List<TaskSpecification> taskSpecifications = tasks.stream()
                 .map(task ->
-                        new TaskSpecification(task.payload(), task.resources().orElse(usual)))
+                        new TaskSpecification(task.payload(), task.resources().orElse(defaultResources)))
                 .toList();
-        Duration until = deadline.orElseGet(() -> policies.service(service).defaultDeadline());
-        JobSpecification specification = new JobSpecification(service, team, until, specified);
+        Duration effectiveDeadline = deadline.orElseGet(() -> policies.service(service).defaultDeadline());
+        JobSpecification specification = new JobSpecification(service, team, effectiveDeadline, taskSpecifications);
         SubmissionKey submissionKey = new SubmissionKey(team, key.orElseGet(newKey));
         Optional<Submission> submission = digest(service, team)
                 .map(digest -> new Submission(submissionKey, key.isEmpty(), digest, specification));
@@ -106,7 +106,7 @@
         ContentDigest digest = new ContentDigest(service, team);
         for (int position = 0; position < tasks.size(); position++) {
             if (!digest.add(tasks.get(position))) {
-                String place = single ? InputMistake.BODY : "tasks[" + position + "].payload";
+                String place = singleTask ? InputMistake.BODY : "tasks[" + position + "].payload";
                 reject(place, "holds a number that is out of range");
                 return Optional.empty();
             }
@@ -145,15 +145,15 @@
     }
 
     private void readDeadline(JsonParser parser) {
-        whole(parser, "deadlineMillis", 1, LONGEST_DEADLINE_MILLIS)
+        readWholeNumber(parser, "deadlineMillis", 1, MAXIMUM_DEADLINE_MILLIS)
                 .ifPresent(millis -> deadline = Optional.of(Duration.ofMillis(millis)));
     }
 
     private void readDeadlineText(String text) {
-        String rule = "must be a whole number from 1 to " + LONGEST_DEADLINE_MILLIS;
+        String rule = "must be a whole number from 1 to " + MAXIMUM_DEADLINE_MILLIS;
         try {
             long millis = Long.parseLong(text);
-            if (millis >= 1 && millis <= LONGEST_DEADLINE_MILLIS) {
+            if (millis >= 1 && millis <= MAXIMUM_DEADLINE_MILLIS) {
                 deadline = Optional.of(Duration.ofMillis(millis));
                 return;
             }
@@ -164,7 +164,7 @@
     }
 
     private void readTasks(JsonParser parser, String body) {
-        tasksSeen = true;
+        hasTasks = true;
         if (parser.currentToken() != JsonToken.START_ARRAY) {
             reject("tasks", "must be a list");
             parser.skipChildren();
@@ -192,14 +192,14 @@
         Optional<Long> accelerators = Optional.empty();
         while (parser.nextToken() == JsonToken.PROPERTY_NAME) {
             String name = parser.currentName();
-            String at = place + "." + name;
+            String memberPlace = place + "." + name;
             parser.nextToken();
             switch (name) {
                 case "payload" -> payload = RawJson.slice(parser, body);
-                case "processors" -> processorMillis = processors(parser, at);
-                case "memoryBytes" -> memoryBytes = whole(parser, at, 0, Long.MAX_VALUE);
-                case "accelerators" -> accelerators = whole(parser, at, 0, MOST_ACCELERATORS);
-                default -> rejectUnknown(parser, at, "payload, processors, memoryBytes, accelerators");
+                case "processors" -> processorMillis = readProcessors(parser, memberPlace);
+                case "memoryBytes" -> memoryBytes = readWholeNumber(parser, memberPlace, 0, Long.MAX_VALUE);
+                case "accelerators" -> accelerators = readWholeNumber(parser, memberPlace, 0, MAXIMUM_ACCELERATORS);
+                default -> rejectUnknown(parser, memberPlace, "payload, processors, memoryBytes, accelerators");
             }
         }
         if (payload == null) {
@@ -214,16 +214,16 @@
         tasks.add(new Task(payload, declared ? Optional.of(resources) : Optional.empty()));
     }
 
-    private Optional<Long> processors(JsonParser parser, String place) {
-        String rule = "must be a number from 0 to " + MOST_PROCESSORS;
+    private Optional<Long> readProcessors(JsonParser parser, String place) {
+        String rule = "must be a number from 0 to " + MAXIMUM_PROCESSORS;
         if (!parser.currentToken().isNumeric()) {
             reject(place, rule);
             parser.skipChildren();
             return Optional.empty();
         }
-        Optional<BigDecimal> value = decimal(parser)
+        Optional<BigDecimal> value = readDecimal(parser)
                 .filter(number -> number.signum() >= 0)
-                .filter(number -> number.compareTo(BigDecimal.valueOf(MOST_PROCESSORS)) <= 0);
+                .filter(number -> number.compareTo(BigDecimal.valueOf(MAXIMUM_PROCESSORS)) <= 0);
         if (value.isEmpty()) {
             reject(place, rule);
         }
@@ -232,7 +232,7 @@
 
     // An exponent beyond those of decimal numbers is well-formed JSON, and the parser's complaint of it is none of
     // JSON.
-    private static Optional<BigDecimal> decimal(JsonParser parser) {
+    private static Optional<BigDecimal> readDecimal(JsonParser parser) {
         try {
             return Optional.of(parser.getDecimalValue());
         } catch (NumberFormatException outOfRange) {
@@ -240,8 +240,8 @@
         }
     }
 
-    private Optional<Long> whole(JsonParser parser, String place, long least, long most) {
-        String rule = "must be a whole number from " + least + " to " + most;
+    private Optional<Long> readWholeNumber(JsonParser parser, String place, long minimum, long maximum) {
+        String rule = "must be a whole number from " + minimum + " to " + maximum;
         boolean number = parser.currentToken() == JsonToken.VALUE_NUMBER_INT;
         if (!number || parser.getNumberType() == JsonParser.NumberType.BIG_INTEGER) {
             reject(place, rule);
@@ -249,7 +249,7 @@
             return Optional.empty();
         }
         long value = parser.getLongValue();
-        if (value < least || value > most) {
+        if (value < minimum || value > maximum) {
             reject(place, rule);
             return Optional.empty();
         }
@@ -270,15 +270,15 @@
             return;
         }
         boolean unprintable = value.chars().anyMatch(Character::isISOControl);
-        if (value.isBlank() || value.length() > LONGEST_NAME || unprintable) {
-            reject(name, "must be 1 to " + LONGEST_NAME + " printable characters");
+        if (value.isBlank() || value.length() > MAXIMUM_NAME_LENGTH || unprintable) {
+            reject(name, "must be 1 to " + MAXIMUM_NAME_LENGTH + " printable characters");
         }
     }
 
     private void checkKey(String key) {
         boolean unprintable = key.chars().anyMatch(character -> character <= ' ' || character > '~');
-        if (key.isEmpty() || key.length() > LONGEST_NAME || unprintable) {
-            reject("Idempotency-Key", "must be 1 to " + LONGEST_NAME + " visible ASCII characters");
+        if (key.isEmpty() || key.length() > MAXIMUM_NAME_LENGTH || unprintable) {
+            reject("Idempotency-Key", "must be 1 to " + MAXIMUM_NAME_LENGTH + " visible ASCII characters");
         }
     }
 
--- a/library/src/main/java/org/chivetally/entry/http/WaitPreference.java
+++ b/library/src/main/java/org/chivetally/entry/http/WaitPreference.java
@@ -9,7 +9,7 @@
 /** How long a caller wants a request to be held, from {@code ?wait=SECONDS} or {@code Prefer: wait=SECONDS}. */
 final class WaitPreference {
     /** Longest time that a request is held. */
-    static final Duration LONGEST = Duration.ofMinutes(10);
+    static final Duration MAXIMUM_WAIT = Duration.ofMinutes(10);
 
     private static final String WAIT = "wait";
     private static final double MILLIS_PER_SECOND = 1_000;
@@ -17,7 +17,7 @@
     private WaitPreference() {}
 
     /**
-     * Returns the wanted wait, at most {@link #LONGEST}; empty when the request names none.
+     * Returns the wanted wait, at most {@link #MAXIMUM_WAIT}; empty when the request names none.
      *
      * @throws IllegalArgumentException when it is not a number of seconds
      */
@@ -43,13 +43,13 @@
 
     private static Duration parse(String text) {
         if (text.isEmpty() || text.equals("true")) {
-            return LONGEST;
+            return MAXIMUM_WAIT;
         }
         double seconds = Double.parseDouble(text);
         if (!(seconds >= 0)) {
             throw new IllegalArgumentException("a wait can't be negative");
         }
-        double bounded = Math.min(seconds, LONGEST.toSeconds());
+        double bounded = Math.min(seconds, MAXIMUM_WAIT.toSeconds());
         return Duration.ofMillis((long) (bounded * MILLIS_PER_SECOND));
     }
 }
