--- a/library/src/main/java/org/chivetally/entry/http/ContentDigest.java
+++ b/library/src/main/java/org/chivetally/entry/http/ContentDigest.java
@@ -13,9 +13,9 @@
 import tools.jackson.databind.json.JsonMapper;
 
 /**
- * Digest of a submission's content, the same for the same content in another layout or order of keys.
+ * Digest of a submission's content. It does not depend on the whitespace or the key order of the JSON.
  *
- * <p>The deadline is left out: a caller that submits again may well have less time left.
+ * <p>The deadline is not part of the digest: a client that submits the same content again may have less time left.
  */
 final class ContentDigest {
     private static final JsonMapper CANONICAL = JsonMapper.builder()
@@ -25,7 +25,7 @@
 
     private final MessageDigest digest;
 
-    /** Begins the digest of a submission. */
+    /** Starts the digest of a submission. */
     ContentDigest(String service, String team) {
         try {
             digest = MessageDigest.getInstance("SHA-256");
@@ -36,7 +36,11 @@
         add(team);
     }
 
-    /** Adds a task; false when its payload holds a number too large or too small to be compared with another. */
+    /**
+     * Adds a task.
+     *
+     * @return false if the payload contains a number that is too large or too small for a canonical form
+     */
     boolean add(SubmissionReader.Task task) {
         try {
             add(CANONICAL.readTree(task.payload()).toString());
@@ -47,7 +51,7 @@
         return true;
     }
 
-    /** Returns the digest in hexadecimal and ends it. */
+    /** Completes the digest and returns it in hexadecimal. */
     String text() {
         return HexFormat.of().formatHex(digest.digest());
     }
@@ -56,7 +60,7 @@
         return resources.processorMillis() + "," + resources.memoryBytes() + "," + resources.accelerators();
     }
 
-    // The length goes first, so that two parts can't be cut elsewhere and give the same digest.
+    // Each part is prefixed with its length; without it, parts split at other positions could give the same digest.
     private void add(String part) {
         byte[] bytes = part.getBytes(StandardCharsets.UTF_8);
         digest.update((bytes.length + ":").getBytes(StandardCharsets.US_ASCII));
--- a/library/src/main/java/org/chivetally/entry/http/EntryRoutes.java
+++ b/library/src/main/java/org/chivetally/entry/http/EntryRoutes.java
@@ -10,13 +10,17 @@
 import org.apache.pekko.http.javadsl.server.Route;
 import org.chivetally.logging.EventLine;
 
-/** Joins routes into one that answers every request, with a problem document where nothing else answers. */
+/** Combines routes into one that answers every request; unmatched and failed requests get a problem document. */
 public final class EntryRoutes extends AllDirectives {
     private static final FluentLogger LOGGER = FluentLogger.forEnclosingClass();
     private static final int METHOD_NOT_ALLOWED = 405;
     private static final int BAD_REQUEST = 400;
 
-    /** Returns the sealed route; earlier routes go first. */
+    /**
+     * Returns a sealed route that tries the given routes in order.
+     *
+     * @param routes at least one route
+     */
     public Route combine(List<Route> routes) {
         List<Route> remaining = new ArrayList<>(routes);
         Route first = remaining.removeFirst();
--- a/library/src/main/java/org/chivetally/entry/http/JobRoutes.java
+++ b/library/src/main/java/org/chivetally/entry/http/JobRoutes.java
@@ -32,9 +32,9 @@
 import org.chivetally.job.ServicePolicies;
 import org.chivetally.logging.EventLine;
 
-/** Submissions, their answers, their status and their end. */
+/** Routes that submit jobs, return their status and answers, list them and cancel them. */
 public final class JobRoutes extends AllDirectives {
-    /** Header that carries the idempotency key, both ways. */
+    /** Header that carries the idempotency key in requests and responses. */
     public static final String KEY_HEADER = "Idempotency-Key";
 
     private static final FluentLogger LOGGER = FluentLogger.forEnclosingClass();
@@ -55,7 +55,7 @@
         this.parts = parts;
     }
 
-    /** Returns the route of everything under {@code /v1/jobs} and of single requests. */
+    /** Returns the route of all paths under {@code /v1/jobs} and of {@code /v1/services/SERVICE/run}. */
     public Route route() {
         return concat(
                 path(
@@ -80,7 +80,7 @@
                         service -> post(() -> serve(request -> run(service, request)))));
     }
 
-    /** Returns how many submissions are held now. */
+    /** Returns the number of submissions that are being processed and have no response yet. */
     public int openSubmissions() {
         return openSubmissions.get();
     }
@@ -207,7 +207,8 @@
         Duration wait = WaitPreference.of(request).orElse(Duration.ZERO);
         return parts.jobs()
                 .outcome(new JobId(name), wait)
-                .thenApplyAsync(found -> found.map(JobRoutes::answerOf).orElseGet(() -> jobNotFound(name)), parts.executor());
+                .thenApplyAsync(
+                        found -> found.map(JobRoutes::answerOf).orElseGet(() -> jobNotFound(name)), parts.executor());
     }
 
     private static HttpResponse answerOf(JobStatus status) {
@@ -221,7 +222,8 @@
         return parts.jobs()
                 .cancel(new JobId(name), wait)
                 .thenApplyAsync(
-                        found -> found.map(JobRoutes::cancelResponse).orElseGet(() -> jobNotFound(name)), parts.executor());
+                        found -> found.map(JobRoutes::cancelResponse).orElseGet(() -> jobNotFound(name)),
+                        parts.executor());
     }
 
     private static HttpResponse cancelResponse(JobStatus status) {
@@ -231,7 +233,8 @@
 
     private CompletionStage<HttpResponse> list(HttpRequest request) {
         Optional<String> team = request.getUri().query().get("team");
-        int limit = request.getUri().query().get("limit").map(JobRoutes::parseLimit).orElse(DEFAULT_LIST_LIMIT);
+        int limit =
+                request.getUri().query().get("limit").map(JobRoutes::parseLimit).orElse(DEFAULT_LIST_LIMIT);
         if (limit < 1) {
             InputMistake mistake = new InputMistake("limit", "must be a whole number from 1 to " + MAXIMUM_LIST_LIMIT);
             return invalidInput(List.of(mistake));
@@ -248,8 +251,8 @@
         }
     }
 
-    // Every held submission keeps its content and its answer in memory. Without a bound, a burst ends the process by
-    // lack of memory and every caller is left without an outcome.
+    // Every open submission keeps its content and its answer in memory. Without a limit on open submissions, a burst of
+    // requests ends the process with an out-of-memory error, and no client receives an outcome.
     private CompletionStage<HttpResponse> withBody(
             HttpRequest request, Function<String, CompletionStage<HttpResponse>> handler) {
         if (openSubmissions.incrementAndGet() > parts.maximumOpenSubmissions()) {
@@ -295,13 +298,17 @@
     }
 
     /**
-     * What the routes work with.
+     * Dependencies and limits of the routes.
      *
      * @param processId process id of this entry
-     * @param newKey makes keys for submissions without one
-     * @param maximumBodyBytes longest body of a request
-     * @param maximumOpenSubmissions most submissions held at once
-     * @param executor writes documents, which may be large
+     * @param jobs submits, looks up, lists and cancels jobs
+     * @param policies policies of the services
+     * @param newKey generates keys for submissions without an idempotency key
+     * @param waits limits how long a response waits for an outcome
+     * @param maximumBodyBytes maximum length of a request body, in bytes
+     * @param maximumOpenSubmissions maximum number of concurrently open submissions; further ones are rejected
+     * @param executor runs the serialization of response documents, which may be large
+     * @param materializer runs the streams that read or discard request bodies
      */
     public record Parts(
             String processId,
--- a/library/src/main/java/org/chivetally/entry/http/OperationRoutes.java
+++ b/library/src/main/java/org/chivetally/entry/http/OperationRoutes.java
@@ -14,7 +14,7 @@
 import org.chivetally.entry.submission.Failures;
 import org.chivetally.job.JobOutcome.Certainty;
 
-/** Metrics, liveness and readiness. */
+/** Routes for metrics, liveness and readiness. */
 public final class OperationRoutes extends AllDirectives {
     private final MeterRegistry meters;
     private final Supplier<List<String>> unmetConditions;
@@ -22,7 +22,8 @@
     /**
      * Creates the routes.
      *
-     * @param missing what keeps this process from taking requests now; empty when it is ready
+     * @param meters registry whose metrics are exposed; must be or contain a Prometheus registry
+     * @param unmetConditions supplies the reasons why this process is not ready for requests; empty when it is ready
      */
     public OperationRoutes(MeterRegistry meters, Supplier<List<String>> unmetConditions) {
         this.meters = meters;
--- a/library/src/main/java/org/chivetally/entry/http/Responses.java
+++ b/library/src/main/java/org/chivetally/entry/http/Responses.java
@@ -20,7 +20,7 @@
 import tools.jackson.databind.node.ArrayNode;
 import tools.jackson.databind.node.ObjectNode;
 
-/** Responses of the HTTP interface. */
+/** Builds the responses of the HTTP interface. */
 final class Responses {
     static final int OK = 200;
     static final int ACCEPTED = 202;
@@ -33,14 +33,14 @@
 
     private Responses() {}
 
-    /** A JSON document. */
+    /** Returns a response with a JSON document. */
     static HttpResponse json(int status, String document) {
         return HttpResponse.create()
                 .withStatus(status)
                 .withEntity(HttpEntities.create(ContentTypes.APPLICATION_JSON, document));
     }
 
-    /** A job's final outcome. */
+    /** Returns the final outcome of a job. */
     static HttpResponse outcome(JobId job, JobOutcome outcome) {
         String document = OutcomeDocument.write(job, outcome);
         return switch (outcome) {
@@ -49,13 +49,13 @@
         };
     }
 
-    /** A failure without a job. */
+    /** Returns a failure that belongs to no job. */
     static HttpResponse failure(JobOutcome.Failure failure) {
         return problem(
                 failure.code().httpStatus(), OutcomeDocument.problem(failure).toString(), failure);
     }
 
-    /** A request that was understood to be wrong; nothing was run for it. */
+    /** Returns the validation errors of a request, for which no task was run. */
     static HttpResponse invalidInput(int status, List<InputMistake> mistakes) {
         JobOutcome.Failure failure = notRun(ErrorCode.INVALID_INPUT, mistakes.size() + " mistake(s) in the request");
         ObjectNode document = OutcomeDocument.problem(failure).put("status", status);
@@ -66,23 +66,23 @@
         return problem(status, document.toString(), failure);
     }
 
-    /** Nothing of that name. */
+    /** Returns a {@code NOT_FOUND} failure. */
     static HttpResponse notFound(String detail) {
         return failure(notRun(ErrorCode.NOT_FOUND, detail));
     }
 
-    /** A fault of this entry; what it did before is not known. */
+    /** Returns an internal error of this entry. It is unknown whether the request had an effect before the error. */
     static HttpResponse internal(String detail) {
         return failure(new JobOutcome.Failure(ErrorCode.INTERNAL, Certainty.UNKNOWN, detail, List.of(), 0));
     }
 
-    /** A job that is not final yet. */
+    /** Returns the status of a job that has no final outcome yet. */
     static HttpResponse pending(JobStatus status) {
         return json(ACCEPTED, statusDocument(status).toString())
                 .addHeader(RawHeader.create("Location", "/v1/jobs/" + status.job()));
     }
 
-    /** Jobs in a list. */
+    /** Returns a list of jobs. */
     static HttpResponse jobs(List<JobStatus> statuses) {
         ObjectNode document = MAPPER.createObjectNode();
         ArrayNode list = document.putArray("jobs");
@@ -90,7 +90,7 @@
         return json(OK, document.toString());
     }
 
-    /** A job's status as a document. */
+    /** Returns the status of a job as a JSON object. */
     static ObjectNode statusDocument(JobStatus status) {
         ObjectNode document = MAPPER.createObjectNode();
         document.put("job", status.job().text()).put("state", state(status));
--- a/library/src/main/java/org/chivetally/entry/http/SubmissionReader.java
+++ b/library/src/main/java/org/chivetally/entry/http/SubmissionReader.java
@@ -20,9 +20,9 @@
 import tools.jackson.core.JsonToken;
 import tools.jackson.core.TokenStreamLocation;
 
-/** Reads submissions and lists every mistake in them. One instance reads one request. */
+/** Parses a submission and collects all validation errors in it. An instance reads one request only. */
 final class SubmissionReader {
-    /** Team of a submission that names none. */
+    /** Team of a submission that specifies none. */
     static final String DEFAULT_TEAM = "default";
 
     private static final int MAXIMUM_NAME_LENGTH = 200;
@@ -45,7 +45,7 @@
         this.newKey = newKey;
     }
 
-    /** Reads a job. */
+    /** Reads a job with any number of tasks. */
     Result readJob(String body, Optional<String> key) {
         try (JsonParser parser = RawJson.parser(body)) {
             readDocument(parser, body);
@@ -94,7 +94,8 @@
                 .map(task ->
                         new TaskSpecification(task.payload(), task.resources().orElse(defaultResources)))
                 .toList();
-        Duration effectiveDeadline = deadline.orElseGet(() -> policies.service(service).defaultDeadline());
+        Duration effectiveDeadline =
+                deadline.orElseGet(() -> policies.service(service).defaultDeadline());
         JobSpecification specification = new JobSpecification(service, team, effectiveDeadline, taskSpecifications);
         SubmissionKey submissionKey = new SubmissionKey(team, key.orElseGet(newKey));
         Optional<Submission> submission = digest(service, team)
@@ -230,8 +231,8 @@
         return value.map(number -> number.multiply(MILLIS_PER_PROCESSOR).longValue());
     }
 
-    // An exponent beyond those of decimal numbers is well-formed JSON, and the parser's complaint of it is none of
-    // JSON.
+    // A number whose exponent exceeds the range of BigDecimal is well-formed JSON. The parser reports it with a
+    // NumberFormatException instead of a JacksonException.
     private static Optional<BigDecimal> readDecimal(JsonParser parser) {
         try {
             return Optional.of(parser.getDecimalValue());
@@ -291,7 +292,7 @@
         mistakes.add(new InputMistake(place, message));
     }
 
-    /** Returns a place in the text of a body, counted from one. */
+    /** Formats a position in the text of a body; line and column are counted from one. */
     static String place(int line, int column) {
         return "line " + line + ", column " + column;
     }
@@ -302,13 +303,13 @@
         return new InputMistake(place, "malformed JSON: " + malformed.getOriginalMessage());
     }
 
-    /** A submission, or the mistakes that it has. */
+    /** A valid submission, or the validation errors of an invalid one. */
     record Result(Optional<Submission> submission, List<InputMistake> mistakes) {
         Result {
             mistakes = List.copyOf(mistakes);
         }
     }
 
-    /** A task as written; without resources when it declares none. */
+    /** A task as submitted; the resources are empty if the task declares none. */
     record Task(String payload, Optional<Resources> resources) {}
 }
--- a/library/src/main/java/org/chivetally/entry/http/WaitPreference.java
+++ b/library/src/main/java/org/chivetally/entry/http/WaitPreference.java
@@ -6,9 +6,12 @@
 import org.apache.pekko.http.javadsl.model.HttpHeader;
 import org.apache.pekko.http.javadsl.model.HttpRequest;
 
-/** How long a caller wants a request to be held, from {@code ?wait=SECONDS} or {@code Prefer: wait=SECONDS}. */
+/**
+ * Reads how long a client wants a request to wait for an outcome, from the parameter {@code ?wait=SECONDS} or the
+ * header {@code Prefer: wait=SECONDS}.
+ */
 final class WaitPreference {
-    /** Longest time that a request is held. */
+    /** Maximum time that a request waits; also used when the preference has no value. */
     static final Duration MAXIMUM_WAIT = Duration.ofMinutes(10);
 
     private static final String WAIT = "wait";
@@ -17,9 +20,10 @@
     private WaitPreference() {}
 
     /**
-     * Returns the wanted wait, at most {@link #MAXIMUM_WAIT}; empty when the request names none.
+     * Returns the requested wait, at most {@link #MAXIMUM_WAIT}; empty when the request specifies none. The query
+     * parameter takes precedence over the header.
      *
-     * @throws IllegalArgumentException when it is not a number of seconds
+     * @throws IllegalArgumentException if the wait is not a non-negative number of seconds
      */
     static Optional<Duration> of(HttpRequest request) {
         Optional<String> query = request.getUri().query().get(WAIT);
@@ -47,7 +51,7 @@
         }
         double seconds = Double.parseDouble(text);
         if (!(seconds >= 0)) {
-            throw new IllegalArgumentException("a wait can't be negative");
+            throw new IllegalArgumentException("wait must be a non-negative number of seconds");
         }
         double bounded = Math.min(seconds, MAXIMUM_WAIT.toSeconds());
         return Duration.ofMillis((long) (bounded * MILLIS_PER_SECOND));
--- a/library/src/main/java/org/chivetally/entry/http/package-info.java
+++ b/library/src/main/java/org/chivetally/entry/http/package-info.java
@@ -1,2 +1,2 @@
-/** The HTTP interface for callers and operators. */
+/** HTTP interface of an entry for clients that submit jobs and for operators. */
 package org.chivetally.entry.http;
--- a/library/src/main/java/org/chivetally/entry/link/HeartbeatSettings.java
+++ b/library/src/main/java/org/chivetally/entry/link/HeartbeatSettings.java
@@ -37,7 +37,8 @@
         requirePositive(dialTimeout, "dialTimeout");
         requirePositive(shortestBackoff, "shortestBackoff");
         if (silentAfter.compareTo(busyInterval) <= 0 || idleSilentAfter.compareTo(idleInterval) <= 0) {
-            throw new IllegalArgumentException("silentAfter and idleSilentAfter must be longer than their heartbeat intervals");
+            throw new IllegalArgumentException(
+                    "silentAfter and idleSilentAfter must be longer than their heartbeat intervals");
         }
         if (longestBackoff.compareTo(shortestBackoff) < 0) {
             throw new IllegalArgumentException("longestBackoff is shorter than shortestBackoff");
