--- a/library/src/main/java/org/chivetally/entry/link/IdleHeartbeats.java
+++ b/library/src/main/java/org/chivetally/entry/link/IdleHeartbeats.java
@@ -22,7 +22,7 @@
     /**
      * Returns the time between heartbeats on an idle connection to an agent.
      *
-     * @param own whether this entry is the agent's preferred entry
+     * @param preferred whether this entry is the agent's preferred entry
      * @param agents number of agents in the cluster
      * @param entries number of entries in the cluster, this one included
      * @param shortest lower bound of the result, which applies when there are few agents
--- a/library/src/test/java/org/chivetally/entry/link/LinkTest.java
+++ b/library/src/test/java/org/chivetally/entry/link/LinkTest.java
@@ -36,6 +36,7 @@
     private long lastConnectionId;
     private long nowNanos;
 
+    // A connection whose peer has not been identified must not carry frames.
     @Test
     void becomesUsableOncePeerSendsHello() {
         assertThat(link.tick(nowNanos, false), contains(new LinkEffect.Dial(1)));
@@ -56,6 +57,9 @@
                 lessThanOrEqualTo(HeartbeatSettings.standard().busyInterval().toNanos() + TICK_NANOS));
     }
 
+    // A longer heartbeat interval extends the time until an idle connection counts as silent; otherwise a healthy
+    // connection
+    // would be replaced before its heartbeat is due.
     @Test
     void usesConfiguredIdleInterval() {
         makeUsable();
@@ -66,6 +70,7 @@
         assertThat(untilNext(LinkEffect.Down.class, false), is(silence));
     }
 
+    // After many failures the link waits up to five seconds, although the process is known to run again.
     @Test
     void dialsImmediatelyAfterBackoffReset() {
         for (int failure = 0; failure < 10; failure++) {
@@ -76,6 +81,7 @@
         assertThat(link.tick(nowNanos, false), contains(new LinkEffect.Dial(11)));
     }
 
+    // If answers were answered, two processes would exchange heartbeats endlessly.
     @Test
     void answersHeartbeatsButNotHeartbeatAnswers() {
         makeUsable();
@@ -143,6 +149,7 @@
         assertThat(waitsNanos.getLast(), lessThanOrEqualTo(5_000 * NANOS_PER_MILLI + TICK_NANOS));
     }
 
+    // A connection that opens after its dial was aborted must be closed, or it would stay open unused.
     @Test
     void abortsDialAfterTimeoutAndClosesLateConnection() {
         link.tick(nowNanos, false);
@@ -150,6 +157,8 @@
         assertThat(link.opened(1, nowNanos), contains(new LinkEffect.Close(1)));
     }
 
+    // Another process may now listen at the address. It must not receive frames, and the next dial waits for the
+    // backoff.
     @Test
     void closesConnectionToUnexpectedProcess() {
         link.tick(nowNanos, false);
@@ -161,6 +170,7 @@
         assertThat(link.tick(nowNanos, false), is(empty()));
     }
 
+    // The transport may report the same closing twice; the observer must receive one event.
     @Test
     void reportsDownOnceWhenUsableConnectionCloses() {
         makeUsable();
