--- a/library/src/main/java/org/chivetally/daemon/AgentDaemon.java
+++ b/library/src/main/java/org/chivetally/daemon/AgentDaemon.java
@@ -19,7 +19,7 @@
 import org.chivetally.time.NanoClock;
 import org.chivetally.transport.FrameTransport;
 
-/** One agent with all its parts. */
+/** An agent with its transport and its announcements. */
 public final class AgentDaemon {
     private final AgentServer server;
     private final MemberAnnouncer announcer;
@@ -42,17 +42,22 @@
                 .thenApply(server -> started(system, settings, log, server, transport, callbacks));
     }
 
-    /** Returns where entries are served. */
+    /** Returns the address that listens for connections of entries. */
     public InetSocketAddress frameAddress() {
         return server.address();
     }
 
-    /** Completes when the agent has stopped, exceptionally when a broken invariant ended it. */
+    /** Completes when the agent has stopped, exceptionally if a violated invariant stopped it. */
     public CompletionStage<Void> whenStopped() {
         return server.whenStopped();
     }
 
-    /** Takes no new task, lets running ones finish, and leaves; completes once the agent has stopped. */
+    /**
+     * Accepts no new task, lets running tasks finish, and announces that the agent leaves.
+     *
+     * @param reason reason for the log
+     * @return completes once the agent has stopped
+     */
     public CompletionStage<Void> drain(String reason) {
         return announcer
                 .leave()
--- a/library/src/main/java/org/chivetally/daemon/AgentDaemonCallbacks.java
+++ b/library/src/main/java/org/chivetally/daemon/AgentDaemonCallbacks.java
@@ -10,7 +10,7 @@
 import org.chivetally.resource.ReceivedConfiguration;
 import org.chivetally.time.NanoClock;
 
-/** The parts of an agent's process around the agent: its configuration and its announcements. */
+/** Provides an agent with the configuration and the announcements of its process. */
 final class AgentDaemonCallbacks implements AgentSurroundings {
     private static final FluentLogger LOGGER = FluentLogger.forEnclosingClass();
 
@@ -23,7 +23,7 @@
         this.configuration = new ReceivedConfiguration(clock);
     }
 
-    /** Sets who announces, once the agent's address is known. */
+    /** Sets the announcer, which can be created only once the agent's address is known. */
     void setAnnouncer(MemberAnnouncer started) {
         announcer.complete(started);
     }
--- a/library/src/main/java/org/chivetally/daemon/DaemonSystem.java
+++ b/library/src/main/java/org/chivetally/daemon/DaemonSystem.java
@@ -5,7 +5,7 @@
 import org.apache.pekko.actor.typed.ActorSystem;
 import org.apache.pekko.actor.typed.javadsl.Behaviors;
 
-/** Actor systems of the daemons. */
+/** Creates the actor systems of the daemons. */
 public final class DaemonSystem {
     private static final String SETTINGS = """
             pekko {
@@ -16,9 +16,9 @@
               log-dead-letters = off
               log-dead-letters-during-shutdown = off
               library-extensions = []
-              # Timers of 20 ms and less decide when tasks start; the usual tick of 10 ms would double them.
+              # Timers of 20 ms and less decide when tasks start; the default tick of 10 ms would double them.
               scheduler.tick-duration = 1ms
-              # The daemons stop in the order of their own drain; a second hook would cut requests meanwhile.
+              # The daemons stop in the order of their own drain; another hook would abort requests meanwhile.
               jvm-shutdown-hooks = off
               coordinated-shutdown.run-by-jvm-shutdown-hook = off
               coordinated-shutdown.exit-jvm = off
@@ -35,12 +35,12 @@
 
     private DaemonSystem() {}
 
-    /** Starts an actor system with the daemons' settings; it has no guardian of its own. */
+    /** Starts an actor system with the daemons' settings and an empty guardian. */
     public static ActorSystem<Void> start(String name) {
         return ActorSystem.create(Behaviors.empty(), name, settings());
     }
 
-    /** Returns Pekko's settings for daemons, over those of the class path. */
+    /** Returns the Pekko settings of the daemons, which override those of the class path. */
     public static Config settings() {
         return ConfigFactory.parseString(SETTINGS).withFallback(ConfigFactory.load());
     }
--- a/library/src/main/java/org/chivetally/daemon/DecisionHistory.java
+++ b/library/src/main/java/org/chivetally/daemon/DecisionHistory.java
@@ -13,12 +13,13 @@
 import org.chivetally.entry.dispatch.DispatchCore;
 
 /**
- * Remembers the lines of the latest decisions by their job, for operators who ask why; safe from any thread.
+ * Keeps the log lines of the latest decisions by job, so that operators can look up their reasons. Thread-safe.
  *
- * <p>At most {@link #MAXIMUM_LINES} lines are kept; the job without a decision for longest is forgotten first.
+ * <p>Keeps at most {@link #MAXIMUM_LINES} lines and discards the job without a decision or a query for the longest time
+ * first.
  */
 final class DecisionHistory {
-    /** Most lines kept over all jobs. */
+    /** Maximum number of lines over all jobs. */
     static final int MAXIMUM_LINES = 20_000;
 
     private static final Pattern JOB = Pattern.compile("(?:^| )job=(\\S+)");
@@ -28,12 +29,12 @@
     private final Map<String, List<String>> linesByJob = new LinkedHashMap<>(INITIAL_JOBS, LOAD_FACTOR, true);
     private int lineCount;
 
-    /** Returns the same decisions, whose lines are remembered. */
+    /** Returns a core that delegates to the given one and records the lines of its decisions. */
     DispatchCore recording(DispatchCore core) {
         return new RecordingCore(core);
     }
 
-    /** Returns the lines about a job in their order; empty when none is remembered. */
+    /** Returns the recorded lines about a job in order; empty if there are none. */
     synchronized List<String> linesOf(String job) {
         return List.copyOf(linesByJob.getOrDefault(job, List.of()));
     }
--- a/library/src/main/java/org/chivetally/daemon/DecisionRoutes.java
+++ b/library/src/main/java/org/chivetally/daemon/DecisionRoutes.java
@@ -13,7 +13,7 @@
 import tools.jackson.databind.node.ArrayNode;
 import tools.jackson.databind.node.ObjectNode;
 
-/** Route of the decisions about a job, {@code /v1/jobs/{name}/decisions}. */
+/** HTTP route for the decisions about a job, {@code /v1/jobs/{name}/decisions}. */
 final class DecisionRoutes extends AllDirectives {
     private final DecisionHistory history;
 
--- a/library/src/main/java/org/chivetally/daemon/EntryDaemon.java
+++ b/library/src/main/java/org/chivetally/daemon/EntryDaemon.java
@@ -21,7 +21,7 @@
 import org.chivetally.time.NanoClock;
 import org.chivetally.transport.FrameTransport;
 
-/** One entry with all its parts. */
+/** An entry with its transport, its resources and its operator routes. */
 public final class EntryDaemon {
     private static final String RESOURCES_NOT_READY = "resources are not read to their end yet";
 
@@ -54,22 +54,27 @@
                 });
     }
 
-    /** Returns where callers and operators are served. */
+    /** Returns the address that serves HTTP requests of callers and operators. */
     public InetSocketAddress httpAddress() {
         return server.httpAddress();
     }
 
-    /** Returns where other processes are served. */
+    /** Returns the address that listens for connections of other processes. */
     public InetSocketAddress frameAddress() {
         return server.frameAddress();
     }
 
-    /** Completes when the entry has stopped, exceptionally when a broken invariant ended it. */
+    /** Completes when the entry has stopped, exceptionally if a violated invariant stopped it. */
     public CompletionStage<Void> whenStopped() {
         return server.whenStopped();
     }
 
-    /** Stops without cutting a request in progress; completes once the entry has stopped. */
+    /**
+     * Stops without aborting a request in progress.
+     *
+     * @param reason reason for the log
+     * @return completes once the entry has stopped
+     */
     public CompletionStage<Void> drain(String reason) {
         return server.drain(reason).thenRun(() -> {
             resources.stop();
@@ -98,7 +103,7 @@
                 new SharedConfiguration(resources));
     }
 
-    /** Decisions whose lines are remembered. */
+    /** Records the lines of the decisions in the history. */
     private record RecordingDecisions(EntryServer.Decisions decisions, DecisionHistory history)
             implements EntryServer.Decisions {
         @Override
--- a/library/src/main/java/org/chivetally/daemon/EntrySettingsMapper.java
+++ b/library/src/main/java/org/chivetally/daemon/EntrySettingsMapper.java
@@ -16,7 +16,7 @@
 import org.chivetally.settings.HostPort;
 import org.chivetally.settings.ProcessSettings;
 
-/** Maps an entry's settings file to the settings of its parts. */
+/** Maps the settings file of an entry to the settings of its components. */
 final class EntrySettingsMapper {
     private static final int RENEWALS_PER_LEASE = 3;
     private static final int GONE_RETENTION_WINDOWS = 2;
@@ -58,9 +58,9 @@
                 .withSnapshotEvery(retention.dividedBy(SNAPSHOTS_PER_RETENTION));
     }
 
-    // Agents and entries must agree on these: an entry that counts on an agent's memory for longer than it lasts
-    // would take "not known here" for "never started", and start work twice. For the same reason an agent that ended
-    // counts for as long as a job that it may have held can be taken over.
+    // Agents and entries must agree on these durations: an entry that assumes a longer retention than the agent has
+    // would interpret "not known here" as "never started" and start a task twice. For the same reason the record of an
+    // agent that ended is retained while a job whose tasks it may have run can be taken over.
     private static DispatchSettings.Fencing fencing(DispatchSettings.Fencing defaults, EntryClaimSettings claims) {
         return new DispatchSettings.Fencing(
                 claims.ticketAge(),
@@ -93,7 +93,8 @@
                 SnapshotSettings.every(claims.logRetention().dividedBy(SNAPSHOTS_PER_RETENTION)));
     }
 
-    // The jobs' part of the drain leaves time for what follows it: answers on their way, the lease's end, the leave.
+    // A quarter of the drain timeout is reserved for the steps after the jobs: answers in transit, the end of the lease
+    // and the announcement that the entry leaves.
     private static EntryLimits limits(Duration drainTimeout) {
         Duration timeAfterJobs = drainTimeout.dividedBy(4);
         EntryLimits defaults = EntryLimits.standard();
--- a/library/src/main/java/org/chivetally/daemon/ObservedState.java
+++ b/library/src/main/java/org/chivetally/daemon/ObservedState.java
@@ -16,13 +16,16 @@
 import org.chivetally.wire.v1.Hello;
 import org.chivetally.wire.v1.Report;
 
-/** Status of backend servers and versions of processes, from what an entry last heard of each process. */
+/**
+ * Status of backend servers and configuration versions of processes, from the last report that an entry received from
+ * each process.
+ */
 final class ObservedState implements StatusSource, ProcessVersions {
     private static final int MISSED_HEARTBEATS = 3;
 
     private final AtomicReference<Supplier<List<ObservedProcess>>> processes = new AtomicReference<>(List::of);
 
-    /** Takes the entry's observations from now on; nothing is known before. */
+    /** Sets the source of the observed processes; without one, the state is empty. */
     void setSource(Supplier<List<ObservedProcess>> source) {
         processes.set(source);
     }
--- a/library/src/main/java/org/chivetally/daemon/SeedIntroducingLog.java
+++ b/library/src/main/java/org/chivetally/daemon/SeedIntroducingLog.java
@@ -16,10 +16,11 @@
 import org.chivetally.wire.v1.Hello;
 
 /**
- * A log for an agent's announcements that introduces the agent to the seed entries whenever an append fails.
+ * A log for the announcements of an agent that sends the agent's Hello to the seed entries whenever an append fails.
  *
- * <p>Safeguard: an agent that starts while the log is down can't announce itself, and no entry would ever dial it. The
- * seeds pass it into their views as if they had read it; entries that are no seeds learn of it once the log is back.
+ * <p>Safeguard: an agent that starts while the log is unavailable can't announce itself, and no entry would connect to
+ * it. Seeds add it to their members as if they had read its announcement; other entries read the announcement once the
+ * log is available again.
  */
 final class SeedIntroducingLog implements PlatformLog {
     private final PlatformLog log;
@@ -76,7 +77,7 @@
 
         @Override
         public void disconnected(FrameConnection connection, String reason) {
-            // The next failed announcement tries again.
+            // The next failed announcement sends the Hello again.
         }
     }
 }
--- a/library/src/main/java/org/chivetally/daemon/SharedConfiguration.java
+++ b/library/src/main/java/org/chivetally/daemon/SharedConfiguration.java
@@ -5,7 +5,7 @@
 import org.chivetally.resource.ConfigurationSnapshot;
 import org.chivetally.resource.ResourceService;
 
-/** The resources of an entry as other processes get them. */
+/** Exchanges snapshots of the resources of an entry with other processes. */
 final class SharedConfiguration implements ConfigurationExchange {
     private final ResourceService resources;
 
--- a/library/src/main/java/org/chivetally/daemon/TeamChanges.java
+++ b/library/src/main/java/org/chivetally/daemon/TeamChanges.java
@@ -10,7 +10,7 @@
 import org.chivetally.job.TeamPolicy;
 import org.chivetally.resource.Resource;
 
-/** Tells of teams whose limits changed, also those that are declared no more; called from one thread at a time. */
+/** Reports teams whose policy changed, including teams that were removed. Called from one thread at a time. */
 final class TeamChanges implements Consumer<List<Resource>> {
     private final ServicePolicies policies;
     private final Consumer<TeamPolicy> changed;
--- a/library/src/main/java/org/chivetally/daemon/package-info.java
+++ b/library/src/main/java/org/chivetally/daemon/package-info.java
@@ -1,2 +1,2 @@
-/** Entry and agent put together from their parts, as the daemons and a deployment in one process run them. */
+/** Assembly of entries and agents from their components, for the daemons and for deployments in one process. */
 package org.chivetally.daemon;
--- a/library/src/main/java/org/chivetally/entry/dispatch/AgentRoster.java
+++ b/library/src/main/java/org/chivetally/entry/dispatch/AgentRoster.java
@@ -19,14 +19,14 @@
 import org.chivetally.wire.v1.Hello;
 
 /**
- * Tells the dispatcher of agents: which incarnations there are and were, and which can be used.
+ * Tracks the current and former incarnations of agents and produces the dispatcher's events about them.
  *
- * <p>Every incarnation that the members' list names is told before anything else of it. It counts as ended only when
- * nothing can come of it any more; of one that nobody reaches, the dispatcher learns just that. Times are nanoseconds
- * of one monotonic clock.
+ * <p>The first event about an incarnation is always {@link DispatchEvent.AgentNamed}. An incarnation is reported as
+ * gone only when no frame can arrive from it any more; one that is merely unreachable is reported as unreachable or
+ * presumed gone. Times are nanoseconds of one monotonic clock.
  */
 final class AgentRoster {
-    /** How long an agent that left is waited for while it owes answers; drains take less. */
+    /** Time after its last connection that an agent that left may still send pending answers; drains take less. */
     private static final long LEFT_AGENT_TIMEOUT_NANOS = Duration.ofSeconds(60).toNanos();
 
     private final Predicate<String> idempotent;
@@ -38,15 +38,15 @@
     /**
      * Creates an empty roster.
      *
-     * @param idempotent tells whether a service's tasks may run twice
-     * @param awaited tells whether an agent, by its process id, owes answers
+     * @param idempotent whether the tasks of a service may run twice, by service name
+     * @param hasPendingAnswers whether answers from an agent are pending, by process id
      */
     AgentRoster(Predicate<String> idempotent, Predicate<String> hasPendingAnswers) {
         this.idempotent = idempotent;
         this.hasPendingAnswers = hasPendingAnswers;
     }
 
-    /** Takes a new list of members in. */
+    /** Replaces the list of members and returns the resulting events. */
     List<DispatchEvent> updateMembers(MemberList members, long now) {
         Set<AgentId> listed = new HashSet<>();
         for (Member agent : members.agents()) {
@@ -62,7 +62,7 @@
         return reevaluate(now);
     }
 
-    /** A connection to an agent can be used. */
+    /** Records that a connection to an agent is usable; an earlier one to the process counts as lost. */
     List<DispatchEvent> up(Hello hello, long now) {
         Hello before = helloByProcess.put(hello.getProcessId(), hello);
         if (before != null) {
@@ -71,7 +71,7 @@
         return reevaluate(now);
     }
 
-    /** No connection to an agent can be used. */
+    /** Records that no connection to an agent is usable. */
     List<DispatchEvent> down(AgentId agent, long now) {
         Hello hello = helloByProcess.get(agent.processId());
         if (hello != null && idOf(hello).equals(agent)) {
@@ -81,7 +81,7 @@
         return reevaluate(now);
     }
 
-    /** Looks again at what may have changed with time or with the services' declarations. */
+    /** Returns the events caused by the passage of time or by changed declarations of services. */
     List<DispatchEvent> reevaluate(long now) {
         List.copyOf(agents.entrySet()).forEach(agent -> reevaluate(agent.getKey(), agent.getValue(), now));
         List<DispatchEvent> events = pendingEvents;
@@ -89,13 +89,13 @@
         return events;
     }
 
-    /** Tells whether the dispatcher uses this incarnation now. */
+    /** Returns whether the dispatcher may currently start tasks at this incarnation. */
     boolean isAdmitted(AgentId agent) {
-        TrackedAgent one = agents.get(agent);
-        return one != null && one.admitted;
+        TrackedAgent tracked = agents.get(agent);
+        return tracked != null && tracked.admitted;
     }
 
-    /** Tells whether a process's connections are of use still. */
+    /** Returns whether an incarnation of the process is not reported as gone, so that its link must be kept. */
     boolean needsConnection(String processId) {
         return agents.entrySet().stream()
                 .anyMatch(agent -> agent.getKey().processId().equals(processId) && !agent.getValue().goneReported);
@@ -127,9 +127,9 @@
     }
 
     private void disconnect(AgentId agent) {
-        TrackedAgent one = agents.get(agent);
-        if (one != null) {
-            one.admitted = false;
+        TrackedAgent tracked = agents.get(agent);
+        if (tracked != null) {
+            tracked.admitted = false;
         }
         pendingEvents.add(new DispatchEvent.AgentUnreachable(agent));
     }
@@ -156,9 +156,10 @@
         }
     }
 
-    // A coordinator that takes a job over learns from the log which agents may hold its tasks. One that is known by its
-    // introduction only may die before its announcement is written, and nobody would ask about what ran there; it gets
-    // such work only as may run twice. One that was declared gone is used again once it has announced itself anew.
+    // A coordinator that takes a job over reads from the log which agents may hold its tasks. An agent known only by
+    // its
+    // Hello may crash before its announcement is in the log, and no coordinator would send it an inquiry. Such an agent
+    // therefore only runs idempotent tasks. An agent that was declared gone is used again after its next announcement.
     private boolean isUsable(TrackedAgent agent, Hello hello) {
         if (agent.reason != null) {
             return agent.reason == EndedMember.Reason.LEFT;
@@ -166,8 +167,8 @@
         return agent.announced || idempotent.test(hello.getService());
     }
 
-    // An agent that leaves is taken out of the view while its last attempts still run; their results may need a new
-    // connection.
+    // A leaving agent is removed from the list of members while its last attempts still run, and their results may
+    // need a new connection.
     private void endLeftAgent(AgentId id, TrackedAgent agent, long now) {
         boolean withinTimeout = now - agent.disconnectedAtNanos < LEFT_AGENT_TIMEOUT_NANOS;
         if (!hasPendingAnswers.test(id.processId()) || !withinTimeout) {
--- a/library/src/main/java/org/chivetally/entry/dispatch/ConfigurationPushes.java
+++ b/library/src/main/java/org/chivetally/entry/dispatch/ConfigurationPushes.java
@@ -14,9 +14,14 @@
 import org.chivetally.wire.v1.Frame;
 import org.chivetally.wire.v1.Hello;
 
-/** Brings the configuration of this entry to agents that have an older one. Times are nanoseconds of one clock. */
+/**
+ * Pushes the configuration of this entry to connected agents that have an older version. Times are nanoseconds of one
+ * monotonic clock.
+ */
 final class ConfigurationPushes {
+    /** Delay after which the next entry pushes a version that the agent has not reported yet. */
     private static final Duration PUSH_TURN = Duration.ofMillis(500);
+
     private static final Duration NEVER_PUSHED = Duration.ofNanos(-1);
     private static final int MAXIMUM_PUSHES_PER_CALL = 50;
 
@@ -51,7 +56,12 @@
         }
     }
 
-    /** Returns what to send now, by process id; a bounded number, so that a change does not hold up other work. */
+    /**
+     * Returns the pushes to send now, by process id of the agent.
+     *
+     * <p>At most {@link #MAXIMUM_PUSHES_PER_CALL}, so that a change of the configuration does not delay other messages
+     * of the actor.
+     */
     Map<String, Frame> due(long now) {
         long current = configuration.version();
         if (current != version) {
--- a/library/src/main/java/org/chivetally/entry/dispatch/DispatchActor.java
+++ b/library/src/main/java/org/chivetally/entry/dispatch/DispatchActor.java
@@ -44,7 +44,7 @@
 import org.chivetally.wire.v1.Hello;
 import org.chivetally.wire.v1.SuspicionAnswer;
 
-/** Feeds the decisions with events of agents, jobs and time, and carries their effects out. */
+/** Passes events about agents, jobs and time to the {@link DispatchCore} and executes its effects. */
 public final class DispatchActor extends AbstractBehavior<DispatchCommand> implements LinkObserver {
     private static final FluentLogger LOGGER = FluentLogger.forEnclosingClass();
     private static final Duration TICK_INTERVAL = Duration.ofMillis(20);
@@ -62,7 +62,9 @@
     private Set<Incarnation> viewedAgents = Set.of();
     private int entryCount;
     private boolean leaseHeld;
-    /** Reading of the clock until which the lease was told to be held; null before the first. */
+    /**
+     * Time until which the lease is held as of the last {@link DispatchCommand.LeaseExtended}; null before the first.
+     */
     private Long leaseEndNanos;
 
     private long ticks;
@@ -114,13 +116,13 @@
             case DispatchCommand.Probe probe -> onProbe(probe);
             case DispatchCommand.Membership membership -> onMembership(membership.effect());
             case DispatchCommand.Tick tick -> onTick();
-            case DispatchCommand.Stop stop -> throw new IllegalStateException("handled before");
+            case DispatchCommand.Stop stop -> throw new IllegalStateException("Stop has its own handler");
         }
     }
 
-    // A process that was paused for longer than its lease resumes in the middle of its work and would send starts that
-    // another entry's takeover does not expect. The lease is therefore looked at before each message, not only on
-    // ticks; what slips through between look and send is refused by its ticket.
+    // A process that was suspended for longer than its lease resumes in the middle of its work and would send starts
+    // after another entry has taken its jobs over. The lease is therefore checked before each message, not only on
+    // ticks. Agents refuse a start that was sent after the lease lapsed between check and send, by its ticket.
     private void checkLease() {
         boolean held = isWithinReportedLease() && parts.holdsLease().getAsBoolean();
         if (held != leaseHeld) {
@@ -129,9 +131,9 @@
         }
     }
 
-    // The lease is lost by the clock, but regained only by a message: jobs that others took over while it had lapsed
-    // are told of before that. Looked up, a renewal that the claims have just read would count at once, and whatever
-    // message waits here would start tasks of a job that another entry has started already.
+    // The lease is lost by the clock but regained only by a message, as the events about jobs that other entries took
+    // over meanwhile are sent before that message. If holdsLease alone decided, a renewal just read by the claims would
+    // apply at once, and messages still in the mailbox would start tasks of a job that another entry has started.
     private boolean isWithinReportedLease() {
         return leaseEndNanos != null && leaseEndNanos - parts.clock().nanos() > 0;
     }
@@ -159,8 +161,8 @@
         }
     }
 
-    // While an agent was away its link came to be dialled every few seconds only; back, it would be left idle for as
-    // long.
+    // The reconnect delay of a link grows to several seconds while its agent is absent; without an immediate dial, a
+    // returned agent would stay idle for that time.
     private void redialReturnedAgents(MemberList view, long now) {
         Set<Incarnation> listed = new HashSet<>();
         for (Member agent : view.agents()) {
@@ -214,7 +216,7 @@
             case MembershipEffect.HoldDown hold ->
                 decide(new DispatchEvent.AgentHeldDown(
                         new AgentId(hold.agent().processId(), hold.agent().incarnation()), hold.held()));
-            default -> throw new IllegalStateException("not for agents: " + effect);
+            default -> throw new IllegalStateException("effect does not concern agents: " + effect);
         }
     }
 
@@ -327,19 +329,23 @@
     }
 
     /**
-     * What the actor works with.
+     * Dependencies of the actor.
      *
      * @param self process id of this entry
-     * @param wiring makes the links' wiring for the actor's signals
-     * @param holdsLease whether this process may start tasks; asked before each event, and only believed as far as
-     *     {@link DispatchCommand.LeaseExtended} goes
-     * @param outcomes takes final outcomes
-     * @param introductions takes introductions of processes found at another's address
-     * @param membershipEvents takes what connections say of members
-     * @param idempotent tells whether a service's tasks may run twice
-     * @param configuration what agents are to have
-     * @param reachableAgents filled with the agents that can be reached; read by other threads
-     * @param observer told of the links as well; must not block
+     * @param core scheduling decisions
+     * @param wiring creates the wiring of the links from the receiver of their signals
+     * @param heartbeats heartbeat settings of the links
+     * @param holdsLease whether this process may start tasks; checked before each message, and ignored after the time
+     *     of the last {@link DispatchCommand.LeaseExtended}
+     * @param outcomes receives final outcomes of jobs
+     * @param introductions receives the Hello of a process that answers at the address of another
+     * @param membershipEvents receives events that the links observe about members
+     * @param idempotent whether the tasks of a service may run twice, by service name
+     * @param configuration configuration that is pushed to agents
+     * @param reachableAgents set that the actor keeps equal to the reachable agents; read by other threads
+     * @param observer also receives the events of the links; must not block
+     * @param meters registry of the metrics
+     * @param clock monotonic clock
      */
     public record Parts(
             String self,
--- a/library/src/main/java/org/chivetally/entry/dispatch/DispatchCommand.java
+++ b/library/src/main/java/org/chivetally/entry/dispatch/DispatchCommand.java
@@ -10,36 +10,36 @@
 
 /** Messages of {@link DispatchActor}. */
 public sealed interface DispatchCommand {
-    /** An event for the decisions. */
+    /** An event for the {@link DispatchCore}. */
     record Event(DispatchEvent event) implements DispatchCommand {}
 
-    /** Something to run once the events told before have been decided; it must not wait. */
+    /** Runs an action after all earlier events have been handled; the action must not block. */
     record RunAfterEvents(Runnable action) implements DispatchCommand {}
 
-    /** The transport reports about a connection to an agent. */
+    /** The transport reports a change or a frame of a connection to an agent. */
     record Signal(LinkSignal signal) implements DispatchCommand {}
 
-    /** The members changed. */
+    /** The list of members changed. */
     record MembersChanged(MemberList members) implements DispatchCommand {}
 
-    /** Another entry asks whether an agent can be reached. */
+    /** Another entry asks whether an agent is reachable; {@code alive} receives the answer. */
     record Probe(Incarnation agent, Consumer<Boolean> alive) implements DispatchCommand {}
 
-    /** The view of members wants something done at an agent. */
+    /** An effect of the membership view that concerns an agent. */
     record Membership(MembershipEffect effect) implements DispatchCommand {}
 
-    /** Send a frame to an agent; lost when it can't be reached now. */
+    /** Sends a frame to an agent; the frame is discarded if the agent is unreachable. */
     record Send(String processId, Frame frame) implements DispatchCommand {}
 
     /**
-     * The lease is held until this reading of the clock, in nanoseconds. Jobs that others took over before the log says
-     * so are told of before, as events.
+     * The lease is held until this time of the monotonic clock, in nanoseconds. Jobs that other entries took over
+     * before the renewal in the log are sent before this message, as events.
      */
     record LeaseExtended(long untilNanos) implements DispatchCommand {}
 
-    /** Ends the actor. */
+    /** Stops the actor. */
     record Stop() implements DispatchCommand {}
 
-    /** Time passed. */
+    /** Periodic timer message. */
     record Tick() implements DispatchCommand {}
 }
--- a/library/src/main/java/org/chivetally/entry/dispatch/DispatchCore.java
+++ b/library/src/main/java/org/chivetally/entry/dispatch/DispatchCore.java
@@ -6,12 +6,12 @@
 import org.chivetally.coordination.DispatchEvent;
 import org.chivetally.coordination.DispatchSnapshot;
 
-/** The decisions of a coordinator, called from one thread at a time. */
+/** Scheduling decisions of a coordinator; called from one thread at a time. */
 public interface DispatchCore {
-    /** Decides about one event; effects are carried out in order. */
+    /** Handles one event and returns its effects in order of execution; {@code nowNanos} is the monotonic time. */
     List<DispatchEffect> handle(DispatchEvent event, long nowNanos);
 
-    /** Returns counts and agents as they are now; empty when these decisions keep none. */
+    /** Returns the current task counts and agents; empty if the implementation keeps none. */
     default Optional<DispatchSnapshot> snapshot() {
         return Optional.empty();
     }
--- a/library/src/main/java/org/chivetally/entry/dispatch/DispatchMeters.java
+++ b/library/src/main/java/org/chivetally/entry/dispatch/DispatchMeters.java
@@ -9,7 +9,7 @@
 import org.chivetally.coordination.DispatchEffect.WasteKind;
 import org.chivetally.coordination.DispatchSnapshot;
 
-/** Measures of the dispatcher: queues, running tasks, agents and wasted messages. */
+/** Metrics of the dispatcher: waiting and running tasks, agents and wasted messages. */
 final class DispatchMeters {
     private final MeterRegistry registry;
     private final MultiGauge serviceWaiting;
@@ -29,13 +29,13 @@
         this.agentAttempts = gauge("chivetally.agent.attempts", "Attempts of this entry in flight at the agent");
     }
 
-    /** Counts a message that did no good. */
+    /** Counts a message that had no effect. */
     void wasted(WasteKind kind) {
         registry.counter("chivetally.wasted.messages", "kind", kind.name().toLowerCase(Locale.ROOT))
                 .increment();
     }
 
-    /** Replaces the gauges' values. */
+    /** Replaces all gauge values by those of the snapshot. */
     void update(DispatchSnapshot snapshot) {
         serviceWaiting.register(rows("service", snapshot.services(), DispatchSnapshot.Counts::waiting), true);
         serviceRunning.register(rows("service", snapshot.services(), DispatchSnapshot.Counts::running), true);
--- a/library/src/main/java/org/chivetally/entry/dispatch/PendingAnswers.java
+++ b/library/src/main/java/org/chivetally/entry/dispatch/PendingAnswers.java
@@ -10,13 +10,13 @@
 import org.chivetally.wire.v1.TaskStatus;
 
 /**
- * Which agents owe an answer, so that their connections are watched closely.
+ * Answers that agents have yet to send. The links to these agents use the heartbeat interval of active connections.
  *
- * <p>A heartbeat that the dispatcher wants before a start is one such answer: an idle connection that is dead is
- * noticed when it is to be used, and not only at its next regular heartbeat.
+ * <p>A heartbeat that the dispatcher requests before a start counts as a pending answer. A dead idle connection is
+ * thereby detected when it is to be used, not only at its next regular heartbeat.
  *
- * <p>Decides about heartbeats only; what an attempt's outcome is, is decided by the dispatcher. An answer that never
- * comes stops counting some time after the attempt's lease.
+ * <p>Affects heartbeats only; the dispatcher determines the outcome of an attempt. A missing answer is dropped when its
+ * deadline passes; that of an attempt is {@link #ANSWER_MARGIN_NANOS} after its queue time and lease.
  */
 final class PendingAnswers {
     private static final long ANSWER_MARGIN_NANOS = Duration.ofSeconds(10).toNanos();
@@ -28,7 +28,7 @@
 
     private final Map<String, Map<String, Long>> deadlinesByAgent = new HashMap<>();
 
-    /** Notes a frame that was sent to an agent. */
+    /** Records the answer that a frame sent to an agent requires, if any; {@code now} is in nanoseconds. */
     void sent(String processId, Frame frame, long now) {
         if (frame.hasStart()) {
             Start start = frame.getStart();
@@ -43,7 +43,7 @@
         }
     }
 
-    /** Notes a frame that arrived from an agent. */
+    /** Removes the pending answers that a frame from an agent contains. */
     void received(String processId, Frame frame) {
         Map<String, Long> pending = deadlinesByAgent.get(processId);
         if (pending == null) {
@@ -61,19 +61,19 @@
         removeIfEmpty(processId, pending);
     }
 
-    /** Forgets an agent. */
+    /** Removes all pending answers of an agent. */
     void remove(String processId) {
         deadlinesByAgent.remove(processId);
     }
 
-    /** Tells whether the agent owes an answer. */
+    /** Returns whether an answer of the agent is pending. */
     boolean hasPending(String processId) {
         return deadlinesByAgent.containsKey(processId);
     }
 
-    /** Forgets answers that are overdue for long. */
+    /** Removes answers whose deadline has passed; {@code now} is in nanoseconds. */
     void expire(long now) {
-        deadlinesByAgent.values().forEach(open -> open.values().removeIf(end -> now - end >= 0));
+        deadlinesByAgent.values().forEach(open -> open.values().removeIf(deadline -> now - deadline >= 0));
         deadlinesByAgent.values().removeIf(Map::isEmpty);
     }
 
--- a/library/src/main/java/org/chivetally/entry/dispatch/package-info.java
+++ b/library/src/main/java/org/chivetally/entry/dispatch/package-info.java
@@ -1,2 +1,2 @@
-/** The shell of the dispatcher: its connections to agents, its ticks and its effects. */
+/** The actor around the dispatcher: its links to agents, its timer and the execution of its effects. */
 package org.chivetally.entry.dispatch;
--- a/library/src/main/java/org/chivetally/entry/peer/ConfigurationPulls.java
+++ b/library/src/main/java/org/chivetally/entry/peer/ConfigurationPulls.java
@@ -9,10 +9,10 @@
 import org.chivetally.wire.v1.Frame;
 
 /**
- * Asks other entries for a configuration that this one does not get from the log.
+ * Pulls from other entries a newer configuration that this entry has not read from the log.
  *
- * <p>The log usually brings a version to all within milliseconds, so an entry that is ahead is asked only after a
- * while, and one at a time.
+ * <p>All entries usually read a new version from the log within milliseconds. A pull is therefore sent only after
+ * {@link #LOG_GRACE_PERIOD}, to one entry at a time. Times are nanoseconds of one monotonic clock.
  */
 final class ConfigurationPulls {
     private static final Duration LOG_GRACE_PERIOD = Duration.ofSeconds(1);
@@ -42,8 +42,9 @@
     }
 
     /**
-     * Tells, once after each change here, that the other entries are to be asked for their versions; the next heartbeat
-     * may be seconds away, and operators would see them lag until then.
+     * Returns true once, {@link #VERSION_QUERY_DELAY_NANOS} after each change of the own version, when the versions of
+     * the other entries must be queried. Their next heartbeat may be seconds away, and operators would see outdated
+     * versions until then.
      */
     boolean shouldQueryVersions(long now) {
         long own = configuration.version();
@@ -59,7 +60,7 @@
         return true;
     }
 
-    /** Returns the question that is due, by the entry to ask. */
+    /** Returns the pull that is due, by the process id of the entry with the newest version; empty if none is due. */
     Map<String, Frame> due(long now) {
         long own = configuration.version();
         Map.Entry<String, Long> newest = newest();
--- a/library/src/main/java/org/chivetally/entry/peer/InboundFrames.java
+++ b/library/src/main/java/org/chivetally/entry/peer/InboundFrames.java
@@ -31,9 +31,9 @@
 import org.chivetally.wire.v1.SuspicionAnswer;
 import org.chivetally.wire.v1.SuspicionQuery;
 
-/** Answers other processes that dial this entry. */
+/** Answers frames on the connections that other processes open to this entry. */
 public final class InboundFrames implements FrameListener {
-    /** Longest outcome that one frame carries, in bytes. */
+    /** Maximum size of an outcome document in one frame. */
     private static final int MAXIMUM_OUTCOME_BYTES = 3 * 1024 * 1024;
 
     private final Parts parts;
@@ -62,14 +62,14 @@
             case CONFIGURATION_PULL -> answerConfigurationPull(connection, frame);
             case MEMBERS_PULL -> answerMembersPull(connection, frame.getRequestId());
             default -> {
-                // An answer to a question of this entry goes over its own connections.
+                // Answers to requests of this entry arrive on the connections that it opened.
             }
         }
     }
 
     @Override
     public void disconnected(FrameConnection connection, String reason) {
-        // Whatever is still awaited over it is asked for again over another.
+        // The other process repeats its pending requests on a new connection.
     }
 
     private void answerHeartbeat(FrameConnection connection, Frame frame) {
@@ -116,8 +116,9 @@
                 Frame.newBuilder().setRequestId(requestId).setJobAnswer(body).build());
     }
 
-    // A frame over the transport's limit would close the connection, and the asking entry would dial and ask again for
-    // ever. It is told instead that the answer has to be fetched from this entry.
+    // A frame above the size limit of the transport would close the connection, and the requesting entry would
+    // reconnect
+    // and repeat its request forever. It receives a failure instead that refers the caller to this entry.
     private static String limitedDocument(JobId job, JobOutcome outcome) {
         String document = OutcomeDocument.write(job, outcome);
         if (document.getBytes(StandardCharsets.UTF_8).length <= MAXIMUM_OUTCOME_BYTES) {
@@ -173,15 +174,16 @@
     }
 
     /**
-     * What the listener works with; all parts are safe from any thread.
+     * Dependencies of the listener; all are thread-safe.
      *
-     * @param hello introduction of this process
-     * @param introductions takes introductions of processes that dialled
-     * @param submissions takes questions about jobs
-     * @param probe asks a member for a sign of life, and tells whether it came
-     * @param members gives the members known here
-     * @param configuration what other entries may ask for
-     * @param executor writes answers, which may be large
+     * @param hello creates the Hello of this process
+     * @param requestIds request ids of this process, never repeated
+     * @param introductions receives the Hello of each process that connects
+     * @param submissions receives requests about jobs
+     * @param probe sends a heartbeat to a member and reports whether it answered
+     * @param members passes the members known to this entry to a receiver
+     * @param configuration configuration that other entries may pull
+     * @param executor writes answers that may be large
      */
     public record Parts(
             Supplier<Hello> hello,
--- a/library/src/main/java/org/chivetally/entry/peer/KeyQueries.java
+++ b/library/src/main/java/org/chivetally/entry/peer/KeyQueries.java
@@ -11,21 +11,24 @@
 import org.chivetally.wire.v1.Attach;
 import org.chivetally.wire.v1.Frame;
 
-/** Questions to all other entries whether they have a job of a key. Owned by one actor. */
+/**
+ * Pending queries to all other entries whether they have a job with a submission key. Confined to one actor. Times are
+ * nanoseconds of one monotonic clock.
+ */
 final class KeyQueries {
     private static final long QUERY_TIMEOUT_NANOS = Duration.ofMillis(500).toNanos();
     private static final String SEPARATOR = "\n";
 
     private final Map<Long, Query> queriesByRequest = new HashMap<>();
 
-    /** Returns the frame that asks about a key under a request id. */
+    /** Returns the frame that queries a key with a request id. */
     static Frame frame(long requestId, SubmissionKey key) {
         Attach attach =
                 Attach.newBuilder().setKey(key.team() + SEPARATOR + key.key()).build();
         return Frame.newBuilder().setRequestId(requestId).setAttach(attach).build();
     }
 
-    /** Returns the key that a question names; the whole text is a key of no team when it has no separator. */
+    /** Returns the key of a query; without a separator, the whole text is a key with an empty team. */
     static SubmissionKey key(Attach attach) {
         String text = attach.getKey();
         int end = text.indexOf(SEPARATOR);
@@ -34,16 +37,23 @@
                 : new SubmissionKey(text.substring(0, end), text.substring(end + SEPARATOR.length()));
     }
 
-    /** Opens a question that was sent to several entries under these request ids. */
+    /**
+     * Adds a query that was sent to several entries.
+     *
+     * @param requests request ids of the frames, one for each entry
+     * @param unknownToAll completed with true when all entries deny the key in time; with false when one has it or on
+     *     timeout
+     * @param now time of sending
+     */
     void open(List<Long> requests, CompletableFuture<Boolean> unknownToAll, long now) {
         Query query = new Query(new HashSet<>(requests), unknownToAll, now + QUERY_TIMEOUT_NANOS);
         requests.forEach(request -> queriesByRequest.put(request, query));
     }
 
     /**
-     * Notes an answer; false when it belongs to no question about a key.
+     * Records an answer; returns false if the request id belongs to no pending query.
      *
-     * <p>A denial that is taken in late, as by an entry that was paused in between, may be false by now.
+     * <p>A denial after the deadline is ignored: if this process was suspended meanwhile, the denial may be outdated.
      */
     boolean onAnswer(long request, boolean known, long now) {
         Query query = queriesByRequest.remove(request);
@@ -58,7 +68,7 @@
         return true;
     }
 
-    /** Ends questions that wait too long: nothing is certain then. */
+    /** Completes queries whose deadline has passed with false, as nothing is proven then. */
     void expire(long now) {
         for (Query query : Set.copyOf(queriesByRequest.values())) {
             if (now - query.deadlineNanos >= 0) {
--- a/library/src/main/java/org/chivetally/entry/peer/PeerActor.java
+++ b/library/src/main/java/org/chivetally/entry/peer/PeerActor.java
@@ -51,7 +51,7 @@
 import org.chivetally.wire.v1.JobAnswer;
 import org.chivetally.wire.v1.SuspicionQuery;
 
-/** Asks other entries for the outcomes of jobs that they coordinate. */
+/** Keeps links to the other entries and queries them about jobs, submission keys, members and configuration. */
 public final class PeerActor extends AbstractBehavior<PeerCommand> implements LinkObserver {
     private static final FluentLogger LOGGER = FluentLogger.forEnclosingClass();
     private static final Duration TICK_INTERVAL = Duration.ofMillis(50);
@@ -68,7 +68,7 @@
     private final ConfigurationPulls pulls;
     private Set<String> viewedEntries = Set.of();
     private Set<Incarnation> endedIncarnations = Set.of();
-    /** Reading of the clock when an entry was last seen to be no member any more; null when that never happened. */
+    /** Time at which this entry last observed the departure of an entry; null if there was none. */
     private Long lastDepartureNanos;
 
     private PeerActor(ActorContext<PeerCommand> context, Parts parts) {
@@ -105,7 +105,7 @@
     private void handle(PeerCommand command) {
         switch (command) {
             case PeerCommand.QueryOutcome query -> onQueryOutcome(query);
-            case PeerCommand.CancelOutcomeQuery forget -> outcomeQueries.remove(forget.job());
+            case PeerCommand.CancelOutcomeQuery cancel -> outcomeQueries.remove(cancel.job());
             case PeerCommand.QueryKey query -> onQueryKey(query);
             case PeerCommand.CancelJob cancel -> onCancel(cancel);
             case PeerCommand.Signal signal ->
@@ -115,7 +115,7 @@
             case PeerCommand.QuerySuspicion query -> onQuerySuspicion(query);
             case PeerCommand.Probe probe -> onProbe(probe);
             case PeerCommand.Tick tick -> onTick();
-            case PeerCommand.Stop stop -> throw new IllegalStateException("handled before");
+            case PeerCommand.Stop stop -> throw new IllegalStateException("Stop has its own handler");
         }
     }
 
@@ -126,8 +126,8 @@
         send(query);
     }
 
-    // An entry that is not in the view any more may have claimed the key just before it ended, in a record that could
-    // not be read here yet. Nothing is certain without it, for as long as its jobs may be taken over.
+    // An entry that is no longer a member may have claimed the key just before it ended, in a record that this entry
+    // has not read yet. Without its answer nothing is proven while its jobs may be taken over.
     private void onQueryKey(PeerCommand.QueryKey query) {
         boolean allReachable =
                 viewedEntries.stream().allMatch(entry -> links.usable(entry).isPresent());
@@ -148,7 +148,7 @@
         keyQueries.open(requests, query.unknownToAll(), parts.clock().nanos());
     }
 
-    // Also names entries that came and ended between two reads of the members, and so were never in the view.
+    // Includes entries that joined and ended between two reads of the members and so were never listed as members.
     private Set<Incarnation> endedEntries(MemberList view) {
         return view.ended().stream()
                 .filter(ended -> ended.mayBeEntry() && !ended.id().processId().equals(parts.self()))
@@ -156,8 +156,8 @@
                 .collect(Collectors.toUnmodifiableSet());
     }
 
-    // An entry that left may have claimed the key after this one last read the claims, and run its job. Nobody else
-    // need know of that, so that the answers of those who stayed prove nothing.
+    // An entry that left may have claimed the key after this entry last read the claims, and run its job. The remaining
+    // entries may not have read that claim either, so their denials prove nothing.
     private boolean hasDepartureSince(long sinceNanos) {
         return lastDepartureNanos != null && lastDepartureNanos - sinceNanos >= 0;
     }
@@ -170,8 +170,8 @@
         links.send(cancel.coordinator().processId(), frame);
     }
 
-    // The view may name a newer address of the process than an old claim does, so the claim's is only used when the
-    // view names none.
+    // The list of members may have a newer address of the process than an old claim, so the address in the claim is
+    // used only if there is no link yet.
     private void keepLink(Coordinator coordinator) {
         if (links.processes().contains(coordinator.processId())) {
             return;
@@ -286,7 +286,7 @@
 
     @Override
     public void down(Hello hello, String reason) {
-        // Questions are asked again on the next connection.
+        // Outcome queries are sent again on the next connection.
         parts.observer().down(hello, reason);
         pulls.lost(hello.getProcessId());
         parts.membershipEvents().accept(new MembershipEvent.Lost(idOf(hello)));
@@ -312,7 +312,7 @@
                                 frame.getConfigurationPush().getVersion(),
                                 frame.getConfigurationPush().getSnapshot().toByteArray());
             default -> {
-                // Nothing was asked that such a frame answers.
+                // Other frames do not answer any request of this actor.
             }
         }
     }
@@ -375,17 +375,19 @@
     }
 
     /**
-     * What the actor works with.
+     * Dependencies of the actor.
      *
      * @param self process id of this entry
-     * @param wiring makes the links' wiring for the actor's signals
-     * @param outcomes takes outcomes
-     * @param introductions takes introductions of processes found at another's address
-     * @param observer told of the links as well; must not block
+     * @param wiring creates the wiring of the links from the receiver of their signals
+     * @param heartbeats heartbeat settings of the links
+     * @param outcomes receives the outcomes of queried jobs
+     * @param introductions receives the Hello of a process that answers at the address of another
+     * @param observer also receives the events of the links; must not block
      * @param requestIds request ids of this process, never repeated
-     * @param membershipEvents takes what connections say of members
-     * @param configuration what other entries may have newer
-     * @param membersRead whether the members are known as the log has them
+     * @param membershipEvents receives events that the links observe about members
+     * @param configuration configuration of this entry, which accepts newer versions from other entries
+     * @param membersRead whether the members have been read from the log completely
+     * @param clock monotonic clock
      */
     public record Parts(
             String self,
--- a/library/src/main/java/org/chivetally/entry/peer/PeerCommand.java
+++ b/library/src/main/java/org/chivetally/entry/peer/PeerCommand.java
@@ -12,37 +12,44 @@
 
 /** Messages of {@link PeerActor}. */
 public sealed interface PeerCommand {
-    /** Ask a coordinator for its job's outcome until it answers or the question is forgotten. */
+    /** Queries a coordinator for the outcome of its job until it answers or the query is cancelled. */
     record QueryOutcome(Coordinator coordinator, JobId job, String key) implements PeerCommand {}
 
-    /** The answer is no longer wanted. */
+    /** Cancels the outcome query of a job. */
     record CancelOutcomeQuery(JobId job) implements PeerCommand {}
 
-    /** Ask all other entries whether they have a job of a key, which this one would know if it was claimed before. */
+    /**
+     * Queries all other entries whether they have a job with a key.
+     *
+     * @param sinceNanos time of the monotonic clock from which on this entry may have missed claims; a key that was
+     *     claimed earlier is known here
+     * @param unknownToAll completed with true if no other entry can have such a job; with false if one has it or
+     *     nothing is proven
+     */
     record QueryKey(SubmissionKey key, long sinceNanos, CompletableFuture<Boolean> unknownToAll)
             implements PeerCommand {}
 
-    /** Ask a coordinator to cancel its job. */
+    /** Requests a coordinator to cancel its job. */
     record CancelJob(Coordinator coordinator, JobId job) implements PeerCommand {}
 
-    /** The transport reports about a connection to an entry. */
+    /** The transport reports a change or a frame of a connection to an entry. */
     record Signal(LinkSignal signal) implements PeerCommand {}
 
-    /** The members changed. */
+    /** The list of members changed. */
     record MembersChanged(MemberList members) implements PeerCommand {}
 
-    /** Ask an entry whether it reaches a member. */
+    /** Queries an entry whether it reaches a suspected member. */
     record QuerySuspicion(Incarnation entry, Incarnation suspect) implements PeerCommand {}
 
-    /** Another entry asks whether an entry can be reached. */
+    /** Another entry asks whether an entry is reachable; {@code alive} receives the answer. */
     record Probe(Incarnation entry, Consumer<Boolean> alive) implements PeerCommand {}
 
-    /** Send a frame to an entry; lost when it can't be reached now. */
+    /** Sends a frame to an entry; the frame is discarded if the entry is unreachable. */
     record Send(String processId, Frame frame) implements PeerCommand {}
 
-    /** Ends the actor. */
+    /** Stops the actor. */
     record Stop() implements PeerCommand {}
 
-    /** Time passed. */
+    /** Periodic timer message. */
     record Tick() implements PeerCommand {}
 }
--- a/library/src/main/java/org/chivetally/entry/peer/package-info.java
+++ b/library/src/main/java/org/chivetally/entry/peer/package-info.java
@@ -1,2 +1,2 @@
-/** Frames between entries: questions for outcomes, and the listener that answers them. */
+/** Links between entries: queries about jobs, keys, members and configuration, and the listener that answers them. */
 package org.chivetally.entry.peer;
--- a/library/src/test/java/org/chivetally/daemon/DecisionHistoryTest.java
+++ b/library/src/test/java/org/chivetally/daemon/DecisionHistoryTest.java
@@ -15,6 +15,7 @@
 class DecisionHistoryTest {
     private final DecisionHistory history = new DecisionHistory();
 
+    // An operator must see the decisions about one job only, in the order in which they were made.
     @Test
     void keepsTheLinesOfEachJobInOrder() {
         decide("placed", "a");
@@ -24,6 +25,7 @@
         assertThat(history.linesOf("c"), empty());
     }
 
+    // The history must not grow beyond its limit, and must keep the jobs with the latest decisions.
     @Test
     void discardsTheJobWithoutDecisionsForLongest() {
         decide("placed", "old");
--- a/library/src/test/java/org/chivetally/daemon/EntryDaemonTest.java
+++ b/library/src/test/java/org/chivetally/daemon/EntryDaemonTest.java
@@ -72,7 +72,7 @@
     private static HttpClient client;
     private static URI root;
 
-    /** A request that is answered with success as it stands, and the places of its values by their types. */
+    /** A valid request, and the invalid values for each location in its body. */
     private record Request(String method, String path, ObjectNode body, List<InvalidValues> invalidValues) {
         private String withValue(String pointer, String raw) {
             ObjectNode changed = body.deepCopy();
@@ -87,10 +87,10 @@
         }
     }
 
-    /** A place in a request's body, and what must not stand there. */
+    /** A location in the body of a request, and values that are invalid there. */
     private record InvalidValues(String pointer, List<String> values) {}
 
-    /** A request with a body that must be refused. */
+    /** A request with a body that must be rejected. */
     private record Malformed(Request request, byte[] body) {
         private Malformed(Request request, String text) {
             this(request, text.getBytes(StandardCharsets.UTF_8));
@@ -123,6 +123,7 @@
         kit.shutdownTestKit();
     }
 
+    // A malformed body must cause a client error that lists the location and a message for each mistake.
     @Property(tries = 1500)
     void rejectsMalformedBodiesAndReportsTheLocationOfEachMistake(@ForAll("malformed") Malformed malformed)
             throws Exception {
@@ -134,6 +135,7 @@
         checkProblem(response);
     }
 
+    // An unhandled parser exception would be answered with a status of 500 or above.
     @Property(tries = 500)
     void arbitraryBytesNeverCauseAServerError(@ForAll("requests") Request request, @ForAll byte[] body)
             throws Exception {
@@ -188,13 +190,13 @@
 
     private static Arbitrary<Malformed> withWrongType(Request request) {
         return Arbitraries.of(request.invalidValues)
-                .flatMap(wrong -> Arbitraries.of(wrong.values)
-                        .map(value -> new Malformed(request, request.withValue(wrong.pointer, value))));
+                .flatMap(invalid -> Arbitraries.of(invalid.values)
+                        .map(value -> new Malformed(request, request.withValue(invalid.pointer, value))));
     }
 
     private static Arbitrary<Malformed> deeplyNested(Request request) {
         Arbitrary<Integer> depths = Arbitraries.integers().between(600, 50_000);
-        Arbitrary<String> places = Arbitraries.of(
+        Arbitrary<String> pointers = Arbitraries.of(
                 request.invalidValues.stream().map(InvalidValues::pointer).toList());
         Arbitrary<List<String>> brackets = Arbitraries.of(
                 List.of("[", "]"),
@@ -202,9 +204,9 @@
                 List.of("{\"a\":", "}"),
                 List.of("{\"a\":", ""),
                 List.of("[{\"a\":", "}]"));
-        return depths.flatMap(depth -> places.flatMap(place -> brackets.map(pair -> {
+        return depths.flatMap(depth -> pointers.flatMap(pointer -> brackets.map(pair -> {
             String raw = pair.getFirst().repeat(depth) + "1" + pair.getLast().repeat(depth);
-            return new Malformed(request, request.withValue(place, raw));
+            return new Malformed(request, request.withValue(pointer, raw));
         })));
     }
 
@@ -236,13 +238,14 @@
             List<Request> all = new ArrayList<>();
             for (JsonNode node : JsonMapper.shared().readTree(stream)) {
                 List<InvalidValues> invalid = new ArrayList<>();
-                node.path("numbers").forEach(place -> invalid.add(new InvalidValues(place.stringValue(), NOT_NUMBERS)));
+                node.path("numbers")
+                        .forEach(pointer -> invalid.add(new InvalidValues(pointer.stringValue(), NOT_NUMBERS)));
                 node.path("sections")
-                        .forEach(place -> invalid.add(new InvalidValues(place.stringValue(), NOT_SECTIONS)));
-                node.path("lists").forEach(place -> invalid.add(new InvalidValues(place.stringValue(), NOT_LISTS)));
-                node.path("texts").forEach(place -> invalid.add(new InvalidValues(place.stringValue(), NOT_TEXTS)));
+                        .forEach(pointer -> invalid.add(new InvalidValues(pointer.stringValue(), NOT_SECTIONS)));
+                node.path("lists").forEach(pointer -> invalid.add(new InvalidValues(pointer.stringValue(), NOT_LISTS)));
+                node.path("texts").forEach(pointer -> invalid.add(new InvalidValues(pointer.stringValue(), NOT_TEXTS)));
                 node.path("values")
-                        .forEach(place -> invalid.add(new InvalidValues(place.stringValue(), INVALID_JSON_VALUES)));
+                        .forEach(pointer -> invalid.add(new InvalidValues(pointer.stringValue(), INVALID_JSON_VALUES)));
                 all.add(new Request(
                         node.path("method").stringValue(),
                         node.path("path").stringValue(),
--- a/library/src/test/java/org/chivetally/daemon/EntrySettingsMapperTest.java
+++ b/library/src/test/java/org/chivetally/daemon/EntrySettingsMapperTest.java
@@ -20,9 +20,10 @@
 
     @Test
     void goneAgentsAreRetainedWhileTheirJobsMayBeTakenOver() {
-        // Keys are remembered for 20 hours. An agent runs a task and dies; an hour later its coordinator dies too,
-        // and the caller sends the job again. Had the dead agent been forgotten by then, the task would start a
-        // second time.
+        // Submission keys are kept for 20 hours. An agent runs a task and crashes; an hour later its coordinator
+        // crashes
+        // too, and the caller submits the job again. If the record of the agent had expired by then, the task would
+        // start a second time.
         Document document = Document.parse("entry.yaml", SETTINGS);
         EntrySettings settings = EntrySettingsMapper.entry(EntryDaemonSettings.read(document.root()));
         assertThat(settings.dispatch().fencing().goneRetention(), greaterThanOrEqualTo(Duration.ofHours(20)));
--- a/library/src/test/java/org/chivetally/daemon/SeedIntroducingLogTest.java
+++ b/library/src/test/java/org/chivetally/daemon/SeedIntroducingLogTest.java
@@ -36,8 +36,8 @@
     }
 
     /**
-     * An agent starts while the log is down: its announcement is refused, so no entry can read of it. It dials the seed
-     * and says who it is, and the seed may dial it at once.
+     * An agent starts while the log is unavailable: its announcement is refused, so no entry can read it. The agent
+     * must connect to the seed and send its Hello, so that the seed can connect to the agent at once.
      */
     @Test
     void aRefusedAnnouncementIsSentToTheSeeds() throws Exception {
@@ -59,7 +59,7 @@
     private final class Seed implements FrameListener {
         @Override
         public void connected(FrameConnection connection) {
-            // The dialling side speaks first.
+            // The connecting side sends the first frame.
         }
 
         @Override
@@ -69,7 +69,7 @@
 
         @Override
         public void disconnected(FrameConnection connection, String reason) {
-            // The test looks at the first frame only.
+            // The test checks the first frame only.
         }
     }
 
--- a/library/src/test/java/org/chivetally/daemon/TeamChangesTest.java
+++ b/library/src/test/java/org/chivetally/daemon/TeamChangesTest.java
@@ -22,6 +22,7 @@
     private final List<TeamPolicy> reported = new ArrayList<>();
     private final TeamChanges changes = new TeamChanges(new Declared(), reported::add);
 
+    // A removed team must fall back to the undeclared policy; unchanged teams must not be reported again.
     @Test
     void reportsOnlyNewChangedAndRemovedTeams() {
         TeamPolicy first = new TeamPolicy("rangers", 5, 5, 1);
--- a/library/src/test/java/org/chivetally/entry/dispatch/ConfigurationPushesTest.java
+++ b/library/src/test/java/org/chivetally/entry/dispatch/ConfigurationPushesTest.java
@@ -31,6 +31,7 @@
         }
     }
 
+    // All entries are connected to the agent; if each pushed every version, the agent would receive it three times.
     @Test
     void onlyOneEntryPushesEachVersionWhenTheAgentReportsIt() {
         assertThat(dueWithin(Duration.ZERO), hasSize(1));
@@ -44,13 +45,14 @@
 
     @Test
     void anotherEntryPushesWhenTheFirstPushIsLost() {
-        // The first entry's connection goes silent with the push in it. The agent would stay behind until that is
-        // noticed; the next entry pushes half a second later.
+        // The push of the first entry is lost on a dead connection. The agent would keep the old version until the
+        // entry detects that; the next entry pushes half a second later instead.
         assertThat(dueWithin(Duration.ZERO), hasSize(1));
         assertThat(dueWithin(Duration.ofMillis(600)), hasSize(1));
         assertThat(dueWithin(Duration.ofMillis(100)), is(empty()));
     }
 
+    // Another entry may have pushed a version that this entry has not read yet.
     @Test
     void agentsWithANewerVersionReceiveNoPush() {
         entries.forEach(entry -> entry.reported("agent", 9));
@@ -89,7 +91,7 @@
 
         @Override
         public void offer(long offered, byte[] snapshot) {
-            throw new IllegalStateException("nobody offers");
+            throw new IllegalStateException("offer is not expected");
         }
     }
 }
--- a/library/src/test/java/org/chivetally/entry/dispatch/DispatchActorTest.java
+++ b/library/src/test/java/org/chivetally/entry/dispatch/DispatchActorTest.java
@@ -71,8 +71,8 @@
         events.clear();
     }
 
-    // An agent ran tasks for an entry that died, and this entry has not reached the agent yet when it takes the job
-    // over. The decisions must count it among those to be asked, so they are told of it when it is announced.
+    // An agent ran tasks for an entry that crashed, and this entry is not connected to the agent yet when it takes the
+    // job over. The core must include the agent in its inquiries, so it receives an event on the announcement.
     @Test
     void reportsAnnouncedAgentsBeforeTheyAreReached() {
         view(List.of(member("1")), List.of());
@@ -85,8 +85,8 @@
                 is(1L));
     }
 
-    // An agent was replaced while this entry did not run yet, and all that its first run did for others is lost with
-    // it. The decisions are told that the first run has ended, so that they do not take its tasks for never started.
+    // An agent was restarted before this entry started, and the state of its first incarnation is lost. The core must
+    // receive the end of that incarnation, or it would treat the tasks there as never started.
     @Test
     void reportsAgentsThatEndedBeforeTheyWereReached() {
         view(List.of(member("2")), ended(EndedMember.Reason.SUPERSEDED));
@@ -95,6 +95,7 @@
         assertThat(events, hasItem(new DispatchEvent.AgentNamed(SECOND, "routing")));
     }
 
+    // A closed connection is no proof that the agent ended: its tasks may still run. Only a new incarnation is.
     @Test
     void aConnectedAgentIsGoneOnceANewIncarnationReplacesIt() {
         view(List.of(member("1")), List.of());
@@ -107,8 +108,8 @@
         assertThat(events, hasItem(new DispatchEvent.AgentGone(FIRST)));
     }
 
-    // An agent says that it leaves while it still runs tasks. Its connection is kept for their results, and it counts
-    // as gone only when it closes the connection itself.
+    // An agent announces that it leaves while it still runs tasks. Its connection is kept for their results, and the
+    // agent is reported as gone only when the connection closes.
     @Test
     void anAgentThatLeavesIsGoneWhenItsConnectionCloses() {
         view(List.of(member("1")), List.of());
@@ -119,8 +120,8 @@
         assertThat(events, hasItem(new DispatchEvent.AgentGone(FIRST)));
     }
 
-    // The process is paused past its lease and resumes with frames waiting. The decisions hear of the lost lease
-    // before anything else, so that no frame makes them start a task.
+    // The process is suspended past its lease and resumes with frames in its mailbox. The core must receive the loss of
+    // the lease before any other event, so that no frame causes a start.
     @Test
     void aLostLeaseIsReportedBeforeAnyOtherEvent() {
         leaseHeld = false;
@@ -128,9 +129,10 @@
         assertThat(events, contains(new DispatchEvent.LeaseChanged(false), new DispatchEvent.EntriesChanged(2)));
     }
 
-    // The lease lapsed, another entry took a job over, and the lease was renewed; the claims have read all that while
-    // older messages still wait here. Were the lease looked up, the first of them would start tasks of the lost job.
-    // It counts as held from the message on that follows the one about the job.
+    // The lease lapsed, another entry took a job over, and the lease was renewed. The claims have read all of that
+    // while
+    // older messages are still in the mailbox. If the current lease applied to them, the first would start tasks of the
+    // lost job. The lease therefore counts as held only from the message that follows the event about the job.
     @Test
     void aRegainedLeaseIsReportedAfterTheJobsTakenOver() {
         DispatchEvent takenOver = new DispatchEvent.JobTakenOver(new JobId("job"));
--- a/library/src/test/java/org/chivetally/entry/dispatch/PendingAnswersTest.java
+++ b/library/src/test/java/org/chivetally/entry/dispatch/PendingAnswersTest.java
@@ -17,6 +17,7 @@
 class PendingAnswersTest {
     private final PendingAnswers pendingAnswers = new PendingAnswers();
 
+    // Without the pending answer, a dead connection would be detected only by an idle heartbeat.
     @Test
     void answersArePendingUntilEachAttemptIsAnswered() {
         start("a");
@@ -35,6 +36,7 @@
         assertThat(pendingAnswers.hasPending("agent"), is(false));
     }
 
+    // A result may be lost with its connection; the answer to a later inquiry then replaces it.
     @Test
     void anInquiryAnswerCompletesAttemptsThatNoLongerRun() {
         start("a");
@@ -60,6 +62,7 @@
         assertThat(pendingAnswers.hasPending("agent"), is(false));
     }
 
+    // An agent that never answers would otherwise keep the interval of active connections forever.
     @Test
     void aMissingAnswerExpiresAfterTheLease() {
         start("a");
--- a/library/src/test/java/org/chivetally/entry/peer/KeyQueriesTest.java
+++ b/library/src/test/java/org/chivetally/entry/peer/KeyQueriesTest.java
@@ -12,6 +12,7 @@
     private final KeyQueries queries = new KeyQueries();
     private final CompletableFuture<Boolean> unknownToAll = new CompletableFuture<>();
 
+    // A key must not count as unknown before every entry has answered.
     @Test
     void aKeyThatAllEntriesDenyIsUnknownToAll() {
         queries.open(List.of(1L, 2L), unknownToAll, 0);
@@ -21,9 +22,9 @@
         assertThat(unknownToAll.join(), is(true));
     }
 
-    // An entry asks the others about a key in an outage and is paused for some seconds. Meanwhile a caller comes back
-    // and
-    // another entry runs the job. The denials that wait in the paused entry's sockets would make it say "not run".
+    // An entry queries the others about a key during a log outage and is suspended for some seconds. Meanwhile the
+    // caller retries and another entry runs the job. The denials buffered in the sockets of the suspended entry would
+    // make it answer "not run".
     @Test
     void denialsReceivedAfterTheTimeoutAreIgnored() {
         queries.open(List.of(1L, 2L), unknownToAll, 0);
--- a/library/src/test/java/org/chivetally/entry/peer/PeerActorTest.java
+++ b/library/src/test/java/org/chivetally/entry/peer/PeerActorTest.java
@@ -42,12 +42,11 @@
             () -> true,
             () -> now)));
 
-    // The log's claims can't be read any more; then another entry claims a key, runs its job and leaves. It can't be
-    // asked, and nobody else knows the key, which is no proof that nothing ran. Only claims that were read after it
-    // left
-    // would have shown it.
+    // While this entry can't read the claims, another entry claims a key, runs its job and leaves. It can't be queried,
+    // and that no other entry knows the key is no proof that nothing ran. Only claims read after it left would show the
+    // key.
     @Test
-    void keyIsNotUnknownToAllIfAnEntryLeftSinceTheClaimsWereRead() {
+    void aKeyIsNotUnknownToAllIfAnEntryLeftSinceTheClaimsWereRead() {
         assertThat(isUnknownToAll(DEPARTURE - 1), is(true));
         view(List.of(member()), List.of());
         now = DEPARTURE;
@@ -56,7 +55,7 @@
         assertThat(isUnknownToAll(DEPARTURE + 1), is(true));
     }
 
-    // As above, but the entry came and left between two reads of the members, so that it was never in the view.
+    // As above, but the entry joined and left between two reads of the members, so that it was never listed as one.
     @Test
     void anEntryThatJoinedAndLeftBetweenTwoReadsIsADeparture() {
         view(List.of(), List.of());
