--- a/library/src/main/java/org/chivetally/entry/dispatch/AgentRoster.java
+++ b/library/src/main/java/org/chivetally/entry/dispatch/AgentRoster.java
@@ -26,7 +26,7 @@
  * presumed gone. Times are nanoseconds of one monotonic clock.
  */
 final class AgentRoster {
-    /** Time after its last connection that an agent that left may still send pending answers; drains take less. */
+    /** How long after its last connection an agent that left may still send answers; drains take less. */
     private static final long LEFT_AGENT_TIMEOUT_NANOS = Duration.ofSeconds(60).toNanos();
 
     private final Predicate<String> idempotent;
@@ -157,9 +157,9 @@
     }
 
     // A coordinator that takes a job over reads from the log which agents may hold its tasks. An agent known only by
-    // its
-    // Hello may crash before its announcement is in the log, and no coordinator would send it an inquiry. Such an agent
-    // therefore only runs idempotent tasks. An agent that was declared gone is used again after its next announcement.
+    // its Hello may crash before its announcement is in the log, and no coordinator would send it an inquiry. Such an
+    // agent therefore runs only idempotent tasks. An agent that was declared gone is used again after its next
+    // announcement.
     private boolean isUsable(TrackedAgent agent, Hello hello) {
         if (agent.reason != null) {
             return agent.reason == EndedMember.Reason.LEFT;
--- a/library/src/main/java/org/chivetally/entry/dispatch/DispatchActor.java
+++ b/library/src/main/java/org/chivetally/entry/dispatch/DispatchActor.java
@@ -59,7 +59,7 @@
     private final AgentRoster roster;
     private final ConfigurationPushes pushes;
     private final Probes probes = new Probes();
-    private Set<Incarnation> viewedAgents = Set.of();
+    private Set<Incarnation> listedAgents = Set.of();
     private int entryCount;
     private boolean leaseHeld;
     /**
@@ -106,12 +106,11 @@
         checkLease();
         switch (command) {
             case DispatchCommand.Event event -> decide(event.event());
-            case DispatchCommand.RunAfterEvents afterwards ->
-                afterwards.action().run();
+            case DispatchCommand.RunAfterEvents runAfter -> runAfter.action().run();
             case DispatchCommand.Signal signal ->
                 links.signal(signal.signal(), parts.clock().nanos());
             case DispatchCommand.Send send -> links.send(send.processId(), send.frame());
-            case DispatchCommand.MembersChanged view -> onMembersChanged(view.members());
+            case DispatchCommand.MembersChanged changed -> onMembersChanged(changed.members());
             case DispatchCommand.LeaseExtended extended -> onLeaseExtended(extended.untilNanos());
             case DispatchCommand.Probe probe -> onProbe(probe);
             case DispatchCommand.Membership membership -> onMembership(membership.effect());
@@ -163,21 +162,21 @@
 
     // The reconnect delay of a link grows to several seconds while its agent is absent; without an immediate dial, a
     // returned agent would stay idle for that time.
-    private void redialReturnedAgents(MemberList view, long now) {
+    private void redialReturnedAgents(MemberList members, long now) {
         Set<Incarnation> listed = new HashSet<>();
-        for (Member agent : view.agents()) {
+        for (Member agent : members.agents()) {
             listed.add(agent.id());
-            if (!viewedAgents.contains(agent.id())) {
+            if (!listedAgents.contains(agent.id())) {
                 links.hurry(agent.processId(), now);
             }
         }
-        viewedAgents = listed;
+        listedAgents = listed;
     }
 
-    private void setHeartbeatIntervals(MemberList view, List<String> entryNames) {
-        int count = view.agents().size();
+    private void setHeartbeatIntervals(MemberList members, List<String> entryNames) {
+        int count = members.agents().size();
         Duration shortest = parts.heartbeats().idleInterval();
-        for (Member agent : view.agents()) {
+        for (Member agent : members.agents()) {
             boolean preferred = RendezvousOrder.rank(parts.self(), entryNames, agent.processId()) == 0;
             links.pace(agent.processId(), IdlePace.interval(preferred, count, entryNames.size(), shortest));
         }
--- a/library/src/main/java/org/chivetally/entry/dispatch/PendingAnswers.java
+++ b/library/src/main/java/org/chivetally/entry/dispatch/PendingAnswers.java
@@ -73,7 +73,7 @@
 
     /** Removes answers whose deadline has passed; {@code now} is in nanoseconds. */
     void expire(long now) {
-        deadlinesByAgent.values().forEach(open -> open.values().removeIf(deadline -> now - deadline >= 0));
+        deadlinesByAgent.values().forEach(pending -> pending.values().removeIf(deadline -> now - deadline >= 0));
         deadlinesByAgent.values().removeIf(Map::isEmpty);
     }
 
--- a/library/src/main/java/org/chivetally/entry/peer/PeerActor.java
+++ b/library/src/main/java/org/chivetally/entry/peer/PeerActor.java
@@ -55,7 +55,9 @@
 public final class PeerActor extends AbstractBehavior<PeerCommand> implements LinkObserver {
     private static final FluentLogger LOGGER = FluentLogger.forEnclosingClass();
     private static final Duration TICK_INTERVAL = Duration.ofMillis(50);
+    /** Maximum number of unanswered suspicion queries; above it the oldest is discarded. */
     private static final int MAXIMUM_SUSPICION_QUERIES = 4_096;
+
     private static final long QUERY_RETRY_INTERVAL_NANOS =
             Duration.ofMillis(500).toNanos();
 
@@ -66,7 +68,7 @@
     private final SequencedMap<Long, Incarnation> suspicionQueries = new LinkedHashMap<>();
     private final Probes probes = new Probes();
     private final ConfigurationPulls pulls;
-    private Set<String> viewedEntries = Set.of();
+    private Set<String> otherEntries = Set.of();
     private Set<Incarnation> endedIncarnations = Set.of();
     /** Time at which this entry last observed the departure of an entry; null if there was none. */
     private Long lastDepartureNanos;
@@ -111,7 +113,7 @@
             case PeerCommand.Signal signal ->
                 links.signal(signal.signal(), parts.clock().nanos());
             case PeerCommand.Send send -> links.send(send.processId(), send.frame());
-            case PeerCommand.MembersChanged view -> onMembersChanged(view.members());
+            case PeerCommand.MembersChanged changed -> onMembersChanged(changed.members());
             case PeerCommand.QuerySuspicion query -> onQuerySuspicion(query);
             case PeerCommand.Probe probe -> onProbe(probe);
             case PeerCommand.Tick tick -> onTick();
@@ -130,17 +132,17 @@
     // has not read yet. Without its answer nothing is proven while its jobs may be taken over.
     private void onQueryKey(PeerCommand.QueryKey query) {
         boolean allReachable =
-                viewedEntries.stream().allMatch(entry -> links.usable(entry).isPresent());
+                otherEntries.stream().allMatch(entry -> links.usable(entry).isPresent());
         if (!parts.membersRead().getAsBoolean() || !allReachable || hasDepartureSince(query.sinceNanos())) {
             query.unknownToAll().complete(false);
             return;
         }
-        if (viewedEntries.isEmpty()) {
+        if (otherEntries.isEmpty()) {
             query.unknownToAll().complete(true);
             return;
         }
         List<Long> requests = new ArrayList<>();
-        for (String entry : viewedEntries) {
+        for (String entry : otherEntries) {
             long request = parts.requestIds().getAsLong();
             requests.add(request);
             links.send(entry, KeyQueries.frame(request, query.key()));
@@ -149,8 +151,8 @@
     }
 
     // Includes entries that joined and ended between two reads of the members and so were never listed as members.
-    private Set<Incarnation> endedEntries(MemberList view) {
-        return view.ended().stream()
+    private Set<Incarnation> endedEntries(MemberList members) {
+        return members.ended().stream()
                 .filter(ended -> ended.mayBeEntry() && !ended.id().processId().equals(parts.self()))
                 .map(EndedMember::id)
                 .collect(Collectors.toUnmodifiableSet());
@@ -190,10 +192,10 @@
             links.keep(entry.processId(), entry.address(), parts.clock().nanos());
         }
         Set<Incarnation> ended = endedEntries(members);
-        if (!listed.containsAll(viewedEntries) || !endedIncarnations.containsAll(ended)) {
+        if (!listed.containsAll(otherEntries) || !endedIncarnations.containsAll(ended)) {
             lastDepartureNanos = parts.clock().nanos();
         }
-        viewedEntries = Set.copyOf(listed);
+        otherEntries = Set.copyOf(listed);
         endedIncarnations = ended;
         dropUnneededLinks();
     }
@@ -231,7 +233,7 @@
 
     private void dropUnneededLinks() {
         for (String processId : links.processes()) {
-            if (!viewedEntries.contains(processId) && !hasPendingQuery(processId)) {
+            if (!otherEntries.contains(processId) && !hasPendingQuery(processId)) {
                 links.drop(processId, "not a member");
             }
         }
