--- a/library/src/main/java/org/chivetally/job/TaskOutcome.java
+++ b/library/src/main/java/org/chivetally/job/TaskOutcome.java
@@ -3,7 +3,7 @@
 /** Outcome of one task. */
 public sealed interface TaskOutcome {
     /**
-     * The task was completed.
+     * The task ran once and returned an answer.
      *
      * @param body the minion's answer as JSON text
      */
--- a/library/src/main/java/org/chivetally/membership/RendezvousOrder.java
+++ b/library/src/main/java/org/chivetally/membership/RendezvousOrder.java
@@ -45,9 +45,8 @@
         for (byte octet : (entry + "\n" + agent).getBytes(StandardCharsets.UTF_8)) {
             hash = (hash ^ (octet & 0xff)) * FNV_PRIME;
         }
-        // In FNV-1a the last characters hardly affect the upper bits, which determine the order. The 64-bit finalizer
-        // of
-        // MurmurHash3 mixes all bits.
+        // In FNV-1a, the last characters hardly affect the upper bits, which determine the order. The 64-bit finalizer
+        // of MurmurHash3 mixes all bits.
         hash = (hash ^ (hash >>> 33)) * 0xff51afd7ed558ccdL;
         hash = (hash ^ (hash >>> 33)) * 0xc4ceb9fe1a85ec53L;
         return hash ^ (hash >>> 33);
--- a/library/src/main/java/org/chivetally/placement/Quarantine.java
+++ b/library/src/main/java/org/chivetally/placement/Quarantine.java
@@ -9,7 +9,7 @@
  *
  * <p>A minion is faulty if it fails many different tasks while the other minions succeed. A task that fails on a second
  * minion is itself at fault, so its failures count against neither minion. If the other minions fail as well, the
- * service is at fault and no minion is quarantined, because no other minion would do better.
+ * service is at fault and no minion is quarantined, because there is no better place for its tasks.
  */
 public final class Quarantine {
     private static final double SMOOTHING_FACTOR = 0.2;
