--- a/library/src/main/java/org/chivetally/entry/peer/InboundFrames.java
+++ b/library/src/main/java/org/chivetally/entry/peer/InboundFrames.java
@@ -117,8 +117,7 @@
     }
 
     // A frame above the size limit of the transport would close the connection, and the requesting entry would
-    // reconnect
-    // and repeat its request forever. It receives a failure instead that refers the caller to this entry.
+    // reconnect and repeat its request forever. It receives a failure instead that refers the caller to this entry.
     private static String limitedDocument(JobId job, JobOutcome outcome) {
         String document = OutcomeDocument.write(job, outcome);
         if (document.getBytes(StandardCharsets.UTF_8).length <= MAXIMUM_OUTCOME_BYTES) {
--- a/library/src/main/java/org/chivetally/entry/peer/KeyQueries.java
+++ b/library/src/main/java/org/chivetally/entry/peer/KeyQueries.java
@@ -53,7 +53,8 @@
     /**
      * Records an answer; returns false if the request id belongs to no pending query.
      *
-     * <p>A denial after the deadline is ignored: if this process was suspended meanwhile, the denial may be outdated.
+     * <p>A denial after the deadline completes the query with false: if this process was suspended meanwhile, the
+     * denial may be outdated.
      */
     boolean onAnswer(long request, boolean known, long now) {
         Query query = queriesByRequest.remove(request);
--- a/library/src/test/java/org/chivetally/daemon/EntrySettingsMapperTest.java
+++ b/library/src/test/java/org/chivetally/daemon/EntrySettingsMapperTest.java
@@ -21,9 +21,8 @@
     @Test
     void goneAgentsAreRetainedWhileTheirJobsMayBeTakenOver() {
         // Submission keys are kept for 20 hours. An agent runs a task and crashes; an hour later its coordinator
-        // crashes
-        // too, and the caller submits the job again. If the record of the agent had expired by then, the task would
-        // start a second time.
+        // crashes too, and the caller submits the job again. If the record of the agent had expired by then, the
+        // task would start a second time.
         Document document = Document.parse("entry.yaml", SETTINGS);
         EntrySettings settings = EntrySettingsMapper.entry(EntryDaemonSettings.read(document.root()));
         assertThat(settings.dispatch().fencing().goneRetention(), greaterThanOrEqualTo(Duration.ofHours(20)));
--- a/library/src/test/java/org/chivetally/entry/dispatch/DispatchActorTest.java
+++ b/library/src/test/java/org/chivetally/entry/dispatch/DispatchActorTest.java
@@ -130,9 +130,9 @@
     }
 
     // The lease lapsed, another entry took a job over, and the lease was renewed. The claims have read all of that
-    // while
-    // older messages are still in the mailbox. If the current lease applied to them, the first would start tasks of the
-    // lost job. The lease therefore counts as held only from the message that follows the event about the job.
+    // while older messages are still in the mailbox. If the current lease applied to them, the first would start
+    // tasks of the lost job. The lease therefore counts as held only from the message that follows the event about
+    // the job.
     @Test
     void aRegainedLeaseIsReportedAfterTheJobsTakenOver() {
         DispatchEvent takenOver = new DispatchEvent.JobTakenOver(new JobId("job"));
--- a/library/src/test/java/org/chivetally/entry/peer/KeyQueriesTest.java
+++ b/library/src/test/java/org/chivetally/entry/peer/KeyQueriesTest.java
@@ -26,7 +26,7 @@
     // caller retries and another entry runs the job. The denials buffered in the sockets of the suspended entry would
     // make it answer "not run".
     @Test
-    void denialsReceivedAfterTheTimeoutAreIgnored() {
+    void denialsReceivedAfterTheTimeoutProveNothing() {
         queries.open(List.of(1L, 2L), unknownToAll, 0);
         queries.onAnswer(1, false, 1);
         queries.onAnswer(2, false, Duration.ofSeconds(8).toNanos());
