--- a/library/src/main/java/org/chivetally/agent/AgentActor.java
+++ b/library/src/main/java/org/chivetally/agent/AgentActor.java
@@ -26,13 +26,19 @@
 import org.chivetally.wire.v1.Hello;
 import org.chivetally.wire.v1.SuspicionAnswer;
 
-/** Shell around {@link AgentState}: connections, the minion, and time. */
+/**
+ * Actor that runs an {@link AgentState}: turns frames, answers of the minion and timers into its events, and executes
+ * the effects that it returns.
+ */
 final class AgentActor extends AbstractBehavior<AgentActor.Command> {
     private static final FluentLogger LOGGER = FluentLogger.forEnclosingClass();
     private static final Duration BUSY_TICK = Duration.ofMillis(20);
     private static final Duration IDLE_TICK = Duration.ofMillis(250);
+    /** Time without any connected entry after which the process is announced again; doubled each time. */
     private static final Duration FIRST_REANNOUNCE_DELAY = Duration.ofSeconds(2);
+    /** The delay is not doubled any further once it has reached this value. */
     private static final Duration REANNOUNCE_DELAY_LIMIT = Duration.ofSeconds(30);
+
     private static final int STASH_CAPACITY = 1_000;
 
     private final AgentSettings settings;
@@ -76,7 +82,7 @@
                 new ReadState(), Duration.ZERO, settings.limits().statePoll());
     }
 
-    /** Returns the behavior of an agent; it begins its work once it knows its bound address. */
+    /** Returns the behavior of an agent; it stashes all messages until it receives its bound address. */
     static Behavior<Command> create(Dependencies dependencies) {
         return Behaviors.withStash(
                 STASH_CAPACITY,
@@ -112,7 +118,7 @@
             case Tick tick -> tick();
             case ReadState read -> readState();
             case StateRead read -> stateRead(read);
-            case Bound bound -> throw new IllegalStateException("bound twice");
+            case Bound bound -> throw new IllegalStateException("the agent received a second bound address");
         }
         meters.updateLoad(state.runningTasks(), state.waitingTasks());
         if (readyToStop && peers.isEmpty()) {
@@ -123,7 +129,8 @@
     }
 
     private Behavior<Command> cleanUp() {
-        stopped.completeExceptionally(new ChivetallyException(ErrorCode.INTERNAL, "the agent's actor ended early"));
+        stopped.completeExceptionally(
+                new ChivetallyException(ErrorCode.INTERNAL, "the agent's actor stopped before the drain was complete"));
         for (FrameConnection connection : peers.keySet()) {
             connection.close();
         }
@@ -162,7 +169,9 @@
         }
         peer.lastFrameNanos = clock.nanos();
         if (!peer.identified && !frame.hasHello()) {
-            // Results find their way back by the process that Hello names; without it they would be lost.
+            // Results are routed by the process that Hello identifies; without a Hello they could not be delivered
+            // after
+            // a reconnect.
             LOGGER.atWarning().log(
                     "%s",
                     EventLine.of("agent-peer-without-hello")
@@ -207,8 +216,8 @@
         apply(new AgentEvent.Configured(configuration));
     }
 
-    // A process that was paused or cut off resumes unaware that the entries have dropped it, and would wait for work
-    // that nobody sends. The first entry that reaches it says so.
+    // A process that was paused or disconnected may have been declared gone meanwhile, and would then receive no tasks.
+    // The first entry that reaches it sends this answer, and the process announces itself again.
     private void handleSuspicionAnswer(SuspicionAnswer answer) {
         boolean self = answer.getProcessId().equals(settings.processId())
                 && answer.getIncarnation().equals(incarnation);
@@ -242,8 +251,8 @@
     }
 
     private void closeSilentPeers() {
-        // A process that died without a word leaves its connection open for hours; entries send something every two
-        // minutes, so a longer silence means that nobody is there.
+        // The connection of a process that ended without closing it can stay open for hours. Entries send a frame at
+        // least every two minutes, so a much longer silence means that the process is gone.
         long maximumSilenceNanos = settings.limits().peerSilence().toNanos();
         long now = clock.nanos();
         for (Map.Entry<FrameConnection, Peer> entry : List.copyOf(peers.entrySet())) {
@@ -254,8 +263,8 @@
         }
     }
 
-    // Entries that all started anew, or dropped this agent, learn of it from its announcements only; the next regular
-    // one may be minutes away.
+    // Entries that have restarted or have removed this agent discover it only by its announcements, and the next
+    // regular one may be minutes away.
     private void reannounceWhenDisconnected() {
         long now = clock.nanos();
         if (!peers.isEmpty()) {
@@ -325,7 +334,7 @@
         }
     }
 
-    /** Closes all connections; the agent stops once each has flushed what was sent. */
+    /** Closes all connections; the agent stops once each has flushed its sent frames and is closed. */
     private void closeConnections() {
         readyToStop = true;
         for (FrameConnection connection : peers.keySet()) {
@@ -356,7 +365,7 @@
         }
     }
 
-    /** What the shell is made of. */
+    /** Collaborators of the actor. */
     record Dependencies(
             AgentSettings settings,
             String incarnation,
@@ -366,7 +375,7 @@
             AgentCallbacks callbacks,
             CompletableFuture<Void> stopped) {}
 
-    /** Messages of the shell. */
+    /** Messages that the actor accepts. */
     sealed interface Command {}
 
     record Bound(InetSocketAddress address) implements Command {}
@@ -387,7 +396,7 @@
 
     record Tick() implements Command {}
 
-    /** One connection as the shell sees it. */
+    /** An open connection of an entry. */
     private static final class Peer {
         private final PeerId id;
         private long lastFrameNanos;
--- a/library/src/main/java/org/chivetally/agent/AgentCallbacks.java
+++ b/library/src/main/java/org/chivetally/agent/AgentCallbacks.java
@@ -1,19 +1,27 @@
 package org.chivetally.agent;
 
-/** What other parts of its process do for an agent. Safe from any thread, and never blocking. */
+/** Callbacks from an agent to the other parts of its process. They may be called on any thread and must not block. */
 public interface AgentCallbacks {
-    /** Takes a configuration that an entry pushed if it is whole and newer, and returns what is in force then. */
+    /**
+     * Offers a configuration that an entry pushed; it is applied if it is valid and newer than the current one.
+     *
+     * @return the configuration that is in force afterwards
+     */
     AgentConfiguration offerConfiguration(long version, byte[] snapshot);
 
-    /** Announces the process to all entries again, as some may not know it any more. */
+    /**
+     * Announces the process to all entries again, because some may have removed it.
+     *
+     * @param reason reason that is logged
+     */
     void reannounce(String reason);
 
-    /** Returns the surroundings of an agent that is on its own. */
+    /** Returns callbacks that do nothing, for an agent that runs by itself. */
     static AgentCallbacks none() {
         return new NoCallbacks();
     }
 
-    /** No configuration and nobody to announce to. */
+    /** Provides no configuration and announces nothing. */
     record NoCallbacks() implements AgentCallbacks {
         @Override
         public AgentConfiguration offerConfiguration(long version, byte[] snapshot) {
@@ -22,7 +30,7 @@
 
         @Override
         public void reannounce(String reason) {
-            // Nobody reads it.
+            // There is no announcer.
         }
     }
 }
--- a/library/src/main/java/org/chivetally/agent/AgentConfiguration.java
+++ b/library/src/main/java/org/chivetally/agent/AgentConfiguration.java
@@ -1,12 +1,12 @@
 package org.chivetally.agent;
 
 /**
- * What an agent uses of the configuration.
+ * The part of the configuration that an agent uses.
  *
- * @param version version of the whole configuration; zero while there is none
- * @param draining whether operators declared that the backend server instance is to get no new work
+ * @param version version of the whole configuration; zero before any was received
+ * @param draining whether operators declared the backend server instance as draining, so that it gets no new tasks
  */
 public record AgentConfiguration(long version, boolean draining) {
-    /** What holds before any entry pushed a configuration. */
+    /** In force until an entry pushes a configuration. */
     public static final AgentConfiguration NONE = new AgentConfiguration(0, false);
 }
--- a/library/src/main/java/org/chivetally/agent/AgentEffect.java
+++ b/library/src/main/java/org/chivetally/agent/AgentEffect.java
@@ -4,35 +4,35 @@
 import org.chivetally.logging.EventLine;
 import org.chivetally.wire.v1.Frame;
 
-/** What an agent wants done; its shell carries effects out in order. */
+/** An action that {@link AgentState} requests; the agent's actor executes effects in order. */
 public sealed interface AgentEffect {
     /** Send a task to the minion; the payload is JSON text in UTF-8. */
     record RunOnMinion(String attemptId, String jobId, int taskIndex, ByteString payload) implements AgentEffect {}
 
-    /** Break off the request of an attempt; a later answer to it is ignored. */
+    /** Cancel the request of an attempt to the minion; a later answer to it is ignored. */
     record AbandonRun(String attemptId) implements AgentEffect {}
 
-    /** Send a frame. */
+    /** Send a frame over an open connection; dropped when the connection is closed. */
     record SendTo(PeerId peer, Frame frame) implements AgentEffect {}
 
-    /** Draining is over; the process may stop. */
+    /** The drain is complete; the process may stop. */
     record ReadyToStop() implements AgentEffect {}
 
-    /** Write one line for a decision. */
+    /** Write one line to the log. */
     record WriteLine(EventLine line) implements AgentEffect {}
 
-    /** Count a message that did no good. */
+    /** Count a wasted message. */
     record CountWaste(WasteKind kind) implements AgentEffect {}
 
-    /** Kinds of messages that did no good. */
+    /** Kinds of wasted messages: those that made no progress; written out as a metric label. */
     enum WasteKind {
-        /** A start of an attempt that is known here already. */
+        /** A start of an attempt or a task that the agent has already answered or admitted. */
         REPEATED_START,
-        /** An answer of the minion to an attempt that has ended. */
+        /** An answer of the minion to an attempt that has already ended. */
         LATE_ANSWER,
-        /** A result or refusal whose process has no open connection. */
+        /** A result or refusal for a process that has no open connection. */
         UNDELIVERED,
-        /** An inquiry of a generation that another coordinator has taken over from. */
+        /** An inquiry of a coordinator whose job another coordinator has taken over. */
         OLD_INQUIRY
     }
 }
--- a/library/src/main/java/org/chivetally/agent/AgentEvent.java
+++ b/library/src/main/java/org/chivetally/agent/AgentEvent.java
@@ -4,21 +4,21 @@
 import org.chivetally.wire.v1.Inquiry;
 import org.chivetally.wire.v1.Start;
 
-/** What an agent learns. */
+/** An input of {@link AgentState}. */
 public sealed interface AgentEvent {
-    /** A connection is open; its far end is not known yet. */
+    /** A connection was opened; the process at its far end is not identified yet. */
     record PeerConnected(PeerId peer) implements AgentEvent {}
 
-    /** The far end of a connection said who it is. */
+    /** The far end of a connection identified its process. */
     record PeerIdentified(PeerId peer, String processId, String incarnation) implements AgentEvent {}
 
-    /** A connection is closed. */
+    /** A connection was closed. */
     record PeerDisconnected(PeerId peer) implements AgentEvent {}
 
-    /** A coordinator asks to run one task once. */
+    /** A coordinator requests one attempt of a task. */
     record StartRequested(PeerId peer, long requestId, Start start) implements AgentEvent {}
 
-    /** A coordinator gives up the waiting tasks of jobs. */
+    /** A coordinator cancels the waiting tasks of jobs. */
     record CancelRequested(PeerId peer, List<String> jobIds) implements AgentEvent {
         /** Copies the list. */
         public CancelRequested {
@@ -26,22 +26,26 @@
         }
     }
 
-    /** A coordinator asks what became of a job here. */
+    /** A coordinator requests the state of all tasks of a job on this agent. */
     record InquiryRequested(PeerId peer, long requestId, Inquiry inquiry) implements AgentEvent {}
 
-    /** A peer asks for a sign of life. */
+    /** A peer sent a heartbeat that is to be answered. */
     record HeartbeatRequested(PeerId peer, long requestId) implements AgentEvent {}
 
-    /** A request to the minion ended. */
+    /** A request to the minion completed or failed. */
     record MinionAnswered(String attemptId, MinionAnswer answer) implements AgentEvent {}
 
-    /** The minion's state was read, by a request sent at a reading of the clock. */
+    /**
+     * The minion's state was read.
+     *
+     * @param requestedNanos when the request was sent, by the agent's clock, in nanoseconds
+     */
     record MinionReported(MinionState state, long requestedNanos) implements AgentEvent {}
 
-    /** Another configuration is in force. */
+    /** A configuration was received and applied. */
     record Configured(AgentConfiguration configuration) implements AgentEvent {}
 
-    /** The process is to stop. */
+    /** The process is to stop gracefully. */
     record DrainRequested(String reason) implements AgentEvent {}
 
     /** Time passed; sent at least every 20 ms while a task waits or runs. */
--- a/library/src/main/java/org/chivetally/agent/AgentLimits.java
+++ b/library/src/main/java/org/chivetally/agent/AgentLimits.java
@@ -4,18 +4,19 @@
 import java.util.Objects;
 
 /**
- * Bounds and times of an agent.
+ * Limits and time-outs of an agent.
  *
- * @param queueBound most tasks that wait for a slot here
- * @param longestTicketAge age from which a start's ticket is refused
- * @param resultRetention how long ended attempts are remembered
- * @param resultBytes most bytes of kept results; older ones are dropped first
- * @param answerBytes longest answer of the minion that is handed on, in bytes
- * @param failuresUntilUnhealthy failed connects in a row after which the minion counts as down
- * @param statePoll time between readings of the minion's state; also the longest one may take
- * @param drainLinger time after the last result before a draining agent stops, in which lost results can be asked for
+ * @param queueBound maximum number of tasks that wait for a slot
+ * @param longestTicketAge maximum age of a start's ticket; a start with an older one is refused
+ * @param resultRetention how long ended attempts and their results are retained
+ * @param resultBytes maximum size of all retained results in bytes; the oldest are discarded first
+ * @param answerBytes maximum size of an answer of the minion in bytes; a longer one fails the task
+ * @param failuresUntilUnhealthy number of consecutive failed connects after which the minion is unhealthy
+ * @param statePoll time between requests for the minion's state, and the time-out of each
+ * @param drainLinger time between the last result and the stop of a draining agent, so that coordinators can still
+ *     inquire about lost results
  * @param peerSilence time without a frame after which a connection is closed
- * @param logDecisions whether each start, refusal and result is logged
+ * @param logDecisions whether each start, refusal, result and inquiry is logged
  */
 public record AgentLimits(
         int queueBound,
@@ -28,13 +29,18 @@
         Duration drainLinger,
         Duration peerSilence,
         boolean logDecisions) {
-    /** Most bytes of results in one frame, so that with all else it stays under the longest frame. */
+    /** Maximum size of the results in one frame, in bytes, which leaves room for its other fields. */
     static final int MAXIMUM_ANSWER_BYTES = 3 * 1024 * 1024;
 
     private static final long DEFAULT_RESULT_BYTES = 16L * 1024 * 1024;
     private static final int DEFAULT_ANSWER_BYTES = 2 * 1024 * 1024;
 
-    /** Refuses missing or negative parts, and forgetting an attempt while its start may still arrive. */
+    /**
+     * Validates the limits.
+     *
+     * <p>Attempts are retained for at least twice the maximum ticket age: if an attempt were removed while a copy of
+     * its start could still be accepted, the copy would run the task a second time.
+     */
     public AgentLimits {
         Objects.requireNonNull(longestTicketAge, "longestTicketAge");
         Objects.requireNonNull(resultRetention, "resultRetention");
@@ -42,17 +48,18 @@
         Objects.requireNonNull(drainLinger, "drainLinger");
         Objects.requireNonNull(peerSilence, "peerSilence");
         if (queueBound < 0 || resultBytes < 0 || answerBytes < 0 || failuresUntilUnhealthy < 1) {
-            throw new IllegalArgumentException("bounds can't be negative, and at least one failure makes unhealthy");
+            throw new IllegalArgumentException(
+                    "limits can't be negative, and failuresUntilUnhealthy must be at least 1");
         }
         if (answerBytes > MAXIMUM_ANSWER_BYTES) {
-            throw new IllegalArgumentException("an answer has at most " + MAXIMUM_ANSWER_BYTES + " bytes");
+            throw new IllegalArgumentException("answerBytes must be at most " + MAXIMUM_ANSWER_BYTES);
         }
         if (resultRetention.compareTo(longestTicketAge.multipliedBy(2)) < 0) {
-            throw new IllegalArgumentException("attempts are remembered for at least twice the longest ticket age");
+            throw new IllegalArgumentException("resultRetention must be at least twice longestTicketAge");
         }
     }
 
-    /** Returns the defaults for a minion of so many slots. */
+    /** Returns the defaults for a minion with the given number of slots. */
     public static AgentLimits forSlots(int slots) {
         return new AgentLimits(
                 2 * slots,
--- a/library/src/main/java/org/chivetally/agent/AgentMeters.java
+++ b/library/src/main/java/org/chivetally/agent/AgentMeters.java
@@ -13,7 +13,7 @@
 import org.chivetally.wire.v1.Result;
 import org.chivetally.wire.v1.TaskStatus;
 
-/** Counts what an agent does, by looking at its effects. */
+/** Metrics of an agent, recorded from the effects that it executes. */
 final class AgentMeters {
     private final Counter starts;
     private final Map<TaskStatus, Counter> results = new EnumMap<>(TaskStatus.class);
--- a/library/src/main/java/org/chivetally/agent/AgentServer.java
+++ b/library/src/main/java/org/chivetally/agent/AgentServer.java
@@ -14,7 +14,7 @@
 import org.chivetally.transport.FrameTransport;
 import org.chivetally.wire.v1.Frame;
 
-/** A running agent: listens for coordinators and runs their tasks on its minion. */
+/** A running agent: accepts connections of coordinators and runs their tasks on its minion. */
 public final class AgentServer {
     private final AgentSettings settings;
     private final String incarnation;
@@ -38,7 +38,11 @@
     /**
      * Starts an agent; completes once it listens, or exceptionally when it can't.
      *
-     * <p>The transport stays the caller's: it is closed after {@link #drain} has completed.
+     * <p>The caller owns the transport, and closes it after {@link #drain} has completed.
+     *
+     * @param transport listens for the connections of entries
+     * @param registry receives the agent's metrics
+     * @param clock monotonic clock for tickets, leases and time-outs
      */
     public static CompletionStage<AgentServer> start(
             ActorSystem<?> system,
@@ -49,7 +53,11 @@
         return start(system, settings, transport, registry, clock, AgentCallbacks.none());
     }
 
-    /** Starts an agent within the other parts of its process. */
+    /**
+     * Starts an agent that reads its configuration and announces itself through other parts of its process.
+     *
+     * @param callbacks called by the agent for each pushed configuration and each needed announcement
+     */
     public static CompletionStage<AgentServer> start(
             ActorSystem<?> system,
             AgentSettings settings,
@@ -74,17 +82,17 @@
     }
 
     /**
-     * Stops gracefully: tells all peers, refuses waiting and new tasks, and lets running ones finish.
+     * Stops gracefully: notifies all peers, refuses waiting and new tasks, and completes running ones.
      *
-     * @param reason why, for the peers' logs
-     * @return completes once nothing runs and lost results had time to be asked for
+     * @param reason reason that is sent to the peers and logged
+     * @return completes once no task runs and the time for inquiries about lost results is over
      */
     public CompletionStage<Void> drain(String reason) {
         actor.tell(new AgentActor.Drain(reason));
         return whenStopped();
     }
 
-    /** Completes when the agent has drained, or exceptionally when a broken invariant ended it. */
+    /** Completes when the agent has drained, or exceptionally when its actor failed. */
     public CompletionStage<Void> whenStopped() {
         return stopped.minimalCompletionStage();
     }
@@ -94,17 +102,17 @@
         return address;
     }
 
-    /** Returns the name of this run of the process. */
+    /** Returns the unique id of this incarnation of the process. */
     public String incarnation() {
         return incarnation;
     }
 
-    /** Returns what the agent announces of itself. */
+    /** Returns the agent as a member, for its announcements. */
     public Member member() {
         return Member.of(settings, incarnation, address.getPort());
     }
 
-    /** Hands what happens on connections to the actor; once the agent stopped, new connections are closed. */
+    /** Forwards connection events to the actor; after the agent has stopped, it closes new connections. */
     private record ToActor(ActorRef<AgentActor.Command> actor, CompletableFuture<Void> stopped)
             implements FrameListener {
         @Override
--- a/library/src/main/java/org/chivetally/agent/AgentSettings.java
+++ b/library/src/main/java/org/chivetally/agent/AgentSettings.java
@@ -10,15 +10,15 @@
  * @param processId name of the process, stable over restarts
  * @param failureDomain failure domain of its worker
  * @param host address to listen on
- * @param port port to listen on; zero takes any free one
+ * @param port port to listen on; zero chooses a free one
  * @param advertisedHost address at which entries reach the agent
- * @param advertisedPort port at which entries reach the agent; zero gives the bound one
+ * @param advertisedPort port at which entries reach the agent; zero advertises the bound port
  * @param service service that the minion runs
  * @param backend name of the backend server instance
- * @param capacity what the minion may use
+ * @param capacity capacity of the minion
  * @param minionBase base address of the minion's HTTP interface
  * @param stateSource how the minion's state is read
- * @param limits bounds and times
+ * @param limits limits and time-outs
  */
 public record AgentSettings(
         String processId,
@@ -33,7 +33,7 @@
         URI minionBase,
         MinionStateSource stateSource,
         AgentLimits limits) {
-    /** Refuses missing parts. */
+    /** Rejects missing values and a base address without a host. */
     public AgentSettings {
         Objects.requireNonNull(processId, "processId");
         Objects.requireNonNull(failureDomain, "failureDomain");
@@ -46,11 +46,11 @@
         Objects.requireNonNull(stateSource, "stateSource");
         Objects.requireNonNull(limits, "limits");
         if (minionBase.getHost() == null) {
-            throw new IllegalArgumentException("the minion's base address names no host: " + minionBase);
+            throw new IllegalArgumentException("the minion's base address has no host: " + minionBase);
         }
     }
 
-    /** Returns what the agent says of itself, without a report. */
+    /** Returns the agent's Hello message, without a report. */
     Hello hello(String incarnation, int boundPort) {
         return Hello.newBuilder()
                 .setProcessId(processId)
--- a/library/src/main/java/org/chivetally/agent/AgentState.java
+++ b/library/src/main/java/org/chivetally/agent/AgentState.java
@@ -24,16 +24,16 @@
 import org.chivetally.wire.v1.TaskStatus;
 
 /**
- * The decisions of an agent: which starts are admitted, when they run, and who is told of their end.
+ * The state machine of an agent: decides which starts are admitted, when they run, and where their outcome is sent.
  *
- * <p>Pure and not thread-safe: it takes events with the time, and returns effects. An admitted start ends in exactly
- * one result or refusal. Times are readings of one monotonic clock, in nanoseconds.
+ * <p>It does no input or output and is not thread-safe: it takes events with their time and returns effects. An
+ * admitted start ends in exactly one result or refusal. Times are readings of one monotonic clock, in nanoseconds.
  */
 public final class AgentState {
-    /** Error of a result whose attempt was ended by its lease. */
+    /** Error of the result of an attempt whose lease expired. */
     public static final String LEASE_EXPIRED = "attempt lease over";
 
-    /** Error of a result whose texts were dropped for space. */
+    /** Error of the result of an attempt whose actual result was discarded for space. */
     public static final String RESULT_DISCARDED = Attempt.RESULT_DISCARDED;
 
     private static final RefusalReason ADMITTED = RefusalReason.REFUSAL_REASON_UNSPECIFIED;
@@ -63,11 +63,11 @@
     private long lingerEndNanos;
 
     /**
-     * Creates the state of a fresh process.
+     * Creates the state of a newly started process.
      *
-     * @param self what the agent says of itself, without a report
-     * @param ticketOffset a random number, new for every process
-     * @param startNanos the clock's reading now
+     * @param self the agent's Hello message, without a report
+     * @param ticketOffset a random number, different for each incarnation of the process
+     * @param startNanos current reading of the clock, in nanoseconds
      */
     public AgentState(AgentSettings settings, Hello self, long ticketOffset, long startNanos) {
         AgentLimits limits = settings.limits();
@@ -79,7 +79,11 @@
         this.lingerEndNanos = startNanos;
     }
 
-    /** Takes an event and returns what to do, in order. */
+    /**
+     * Applies an event and returns the resulting effects, in order.
+     *
+     * @param nowNanos current reading of the clock, in nanoseconds
+     */
     public List<AgentEffect> apply(AgentEvent event, long nowNanos) {
         now = nowNanos;
         effects = new ArrayList<>(4);
@@ -107,12 +111,12 @@
         return waiting.size();
     }
 
-    /** Returns the number of tasks on the minion. */
+    /** Returns the number of tasks that run on the minion. */
     public int runningTasks() {
         return running.size();
     }
 
-    /** Returns the bytes of kept results. */
+    /** Returns the size of all retained results, in bytes. */
     public long retainedBytes() {
         return attempts.retainedBytes();
     }
@@ -147,7 +151,7 @@
                 .build();
     }
 
-    // All entries are told: each of those that were not would push the same configuration again in its turn.
+    // Reports the new version to all entries; an entry without this report would push the same configuration again.
     private void configure(AgentConfiguration next) {
         if (next.version() <= configuration.version()) {
             return;
@@ -190,7 +194,7 @@
         admit(request);
     }
 
-    /** Answers a second start of one attempt: it starts once, and its result goes to whoever asked last. */
+    /** Answers a repeated start of an attempt: it runs only once, and its result goes to the last requester. */
     private void answerRepeatedAttempt(Attempt known, AgentEvent.StartRequested request) {
         countWaste(AgentEffect.WasteKind.REPEATED_START);
         known.redirectTo(request.peer(), peers.process(request.peer()));
@@ -215,10 +219,11 @@
     }
 
     /**
-     * Tells whether a task that an attempt was admitted for may run once more.
+     * Returns whether a task with an earlier admitted attempt may run again.
      *
-     * <p>Work that isn't idempotent would be done twice after a lost answer or a takeover, so one admitted attempt is
-     * the only one. An idempotent task may run again when no attempt of it runs here and there is no answer to resend.
+     * <p>A task that isn't idempotent gets one attempt only, as it would otherwise be executed twice after a lost
+     * answer or a takeover. An idempotent task may run again when its last attempt has ended and has no answer to
+     * resend.
      */
     private static boolean mayRunAgain(Attempt attempt, Start start) {
         return attempt.idempotent
@@ -307,8 +312,8 @@
     }
 
     private void declined(Attempt attempt) {
-        // The minion has work that the agent does not know of; without holding the slot back, every waiting task would
-        // be sent and declined in turn.
+        // The minion runs work that the agent doesn't track. If the slot weren't reserved, each waiting task would be
+        // sent and declined in turn.
         minion.addUntrackedRun();
         refuse(attempt, RefusalReason.REFUSAL_REASON_FULL);
     }
@@ -324,7 +329,7 @@
         if (settings.limits().logDecisions()) {
             writeLine(resultLine(attempt));
         }
-        // Before the result, so that its report tells of the slot as it is then.
+        // Before sending the result, so that its report counts the slot as free or taken correctly.
         fillSlots();
         PeerId route = peers.route(attempt.peer(), attempt.process());
         if (route == null) {
@@ -338,7 +343,7 @@
     private void cancel(AgentEvent.CancelRequested request) {
         Set<String> jobIds = new HashSet<>(request.jobIds());
         Peers.ProcessKey process = peers.process(request.peer());
-        // Only what the same process asked for: a coordinator that was taken over from must not drop its successor's.
+        // Only starts of the same process: a superseded coordinator must not cancel the tasks of its successor.
         refuseWaiting(
                 attempt -> jobIds.contains(attempt.jobId) && attempt.process().equals(process),
                 RefusalReason.REFUSAL_REASON_CANCELLED);
@@ -348,7 +353,8 @@
         String jobId = request.inquiry().getJobId();
         int generation = request.inquiry().getGeneration();
         if (generation < fences.generation(jobId)) {
-            // No answer: a coordinator that was taken over from would read tasks missing here as never to be run.
+            // No answer: a superseded coordinator would conclude that tasks missing in it will never run, although its
+            // successor may start them.
             countWaste(AgentEffect.WasteKind.OLD_INQUIRY);
             return;
         }
@@ -367,7 +373,7 @@
                 RefusalReason.REFUSAL_REASON_OLD_GENERATION);
     }
 
-    /** Returns how many runs go on now that had begun at a time: those that a report asked for then must count. */
+    /** Returns the number of current runs that had started at a time, which a report requested then must include. */
     private int runsStartedBy(long nanos) {
         int runs = 0;
         for (Attempt attempt : running.values()) {
@@ -376,7 +382,10 @@
         return runs;
     }
 
-    /** Answers with every task; results that don't fit are said to run, and follow in frames of their own. */
+    /**
+     * Answers with all tasks of a job. A result that doesn't fit into the frame is listed as running and follows in a
+     * frame of its own.
+     */
     private void answerInquiry(AgentEvent.InquiryRequested request, List<Attempt> known) {
         InquiryAnswer.Builder answer = InquiryAnswer.newBuilder()
                 .setJobId(request.inquiry().getJobId())
@@ -449,7 +458,7 @@
         }
     }
 
-    /** Brings the queue and what peers were told in line with the state after an event. */
+    /** Updates the queue, the slots and the peers to the state after an event. */
     private void updateAfterEvent() {
         if (isDraining()) {
             refuseWaiting(attempt -> true, RefusalReason.REFUSAL_REASON_DRAINING);
@@ -534,7 +543,7 @@
         sendRefusal(request.peer(), request.requestId(), start.getAttemptId(), reason);
     }
 
-    /** Refuses an admitted attempt that did not run. */
+    /** Refuses an admitted attempt that has not run. */
     private void refuse(Attempt attempt, RefusalReason reason) {
         attempts.remove(attempt);
         recentRefusals.add(attempt.id, reason, now);
--- a/library/src/main/java/org/chivetally/agent/Attempt.java
+++ b/library/src/main/java/org/chivetally/agent/Attempt.java
@@ -6,9 +6,9 @@
 import org.chivetally.wire.v1.TaskState;
 import org.chivetally.wire.v1.TaskStatus;
 
-/** One admitted attempt of a task, from waiting over running to its kept result. */
+/** An admitted attempt of a task, while it waits, while it runs, and with its retained result. */
 final class Attempt {
-    /** Error of a result whose text was dropped for space. */
+    /** Error of an attempt whose result was discarded for space. */
     static final String RESULT_DISCARDED = "result no longer kept";
 
     final String id;
@@ -58,10 +58,10 @@
         return requestId;
     }
 
-    /** Sends the outcome to another connection from now on. */
+    /** Redirects the outcome to another connection. */
     void redirectTo(PeerId newPeer, Peers.ProcessKey newProcess) {
         if (!newProcess.equals(process)) {
-            // Request ids are counted by each process, so this one means nothing to the new process.
+            // Each process numbers its own requests, so the id of the old process is not valid for the new one.
             requestId = 0;
         }
         peer = newPeer;
@@ -72,7 +72,7 @@
         return earlier;
     }
 
-    /** Notes the attempt of the same task that this one takes the place of. */
+    /** Sets the earlier attempt of the same task that this one replaces; null for none. */
     void setEarlier(Attempt previous) {
         earlier = previous;
     }
@@ -97,7 +97,7 @@
         return endedNanos;
     }
 
-    /** Marks the begin of the run and gives up the payload. */
+    /** Marks the attempt as started, and returns its payload, which is no longer stored. */
     ByteString begin(long nowNanos) {
         ByteString taken = payload;
         startedNanos = nowNanos;
@@ -105,7 +105,7 @@
         return taken;
     }
 
-    /** Tells whether the run had begun at a time. */
+    /** Returns whether the attempt had started at a time of the agent's clock, in nanoseconds. */
     boolean startedBy(long nanos) {
         return nanos - startedNanos >= 0;
     }
@@ -118,7 +118,7 @@
         earlier = null;
     }
 
-    /** Drops the texts for space; what is left says only that the attempt started. */
+    /** Discards the result for space; the attempt stays known as started, with an unknown outcome. */
     void discardResult() {
         status = TaskStatus.TASK_STATUS_UNKNOWN;
         body = "";
@@ -141,7 +141,7 @@
         return (endedNanos - startedNanos) / 1_000;
     }
 
-    /** Returns the bytes that the kept texts take in a frame. */
+    /** Returns the size of the result in a frame, in bytes. */
     int resultBytes() {
         return CodedOutputStream.computeStringSizeNoTag(body) + CodedOutputStream.computeStringSizeNoTag(error);
     }
@@ -156,6 +156,8 @@
                 .build();
     }
 
-    /** Times of an attempt by the agent's clock, in nanoseconds. */
+    /**
+     * Times of an attempt by the agent's clock, in nanoseconds: its receipt and the ends of its queue time and lease.
+     */
     record Times(long receivedNanos, long queueEndNanos, long leaseEndNanos) {}
 }
--- a/library/src/main/java/org/chivetally/agent/AttemptTable.java
+++ b/library/src/main/java/org/chivetally/agent/AttemptTable.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** All admitted attempts that are remembered, by id and by task; kept texts stay under a bound. */
+/** All retained attempts, by id and by task; the size of their results is bounded. */
 final class AttemptTable {
     private final long retentionNanos;
     private final long maximumBytes;
@@ -22,7 +22,7 @@
         this.maximumBytes = maximumBytes;
     }
 
-    /** Returns the attempt of an id, or null. */
+    /** Returns the attempt with an id, or null. */
     Attempt find(String attemptId) {
         return byId.get(attemptId);
     }
@@ -52,7 +52,7 @@
         replace(attempt.jobId, attempt.earlier(), attempt);
     }
 
-    /** Takes out an attempt that did not run, so that an earlier one of its task speaks for the task again. */
+    /** Removes an attempt that did not run; the earlier attempt of its task, if retained, becomes its newest again. */
     void remove(Attempt attempt) {
         byId.remove(attempt.id);
         Attempt earlier = attempt.earlier();
@@ -60,7 +60,7 @@
         replace(attempt.jobId, attempt, stillRetained ? earlier : null);
     }
 
-    /** Keeps the result of an ended attempt, dropping the oldest texts for space. */
+    /** Retains the result of an ended attempt, and discards the oldest results if there is no space. */
     void retainResult(Attempt attempt) {
         ended.add(attempt);
         withResults.add(attempt);
@@ -72,7 +72,7 @@
         }
     }
 
-    /** Forgets attempts that ended longer ago than the retention. */
+    /** Removes attempts whose retention is over. */
     void removeExpired(long nowNanos) {
         while (!ended.isEmpty() && nowNanos - ended.peek().endedNanos() >= retentionNanos) {
             Attempt oldest = ended.remove();
@@ -85,7 +85,7 @@
         }
     }
 
-    /** Puts one attempt of a job in place of another; null stands for none. */
+    /** Replaces one attempt of a job by another; either may be null for none. */
     private void replace(String jobId, Attempt old, Attempt replacement) {
         List<Attempt> attempts = newestByJob.computeIfAbsent(jobId, id -> new ArrayList<>(1));
         boolean removed = old != null && attempts.remove(old);
--- a/library/src/main/java/org/chivetally/agent/Fences.java
+++ b/library/src/main/java/org/chivetally/agent/Fences.java
@@ -5,12 +5,12 @@
 import java.util.Map;
 
 /**
- * For each job asked about, what its starts must at least have.
+ * Fencing tokens of jobs: the lowest generation and the oldest ticket with which a start is admitted.
  *
- * <p>Two faults end here. A coordinator that was taken over from may still send starts: its generation is under the
- * job's floor. And a start may overtake nothing but its own silent connection: it arrives after an inquiry of the same
- * generation answered "not known here", so the coordinator may have started the task elsewhere. Its ticket is older
- * than the inquiry, so it is refused as well. An inquiry's answer is thereby final for every start sent before it.
+ * <p>They guard against two faults. A superseded coordinator may still send starts; its generation is too low. And a
+ * start may be delayed in a stalled connection until after an inquiry over another connection was answered without the
+ * task, so that the coordinator may have started it elsewhere; its ticket is older than the inquiry. The answer to an
+ * inquiry is therefore final for every start that was sent before it.
  */
 final class Fences {
     private static final Fence NONE = new Fence(0, 0, 0);
@@ -22,12 +22,14 @@
         return fences.getOrDefault(jobId, NONE).generation();
     }
 
-    /** Tells whether a ticket of this place was issued after the last inquiry about the job. */
+    /**
+     * Returns whether a ticket, by its position in the order of issue, was issued after the last inquiry about a job.
+     */
     boolean admitsTicket(String jobId, long position) {
         return position > fences.getOrDefault(jobId, NONE).ticketPosition();
     }
 
-    /** Raises the floors of a job; they never sink. */
+    /** Raises the lowest admitted generation and ticket position of a job; neither is ever lowered. */
     void raise(String jobId, int generation, long ticketPosition, long nowNanos) {
         Fence before = fences.getOrDefault(jobId, NONE);
         int higher = Math.max(before.generation(), generation);
@@ -36,7 +38,7 @@
         fences.put(jobId, new Fence(higher, later, nowNanos));
     }
 
-    /** Forgets what was raised longer ago than the retention. */
+    /** Removes the fences that were last raised longer ago than the retention. */
     void removeExpired(long nowNanos, long retentionNanos) {
         Iterator<Fence> oldestFirst = fences.values().iterator();
         while (oldestFirst.hasNext() && nowNanos - oldestFirst.next().raisedNanos() >= retentionNanos) {
--- a/library/src/main/java/org/chivetally/agent/Member.java
+++ b/library/src/main/java/org/chivetally/agent/Member.java
@@ -3,17 +3,17 @@
 import java.util.Objects;
 
 /**
- * What a process announces of itself on the log's stream of members.
+ * A process as it announces itself on the log's stream of members.
  *
  * @param processId name of the process, stable over restarts
- * @param incarnation name of this run of the process
+ * @param incarnation unique id of this incarnation of the process
  * @param role "entry" or "agent"
- * @param host address at which others reach it
- * @param port port at which others reach it
- * @param failureDomain its failure domain
+ * @param host address at which other processes reach it
+ * @param port port at which other processes reach it
+ * @param failureDomain failure domain of the process
  * @param service service of its minion; empty for an entry
  * @param backend name of its backend server instance; empty for an entry
- * @param capacity what its minion may use; null for an entry
+ * @param capacity capacity of its minion; null for an entry
  */
 public record Member(
         String processId,
@@ -25,7 +25,7 @@
         String service,
         String backend,
         MinionCapacity capacity) {
-    /** Refuses missing parts. */
+    /** Rejects missing values; only the capacity may be null. */
     public Member {
         Objects.requireNonNull(processId, "processId");
         Objects.requireNonNull(incarnation, "incarnation");
--- a/library/src/main/java/org/chivetally/agent/MemberAnnouncer.java
+++ b/library/src/main/java/org/chivetally/agent/MemberAnnouncer.java
@@ -18,22 +18,26 @@
 import org.chivetally.log.PlatformLog;
 
 /**
- * Announces a process on the log's stream of members: on start, then regularly, and its leave at the end.
+ * Announces a process on the log's stream of members: at its start, then periodically, and when it leaves.
  *
- * <p>The log keeps records for a limited time only, so a process that stays is announced again and again. At most one
- * append is in flight. A failed one is repeated under the same record id, so that a lost answer leaves no second
- * record.
+ * <p>The announcement is repeated because the log retains records for a limited time only. At most one append is in
+ * flight. A failed append is retried with the same record id, so that readers can drop the duplicate when only the
+ * answer was lost.
  */
 public final class MemberAnnouncer {
     /**
-     * Time between announcements when nothing fails; under half of what the log keeps. All entries read each, so a
-     * shorter one would be most of their control cost at 650 agents.
+     * Time between announcements; under half the retention of the log. Every entry reads each announcement, so with a
+     * shorter interval they would be most of the control traffic at 650 agents.
      */
     public static final Duration DEFAULT_INTERVAL = Duration.ofMinutes(10);
 
     private final ActorRef<Command> actor;
 
-    /** Starts announcing a process. */
+    /**
+     * Starts announcing a process.
+     *
+     * @param interval time between announcements; {@link #DEFAULT_INTERVAL} by default
+     */
     public MemberAnnouncer(ActorSystem<?> system, PlatformLog log, Member member, Duration interval) {
         actor = system.systemActorOf(
                 Behaviors.setup(context ->
@@ -42,12 +46,12 @@
                 Props.empty());
     }
 
-    /** Announces the process now, or once more when the announcement under way is written. */
+    /** Announces the process now, or again after the announcement in flight has been written. */
     public void announceNow() {
         actor.tell(new AnnounceNow());
     }
 
-    /** Stops announcing and appends the leave; completes when that is written, or after five seconds. */
+    /** Stops announcing and appends the leave; completes when it is written, or after five seconds at the latest. */
     public CompletionStage<Void> leave() {
         CompletableFuture<Void> completion = new CompletableFuture<>();
         actor.tell(new Leave(completion));
@@ -68,7 +72,10 @@
 
     private static final class AnnouncerBehavior extends AbstractBehavior<Command> {
         private static final Duration FIRST_BACKOFF = Duration.ofMillis(500);
-        /** In an outage each failed try introduces the process to all seeds, so the tries get rare. */
+        /**
+         * The backoff grows up to the interval divided by this. During an outage of the log each failed attempt sends
+         * the announcement to all seeds, so the attempts must become rare.
+         */
         private static final int BACKOFFS_PER_INTERVAL = 4;
 
         private static final Duration LEAVE_TIMEOUT = Duration.ofSeconds(5);
@@ -123,7 +130,8 @@
             return this;
         }
 
-        // The announcement under way may come to stand before the record that makes another one necessary.
+        // The append in flight may be ordered before the record that made this announcement necessary, so it doesn't
+        // replace it.
         private Behavior<Command> announceNow() {
             announceAgain = inFlight;
             return inFlight || leaveCompletion != null ? this : append();
@@ -137,7 +145,7 @@
             leaveCompletion = completion;
             timers.cancelAll();
             timers.startSingleTimer(new LeaveTimedOut(), LEAVE_TIMEOUT);
-            // An announce in flight is waited for, so that the leave stands after it.
+            // The leave must follow an announcement in flight in the log, so it is appended after that has ended.
             return inFlight ? this : appendLeave();
         }
 
--- a/library/src/main/java/org/chivetally/agent/MemberRecord.java
+++ b/library/src/main/java/org/chivetally/agent/MemberRecord.java
@@ -10,24 +10,24 @@
 /**
  * A record of the log's stream of members.
  *
- * <p>A leave is final for its incarnation: an announce of the same incarnation that stands after it was a late append,
- * and readers drop it.
+ * <p>A leave is final for its incarnation: an announcement of the same incarnation that follows it is a delayed append,
+ * and readers ignore it.
  */
 public sealed interface MemberRecord {
     /** Name of the stream. */
     String STREAM = "members";
 
-    /** The process is there. */
+    /** The process announces itself. */
     record Announced(Member member) implements MemberRecord {
-        /** Refuses a missing member. */
+        /** Rejects a missing member. */
         public Announced {
             Objects.requireNonNull(member, "member");
         }
     }
 
-    /** This run of the process takes no new work and ends. */
+    /** This incarnation of the process accepts no new tasks and stops. */
     record Left(String processId, String incarnation) implements MemberRecord {
-        /** Refuses missing parts. */
+        /** Rejects missing values. */
         public Left {
             Objects.requireNonNull(processId, "processId");
             Objects.requireNonNull(incarnation, "incarnation");
@@ -45,7 +45,7 @@
         return JsonMapper.shared().writeValueAsBytes(json);
     }
 
-    /** Reads a record; empty when it is none, or of a type that only a newer release knows. */
+    /** Reads a record; empty when it can't be parsed or has an unknown type, such as one of a newer release. */
     static Optional<MemberRecord> fromJson(byte[] payload) {
         try {
             JsonNode json = JsonMapper.shared().readTree(payload);
--- a/library/src/main/java/org/chivetally/agent/MinionClient.java
+++ b/library/src/main/java/org/chivetally/agent/MinionClient.java
@@ -20,16 +20,16 @@
 import org.chivetally.time.NanoClock;
 
 /**
- * HTTP client of one minion: keeps connections open, one request at a time on each, and never sends a request twice.
+ * HTTP client of one minion: reuses connections, with one request at a time on each, and never sends a request twice.
  *
- * <p>It uses connections of Pekko HTTP rather than its host pool. The pool can't break off a request in flight, and it
- * doesn't tell whether a failed request was sent; both decide here whether a task may have started. The caller keeps
- * within the minion's limit, as each request takes one connection. Safe from any thread.
+ * <p>It uses single connections of Pekko HTTP instead of its host connection pool, because the pool can't cancel a
+ * request in flight and doesn't report whether a failed request was sent, which decides whether a task may have
+ * started. Each request takes one connection; the caller enforces the minion's limit. Thread-safe.
  */
 final class MinionClient {
     private static final Duration CONNECT_TIMEOUT = Duration.ofMillis(500);
 
-    /** Servers close connections that are idle for long; one used just then would lose its request. */
+    /** Servers close idle connections, and a request that is sent during the close is lost; so close them earlier. */
     private static final long IDLE_LIMIT_NANOS = Duration.ofSeconds(4).toNanos();
 
     private static final int HTTP_PORT = 80;
@@ -62,7 +62,7 @@
         return send(request);
     }
 
-    /** Reads a document of the minion, by its path below the base address. */
+    /** Requests a document of the minion by its path below the base address. */
     MinionExchange get(String path) {
         return send(HttpRequest.GET(basePath + path));
     }
@@ -70,7 +70,7 @@
     /** Closes all idle connections. */
     void close() {
         for (MinionConnection connection = idle.pollFirst(); connection != null; connection = idle.pollFirst()) {
-            connection.abort("agent stops");
+            connection.abort("the agent is stopping");
         }
     }
 
@@ -83,7 +83,7 @@
                 return exchange;
             }
             if (clock.nanos() - connection.idleSinceNanos() > IDLE_LIMIT_NANOS) {
-                connection.abort("idle for too long");
+                connection.abort("idle time limit exceeded");
                 continue;
             }
             if (exchange.sendOver(connection)) {
@@ -102,7 +102,7 @@
 
     private static Flow<HttpRequest, HttpResponse, CompletionStage<OutgoingConnection>> connections(
             ActorSystem<?> system, URI base) {
-        // No idle time-out: the lease of an attempt bounds its run, and idle connections are closed here.
+        // No idle time-out: the lease bounds each attempt, and this client closes idle connections itself.
         ClientConnectionSettings settings = ClientConnectionSettings.create(system.classicSystem())
                 .withConnectingTimeout(scala.jdk.javaapi.DurationConverters.toScala(CONNECT_TIMEOUT))
                 .withIdleTimeout(scala.concurrent.duration.Duration.Inf());
--- a/library/src/main/java/org/chivetally/agent/MinionConnection.java
+++ b/library/src/main/java/org/chivetally/agent/MinionConnection.java
@@ -17,7 +17,7 @@
 import org.apache.pekko.stream.javadsl.Sink;
 import org.apache.pekko.stream.javadsl.Source;
 
-/** One HTTP connection to the minion, for one request at a time. */
+/** An HTTP connection to the minion that carries one request at a time. */
 final class MinionConnection {
     private final SharedKillSwitch killSwitch = KillSwitches.shared("minion-connection");
     private final BoundedSourceQueue<HttpRequest> requests;
@@ -40,7 +40,7 @@
         stream.second().whenComplete((done, failure) -> end(failure));
     }
 
-    /** Completes when the connection is open; nothing is sent before. */
+    /** Completes when the connection is open, and exceptionally when nothing can have been sent. */
     CompletionStage<OutgoingConnection> connected() {
         return connected;
     }
@@ -48,7 +48,7 @@
     /**
      * Sends a request.
      *
-     * @return the answer, or null when the connection has ended and nothing was sent
+     * @return the response, or null when the connection has ended and nothing was sent
      */
     CompletionStage<HttpResponse> send(HttpRequest request) {
         CompletableFuture<HttpResponse> answer = new CompletableFuture<>();
@@ -57,7 +57,7 @@
             return null;
         }
         if (requests.offer(request) != QueueOfferResult.enqueued()) {
-            abort("connection takes no request");
+            abort("the connection accepts no request");
             return null;
         }
         return answer;
@@ -75,7 +75,7 @@
         idleSinceNanos = nanos;
     }
 
-    /** Closes the connection at once, also below a request in flight. */
+    /** Closes the connection immediately, even with a request in flight. */
     void abort(String reason) {
         killSwitch.abort(new IllegalStateException(reason));
     }
@@ -85,8 +85,8 @@
     }
 
     private void end(Throwable failure) {
-        // Set before the look at the awaited answer; a sender does it the other way round, so one of them sees the
-        // other.
+        // This sets the flag and then reads the pending response; send() sets the pending response and then reads the
+        // flag. So at least one of two concurrent calls sees the write of the other, and no response stays pending.
         ended = true;
         pendingResponse.completeExceptionally(lost(failure));
     }
--- a/library/src/main/java/org/chivetally/agent/MinionExchange.java
+++ b/library/src/main/java/org/chivetally/agent/MinionExchange.java
@@ -13,9 +13,9 @@
 import org.apache.pekko.stream.Materializer;
 import org.apache.pekko.util.ByteString;
 
-/** One request to the minion and its answer. */
+/** A request to the minion and its answer. */
 final class MinionExchange {
-    /** Header of an answer that says that the task did not run. */
+    /** Header of a 503 response which declares that the task did not run. */
     static final String NOT_RUN_HEADER = "Chivetally-Not-Run";
 
     private static final Duration BODY_TIMEOUT = Duration.ofDays(1);
@@ -42,13 +42,13 @@
         return answer;
     }
 
-    /** Breaks the request off, closes its connection, and ends as lost unless an answer was there. */
+    /** Cancels the request and closes its connection; the answer is lost unless it was already received. */
     void cancel() {
         cancelled = true;
-        answer.complete(new MinionAnswer.Lost("broken off"));
+        answer.complete(new MinionAnswer.Lost("request cancelled"));
         MinionConnection used = connection;
         if (used != null) {
-            used.abort("attempt abandoned");
+            used.abort("request cancelled");
         }
     }
 
@@ -59,7 +59,7 @@
             if (failure != null) {
                 answer.complete(new MinionAnswer.NotSent(String.valueOf(failure)));
             } else if (cancelled) {
-                opened.abort("broken off before anything was sent");
+                opened.abort("request cancelled before it was sent");
             } else if (!sendOver(opened)) {
                 answer.complete(new MinionAnswer.NotSent("connection closed before the request was sent"));
             }
@@ -139,7 +139,7 @@
     }
 
     private void tooLong() {
-        connection.abort("answer too long");
+        connection.abort("the response is too long");
         answer.complete(new MinionAnswer.Failure("the minion's answer has more than " + answerBytes + " bytes"));
     }
 
--- a/library/src/main/java/org/chivetally/agent/MinionState.java
+++ b/library/src/main/java/org/chivetally/agent/MinionState.java
@@ -1,17 +1,17 @@
 package org.chivetally.agent;
 
-/** What one reading of a minion's state gave. */
+/** Result of one request for a minion's state. */
 public sealed interface MinionState {
     /**
-     * The minion told its state.
+     * The minion reported its state.
      *
      * @param healthy whether it can run tasks
-     * @param draining whether it is leaving and wants no new ones
-     * @param freeSlots slots free by its own count; negative when it doesn't tell
-     * @param running tasks running by its own count; negative when it doesn't tell
+     * @param draining whether it is draining and accepts no new tasks
+     * @param freeSlots number of free slots by the minion's own count; negative if not reported
+     * @param running number of running tasks by the minion's own count; negative if not reported
      */
     record Reported(boolean healthy, boolean draining, int freeSlots, int running) implements MinionState {}
 
-    /** The minion can't be reached, or what it said can't be read. */
+    /** The minion is unreachable, or its state can't be parsed. */
     record Unreachable(String reason) implements MinionState {}
 }
--- a/library/src/main/java/org/chivetally/agent/MinionStateSource.java
+++ b/library/src/main/java/org/chivetally/agent/MinionStateSource.java
@@ -2,29 +2,29 @@
 
 import java.util.Objects;
 
-/** How the state of a minion is read; one variant for each way in which vendors report it. */
+/** How the state of a minion is read: in the native format or by an adapter for a vendor's format. */
 public sealed interface MinionStateSource {
-    /** The minion's own form: {@code GET state} gives freeSlots, running, draining and healthy as JSON. */
+    /** The native format: {@code GET /state} returns freeSlots, running, draining and healthy as JSON. */
     record Native() implements MinionStateSource {}
 
     /**
-     * A vendor's form, read by GET as well.
+     * A vendor's format, which is also read by GET.
      *
-     * @param path path below the minion's base address, with its leading slash
-     * @param reader turns an answer into a state
+     * @param path path below the minion's base address, with a leading slash
+     * @param reader parses the response body
      */
     record Adapted(String path, StateReader reader) implements MinionStateSource {
-        /** Refuses missing parts. */
+        /** Rejects missing values. */
         public Adapted {
             Objects.requireNonNull(path, "path");
             Objects.requireNonNull(reader, "reader");
         }
     }
 
-    /** Reads a vendor's state document; must not block. */
+    /** Parser of a vendor's state document; must not block. */
     @FunctionalInterface
     interface StateReader {
-        /** Returns what the body of a successful answer says; unreachable when it can't be read. */
+        /** Parses the body of a successful response; returns unreachable when it is malformed. */
         MinionState read(String body);
     }
 }
--- a/library/src/main/java/org/chivetally/agent/MinionView.java
+++ b/library/src/main/java/org/chivetally/agent/MinionView.java
@@ -1,6 +1,6 @@
 package org.chivetally.agent;
 
-/** What the agent believes of its minion. */
+/** The agent's view of its minion, from the minion's reports and the outcome of requests. */
 final class MinionView {
     private final int failuresUntilUnhealthy;
     private boolean healthy;
@@ -12,7 +12,7 @@
         this.failuresUntilUnhealthy = failuresUntilUnhealthy;
     }
 
-    /** Tells whether tasks can be sent; false until the first good report. */
+    /** Returns whether tasks can be sent; false until the first report of a healthy minion. */
     boolean healthy() {
         return healthy;
     }
@@ -21,16 +21,16 @@
         return draining;
     }
 
-    /** Returns how many slots runs hold that the agent no longer counts as its own. */
+    /** Returns the number of slots that are reserved for untracked runs. */
     int untrackedRuns() {
         return untrackedRuns;
     }
 
     /**
-     * Notes that a run may go on in the minion without an open request of the agent.
+     * Reserves a slot for a run that may continue on the minion although the agent has no open request for it.
      *
-     * <p>A broken-off request frees the agent's slot while the minion may still work on it; a new task would then be
-     * one too many. The slot is held until the next report shows it free.
+     * <p>After a request is cancelled, the minion may still run its task; another task in its slot would exceed the
+     * minion's capacity. The slot stays reserved until a report shows that it is free.
      */
     void addUntrackedRun() {
         untrackedRuns++;
@@ -48,13 +48,14 @@
     }
 
     /**
-     * Takes in a report.
+     * Updates the view from a report.
      *
-     * <p>A run that began after the minion had counted, and is taken for one that it counted, would hide a stray run:
-     * the slot would be given away while the minion still works in it. Only runs from before the question are counted
-     * as own; the stray runs may then seem more than they are until the next report, never fewer.
+     * <p>The minion's count includes the agent's own runs and the untracked ones. Only own runs that started before the
+     * report was requested are subtracted: subtracting a run that started after the minion had counted would hide an
+     * untracked run and free a slot that the minion still uses. Until the next report the number of untracked runs may
+     * therefore be too high, but never too low.
      *
-     * @param ownRuns runs of the agent that had begun before the report was asked for and still go on
+     * @param ownRuns number of the agent's runs that started before the report was requested and are still running
      */
     void update(MinionState state, int ownRuns) {
         switch (state) {
--- a/library/src/main/java/org/chivetally/agent/NativeStateReader.java
+++ b/library/src/main/java/org/chivetally/agent/NativeStateReader.java
@@ -4,7 +4,7 @@
 import tools.jackson.databind.JsonNode;
 import tools.jackson.databind.json.JsonMapper;
 
-/** Reads the minion's own state document: freeSlots, running, draining and healthy. */
+/** Parses the native state document: freeSlots, running, draining and healthy as JSON. */
 final class NativeStateReader implements MinionStateSource.StateReader {
     private static final JsonMapper MAPPER = JsonMapper.shared();
     private static final int NOT_REPORTED = -1;
@@ -19,7 +19,7 @@
                     state.path("freeSlots").asInt(NOT_REPORTED),
                     state.path("running").asInt(NOT_REPORTED));
         } catch (JacksonException e) {
-            return new MinionState.Unreachable("state can't be read: " + e.getOriginalMessage());
+            return new MinionState.Unreachable("the state document can't be parsed: " + e.getOriginalMessage());
         }
     }
 }
--- a/library/src/main/java/org/chivetally/agent/PeerId.java
+++ b/library/src/main/java/org/chivetally/agent/PeerId.java
@@ -1,4 +1,4 @@
 package org.chivetally.agent;
 
-/** One connection to the agent; numbers are never used again. */
+/** Identifies a connection to the agent; numbers are not reused within an incarnation. */
 public record PeerId(long number) {}
--- a/library/src/main/java/org/chivetally/agent/Peers.java
+++ b/library/src/main/java/org/chivetally/agent/Peers.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** Open connections in the order of their opening, and the process at the far end of each. */
+/** Open connections, oldest first, and the process at the far end of each. */
 final class Peers {
     private static final ProcessKey UNIDENTIFIED = new ProcessKey("", "");
 
@@ -30,7 +30,7 @@
         return open.getOrDefault(peer, UNIDENTIFIED);
     }
 
-    /** Returns the given connection when it is open, else the newest one of the process, else null. */
+    /** Returns the preferred connection if it is open, otherwise the newest one of the process, or null. */
     PeerId route(PeerId preferred, ProcessKey process) {
         if (open.containsKey(preferred)) {
             return preferred;
@@ -44,6 +44,6 @@
         return newest;
     }
 
-    /** One incarnation of a process. */
+    /** Identifies one incarnation of a process. */
     record ProcessKey(String processId, String incarnation) {}
 }
--- a/library/src/main/java/org/chivetally/agent/RecentRefusals.java
+++ b/library/src/main/java/org/chivetally/agent/RecentRefusals.java
@@ -6,11 +6,11 @@
 import org.chivetally.wire.v1.RefusalReason;
 
 /**
- * Attempts refused lately.
+ * Recently refused attempts.
  *
- * <p>A refusal says that the attempt never will start here; a second copy of the same start must not break that when a
- * slot became free in between. Remembering it for longer than the longest ticket age is enough: later copies carry a
- * stale ticket.
+ * <p>A refusal guarantees that the attempt does not start on this agent. Without this record a second copy of the start
+ * could be admitted if a slot had become free in between. Retaining a refusal for longer than the maximum ticket age is
+ * enough, as the ticket of a later copy is stale.
  */
 final class RecentRefusals {
     private final Map<String, Refused> refused = new LinkedHashMap<>();
@@ -19,7 +19,7 @@
         refused.put(attemptId, new Refused(reason, nowNanos));
     }
 
-    /** Returns why the attempt was refused; unspecified when it is not remembered. */
+    /** Returns why the attempt was refused; unspecified when no refusal is retained. */
     RefusalReason reason(String attemptId) {
         Refused known = refused.get(attemptId);
         return known == null ? RefusalReason.REFUSAL_REASON_UNSPECIFIED : known.reason();
--- a/library/src/main/java/org/chivetally/agent/Tickets.java
+++ b/library/src/main/java/org/chivetally/agent/Tickets.java
@@ -3,15 +3,15 @@
 import java.time.Duration;
 
 /**
- * Start permits by this process's own clock.
+ * Issues and checks the tickets with which coordinators request starts.
  *
- * <p>A start may be stuck in a silent connection for minutes, or be sent by a coordinator that was paused past its
- * lease; run then, it would be a second start. Each ticket holds the time of its issue, so such a start is refused by
- * its age, without trusting any other clock. A random offset for each incarnation keeps tickets of an earlier process
- * from ever being valid.
+ * <p>A start may be delayed in a stalled connection for minutes, or be sent by a coordinator that was paused past its
+ * lease; admitting it would start the task a second time. Each ticket contains its time of issue by this process's
+ * clock, so such a start is refused by its age without relying on another clock. A random offset for each incarnation
+ * makes the tickets of earlier incarnations invalid.
  *
- * <p>A ticket is offset + (milliseconds since start &lt;&lt; 20) + a sequence number, so tickets are in order of issue
- * also within a millisecond.
+ * <p>A ticket is offset + (milliseconds since start &lt;&lt; 20) + a sequence number, so tickets are ordered by issue
+ * even within a millisecond.
  */
 final class Tickets {
     private static final int SEQUENCE_BITS = 20;
@@ -28,28 +28,28 @@
         this.longestAgeMillis = longestAge.toMillis();
     }
 
-    /** Returns a new ticket. */
+    /** Issues a ticket. */
     long issue(long nowNanos) {
         lastPosition = Math.max(lastPosition + 1, millis(nowNanos) << SEQUENCE_BITS);
         return offset + lastPosition;
     }
 
-    /** Returns the place of the newest ticket in the order of issue. */
+    /** Returns the position of the newest ticket in the order of issue. */
     long lastPosition() {
         return lastPosition;
     }
 
-    /** Returns the place of a ticket in the order of issue; means nothing for foreign ones. */
+    /** Returns the position of a ticket in the order of issue; only valid for tickets of this process. */
     long position(long ticket) {
         return ticket - offset;
     }
 
-    /** Tells whether this process issued the ticket lately. */
+    /** Returns whether this process issued the ticket and its age is at most the maximum. */
     boolean isFresh(long ticket, long nowNanos) {
         return isOwn(ticket) && ageMillis(ticket, nowNanos) <= longestAgeMillis;
     }
 
-    /** Returns the age of a ticket in milliseconds, or -1 for one that this process never issued. */
+    /** Returns the age of a ticket in milliseconds, or -1 if this process did not issue it. */
     long ageMillis(long ticket, long nowNanos) {
         if (!isOwn(ticket)) {
             return -1;
--- a/library/src/main/java/org/chivetally/agent/package-info.java
+++ b/library/src/main/java/org/chivetally/agent/package-info.java
@@ -1,2 +1,2 @@
-/** The process beside a minion: admits starts, runs tasks on the minion, and keeps their results for a time. */
+/** The agent, the process beside a minion: it admits starts, runs tasks on the minion, and retains their results. */
 package org.chivetally.agent;
