--- a/library/src/main/java/org/chivetally/agent/AgentActor.java
+++ b/library/src/main/java/org/chivetally/agent/AgentActor.java
@@ -298,7 +298,7 @@
 
     private String statePath() {
         return switch (settings.stateSource()) {
-            case MinionStateSource.Native own -> "/state";
+            case MinionStateSource.Native nativeSource -> "/state";
             case MinionStateSource.Adapted adapted -> adapted.path();
         };
     }
@@ -308,7 +308,7 @@
             return new MinionState.Unreachable(answer.toString());
         }
         return switch (settings.stateSource()) {
-            case MinionStateSource.Native own -> new NativeStateReader().read(success.body());
+            case MinionStateSource.Native nativeSource -> new NativeStateReader().read(success.body());
             case MinionStateSource.Adapted adapted -> adapted.reader().read(success.body());
         };
     }
--- a/library/src/main/java/org/chivetally/agent/AgentState.java
+++ b/library/src/main/java/org/chivetally/agent/AgentState.java
@@ -208,11 +208,11 @@
                 || !fences.admitsTicket(start.getJobId(), tickets.position(start.getTicket()))) {
             return RefusalReason.REFUSAL_REASON_STALE_TICKET;
         }
-        int floor = fences.generation(start.getJobId());
-        if (start.getGeneration() < floor) {
+        int lowestGeneration = fences.generation(start.getJobId());
+        if (start.getGeneration() < lowestGeneration) {
             return RefusalReason.REFUSAL_REASON_OLD_GENERATION;
         }
-        if (start.getGeneration() > Math.max(floor, 1)) {
+        if (start.getGeneration() > Math.max(lowestGeneration, 1)) {
             raiseFence(start.getJobId(), start.getGeneration(), 0);
         }
         return ADMITTED;
--- a/library/src/main/java/org/chivetally/agent/Fences.java
+++ b/library/src/main/java/org/chivetally/agent/Fences.java
@@ -32,10 +32,10 @@
     /** Raises the lowest admitted generation and ticket position of a job; neither is ever lowered. */
     void raise(String jobId, int generation, long ticketPosition, long nowNanos) {
         Fence before = fences.getOrDefault(jobId, NONE);
-        int higher = Math.max(before.generation(), generation);
-        long later = Math.max(before.ticketPosition(), ticketPosition);
+        int raisedGeneration = Math.max(before.generation(), generation);
+        long raisedPosition = Math.max(before.ticketPosition(), ticketPosition);
         fences.remove(jobId);
-        fences.put(jobId, new Fence(higher, later, nowNanos));
+        fences.put(jobId, new Fence(raisedGeneration, raisedPosition, nowNanos));
     }
 
     /** Removes the fences that were last raised longer ago than the retention. */
--- a/library/src/main/java/org/chivetally/agent/MinionExchange.java
+++ b/library/src/main/java/org/chivetally/agent/MinionExchange.java
@@ -46,30 +46,30 @@
     void cancel() {
         cancelled = true;
         answer.complete(new MinionAnswer.Lost("request cancelled"));
-        MinionConnection used = connection;
-        if (used != null) {
-            used.abort("request cancelled");
+        MinionConnection usedConnection = connection;
+        if (usedConnection != null) {
+            usedConnection.abort("request cancelled");
         }
     }
 
     /** Sends the request once a new connection is open. */
-    void open(MinionConnection opened) {
-        connection = opened;
-        opened.connected().whenComplete((open, failure) -> {
+    void open(MinionConnection newConnection) {
+        connection = newConnection;
+        newConnection.connected().whenComplete((open, failure) -> {
             if (failure != null) {
                 answer.complete(new MinionAnswer.NotSent(String.valueOf(failure)));
             } else if (cancelled) {
-                opened.abort("request cancelled before it was sent");
-            } else if (!sendOver(opened)) {
+                newConnection.abort("request cancelled before it was sent");
+            } else if (!sendOver(newConnection)) {
                 answer.complete(new MinionAnswer.NotSent("connection closed before the request was sent"));
             }
         });
     }
 
     /** Sends the request; returns false when the connection has ended and nothing was sent. */
-    boolean sendOver(MinionConnection used) {
-        connection = used;
-        CompletionStage<HttpResponse> response = used.send(request);
+    boolean sendOver(MinionConnection openConnection) {
+        connection = openConnection;
+        CompletionStage<HttpResponse> response = openConnection.send(request);
         if (response == null) {
             return false;
         }
@@ -82,20 +82,20 @@
             lost(failure);
             return;
         }
-        if (response.entity() instanceof HttpEntity.Strict whole) {
-            read(response, whole.getData());
+        if (response.entity() instanceof HttpEntity.Strict strictEntity) {
+            read(response, strictEntity.getData());
             return;
         }
         response.entity()
                 .withSizeLimit(answerBytes)
                 .toStrict(BODY_TIMEOUT.toMillis(), materializer)
-                .whenComplete((entity, broken) -> {
-                    if (broken == null) {
+                .whenComplete((entity, bodyFailure) -> {
+                    if (bodyFailure == null) {
                         read(response, entity.getData());
-                    } else if (isTooLong(broken)) {
+                    } else if (isTooLong(bodyFailure)) {
                         tooLong();
                     } else {
-                        lost(broken);
+                        lost(bodyFailure);
                     }
                 });
     }
--- a/library/src/test/java/org/chivetally/agent/AgentFixture.java
+++ b/library/src/test/java/org/chivetally/agent/AgentFixture.java
@@ -12,7 +12,7 @@
 import org.chivetally.wire.v1.Start;
 import org.chivetally.wire.v1.TaskStatus;
 
-/** An agent of two slots and two waiting places on a clock that stands until it is advanced. */
+/** An {@link AgentState} with two slots and a queue of two tasks, a manual clock, and a record of its effects. */
 final class AgentFixture {
     static final PeerId PEER = new PeerId(1);
     static final AgentLimits LIMITS = limits(1_000);
@@ -78,18 +78,18 @@
         apply(new AgentEvent.PeerIdentified(peer, processId, "1"));
     }
 
-    /** Advances the clock and lets the agent notice. */
+    /** Advances the clock and then applies a tick. */
     void advance(Duration time) {
         advanceWithoutTick(time);
         apply(new AgentEvent.Ticked());
     }
 
-    /** Advances the clock while the agent is stopped and notices nothing. */
+    /** Advances the clock without a tick, as while the agent's process is paused. */
     void advanceWithoutTick(Duration time) {
         now += time.toNanos();
     }
 
-    /** Returns a ticket issued now. */
+    /** Returns a ticket that the agent issues at the current time. */
     long ticket() {
         int before = frames.size();
         apply(new AgentEvent.HeartbeatRequested(PEER, 1));
@@ -112,7 +112,7 @@
                 .setQueueMillis(5_000);
     }
 
-    /** Asks for one attempt of task 0 of a job of its own for each id. */
+    /** Requests one attempt for each id, each of task 0 of a separate job. */
     void requestStarts(String... attemptIds) {
         for (String id : attemptIds) {
             requestStart(start(id, "job-of-" + id, 0));
@@ -145,13 +145,13 @@
         reportRequestedAt(now, healthy, draining, running);
     }
 
-    /** The same in answer to a question sent at an earlier reading of the clock. */
+    /** Applies a report of the minion that was requested at an earlier reading of the clock. */
     void reportRequestedAt(long requestedNanos, boolean healthy, boolean draining, int running) {
         MinionState state = new MinionState.Reported(healthy, draining, 2 - running, running);
         apply(new AgentEvent.MinionReported(state, requestedNanos));
     }
 
-    /** Returns the reading of the clock. */
+    /** Returns the current reading of the clock in nanoseconds. */
     long now() {
         return now;
     }
@@ -207,7 +207,7 @@
         return frames;
     }
 
-    /** Returns all refusals so far as "attempt REASON". */
+    /** Returns all refusals sent so far as "attempt REASON". */
     List<String> refusals() {
         return frames.stream()
                 .filter(Frame::hasRefusal)
@@ -216,7 +216,7 @@
                 .toList();
     }
 
-    /** Returns all results so far as "attempt STATUS text". */
+    /** Returns all results sent so far as "attempt STATUS text". */
     List<String> results() {
         return frames.stream()
                 .filter(Frame::hasResult)
@@ -226,7 +226,7 @@
                 .toList();
     }
 
-    /** Returns the tasks of the newest answer to an inquiry as "attempt STATUS text". */
+    /** Returns the tasks in the last answer to an inquiry as "attempt STATUS text". */
     List<String> lastInquiryAnswer() {
         return frames.stream()
                 .filter(Frame::hasInquiryAnswer)
--- a/library/src/test/java/org/chivetally/agent/AgentServerTest.java
+++ b/library/src/test/java/org/chivetally/agent/AgentServerTest.java
@@ -22,6 +22,7 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
+/** Runs an agent over real connections: to coordinators by the frame transport and to a minion by HTTP. */
 class AgentServerTest {
     private static final String LOOPBACK = "127.0.0.1";
 
@@ -39,6 +40,7 @@
         minionKit.shutdownTestKit();
     }
 
+    /** Guards against lost headers and against wrong encodings of payloads and results outside ASCII. */
     @Test
     void runsATaskOnTheMinion() throws InterruptedException {
         AgentServer agent = startAgent(minion.base());
@@ -56,6 +58,7 @@
         assertThat(result.getBody(), is("[\"größer\"]"));
     }
 
+    /** Guards against confusing a failed task, a declined one that did not run, and a response that is too large. */
     @Test
     void distinguishesFailuresOfTheMinion() throws InterruptedException {
         FrameConnection connection = connect(startAgent(minion.base()));
@@ -76,9 +79,9 @@
     }
 
     /**
-     * What the caller sees: "unknown" for a task whose minion died under it, "not run" for the next one. The minion
-     * takes a task and its process dies, which closes the connection without an answer. The next task finds nobody
-     * listening: nothing was sent, so the refusal that says "not run" is true.
+     * Guards against reporting a task as not run although it may have run. The minion receives a task and crashes,
+     * which closes the connection without a response: the task is unknown. The connection for the next task is refused,
+     * so nothing was sent and the task is refused as not run.
      */
     @Test
     void distinguishesALostTaskFromOneNeverSent() throws InterruptedException {
@@ -94,8 +97,9 @@
     }
 
     /**
-     * What the caller sees: "unknown" at the end of the lease, while the minion hangs. The agent closes the connection
-     * below the request, so the minion can notice, and its late answer goes nowhere.
+     * Guards against a task without an outcome while the minion is unresponsive. When the lease expires the agent
+     * closes the connection, so that the minion can detect it, and reports the task as unknown; a late response is
+     * ignored.
      */
     @Test
     void cancelsTheRequestWhenTheLeaseExpires() throws InterruptedException {
@@ -113,9 +117,9 @@
     }
 
     /**
-     * What the caller sees: a planned stop of an agent cuts no request in progress. The agent is told to drain while a
-     * task runs: its peers hear of it and new starts are refused. The running task ends and its result arrives, and
-     * only then the connection closes and the drain completes.
+     * Guards against a planned stop that interrupts a running task. The agent is drained while a task runs: its peers
+     * receive a Leaving message, and new starts are refused. The connection closes and the drain completes only after
+     * the result of the running task has been sent.
      */
     @Test
     void drainsWithoutCuttingARequest() throws InterruptedException {
@@ -135,6 +139,7 @@
         assertThat(minion.pendingTasks(), is(0));
     }
 
+    /** Guards against coordinators that keep sending tasks after the minion has reported that it is draining. */
     @Test
     void reportsThatTheMinionIsDraining() throws InterruptedException {
         connect(startAgent(minion.base()));
@@ -143,6 +148,7 @@
         assertThat(coordinator.nextFrame().getHeartbeat().getReport().getDraining(), is(true));
     }
 
+    /** Guards against results that can't be routed: a connection must identify its process in its first frame. */
     @Test
     void closesAConnectionThatDoesNotSayHello() throws InterruptedException {
         AgentServer agent = startAgent(minion.base());
@@ -151,7 +157,7 @@
         assertThat(coordinator.nextDisconnectReason(), is("closed by the peer"));
     }
 
-    /** Waits for the next result or refusal, past news of the agent's state. */
+    /** Waits for the next result or refusal, and skips heartbeats. */
     private Frame nextOutcome() throws InterruptedException {
         Frame next = coordinator.nextFrame();
         while (next.hasHeartbeat()) {
--- a/library/src/test/java/org/chivetally/agent/AgentStatePropertyTest.java
+++ b/library/src/test/java/org/chivetally/agent/AgentStatePropertyTest.java
@@ -23,6 +23,10 @@
 import org.chivetally.wire.v1.Frame;
 import org.chivetally.wire.v1.Start;
 
+/**
+ * Applies random sequences of events to an agent and checks its guarantees: each attempt runs at most once and gets one
+ * answer, a refused attempt has not run, a task that isn't idempotent starts once, and runs never exceed the slots.
+ */
 class AgentStatePropertyTest {
     private static final int SLOTS = 2;
     private static final List<MinionAnswer> ANSWERS = List.of(
@@ -43,20 +47,22 @@
 
     @Provide
     Arbitrary<List<Step>> schedules() {
-        Arbitrary<Integer> small = Arbitraries.integers().between(0, 2);
+        Arbitrary<Integer> smallNumbers = Arbitraries.integers().between(0, 2);
         Arbitrary<Integer> generations = Arbitraries.of(1, 1, 1, 2, 3);
         Arbitrary<Boolean> mostlyTrue = Arbitraries.of(true, true, true, false);
-        Arbitrary<Step> starts = Combinators.combine(small, small, generations).as(Step.RequestStart::new);
+        Arbitrary<Step> starts =
+                Combinators.combine(smallNumbers, smallNumbers, generations).as(Step.RequestStart::new);
         Arbitrary<Step> repeats = Arbitraries.integers().between(0, 60).map(Step.RepeatStart::new);
         Arbitrary<Step> answers = Combinators.combine(
                         Arbitraries.integers().between(0, 1),
                         Arbitraries.integers().between(0, ANSWERS.size() - 1))
                 .as(Step.Answer::new);
-        Arbitrary<Step> inquiries = Combinators.combine(small, generations).as(Step.Inquire::new);
-        Arbitrary<Step> reports = Combinators.combine(mostlyTrue, mostlyTrue.map(wanted -> !wanted), small)
+        Arbitrary<Step> inquiries =
+                Combinators.combine(smallNumbers, generations).as(Step.Inquire::new);
+        Arbitrary<Step> reports = Combinators.combine(mostlyTrue, mostlyTrue.map(wanted -> !wanted), smallNumbers)
                 .as(Step.ReportState::new);
         Arbitrary<Step> advances = Arbitraries.of(1, 100, 1_000, 3_500).map(Step.Advance::new);
-        Arbitrary<Step> cancels = small.map(Step.Cancel::new);
+        Arbitrary<Step> cancels = smallNumbers.map(Step.Cancel::new);
         return Arbitraries.frequencyOf(
                         Tuple.of(8, starts),
                         Tuple.of(3, repeats),
@@ -70,7 +76,7 @@
                 .ofMaxSize(60);
     }
 
-    /** One event of a schedule; numbers choose among what there is. */
+    /** An event of a schedule; numbers select the job, task, attempt or answer that it affects. */
     sealed interface Step {
         record RequestStart(int job, int task, int generation) implements Step {}
 
@@ -89,7 +95,7 @@
         record Reconnect() implements Step {}
     }
 
-    /** Plays coordinators and the minion, and checks each effect. Tasks of job 2 are idempotent. */
+    /** Simulates coordinators and the minion, and checks each effect. Tasks of job 2 are idempotent. */
     private static final class Simulation {
         private final AgentFixture agent = new AgentFixture();
         private final List<Start> requested = new ArrayList<>();
@@ -113,7 +119,7 @@
                 case Step.ReportState tell ->
                     observe("", () -> agent.report(tell.healthy(), tell.draining(), tell.running()));
                 case Step.Advance pass -> observe("", () -> agent.advance(Duration.ofMillis(pass.millis())));
-                case Step.Reconnect reconnect -> reconnect();
+                case Step.Reconnect reconnect -> reconnectPeer();
             }
         }
 
@@ -160,14 +166,14 @@
             observe("", () -> agent.answer(attempt, answer));
         }
 
-        private void reconnect() {
+        private void reconnectPeer() {
             PeerId newer = new PeerId(peer.number() + 1);
             agent.connectPeer(newer, "entry-1");
             agent.apply(new AgentEvent.PeerDisconnected(peer));
             peer = newer;
         }
 
-        /** Lets something happen and checks its effects; an attempt just asked for may be answered again. */
+        /** Runs an action and checks its effects; only the attempt that it requests may be answered again. */
         private void observe(String requestedAttempt, Runnable action) {
             int runsBefore = agent.runs().size();
             int framesBefore = agent.frames().size();
--- a/library/src/test/java/org/chivetally/agent/AgentStateTest.java
+++ b/library/src/test/java/org/chivetally/agent/AgentStateTest.java
@@ -19,6 +19,7 @@
 import org.chivetally.wire.v1.TaskStatus;
 import org.junit.jupiter.api.Test;
 
+/** Tests the decisions of an agent with two slots and a queue of two tasks, on a manual clock. */
 class AgentStateTest {
     private static final PeerId PEER = AgentFixture.PEER;
     private static final PeerId SECOND_PEER = new PeerId(2);
@@ -26,6 +27,7 @@
 
     private final AgentFixture agent = new AgentFixture();
 
+    /** Guards against more runs than slots, and against waiting tasks that overtake each other. */
     @Test
     void runsAsManyTasksAsSlotsAndQueuesTheNextInOrder() {
         agent.requestStarts("a", "b", "c", "d");
@@ -37,11 +39,13 @@
         assertThat(agent.lastFrame().getRequestId(), is(77L));
     }
 
+    /** Guards against tasks that use the connection reserved for reading the minion's state. */
     @Test
     void connectionsLimitTheRunnableTasks() {
         assertThat(new MinionCapacity(8, 5, 0, 0, 0).runnableTasks(), is(4));
     }
 
+    /** Guards against a report that counts the slot as free although the next waiting task already uses it. */
     @Test
     void resultReportsCountTheLoadAfterTheResult() {
         agent.requestStarts("a", "b", "c");
@@ -55,6 +59,7 @@
         assertThat(sequence, lessThan(report.getSequence()));
     }
 
+    /** Guards against an unbounded queue, and against queueing a start that must not wait. */
     @Test
     void refusesStartsBeyondTheQueueBound() {
         agent.requestStarts("a", "b", "c", "d", "e");
@@ -64,6 +69,7 @@
         assertThat(agent.refusals(), contains("e FULL", "f FULL"));
     }
 
+    /** Guards against a run that starts after the coordinator's queue time, and against an early refusal. */
     @Test
     void refusesAWaitingTaskAfterItsQueueTime() {
         agent.requestStarts("a", "b");
@@ -77,9 +83,9 @@
     }
 
     /**
-     * What the caller sees: a task refused as expired never runs late, also when the agent's process was paused. The
-     * process stops with a task waiting and resumes minutes later. The minion's answer is the first event, before any
-     * tick, and frees a slot; the waiting task's time is looked at once more before it would start.
+     * Guards against starting an expired task after the agent's process was paused. The process is paused while a task
+     * waits. After it resumes, the minion's answer frees a slot before any tick, so the queue time must also be checked
+     * before the start.
      */
     @Test
     void refusesTasksThatExpiredWhileTheAgentWasPaused() {
@@ -90,8 +96,9 @@
         assertThat(agent.refusals(), contains("c EXPIRED"));
     }
 
+    /** Guards against tasks that the minion can't run: those of another service or with too large requirements. */
     @Test
-    void refusesOtherServicesAndTasksThatNeverFit() {
+    void refusesOtherServicesAndTasksThatCannotFit() {
         agent.requestStart(agent.start("a", "j", 0).setService("other"));
         agent.requestStart(agent.start("b", "j", 0).setProcessorMillis(4_001));
         agent.requestStart(agent.start("c", "j", 0).setMemoryBytes(1_000_001));
@@ -100,9 +107,9 @@
     }
 
     /**
-     * What the caller sees: its task starts once, although the start is delivered minutes late. A start is stuck in a
-     * silent connection; the coordinator has the task run elsewhere. The connection delivers the start in the end. Its
-     * ticket is older than three seconds by the agent's own clock.
+     * Guards against a second run by a start that is delivered minutes late. The start is delayed in a stalled
+     * connection while the coordinator has the task run elsewhere. Its ticket is then older than three seconds by the
+     * agent's clock.
      */
     @Test
     void refusesAStartThatWasDelayedForMinutes() {
@@ -113,8 +120,9 @@
         assertThat(agent.runs(), empty());
     }
 
+    /** Guards against an off-by-one error at the maximum ticket age of three seconds. */
     @Test
-    void admitsATicketOfExactlyTheLongestAge() {
+    void admitsATicketOfExactlyTheMaximumAge() {
         Start.Builder inTime = agent.start("a", "j", 0);
         Start.Builder late = agent.start("b", "k", 0);
         agent.advance(Duration.ofMillis(3_000));
@@ -125,6 +133,7 @@
         assertThat(agent.refusals(), contains("b STALE_TICKET"));
     }
 
+    /** Guards against starts with tickets that this incarnation never issued, such as those from before a restart. */
     @Test
     void refusesTicketsOfTheFutureAndOfOtherIncarnations() {
         agent.requestStart(agent.start("a", "j", 0).setTicket(agent.ticket() + 1));
@@ -139,9 +148,9 @@
     }
 
     /**
-     * What the caller sees: the job's tasks run once, though its first coordinator wakes from a pause. Another entry
-     * takes the job over and inquires with generation 2; what waits here for the first is refused. The paused one
-     * resumes and sends starts of generation 1, with fresh tickets: all refused, by the job's floor.
+     * Guards against tasks that run twice because a paused coordinator resumes. Meanwhile another entry takes the job
+     * over and inquires with generation 2, which refuses the waiting tasks of the first. The first then sends starts of
+     * generation 1 with fresh tickets; all are refused, as the lowest admitted generation is 2.
      */
     @Test
     void refusesStartsOfASupersededCoordinator() {
@@ -161,10 +170,10 @@
     }
 
     /**
-     * What the caller sees: one start of its task, although a connection delivered a frame a second late. The
-     * coordinator's connection goes silent with a start in it; over a new one it asks about the job. The agent answers
-     * "not known", so the coordinator starts the task elsewhere. Then the old frame arrives, with a ticket of under
-     * three seconds and the right generation; it was issued before the inquiry, and is refused.
+     * Guards against a second run by a start that is overtaken by an inquiry. The coordinator's connection stalls with
+     * a start in it, and the coordinator inquires about the job over a new one. The answer doesn't list the task, so
+     * the coordinator starts it elsewhere. The delayed start then arrives with the current generation and a ticket
+     * younger than three seconds; it is refused because the ticket was issued before the inquiry.
      */
     @Test
     void refusesAStartThatWasSentBeforeAnInquiry() {
@@ -180,6 +189,9 @@
         assertThat(agent.runs(), contains("b", "c"));
     }
 
+    /**
+     * Guards against a second run by a duplicate start; it gets the retained result, even after its ticket is stale.
+     */
     @Test
     void startsAnAttemptOnceAndAnswersItsRepeats() {
         Start.Builder start = agent.start("a", "j", 0);
@@ -193,6 +205,7 @@
         assertThat(agent.refusals(), empty());
     }
 
+    /** Guards against running an attempt after its refusal, when a duplicate of its start finds a free slot. */
     @Test
     void repeatsTheRefusalOfARefusedAttempt() {
         agent.requestStarts("x", "y");
@@ -205,9 +218,9 @@
     }
 
     /**
-     * What the caller sees: its offer is sent once, although two coordinators ask for it. The second one's attempt has
-     * an id of its own, so only the job and the task tell that it is the same work. While the first runs the second is
-     * refused; afterwards it gets the kept result of the first.
+     * Guards against running a task twice that isn't idempotent, when two coordinators start it. Their attempts have
+     * different ids, so the task is recognized by job and index. While the first attempt runs the second is refused;
+     * afterwards it gets the retained result of the first.
      */
     @Test
     void startsANonIdempotentTaskOnce() {
@@ -220,6 +233,7 @@
         assertThat(agent.runs(), contains("a"));
     }
 
+    /** Guards against a needless second run while an attempt runs or after it has succeeded. */
     @Test
     void runsAnIdempotentTaskAgainOnlyAfterAFailure() {
         agent.requestStart(agent.start("a", "j", 0).setIdempotent(true));
@@ -233,6 +247,7 @@
         assertThat(agent.results(), contains("a UNKNOWN connection lost", "c DONE \"of c\"", "d DONE \"of c\""));
     }
 
+    /** Guards against losing the outcome of an attempt when a later one of its task expires in the queue. */
     @Test
     void inquiryReturnsTheEarlierAttemptWhenTheLaterNeverRan() {
         agent.requestStart(agent.start("a", "j", 0).setIdempotent(true));
@@ -245,6 +260,7 @@
         assertThat(agent.lastInquiryAnswer(), contains("a UNKNOWN connection lost"));
     }
 
+    /** Guards against reporting a task as not run although the request may have reached the minion. */
     @Test
     void distinguishesRefusedFromUnknownTasks() {
         agent.requestStart(agent.start("a", "j", 0));
@@ -257,6 +273,7 @@
         assertThat(agent.results(), contains("c UNKNOWN connection reset"));
     }
 
+    /** Guards against sending each waiting task to a full minion only to have it declined. */
     @Test
     void reservesASlotAfterADeclinedTaskUntilTheNextReport() {
         agent.requestStarts("a", "b", "c");
@@ -267,9 +284,9 @@
     }
 
     /**
-     * What the caller sees: a clear "unknown" when its attempt took longer than the lease, not silence. The minion
-     * hangs; at the lease's end the agent breaks the request off and reports the attempt as unknown. The minion may
-     * still work on it, so its slot is not given to the next task before the minion reports it free.
+     * Guards against an attempt without an outcome while the minion is unresponsive. When the lease expires the agent
+     * cancels the request and reports the attempt as unknown. The minion may still run it, so the slot stays reserved
+     * until the minion reports it as free.
      */
     @Test
     void endsAnAttemptWhenItsLeaseExpires() {
@@ -289,9 +306,9 @@
     }
 
     /**
-     * What the caller sees: a task that fails because all slots are taken. The minion still works on an attempt whose
-     * lease is over. It counts its runs, then the agent starts another task, and only then the report arrives. Its one
-     * run is the abandoned one, not the new one, so no slot may be given away by it.
+     * Guards against sending more tasks than the minion has slots. The minion still runs an attempt whose lease has
+     * expired. It counts its runs, the agent starts another task, and only then the report arrives. The one run that it
+     * counts is the abandoned one, not the new one, so the report must not release the reserved slot.
      */
     @Test
     void aRunStartedAfterTheReportDoesNotHideAnAbandonedOne() {
@@ -306,6 +323,7 @@
         assertThat(agent.runs(), contains("a", "b", "c"));
     }
 
+    /** Guards against a superseded coordinator that cancels its successor's tasks, and against cancelled runs. */
     @Test
     void cancelDropsWaitingTasksOfTheSameProcessOnly() {
         agent.connectPeer(SECOND_PEER, "entry-2");
@@ -321,9 +339,9 @@
     }
 
     /**
-     * What the caller sees: a planned stop cuts no request. Peers hear of the leave first, then waiting tasks are
-     * refused as not run, and new ones too. Running tasks finish. The stop waits a little longer, so that a result lost
-     * on the way can be asked for.
+     * Guards against a planned stop that interrupts running tasks. Peers receive a Leaving message first, then waiting
+     * and new tasks are refused. Running tasks complete, and the agent stops two seconds after the last result, so that
+     * coordinators can still inquire about lost results.
      */
     @Test
     void drainsWithoutCuttingARequest() {
@@ -346,12 +364,14 @@
         assertThat(agent.readyToStop(), is(true));
     }
 
+    /** Guards against a needless delay of the stop when no results can be lost. */
     @Test
     void anIdleAgentStopsAtOnce() {
         agent.apply(new AgentEvent.DrainRequested("replaced"));
         assertThat(agent.readyToStop(), is(true));
     }
 
+    /** Guards against new tasks on a draining minion, and against a drain that never ends. */
     @Test
     void refusesStartsWhileTheMinionIsDraining() {
         agent.requestStarts("a", "b", "c");
@@ -365,6 +385,9 @@
         assertThat(agent.runs(), contains("a", "b", "e"));
     }
 
+    /**
+     * Guards against tasks for a minion that is unreachable or unhealthy, and against staying down after it recovers.
+     */
     @Test
     void refusesWhileTheMinionIsDown() {
         agent.requestStarts("a", "b", "c");
@@ -382,6 +405,7 @@
         assertThat(agent.runs(), contains("a", "b", "c", "f"));
     }
 
+    /** Guards against a memory leak, and against removing a result too early. */
     @Test
     void removesResultsAfterTheRetention() {
         agent.requestStarts("a");
@@ -395,6 +419,7 @@
         assertThat(agent.state().retainedBytes(), is(0L));
     }
 
+    /** Guards against a second run of a task whose result was discarded for space. */
     @Test
     void discardsTheOldestResultsForSpaceButKeepsTheirAttempts() {
         AgentFixture small = new AgentFixture(AgentFixture.limits(20));
@@ -413,6 +438,7 @@
         assertThat(small.state().retainedBytes(), lessThan(21L));
     }
 
+    /** Guards against a lost result when its coordinator has reconnected, and against sending it to another process. */
     @Test
     void answersOverANewerConnectionOfTheSameProcess() {
         agent.requestStarts("a");
@@ -424,8 +450,9 @@
         assertThat(agent.lastRecipient(), is(SECOND_PEER));
     }
 
+    /** Guards against results sent to the superseded coordinator after a takeover. */
     @Test
-    void anInquiryMovesLaterResultsToItsConnection() {
+    void anInquiryRedirectsLaterResultsToItsConnection() {
         agent.requestStarts("a");
         agent.connectPeer(SECOND_PEER, "entry-2");
         agent.inquire(SECOND_PEER, "job-of-a", 2);
@@ -435,6 +462,7 @@
         assertThat(agent.lastFrame().getRequestId(), is(0L));
     }
 
+    /** Guards against losing a result that ends while its coordinator is disconnected. */
     @Test
     void retainsAResultThatCannotBeDelivered() {
         agent.requestStarts("a");
@@ -447,12 +475,12 @@
     }
 
     /**
-     * What the caller sees: a takeover collects every result, however large they are together. One frame can't hold
-     * them all; an answer cut short would make the missing tasks look as if they never started. So tasks whose results
-     * don't fit are said to run, and each result follows in a frame of its own.
+     * Guards against an inquiry answer that exceeds the maximum frame size after a takeover. A truncated answer would
+     * make the missing tasks look as if they had never started. So tasks whose results don't fit are listed as running,
+     * and each result follows in a frame of its own.
      */
     @Test
-    void anInquiryAnswerStaysUnderTheLongestFrame() {
+    void anInquiryAnswerStaysUnderTheMaximumFrameSize() {
         AgentFixture large = new AgentFixture(AgentFixture.limits(100_000_000));
         String body = "\"" + "x".repeat(1_000_000) + "\"";
         for (int task = 0; task < 10; task++) {
@@ -479,17 +507,17 @@
     }
 
     /**
-     * What operators see: a backend server that they declare as draining gets nothing new within moments, its running
-     * tasks finish, and it gets work again once the declaration is taken back. Each connected entry hears of the
-     * version at once; one that did not would push it again.
+     * Guards against new tasks on a backend server that operators declared as draining, and against a drain that
+     * outlasts the declaration. Running tasks complete. Each connected entry must receive the new version immediately,
+     * as it would otherwise push it again.
      */
     @Test
     void refusesStartsWhileTheBackendServerIsDeclaredDraining() {
         agent.requestStarts("a");
         agent.apply(new AgentEvent.Configured(new AgentConfiguration(3, true)));
-        Heartbeat told = agent.lastFrame().getHeartbeat();
-        assertThat(told.getConfigurationVersion(), is(3L));
-        assertThat(told.getReport().getDraining(), is(true));
+        Heartbeat heartbeat = agent.lastFrame().getHeartbeat();
+        assertThat(heartbeat.getConfigurationVersion(), is(3L));
+        assertThat(heartbeat.getReport().getDraining(), is(true));
         agent.requestStarts("b");
         assertThat(agent.refusals(), contains("b DRAINING"));
         agent.succeed("a");
--- a/library/src/test/java/org/chivetally/agent/LoopbackMinion.java
+++ b/library/src/test/java/org/chivetally/agent/LoopbackMinion.java
@@ -15,10 +15,10 @@
 import org.apache.pekko.http.javadsl.model.HttpResponse;
 import org.apache.pekko.http.javadsl.model.headers.RawHeader;
 
-/** A minion on the loopback address whose answers the test gives. */
+/** An HTTP minion on the loopback address whose responses are set by the test. */
 final class LoopbackMinion {
-    private static final long WAIT_SECONDS = 20;
-    private static final long BODY_MILLIS = 5_000;
+    private static final long TASK_TIMEOUT_SECONDS = 20;
+    private static final long BODY_TIMEOUT_MILLIS = 5_000;
 
     private final ActorSystem<?> system;
     private final ServerBinding binding;
@@ -42,11 +42,11 @@
         state = json;
     }
 
-    /** Waits for the next task. */
+    /** Waits for the next task request. */
     TaskRequest nextTask() throws InterruptedException {
-        TaskRequest next = tasks.poll(WAIT_SECONDS, TimeUnit.SECONDS);
+        TaskRequest next = tasks.poll(TASK_TIMEOUT_SECONDS, TimeUnit.SECONDS);
         if (next == null) {
-            throw new AssertionError("no task came within " + WAIT_SECONDS + " s");
+            throw new AssertionError("the minion received no task within " + TASK_TIMEOUT_SECONDS + " s");
         }
         return next;
     }
@@ -61,7 +61,7 @@
             return CompletableFuture.completedFuture(answer);
         }
         return request.entity()
-                .toStrict(BODY_MILLIS, system)
+                .toStrict(BODY_TIMEOUT_MILLIS, system)
                 .thenCompose(entity -> addTask(request, entity.getData().utf8String()));
     }
 
@@ -80,7 +80,7 @@
         return request.getHeader(name).map(HttpHeader::value).orElse("");
     }
 
-    /** One task as it reached the minion. */
+    /** A task request that the minion received; completing it sends the response. */
     record TaskRequest(String attempt, String job, String task, String body, CompletableFuture<HttpResponse> answer) {
         void succeed(String json) {
             answer.complete(HttpResponse.create().withEntity(ContentTypes.APPLICATION_JSON, json));
--- a/library/src/test/java/org/chivetally/agent/MemberAnnouncerTest.java
+++ b/library/src/test/java/org/chivetally/agent/MemberAnnouncerTest.java
@@ -24,6 +24,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
+/** Runs an announcer against a log whose answers the test controls, on a manual clock. */
 @Timeout(60)
 class MemberAnnouncerTest {
     private static final Duration INTERVAL = Duration.ofSeconds(30);
@@ -41,6 +42,7 @@
         kit.shutdownTestKit();
     }
 
+    /** Guards against a member that disappears when the log's retention removes its only announcement. */
     @Test
     void announcesOnStartAndEveryInterval() throws InterruptedException {
         PendingAppend first = log.next();
@@ -52,9 +54,9 @@
     }
 
     /**
-     * What operators see: one announcement, although the log lost its answers. An append takes effect and its answer is
-     * lost; the announcer tries again after half a second, then one second. Each try carries the same record id, by
-     * which readers drop the repeats.
+     * Guards against duplicate announcements when the answer to an append is lost although the record was written. The
+     * announcer retries after half a second, then one second, with the same record id, by which readers drop
+     * duplicates.
      */
     @Test
     void repeatsALostAppendUnderTheSameId() throws InterruptedException {
@@ -68,6 +70,9 @@
                 is(List.of(first.record().id(), first.record().id())));
     }
 
+    /**
+     * Guards against a leave that precedes an announcement still in flight, after which the member would seem alive.
+     */
     @Test
     void appendsTheLeaveAfterTheAnnounceInFlight() throws InterruptedException {
         PendingAppend announce = log.next();
@@ -81,8 +86,9 @@
     }
 
     /**
-     * What operators see: an agent that was declared gone is back. It hears of that while its regular announcement is
-     * under way, which may come to stand before the record that declared it gone; so it announces itself once more.
+     * Guards against a running agent that stays declared gone. It receives that declaration while a regular
+     * announcement is in flight, which may be ordered before the declaration in the log; so it must announce itself
+     * again.
      */
     @Test
     void announcesAgainWhenRequestedDuringAnAppend() throws InterruptedException {
@@ -96,6 +102,7 @@
         assertThat(log.next().content(), is(first.content()));
     }
 
+    /** Guards against a process that can't stop while the log is unavailable. */
     @Test
     void leaveTimesOutWhileTheLogIsDown() throws InterruptedException {
         log.next();
@@ -107,6 +114,9 @@
         left.join();
     }
 
+    /**
+     * Guards against fields lost in JSON, and against records of newer releases or malformed ones that fail a reader.
+     */
     @Test
     void readsMembersBackFromJson() {
         Member entry = Member.entry("entry-1", "2", "10.0.0.1", 7_000, "south");
@@ -117,7 +127,10 @@
         assertThat(MemberRecord.fromJson(new byte[] {1, 2}), is(Optional.empty()));
     }
 
-    /** The answer reaches the announcer on another thread, so the timer may be set after the first advance. */
+    /**
+     * Advances the clock until the next append. The announcer receives answers on another thread, so its timer may be
+     * set only after the first advance.
+     */
     private PendingAppend advanceUntilNext(Duration step) throws InterruptedException {
         PendingAppend next = null;
         while (next == null) {
@@ -127,7 +140,7 @@
         return next;
     }
 
-    /** A log whose answers the test gives. */
+    /** A log whose answers are given by the test. */
     private static final class ManualLog implements PlatformLog {
         private final BlockingQueue<PendingAppend> pending = new LinkedBlockingQueue<>();
 
