--- a/library/src/main/java/org/chivetally/agent/AgentCallbacks.java
+++ b/library/src/main/java/org/chivetally/agent/AgentCallbacks.java
@@ -5,6 +5,8 @@
     /**
      * Offers a configuration that an entry pushed; it is applied if it is valid and newer than the current one.
      *
+     * @param version version of the pushed configuration
+     * @param snapshot the pushed configuration in its wire format
      * @return the configuration that is in force afterwards
      */
     AgentConfiguration offerConfiguration(long version, byte[] snapshot);
--- a/library/src/main/java/org/chivetally/agent/AgentState.java
+++ b/library/src/main/java/org/chivetally/agent/AgentState.java
@@ -37,8 +37,11 @@
     public static final String RESULT_DISCARDED = Attempt.RESULT_DISCARDED;
 
     private static final RefusalReason ADMITTED = RefusalReason.REFUSAL_REASON_UNSPECIFIED;
+    /** Lease of a start that specifies none. */
     private static final long DEFAULT_LEASE_MILLIS = 30_000;
+    /** One day; longer queue times and leases of a start are reduced to it. */
     private static final long MAXIMUM_DURATION_MILLIS = 86_400_000;
+
     private static final long NANOS_PER_MILLI = 1_000_000;
 
     private final AgentSettings settings;
@@ -165,9 +168,9 @@
 
     private void start(AgentEvent.StartRequested request) {
         Start start = request.start();
-        Attempt known = attempts.find(start.getAttemptId());
-        if (known != null) {
-            answerRepeatedAttempt(known, request);
+        Attempt existing = attempts.find(start.getAttemptId());
+        if (existing != null) {
+            answerRepeatedAttempt(existing, request);
             return;
         }
         RefusalReason recent = recentRefusals.reason(start.getAttemptId());
@@ -195,11 +198,11 @@
     }
 
     /** Answers a repeated start of an attempt: it runs only once, and its result goes to the last requester. */
-    private void answerRepeatedAttempt(Attempt known, AgentEvent.StartRequested request) {
+    private void answerRepeatedAttempt(Attempt existing, AgentEvent.StartRequested request) {
         countWaste(AgentEffect.WasteKind.REPEATED_START);
-        known.redirectTo(request.peer(), peers.process(request.peer()));
-        if (known.ended()) {
-            sendResult(request.peer(), request.requestId(), known.id, known);
+        existing.redirectTo(request.peer(), peers.process(request.peer()));
+        if (existing.ended()) {
+            sendResult(request.peer(), request.requestId(), existing.id, existing);
         }
     }
 
@@ -386,13 +389,13 @@
      * Answers with all tasks of a job. A result that doesn't fit into the frame is listed as running and follows in a
      * frame of its own.
      */
-    private void answerInquiry(AgentEvent.InquiryRequested request, List<Attempt> known) {
+    private void answerInquiry(AgentEvent.InquiryRequested request, List<Attempt> jobAttempts) {
         InquiryAnswer.Builder answer = InquiryAnswer.newBuilder()
                 .setJobId(request.inquiry().getJobId())
                 .setReport(report());
         List<Attempt> deferred = new ArrayList<>();
         int bytes = 0;
-        for (Attempt attempt : known) {
+        for (Attempt attempt : jobAttempts) {
             bytes += attempt.resultBytes();
             if (bytes > AgentLimits.MAXIMUM_ANSWER_BYTES) {
                 deferred.add(attempt);
@@ -408,7 +411,7 @@
             writeLine(EventLine.of("agent-inquiry")
                     .with("job", request.inquiry().getJobId())
                     .with("generation", request.inquiry().getGeneration())
-                    .with("known", known.size()));
+                    .with("known", jobAttempts.size()));
         }
         send(
                 request.peer(),
--- a/library/src/main/java/org/chivetally/agent/MemberAnnouncer.java
+++ b/library/src/main/java/org/chivetally/agent/MemberAnnouncer.java
@@ -36,7 +36,7 @@
     /**
      * Starts announcing a process.
      *
-     * @param interval time between announcements; {@link #DEFAULT_INTERVAL} by default
+     * @param interval time between announcements, such as {@link #DEFAULT_INTERVAL}
      */
     public MemberAnnouncer(ActorSystem<?> system, PlatformLog log, Member member, Duration interval) {
         actor = system.systemActorOf(
@@ -73,8 +73,8 @@
     private static final class AnnouncerBehavior extends AbstractBehavior<Command> {
         private static final Duration FIRST_BACKOFF = Duration.ofMillis(500);
         /**
-         * The backoff grows up to the interval divided by this. During an outage of the log each failed attempt sends
-         * the announcement to all seeds, so the attempts must become rare.
+         * The backoff grows up to the interval divided by this. During an outage of the log each failed attempt makes
+         * the process introduce itself to all seeds, so the attempts must become rare.
          */
         private static final int BACKOFFS_PER_INTERVAL = 4;
 
--- a/library/src/main/java/org/chivetally/agent/RecentRefusals.java
+++ b/library/src/main/java/org/chivetally/agent/RecentRefusals.java
@@ -21,8 +21,8 @@
 
     /** Returns why the attempt was refused; unspecified when no refusal is retained. */
     RefusalReason reason(String attemptId) {
-        Refused known = refused.get(attemptId);
-        return known == null ? RefusalReason.REFUSAL_REASON_UNSPECIFIED : known.reason();
+        Refused refusal = refused.get(attemptId);
+        return refusal == null ? RefusalReason.REFUSAL_REASON_UNSPECIFIED : refusal.reason();
     }
 
     void removeExpired(long nowNanos, long retentionNanos) {
--- a/library/src/test/java/org/chivetally/agent/AgentStatePropertyTest.java
+++ b/library/src/test/java/org/chivetally/agent/AgentStatePropertyTest.java
@@ -109,16 +109,16 @@
 
         void perform(Step step) {
             switch (step) {
-                case Step.RequestStart ask -> requestStart(ask);
+                case Step.RequestStart request -> requestStart(request);
                 case Step.RepeatStart repeat -> repeatStart(repeat.which());
                 case Step.Answer answer -> answer(answer.which(), ANSWERS.get(answer.answer()));
                 case Step.Inquire inquire ->
                     observe("", () -> agent.inquire(peer, "j" + inquire.job(), inquire.generation()));
                 case Step.Cancel cancel ->
                     observe("", () -> agent.apply(new AgentEvent.CancelRequested(peer, List.of("j" + cancel.job()))));
-                case Step.ReportState tell ->
-                    observe("", () -> agent.report(tell.healthy(), tell.draining(), tell.running()));
-                case Step.Advance pass -> observe("", () -> agent.advance(Duration.ofMillis(pass.millis())));
+                case Step.ReportState report ->
+                    observe("", () -> agent.report(report.healthy(), report.draining(), report.running()));
+                case Step.Advance advance -> observe("", () -> agent.advance(Duration.ofMillis(advance.millis())));
                 case Step.Reconnect reconnect -> reconnectPeer();
             }
         }
@@ -136,10 +136,10 @@
             assertThat(agent.readyToStop(), is(drain));
         }
 
-        private void requestStart(Step.RequestStart ask) {
-            Start start = agent.start("a" + requested.size(), "j" + ask.job(), ask.task())
-                    .setGeneration(ask.generation())
-                    .setIdempotent(ask.job() == 2)
+        private void requestStart(Step.RequestStart request) {
+            Start start = agent.start("a" + requested.size(), "j" + request.job(), request.task())
+                    .setGeneration(request.generation())
+                    .setIdempotent(request.job() == 2)
                     .build();
             requested.add(start);
             byAttempt.put(start.getAttemptId(), start);
--- a/library/src/test/java/org/chivetally/agent/AgentStateTest.java
+++ b/library/src/test/java/org/chivetally/agent/AgentStateTest.java
@@ -314,10 +314,10 @@
     void aRunStartedAfterTheReportDoesNotHideAnAbandonedOne() {
         agent.requestStart(agent.start("a", "j", 0).setLeaseMillis(1_000));
         agent.advance(Duration.ofMillis(1_000));
-        long asked = agent.now();
+        long requestedNanos = agent.now();
         agent.advanceWithoutTick(Duration.ofMillis(1));
         agent.requestStarts("b", "c");
-        agent.reportRequestedAt(asked, true, false, 1);
+        agent.reportRequestedAt(requestedNanos, true, false, 1);
         assertThat(agent.runs(), contains("a", "b"));
         agent.report(true, false, 1);
         assertThat(agent.runs(), contains("a", "b", "c"));
