--- a/library/src/main/java/org/chivetally/agent/MinionExchange.java
+++ b/library/src/main/java/org/chivetally/agent/MinionExchange.java
@@ -13,9 +13,9 @@
 import org.apache.pekko.stream.Materializer;
 import org.apache.pekko.util.ByteString;
 
-/** One request to the minion and its answer. */
+/** A request to the minion and its answer. */
 final class MinionExchange {
-    /** Header of an answer that says that the task did not run. */
+    /** Header of a 503 response which declares that the task did not run. */
     static final String NOT_RUN_HEADER = "Chivetally-Not-Run";
 
     private static final Duration BODY_TIMEOUT = Duration.ofDays(1);
@@ -42,34 +42,34 @@
         return answer;
     }
 
-    /** Breaks the request off, closes its connection, and ends as lost unless an answer was there. */
+    /** Cancels the request and closes its connection; the answer is lost unless it was already received. */
     void cancel() {
         cancelled = true;
-        answer.complete(new MinionAnswer.Lost("broken off"));
-        MinionConnection used = connection;
-        if (used != null) {
-            used.abort("attempt abandoned");
+        answer.complete(new MinionAnswer.Lost("request cancelled"));
+        MinionConnection usedConnection = connection;
+        if (usedConnection != null) {
+            usedConnection.abort("request cancelled");
         }
     }
 
     /** Sends the request once a new connection is open. */
-    void open(MinionConnection opened) {
-        connection = opened;
-        opened.connected().whenComplete((open, failure) -> {
+    void open(MinionConnection newConnection) {
+        connection = newConnection;
+        newConnection.connected().whenComplete((open, failure) -> {
             if (failure != null) {
                 answer.complete(new MinionAnswer.NotSent(String.valueOf(failure)));
             } else if (cancelled) {
-                opened.abort("broken off before anything was sent");
-            } else if (!sendOver(opened)) {
+                newConnection.abort("request cancelled before it was sent");
+            } else if (!sendOver(newConnection)) {
                 answer.complete(new MinionAnswer.NotSent("connection closed before the request was sent"));
             }
         });
     }
 
     /** Sends the request; returns false when the connection has ended and nothing was sent. */
-    boolean sendOver(MinionConnection used) {
-        connection = used;
-        CompletionStage<HttpResponse> response = used.send(request);
+    boolean sendOver(MinionConnection openConnection) {
+        connection = openConnection;
+        CompletionStage<HttpResponse> response = openConnection.send(request);
         if (response == null) {
             return false;
         }
@@ -82,20 +82,20 @@
             lost(failure);
             return;
         }
-        if (response.entity() instanceof HttpEntity.Strict whole) {
-            read(response, whole.getData());
+        if (response.entity() instanceof HttpEntity.Strict strictEntity) {
+            read(response, strictEntity.getData());
             return;
         }
         response.entity()
                 .withSizeLimit(answerBytes)
                 .toStrict(BODY_TIMEOUT.toMillis(), materializer)
-                .whenComplete((entity, broken) -> {
-                    if (broken == null) {
+                .whenComplete((entity, bodyFailure) -> {
+                    if (bodyFailure == null) {
                         read(response, entity.getData());
-                    } else if (isTooLong(broken)) {
+                    } else if (isTooLong(bodyFailure)) {
                         tooLong();
                     } else {
-                        lost(broken);
+                        lost(bodyFailure);
                     }
                 });
     }
@@ -139,7 +139,7 @@
     }
 
     private void tooLong() {
-        connection.abort("answer too long");
+        connection.abort("the response is too long");
         answer.complete(new MinionAnswer.Failure("the minion's answer has more than " + answerBytes + " bytes"));
     }
 
