--- a/library/src/main/java/org/chivetally/entry/EntryActors.java
+++ b/library/src/main/java/org/chivetally/entry/EntryActors.java
@@ -147,7 +147,7 @@
 
     /** Gives the members known here. */
     void membersTo(Consumer<List<Member>> reply) {
-        tellMembers(new MemberActor.MembersOf(reply));
+        tellMembers(new MemberActor.ListMembers(reply));
     }
 
     /** Notes a process that introduced itself. */
--- a/library/src/main/java/org/chivetally/entry/dispatch/DispatchActor.java
+++ b/library/src/main/java/org/chivetally/entry/dispatch/DispatchActor.java
@@ -255,7 +255,7 @@
                 connected.add(processId);
             }
         }
-        parts.membershipEvents().accept(new MembershipEvent.Connected(connected));
+        parts.membershipEvents().accept(new MembershipEvent.ConnectedProcesses(connected));
     }
 
     @Override
@@ -271,7 +271,7 @@
         pushes.connected(hello, now);
         decideAll(roster.up(hello, now));
         MemberRecords.ofHello(hello)
-                .ifPresent(member -> parts.membershipEvents().accept(new MembershipEvent.Reached(member)));
+                .ifPresent(member -> parts.membershipEvents().accept(new MembershipEvent.ConnectionOpened(member)));
     }
 
     @Override
@@ -282,7 +282,7 @@
         pushes.disconnected(hello.getProcessId());
         decideAll(roster.down(agent, parts.clock().nanos()));
         parts.membershipEvents()
-                .accept(new MembershipEvent.Lost(new Incarnation(agent.processId(), agent.incarnation())));
+                .accept(new MembershipEvent.ConnectionLost(new Incarnation(agent.processId(), agent.incarnation())));
     }
 
     @Override
--- a/library/src/main/java/org/chivetally/entry/member/MemberActor.java
+++ b/library/src/main/java/org/chivetally/entry/member/MemberActor.java
@@ -25,8 +25,8 @@
 public final class MemberActor extends AbstractBehavior<MemberActor.Command> {
     private static final FluentLogger LOGGER = FluentLogger.forEnclosingClass();
     private static final int RECORDS_PER_READ = 1_000;
-    private static final Duration LONGEST_READ = Duration.ofSeconds(5);
-    private static final Duration RETRY = Duration.ofMillis(500);
+    private static final Duration LONG_POLL_WAIT = Duration.ofSeconds(5);
+    private static final Duration READ_RETRY_DELAY = Duration.ofMillis(500);
     private static final Duration TICK_INTERVAL = Duration.ofMillis(100);
     private static final Duration INTRODUCE_INTERVAL = Duration.ofSeconds(5);
 
@@ -35,9 +35,9 @@
     private final MembershipView view;
     private long nextOffset;
     private boolean changed;
-    private boolean atEnd;
-    private boolean current;
-    private boolean reachable;
+    private boolean caughtUpOnce;
+    private boolean upToDate;
+    private boolean logReachable;
 
     private MemberActor(ActorContext<Command> context, TimerScheduler<Command> timers, Parts parts) {
         super(context);
@@ -72,15 +72,15 @@
 
     private void handle(Command command) {
         switch (command) {
-            case Event event -> apply(event.event());
+            case Event event -> applyAndPublish(event.event());
             case ReadDone done -> onRead(done.outcome());
-            case ReadAgain again -> read();
+            case RetryRead again -> read();
             case CatchUpRead read -> onCatchUpRead(read);
             case CatchUp catchUp -> catchUp(catchUp);
-            case MembersOf asked -> asked.reply().accept(view.list().members());
+            case ListMembers asked -> asked.reply().accept(view.list().members());
             case Announce announce -> announce();
-            case Introduce introduce -> introduceUnlessReachable();
-            case Tick tick -> apply(new MembershipEvent.Ticked());
+            case Introduce introduce -> introduceUnlessLogReachable();
+            case Tick tick -> applyAndPublish(new MembershipEvent.Ticked());
             case Written written -> onWritten(written);
             case Leave leave -> throw new IllegalStateException("handled before");
         }
@@ -88,39 +88,40 @@
 
     private void onRead(ReadOutcome outcome) {
         switch (outcome) {
-            case ReadOutcome.Records records -> foldAll(records);
+            case ReadOutcome.Records records -> applyRecords(records);
             case ReadOutcome.Expired expired -> nextOffset = Math.max(nextOffset, expired.earliestOffset());
             case ReadOutcome.Unavailable unavailable -> {
                 LOGGER.atWarning().atMostEvery(10, TimeUnit.SECONDS).log(
                         "%s", EventLine.of("members-read-failed").with("reason", unavailable.reason()));
-                current = false;
-                setReachable(false);
-                timers.startSingleTimer(new ReadAgain(), RETRY);
+                upToDate = false;
+                setLogReachable(false);
+                timers.startSingleTimer(new RetryRead(), READ_RETRY_DELAY);
                 return;
             }
         }
         read();
     }
 
-    private void foldAll(ReadOutcome.Records records) {
-        setReachable(true);
+    private void applyRecords(ReadOutcome.Records records) {
+        setLogReachable(true);
         for (LogRecord record : records.records()) {
             // Two reads may be under way; the later answer repeats records of the earlier one.
             if (record.offset() >= nextOffset) {
                 nextOffset = record.offset() + 1;
-                MemberRecords.read(record.payload()).ifPresent(known -> take(new MembershipEvent.Recorded(known)));
+                MemberRecords.read(record.payload())
+                        .ifPresent(known -> applyEvent(new MembershipEvent.RecordRead(known)));
             }
         }
         publishIfChanged();
-        current = nextOffset >= records.endOffset();
-        if (!atEnd && current) {
-            atEnd = true;
+        upToDate = nextOffset >= records.endOffset();
+        if (!caughtUpOnce && upToDate) {
+            caughtUpOnce = true;
             parts.caughtUp().run();
         }
     }
 
-    private void setReachable(boolean isReachable) {
-        reachable = isReachable;
+    private void setLogReachable(boolean isReachable) {
+        logReachable = isReachable;
         parts.logReachable().accept(isReachable);
     }
 
@@ -137,7 +138,7 @@
             read.catchUp().done().complete(false);
             return;
         }
-        foldAll(records);
+        applyRecords(records);
         if (nextOffset < records.endOffset()) {
             catchUp(read.catchUp());
             return;
@@ -147,8 +148,8 @@
 
     // While the log is down nobody reads an announcement, and a process that starts then would stay unknown. It says so
     // to the processes of its settings instead, and asks them whom they know.
-    private void introduceUnlessReachable() {
-        if (!reachable) {
+    private void introduceUnlessLogReachable() {
+        if (!logReachable) {
             parts.introduce().run();
         }
     }
@@ -166,14 +167,14 @@
     }
 
     private void onWritten(Written written) {
-        boolean lost = !(written.outcome() instanceof AppendOutcome.Appended);
-        if (lost) {
+        boolean failed = !(written.outcome() instanceof AppendOutcome.Appended);
+        if (failed) {
             LOGGER.atWarning().atMostEvery(10, TimeUnit.SECONDS).log(
                     "%s", EventLine.of("member-record-not-written").with("record", written.record()));
         }
-        boolean own = written.record() instanceof MemberRecord.Announce;
-        if (lost && own && !timers.isTimerActive(Announce.AGAIN)) {
-            timers.startSingleTimer(Announce.AGAIN, new Announce(), INTRODUCE_INTERVAL);
+        boolean isAnnouncement = written.record() instanceof MemberRecord.Announce;
+        if (failed && isAnnouncement && !timers.isTimerActive(Announce.RETRY_TIMER_KEY)) {
+            timers.startSingleTimer(Announce.RETRY_TIMER_KEY, new Announce(), INTRODUCE_INTERVAL);
         }
     }
 
@@ -190,7 +191,7 @@
     private void read() {
         getContext()
                 .pipeToSelf(
-                        parts.log().read(MemberRecords.STREAM, nextOffset, RECORDS_PER_READ, LONGEST_READ),
+                        parts.log().read(MemberRecords.STREAM, nextOffset, RECORDS_PER_READ, LONG_POLL_WAIT),
                         (outcome, failure) -> new ReadDone(orUnavailable(outcome, failure)));
     }
 
@@ -198,14 +199,14 @@
         return failure == null ? outcome : new ReadOutcome.Unavailable(failure.toString());
     }
 
-    private void apply(MembershipEvent event) {
-        take(event);
+    private void applyAndPublish(MembershipEvent event) {
+        applyEvent(event);
         publishIfChanged();
     }
 
-    private void take(MembershipEvent event) {
+    private void applyEvent(MembershipEvent event) {
         for (MembershipEffect effect : view.handle(event, parts.clock().nanos())) {
-            carryOut(effect);
+            execute(effect);
         }
     }
 
@@ -216,10 +217,10 @@
         }
     }
 
-    private void carryOut(MembershipEffect effect) {
+    private void execute(MembershipEffect effect) {
         switch (effect) {
             case MembershipEffect.Changed another -> changed = true;
-            case MembershipEffect.Append append when !current -> {
+            case MembershipEffect.Append append when !upToDate -> {
                 // Most of what could be written stands in records not read yet; in an outage nothing can be written at
                 // all. What is still wanted after the next read comes again.
             }
@@ -229,7 +230,7 @@
             }
             default -> {
                 LOGGER.atInfo().log("%s", EventLine.of("member").with("effect", effect));
-                parts.outward().accept(effect);
+                parts.connectionEffects().accept(effect);
             }
         }
     }
@@ -244,21 +245,21 @@
     public record CatchUp(CompletableFuture<Boolean> done) implements Command {}
 
     /** Give the members to a peer that can't read them. */
-    public record MembersOf(Consumer<List<Member>> reply) implements Command {}
+    public record ListMembers(Consumer<List<Member>> reply) implements Command {}
 
     /** Says in the log that this process stops, and ends the actor. */
     public record Leave(CompletableFuture<Void> done) implements Command {}
 
     private record ReadDone(ReadOutcome outcome) implements Command {}
 
-    private record ReadAgain() implements Command {}
+    private record RetryRead() implements Command {}
 
     private record CatchUpRead(CatchUp catchUp, ReadOutcome outcome) implements Command {}
 
     private record Written(MemberRecord record, AppendOutcome outcome) implements Command {}
 
     private record Announce() implements Command {
-        private static final String AGAIN = "announce-again";
+        private static final String RETRY_TIMER_KEY = "announce-again";
     }
 
     private record Introduce() implements Command {}
@@ -271,7 +272,7 @@
      * @param self this process as a member
      * @param announceInterval time between announcements; well under what the log keeps
      * @param publish takes each new list, on the actor's thread
-     * @param outward takes effects that concern connections, on the actor's thread
+     * @param connectionEffects takes effects that concern connections, on the actor's thread
      * @param caughtUp run once, when the stream was read to its end for the first time
      * @param logReachable told after each read whether it succeeded
      * @param introduce tells the processes of the settings of this one, and asks them whom they know
@@ -283,7 +284,7 @@
             MembershipSettings settings,
             Duration announceInterval,
             Consumer<MemberList> publish,
-            Consumer<MembershipEffect> outward,
+            Consumer<MembershipEffect> connectionEffects,
             Runnable caughtUp,
             Consumer<Boolean> logReachable,
             Runnable introduce) {}
--- a/library/src/main/java/org/chivetally/entry/member/MembershipSettings.java
+++ b/library/src/main/java/org/chivetally/entry/member/MembershipSettings.java
@@ -5,32 +5,32 @@
 /**
  * Times of the view of members.
  *
- * @param joinPatience time without a connection after which a member that was never reached is suspected
- * @param unheardLimit time without a connection or an announcement after which a member is presumed gone without
+ * @param joinTimeout time without a connection after which a member that was never reached is suspected
+ * @param contactTimeout time without a connection or an announcement after which a member is presumed gone without
  *     anyone's word; longer than the time between two announcements
  * @param endedRetention how long ended incarnations are named; at least as long as a claim may be taken over
- * @param firstQuestion time from a suspicion to the first question to other entries
- * @param questionInterval time to the next question; doubles up to the limit
- * @param questionLimit longest time between two questions
- * @param answerPatience time in which answers to a question count
- * @param goneAfter least time of suspicion before a member is declared gone
- * @param turn time that each further entry waits before it declares the same member gone
- * @param announceForAfter time after which an agent that only introduced itself is announced by this entry
+ * @param firstQueryDelay time from a suspicion to the first question to other entries
+ * @param queryInterval time to the next question; doubles up to the limit
+ * @param longestQueryInterval longest time between two questions
+ * @param answerTimeout time in which answers to a question count
+ * @param minimumSuspicion least time of suspicion before a member is declared gone
+ * @param declarationStagger time that each further entry waits before it declares the same member gone
+ * @param announceOnBehalfAfter time after which an agent that only introduced itself is announced by this entry
  * @param flapWindow time without a suspicion after which earlier ones are forgotten
  * @param shortestHoldDown hold-down after the second suspicion; doubles with each further one
  * @param longestHoldDown longest hold-down
  */
 public record MembershipSettings(
-        Duration joinPatience,
-        Duration unheardLimit,
+        Duration joinTimeout,
+        Duration contactTimeout,
         Duration endedRetention,
-        Duration firstQuestion,
-        Duration questionInterval,
-        Duration questionLimit,
-        Duration answerPatience,
-        Duration goneAfter,
-        Duration turn,
-        Duration announceForAfter,
+        Duration firstQueryDelay,
+        Duration queryInterval,
+        Duration longestQueryInterval,
+        Duration answerTimeout,
+        Duration minimumSuspicion,
+        Duration declarationStagger,
+        Duration announceOnBehalfAfter,
         Duration flapWindow,
         Duration shortestHoldDown,
         Duration longestHoldDown) {
--- a/library/src/main/java/org/chivetally/entry/member/MembershipView.java
+++ b/library/src/main/java/org/chivetally/entry/member/MembershipView.java
@@ -24,19 +24,19 @@
  * all. A fault of one entry, one connection or one failure domain therefore takes a member out of one view at most.
  */
 public final class MembershipView {
-    private static final int MOST_ASKED = 3;
+    private static final int MAXIMUM_QUERIED_ENTRIES = 3;
 
     private final Member self;
     private final MembershipSettings settings;
-    private final Map<String, KnownMember> present = new HashMap<>();
-    private final Map<Incarnation, KnownMember> ended = new LinkedHashMap<>();
+    private final Map<String, TrackedMember> activeMembers = new HashMap<>();
+    private final Map<Incarnation, TrackedMember> endedMembers = new LinkedHashMap<>();
     /** Incarnations that are over and not named any more; never to be members again. */
-    private final Set<Incarnation> closed = new HashSet<>();
+    private final Set<Incarnation> retiredIncarnations = new HashSet<>();
 
     /** Incarnations of which the records told nothing but that they left, and when that was read. */
-    private final Map<Incarnation, Long> leftUnseen = new LinkedHashMap<>();
+    private final Map<Incarnation, Long> unknownDepartures = new LinkedHashMap<>();
 
-    private final Map<String, Flaps> flaps = new HashMap<>();
+    private final Map<String, FlapHistory> flapHistories = new HashMap<>();
     private List<MembershipEffect> effects = new ArrayList<>();
     private boolean changed;
     private long now;
@@ -45,9 +45,9 @@
     public MembershipView(Member self, MembershipSettings settings, long now) {
         this.self = self;
         this.settings = settings;
-        KnownMember own = new KnownMember(self, true, now);
-        own.enter(MemberState.ALIVE, now);
-        present.put(self.processId(), own);
+        TrackedMember own = new TrackedMember(self, true, now);
+        own.transitionTo(MemberState.ALIVE, now);
+        activeMembers.put(self.processId(), own);
     }
 
     /** Takes an event in and returns what to do, in order. */
@@ -56,13 +56,13 @@
         effects = new ArrayList<>();
         changed = false;
         switch (event) {
-            case MembershipEvent.Recorded recorded -> record(recorded.record());
-            case MembershipEvent.Introduced introduced -> announce(introduced.member(), false);
-            case MembershipEvent.Reached reached -> reach(reached.member());
-            case MembershipEvent.Lost lost -> lose(lost.member());
-            case MembershipEvent.Connected connected -> hear(connected.processIds());
-            case MembershipEvent.Answered answered -> answer(answered);
-            case MembershipEvent.Ticked ticked -> tick();
+            case MembershipEvent.RecordRead recorded -> applyRecord(recorded.record());
+            case MembershipEvent.Introduced introduced -> applyAnnouncement(introduced.member(), false);
+            case MembershipEvent.ConnectionOpened reached -> applyConnectionOpened(reached.member());
+            case MembershipEvent.ConnectionLost lost -> applyConnectionLost(lost.member());
+            case MembershipEvent.ConnectedProcesses connected -> refreshContact(connected.processIds());
+            case MembershipEvent.SuspicionAnswered answered -> applyAnswer(answered);
+            case MembershipEvent.Ticked ticked -> applyTick();
         }
         if (changed) {
             effects.add(new MembershipEffect.Changed());
@@ -74,17 +74,19 @@
     public MemberList list() {
         List<Member> members = new ArrayList<>();
         Set<Incarnation> unannounced = new HashSet<>();
-        for (KnownMember one : present.values()) {
+        for (TrackedMember one : activeMembers.values()) {
             members.add(one.member);
             if (!one.announced) {
                 unannounced.add(one.id());
             }
         }
         members.sort(Comparator.comparing(Member::processId));
-        List<EndedMember> over = new ArrayList<>();
-        ended.values().forEach(one -> over.add(EndedMember.of(one.member, one.ended)));
-        leftUnseen.keySet().forEach(id -> over.add(new EndedMember(id, "", "", EndedMember.Reason.LEFT)));
-        return new MemberList(members, unannounced, over);
+        List<EndedMember> recentlyEnded = new ArrayList<>();
+        endedMembers.values().forEach(one -> recentlyEnded.add(EndedMember.of(one.member, one.endReason)));
+        unknownDepartures
+                .keySet()
+                .forEach(id -> recentlyEnded.add(new EndedMember(id, "", "", EndedMember.Reason.LEFT)));
+        return new MemberList(members, unannounced, recentlyEnded);
     }
 
     /** Returns the state of an incarnation; empty when it is not known. */
@@ -92,98 +94,98 @@
         return Optional.ofNullable(find(id)).map(one -> one.state);
     }
 
-    private void record(MemberRecord record) {
+    private void applyRecord(MemberRecord record) {
         switch (record) {
-            case MemberRecord.Announce announce -> announce(announce.member(), true);
-            case MemberRecord.Leave leave -> leave(new Incarnation(leave.processId(), leave.incarnation()));
-            case MemberRecord.Gone gone -> gone(new Incarnation(gone.processId(), gone.incarnation()));
+            case MemberRecord.Announce announce -> applyAnnouncement(announce.member(), true);
+            case MemberRecord.Leave leave -> applyLeave(new Incarnation(leave.processId(), leave.incarnation()));
+            case MemberRecord.Gone gone -> applyGone(new Incarnation(gone.processId(), gone.incarnation()));
         }
     }
 
     // An append that was delayed for long can bring the announcement of an incarnation after its successor's or after
     // its own end. Agents would be dialled at old addresses and counted as ended, in turns. Incarnations are never
     // reused, so one that has ended stays ended; only one that was presumed gone may come back.
-    private void announce(Member member, boolean inLog) {
-        if (closed.contains(member.id())) {
+    private void applyAnnouncement(Member member, boolean inLog) {
+        if (retiredIncarnations.contains(member.id())) {
             return;
         }
-        KnownMember known = find(member.id());
-        if (known != null && known.ended != null) {
-            comeBack(known, inLog);
+        TrackedMember known = find(member.id());
+        if (known != null && known.endReason != null) {
+            rejoin(known, inLog);
             return;
         }
         if (known != null) {
             update(known, member, inLog);
             return;
         }
-        enter(new KnownMember(member, inLog, now));
+        addMember(new TrackedMember(member, inLog, now));
     }
 
-    private void comeBack(KnownMember known, boolean inLog) {
-        if (known.ended != EndedMember.Reason.PRESUMED_GONE) {
+    private void rejoin(TrackedMember known, boolean inLog) {
+        if (known.endReason != EndedMember.Reason.PRESUMED_GONE) {
             return;
         }
-        ended.remove(known.id());
-        known.ended = null;
+        endedMembers.remove(known.id());
+        known.endReason = null;
         known.announced |= inLog;
-        known.heardAt = now;
-        known.enter(known.reached ? MemberState.ALIVE : MemberState.JOINING, now);
-        enter(known);
+        known.lastContactNanos = now;
+        known.transitionTo(known.connected ? MemberState.ALIVE : MemberState.JOINING, now);
+        addMember(known);
     }
 
-    private void update(KnownMember known, Member member, boolean inLog) {
+    private void update(TrackedMember known, Member member, boolean inLog) {
         changed |= !known.member.equals(member) || inLog && !known.announced;
         known.member = member;
         known.announced |= inLog;
-        known.heardAt = now;
+        known.lastContactNanos = now;
     }
 
-    private void enter(KnownMember entering) {
+    private void addMember(TrackedMember entering) {
         String processId = entering.member.processId();
         if (processId.equals(self.processId()) && !entering.id().equals(self.id())) {
             // An earlier run of this very process.
-            end(entering, EndedMember.Reason.SUPERSEDED);
+            endMember(entering, EndedMember.Reason.SUPERSEDED);
             return;
         }
-        KnownMember before = present.put(processId, entering);
-        if (before != null) {
-            end(before, EndedMember.Reason.SUPERSEDED);
+        TrackedMember predecessor = activeMembers.put(processId, entering);
+        if (predecessor != null) {
+            endMember(predecessor, EndedMember.Reason.SUPERSEDED);
         }
         changed = true;
     }
 
-    private void end(KnownMember ending, EndedMember.Reason reason) {
-        present.remove(ending.member.processId(), ending);
+    private void endMember(TrackedMember ending, EndedMember.Reason reason) {
+        activeMembers.remove(ending.member.processId(), ending);
         ending.end(reason, now);
-        ended.put(ending.id(), ending);
+        endedMembers.put(ending.id(), ending);
         changed = true;
     }
 
-    private void leave(Incarnation id) {
-        KnownMember known = find(id);
+    private void applyLeave(Incarnation id) {
+        TrackedMember known = find(id);
         if (known == null) {
-            leaveUnseen(id);
+            applyUnknownLeave(id);
             return;
         }
-        if (id.equals(self.id()) || known.ended == EndedMember.Reason.LEFT) {
+        if (id.equals(self.id()) || known.endReason == EndedMember.Reason.LEFT) {
             return;
         }
-        flaps.remove(id.processId());
-        end(known, EndedMember.Reason.LEFT);
+        flapHistories.remove(id.processId());
+        endMember(known, EndedMember.Reason.LEFT);
     }
 
-    private void leaveUnseen(Incarnation id) {
-        if (closed.add(id)) {
-            leftUnseen.put(id, now);
+    private void applyUnknownLeave(Incarnation id) {
+        if (retiredIncarnations.add(id)) {
+            unknownDepartures.put(id, now);
             changed = true;
         }
     }
 
     // Several entries may write the record, and a lost answer may write it twice. Counted once per incarnation, a late
     // one can't take a member out again that has announced itself since.
-    private void gone(Incarnation id) {
-        KnownMember known = find(id);
-        if (known == null || known.ended != null || known.declaredGone) {
+    private void applyGone(Incarnation id) {
+        TrackedMember known = find(id);
+        if (known == null || known.endReason != null || known.declaredGone) {
             return;
         }
         known.declaredGone = true;
@@ -191,147 +193,153 @@
             effects.add(new MembershipEffect.Append(new MemberRecord.Announce(self)));
             return;
         }
-        end(known, EndedMember.Reason.PRESUMED_GONE);
-        if (known.reached) {
+        endMember(known, EndedMember.Reason.PRESUMED_GONE);
+        if (known.connected) {
             effects.add(new MembershipEffect.TellGone(known.member));
         }
     }
 
-    private void reach(Member member) {
-        if (member.processId().equals(self.processId()) || closed.contains(member.id())) {
+    private void applyConnectionOpened(Member member) {
+        if (member.processId().equals(self.processId()) || retiredIncarnations.contains(member.id())) {
             return;
         }
-        KnownMember known = find(member.id());
+        TrackedMember known = find(member.id());
         if (known == null) {
-            known = new KnownMember(member, false, now);
-            enter(known);
+            known = new TrackedMember(member, false, now);
+            addMember(known);
         }
-        known.reached = true;
-        known.heardAt = now;
-        if (known.ended == null) {
-            alive(known);
+        known.connected = true;
+        known.lastContactNanos = now;
+        if (known.endReason == null) {
+            markAlive(known);
         } else {
-            reachEnded(known);
+            applyConnectionToEnded(known);
         }
     }
 
-    private void reachEnded(KnownMember known) {
-        switch (known.ended) {
+    private void applyConnectionToEnded(TrackedMember known) {
+        switch (known.endReason) {
             case LEFT -> {
                 // It finishes what it has.
             }
             case PRESUMED_GONE -> effects.add(new MembershipEffect.TellGone(known.member));
             case SUPERSEDED -> {
                 // The records came in another order than the incarnations ran; an open connection knows better.
-                ended.remove(known.id());
-                known.ended = null;
-                enter(known);
-                alive(known);
+                endedMembers.remove(known.id());
+                known.endReason = null;
+                addMember(known);
+                markAlive(known);
             }
         }
     }
 
-    private void alive(KnownMember known) {
-        known.enter(MemberState.ALIVE, now);
-        Flaps history = flaps.get(known.member.processId());
-        if (known.member.isAgent() && history != null && history.cameBack(settings, now)) {
+    private void markAlive(TrackedMember known) {
+        known.transitionTo(MemberState.ALIVE, now);
+        FlapHistory history = flapHistories.get(known.member.processId());
+        if (known.member.isAgent() && history != null && history.beginHoldDownIfFlapping(settings, now)) {
             effects.add(new MembershipEffect.HoldDown(known.id(), true));
         }
     }
 
-    private void lose(Incarnation id) {
-        KnownMember known = find(id);
-        if (known == null || !known.reached) {
+    private void applyConnectionLost(Incarnation id) {
+        TrackedMember known = find(id);
+        if (known == null || !known.connected) {
             return;
         }
-        known.reached = false;
-        known.heardAt = now;
-        if (known.ended == null) {
-            flaps.computeIfAbsent(id.processId(), unknown -> new Flaps()).failed(settings, now);
-            known.enter(MemberState.SUSPECT, now);
+        known.connected = false;
+        known.lastContactNanos = now;
+        if (known.endReason == null) {
+            flapHistories
+                    .computeIfAbsent(id.processId(), unknown -> new FlapHistory())
+                    .recordFailure(settings, now);
+            known.transitionTo(MemberState.SUSPECT, now);
         }
     }
 
-    private void hear(Set<String> processIds) {
+    private void refreshContact(Set<String> processIds) {
         for (String processId : processIds) {
-            KnownMember one = present.get(processId);
+            TrackedMember one = activeMembers.get(processId);
             if (one != null) {
-                one.heardAt = now;
+                one.lastContactNanos = now;
             }
         }
     }
 
-    private void answer(MembershipEvent.Answered answered) {
-        KnownMember suspect = find(answered.suspect());
-        KnownMember entry = find(answered.entry());
+    private void applyAnswer(MembershipEvent.SuspicionAnswered answered) {
+        TrackedMember suspect = find(answered.suspect());
+        TrackedMember entry = find(answered.entry());
         if (suspect == null || suspect.suspicion == null || entry == null) {
             return;
         }
-        boolean elsewhere = !entry.member.failureDomain().equals(self.failureDomain());
-        suspect.suspicion.answered(answered.alive(), elsewhere);
+        boolean otherFailureDomain = !entry.member.failureDomain().equals(self.failureDomain());
+        suspect.suspicion.recordAnswer(answered.alive(), otherFailureDomain);
     }
 
-    private void tick() {
-        present.get(self.processId()).heardAt = now;
-        for (KnownMember one : List.copyOf(present.values())) {
-            tend(one);
-        }
-        flaps.forEach(this::release);
-        flaps.values().removeIf(history -> history.isOver(settings, now));
-        long retention = settings.endedRetention().toNanos();
-        changed |= leftUnseen.values().removeIf(at -> now - at >= retention);
-        changed |= ended.values().removeIf(one -> !one.reached && now - one.since >= retention && forget(one));
+    private void applyTick() {
+        activeMembers.get(self.processId()).lastContactNanos = now;
+        for (TrackedMember one : List.copyOf(activeMembers.values())) {
+            checkMember(one);
+        }
+        flapHistories.forEach(this::endHoldDown);
+        flapHistories.values().removeIf(history -> history.isExpired(settings, now));
+        long retentionNanos = settings.endedRetention().toNanos();
+        changed |= unknownDepartures.values().removeIf(at -> now - at >= retentionNanos);
+        changed |= endedMembers
+                .values()
+                .removeIf(one -> !one.connected && now - one.stateSinceNanos >= retentionNanos && retire(one));
     }
 
-    private boolean forget(KnownMember one) {
-        if (one.ended != EndedMember.Reason.PRESUMED_GONE) {
-            closed.add(one.id());
+    private boolean retire(TrackedMember one) {
+        if (one.endReason != EndedMember.Reason.PRESUMED_GONE) {
+            retiredIncarnations.add(one.id());
         }
         return true;
     }
 
-    private void tend(KnownMember one) {
-        boolean waited = now - one.since >= settings.joinPatience().toNanos();
-        if (one.state == MemberState.JOINING && waited) {
-            one.enter(MemberState.SUSPECT, now);
+    private void checkMember(TrackedMember one) {
+        boolean joinTimedOut =
+                now - one.stateSinceNanos >= settings.joinTimeout().toNanos();
+        if (one.state == MemberState.JOINING && joinTimedOut) {
+            one.transitionTo(MemberState.SUSPECT, now);
         }
         if (one.suspicion != null) {
-            question(one);
+            checkSuspicion(one);
         }
         if (!one.announced && one.member.isAgent()) {
-            announceFor(one);
+            announceOnBehalf(one);
         }
-        boolean unheard = now - one.heardAt >= settings.unheardLimit().toNanos();
-        if (unheard && !one.reached && !one.id().equals(self.id())) {
-            end(one, EndedMember.Reason.PRESUMED_GONE);
+        boolean contactTimedOut =
+                now - one.lastContactNanos >= settings.contactTimeout().toNanos();
+        if (contactTimedOut && !one.connected && !one.id().equals(self.id())) {
+            endMember(one, EndedMember.Reason.PRESUMED_GONE);
         }
     }
 
     // An entry that takes a job over has to ask all agents that may have run its tasks, and knows of them by the log.
     // An agent that the log does not know yet is therefore announced from here as well as by its own next attempt.
-    private void announceFor(KnownMember agent) {
-        if (now - agent.announceAt >= settings.announceForAfter().toNanos()) {
-            agent.announceAt = now;
+    private void announceOnBehalf(TrackedMember agent) {
+        if (now - agent.lastAnnouncedNanos >= settings.announceOnBehalfAfter().toNanos()) {
+            agent.lastAnnouncedNanos = now;
             effects.add(new MembershipEffect.Append(new MemberRecord.Announce(agent.member)));
         }
     }
 
-    private void question(KnownMember suspect) {
-        long turn = settings.turn().toNanos() * rank(suspect);
-        boolean settled = suspect.suspicion.isSettled(settings, turn, now);
-        if (settled && !suspect.declaredGone && suspect.suspicion.declare(settings, now)) {
+    private void checkSuspicion(TrackedMember suspect) {
+        long staggerNanos = settings.declarationStagger().toNanos() * declarationRank(suspect);
+        boolean confirmed = suspect.suspicion.mayDeclareGone(settings, staggerNanos, now);
+        if (confirmed && !suspect.declaredGone && suspect.suspicion.beginDeclaration(settings, now)) {
             effects.add(new MembershipEffect.Append(
                     new MemberRecord.Gone(suspect.member.processId(), suspect.member.incarnation(), self.processId())));
         }
-        if (suspect.suspicion.isQuestionDue(settings, now)) {
-            suspect.suspicion.asked(now);
-            witnesses(suspect).forEach(entry -> effects.add(new MembershipEffect.Ask(entry.id(), suspect.id())));
+        if (suspect.suspicion.isQueryDue(settings, now)) {
+            suspect.suspicion.recordQuery(now);
+            entriesToQuery(suspect).forEach(entry -> effects.add(new MembershipEffect.Ask(entry.id(), suspect.id())));
         }
     }
 
-    private int rank(KnownMember suspect) {
+    private int declarationRank(TrackedMember suspect) {
         List<String> entries = new ArrayList<>();
-        for (KnownMember one : present.values()) {
+        for (TrackedMember one : activeMembers.values()) {
             if (!one.member.isAgent() && one.state == MemberState.ALIVE) {
                 entries.add(one.member.processId());
             }
@@ -340,32 +348,32 @@
     }
 
     /** Returns the entries to ask: one of each other failure domain, of three at most. */
-    private List<KnownMember> witnesses(KnownMember suspect) {
-        Map<String, KnownMember> byDomain = new LinkedHashMap<>();
-        List<KnownMember> entries = new ArrayList<>(present.values());
+    private List<TrackedMember> entriesToQuery(TrackedMember suspect) {
+        Map<String, TrackedMember> byDomain = new LinkedHashMap<>();
+        List<TrackedMember> entries = new ArrayList<>(activeMembers.values());
         entries.sort(Comparator.comparing(one -> one.member.processId()));
-        for (KnownMember entry : entries) {
+        for (TrackedMember entry : entries) {
             String domain = entry.member.failureDomain();
-            boolean usable = !entry.member.isAgent() && entry.reached && entry != suspect;
-            if (usable && !domain.equals(self.failureDomain()) && byDomain.size() < MOST_ASKED) {
+            boolean usable = !entry.member.isAgent() && entry.connected && entry != suspect;
+            if (usable && !domain.equals(self.failureDomain()) && byDomain.size() < MAXIMUM_QUERIED_ENTRIES) {
                 byDomain.putIfAbsent(domain, entry);
             }
         }
         return List.copyOf(byDomain.values());
     }
 
-    private void release(String processId, Flaps history) {
-        if (!history.release(now)) {
+    private void endHoldDown(String processId, FlapHistory history) {
+        if (!history.endHoldDownIfExpired(now)) {
             return;
         }
-        KnownMember one = present.get(processId);
+        TrackedMember one = activeMembers.get(processId);
         if (one != null) {
             effects.add(new MembershipEffect.HoldDown(one.id(), false));
         }
     }
 
-    private KnownMember find(Incarnation id) {
-        KnownMember one = present.get(id.processId());
-        return one != null && one.id().equals(id) ? one : ended.get(id);
+    private TrackedMember find(Incarnation id) {
+        TrackedMember one = activeMembers.get(id.processId());
+        return one != null && one.id().equals(id) ? one : endedMembers.get(id);
     }
 }
--- a/library/src/main/java/org/chivetally/entry/member/Suspicion.java
+++ b/library/src/main/java/org/chivetally/entry/member/Suspicion.java
@@ -7,31 +7,32 @@
  * member cut off from some still serves the others.
  */
 final class Suspicion {
-    private final long begunAt;
-    private long questions;
-    private long askedAt;
+    private final long startedNanos;
+    private long queryCount;
+    private long lastQueryNanos;
     private boolean confirmed;
     private boolean refuted;
-    private long declaredAt;
+    private long declaredNanos;
     private boolean declared;
 
     Suspicion(long now) {
-        this.begunAt = now;
+        this.startedNanos = now;
     }
 
     /** Tells whether the next question is due. */
-    boolean isQuestionDue(MembershipSettings settings, long now) {
-        if (questions == 0) {
-            return now - begunAt >= settings.firstQuestion().toNanos();
+    boolean isQueryDue(MembershipSettings settings, long now) {
+        if (queryCount == 0) {
+            return now - startedNanos >= settings.firstQueryDelay().toNanos();
         }
-        long longest = settings.questionLimit().toNanos();
-        int shift = (int) Math.min(questions - 1, 16);
-        return now - askedAt >= Math.min(longest, settings.questionInterval().toNanos() << shift);
+        long longestNanos = settings.longestQueryInterval().toNanos();
+        int shift = (int) Math.min(queryCount - 1, 16);
+        return now - lastQueryNanos
+                >= Math.min(longestNanos, settings.queryInterval().toNanos() << shift);
     }
 
-    void asked(long now) {
-        questions++;
-        askedAt = now;
+    void recordQuery(long now) {
+        queryCount++;
+        lastQueryNanos = now;
         confirmed = false;
         refuted = false;
     }
@@ -41,26 +42,27 @@
      *
      * @param elsewhere whether the entry that answers is in another failure domain than this one
      */
-    void answered(boolean alive, boolean elsewhere) {
+    void recordAnswer(boolean alive, boolean otherFailureDomain) {
         refuted |= alive;
-        confirmed |= !alive && elsewhere;
+        confirmed |= !alive && otherFailureDomain;
     }
 
     /** Tells whether the member may be declared gone by the entry whose turn comes after the given time. */
-    boolean isSettled(MembershipSettings settings, long turnNanos, long now) {
-        boolean waited = now - begunAt >= settings.goneAfter().toNanos() + turnNanos;
-        boolean heard =
-                questions > 0 && now - askedAt >= settings.answerPatience().toNanos();
-        return waited && heard && confirmed && !refuted;
+    boolean mayDeclareGone(MembershipSettings settings, long staggerNanos, long now) {
+        boolean suspectedLongEnough =
+                now - startedNanos >= settings.minimumSuspicion().toNanos() + staggerNanos;
+        boolean answerTimeoutPassed = queryCount > 0
+                && now - lastQueryNanos >= settings.answerTimeout().toNanos();
+        return suspectedLongEnough && answerTimeoutPassed && confirmed && !refuted;
     }
 
     /** Tells whether the record is to be written now: once, and again only when it does not come back from the log. */
-    boolean declare(MembershipSettings settings, long now) {
-        if (declared && now - declaredAt < settings.questionLimit().toNanos()) {
+    boolean beginDeclaration(MembershipSettings settings, long now) {
+        if (declared && now - declaredNanos < settings.longestQueryInterval().toNanos()) {
             return false;
         }
         declared = true;
-        declaredAt = now;
+        declaredNanos = now;
         return true;
     }
 }
--- a/library/src/main/java/org/chivetally/entry/peer/PeerActor.java
+++ b/library/src/main/java/org/chivetally/entry/peer/PeerActor.java
@@ -280,7 +280,7 @@
         parts.observer().up(hello);
         pulls.reported(hello.getProcessId(), hello.getConfigurationVersion());
         MemberRecords.ofHello(hello)
-                .ifPresent(member -> parts.membershipEvents().accept(new MembershipEvent.Reached(member)));
+                .ifPresent(member -> parts.membershipEvents().accept(new MembershipEvent.ConnectionOpened(member)));
         outcomeQueries.values().stream()
                 .filter(query -> query.coordinator.processId().equals(hello.getProcessId()))
                 .forEach(this::send);
@@ -291,7 +291,7 @@
         // Outcome queries are sent again on the next connection.
         parts.observer().down(hello, reason);
         pulls.lost(hello.getProcessId());
-        parts.membershipEvents().accept(new MembershipEvent.Lost(idOf(hello)));
+        parts.membershipEvents().accept(new MembershipEvent.ConnectionLost(idOf(hello)));
     }
 
     @Override
@@ -329,7 +329,7 @@
         Incarnation suspect = suspicionQueries.remove(frame.getRequestId());
         if (suspect != null) {
             boolean alive = frame.getSuspicionAnswer().getAlive();
-            parts.membershipEvents().accept(new MembershipEvent.Answered(suspect, idOf(sender), alive));
+            parts.membershipEvents().accept(new MembershipEvent.SuspicionAnswered(suspect, idOf(sender), alive));
         }
     }
 
--- a/library/src/test/java/org/chivetally/entry/member/MemberRecordsTest.java
+++ b/library/src/test/java/org/chivetally/entry/member/MemberRecordsTest.java
@@ -23,7 +23,7 @@
             new MemberCapacity(8, 64, 4_000, 1L << 33, 0));
 
     @Test
-    void recordsPassThroughTheirJson() {
+    void recordsRoundTripThroughJson() {
         List<MemberRecord> records = List.of(
                 new MemberRecord.Announce(MEMBER),
                 new MemberRecord.Leave("a", "1"),
@@ -34,12 +34,12 @@
     }
 
     @Test
-    void membersPassThroughTheirIntroduction() {
+    void membersRoundTripThroughHello() {
         assertThat(MemberRecords.ofHello(MemberRecords.toHello(MEMBER)), is(Optional.of(MEMBER)));
     }
 
     @Property(tries = 200)
-    void contentThatIsNoRecordIsSkipped(@ForAll String text) {
+    void malformedContentIsSkipped(@ForAll String text) {
         assertThat(MemberRecords.read(text.getBytes(StandardCharsets.UTF_8)), is(Optional.empty()));
     }
 }
--- a/library/src/test/java/org/chivetally/entry/member/MembershipDriver.java
+++ b/library/src/test/java/org/chivetally/entry/member/MembershipDriver.java
@@ -8,7 +8,7 @@
 
 /** Feeds a view with events at a paused time and keeps its effects. */
 final class MembershipDriver {
-    static final Duration WINDOW = Duration.ofMinutes(10);
+    static final Duration CLAIM_WINDOW = Duration.ofMinutes(10);
 
     final Member self = entry("entry-1", "north");
     final List<MembershipEffect> effects = new ArrayList<>();
@@ -16,7 +16,7 @@
     private long now = 5_000_000_000L;
 
     MembershipDriver() {
-        view = new MembershipView(self, MembershipSettings.standard(WINDOW), now);
+        view = new MembershipView(self, MembershipSettings.standard(CLAIM_WINDOW), now);
     }
 
     static Member entry(String name, String failureDomain) {
@@ -33,9 +33,9 @@
     }
 
     List<MembershipEffect> handle(MembershipEvent event) {
-        List<MembershipEffect> now = view.handle(event, this.now);
-        effects.addAll(now);
-        return now;
+        List<MembershipEffect> newEffects = view.handle(event, this.now);
+        effects.addAll(newEffects);
+        return newEffects;
     }
 
     /** Lets time pass in steps of the shell's tick. */
@@ -48,45 +48,45 @@
     }
 
     /** Lets much time pass at once. */
-    void skip(Duration time) {
+    void advanceAtOnce(Duration time) {
         now += time.toNanos();
         handle(new MembershipEvent.Ticked());
     }
 
     void announce(Member member) {
-        handle(new MembershipEvent.Recorded(new MemberRecord.Announce(member)));
+        handle(new MembershipEvent.RecordRead(new MemberRecord.Announce(member)));
     }
 
-    void reach(Member member) {
-        handle(new MembershipEvent.Reached(member));
+    void connect(Member member) {
+        handle(new MembershipEvent.ConnectionOpened(member));
     }
 
     void join(Member... members) {
         for (Member member : members) {
             announce(member);
-            reach(member);
+            connect(member);
         }
     }
 
-    void lose(Member member) {
-        handle(new MembershipEvent.Lost(member.id()));
+    void disconnect(Member member) {
+        handle(new MembershipEvent.ConnectionLost(member.id()));
     }
 
-    void gone(Member member) {
-        handle(new MembershipEvent.Recorded(
+    void declareGone(Member member) {
+        handle(new MembershipEvent.RecordRead(
                 new MemberRecord.Gone(member.processId(), member.incarnation(), "entry-2")));
     }
 
     void leave(Member member) {
-        handle(new MembershipEvent.Recorded(new MemberRecord.Leave(member.processId(), member.incarnation())));
+        handle(new MembershipEvent.RecordRead(new MemberRecord.Leave(member.processId(), member.incarnation())));
     }
 
-    void connected(Member member) {
-        handle(new MembershipEvent.Connected(Set.of(member.processId())));
+    void reportConnected(Member member) {
+        handle(new MembershipEvent.ConnectedProcesses(Set.of(member.processId())));
     }
 
     void answer(Member suspect, Member entry, boolean alive) {
-        handle(new MembershipEvent.Answered(suspect.id(), entry.id(), alive));
+        handle(new MembershipEvent.SuspicionAnswered(suspect.id(), entry.id(), alive));
     }
 
     <T extends MembershipEffect> List<T> effects(Class<T> type) {
--- a/library/src/test/java/org/chivetally/entry/member/MembershipPropertyTest.java
+++ b/library/src/test/java/org/chivetally/entry/member/MembershipPropertyTest.java
@@ -23,23 +23,23 @@
 /** What holds for any interleaving of records, connections, answers and time. */
 class MembershipPropertyTest {
     private static final Member SOUTH = MembershipDriver.entry("entry-3", "south");
-    private static final Member NEIGHBOUR = MembershipDriver.entry("entry-2", "north");
+    private static final Member SAME_DOMAIN_ENTRY = MembershipDriver.entry("entry-2", "north");
 
     @Property(tries = 2_000)
-    void membersAreRemovedOnlyForAReasonAndNeverForgotten(@ForAll("histories") List<Step> history) {
+    void membersAreRemovedOnlyForAReasonAndStayListed(@ForAll("histories") List<Step> history) {
         MembershipDriver driver = new MembershipDriver();
-        MembershipDriver twin = new MembershipDriver();
+        MembershipDriver replica = new MembershipDriver();
         Model model = new Model();
-        driver.join(SOUTH, NEIGHBOUR);
-        twin.join(SOUTH, NEIGHBOUR);
+        driver.join(SOUTH, SAME_DOMAIN_ENTRY);
+        replica.join(SOUTH, SAME_DOMAIN_ENTRY);
         for (Step step : history) {
             driver.effects.clear();
-            step.carryOut(driver);
-            step.carryOut(twin);
-            model.take(step);
+            step.run(driver);
+            step.run(replica);
+            model.apply(step);
             model.check(driver);
         }
-        assertThat("the same events give the same view", twin.view.list(), equalTo(driver.view.list()));
+        assertThat("the same events give the same view", replica.view.list(), equalTo(driver.view.list()));
     }
 
     @Provide
@@ -57,63 +57,63 @@
         INTRODUCE,
         LEAVE,
         GONE,
-        REACH,
-        LOSE,
+        CONNECT,
+        DISCONNECT,
         CONFIRM,
         REFUTE,
-        NEIGHBOUR_CONFIRMS,
-        A_MOMENT,
-        SOME_SECONDS
+        SAME_DOMAIN_CONFIRMS,
+        WAIT_900_MILLIS,
+        WAIT_4_SECONDS
     }
 
     private record Step(Kind kind, Member agent) {
-        void carryOut(MembershipDriver driver) {
+        void run(MembershipDriver driver) {
             switch (kind) {
                 case ANNOUNCE -> driver.announce(agent);
                 case INTRODUCE -> driver.handle(new MembershipEvent.Introduced(agent));
                 case LEAVE -> driver.leave(agent);
-                case GONE -> driver.gone(agent);
-                case REACH -> driver.reach(agent);
-                case LOSE -> driver.lose(agent);
+                case GONE -> driver.declareGone(agent);
+                case CONNECT -> driver.connect(agent);
+                case DISCONNECT -> driver.disconnect(agent);
                 case CONFIRM -> driver.answer(agent, SOUTH, false);
                 case REFUTE -> driver.answer(agent, SOUTH, true);
-                case NEIGHBOUR_CONFIRMS -> driver.answer(agent, NEIGHBOUR, false);
-                case A_MOMENT -> driver.advance(Duration.ofMillis(900));
-                case SOME_SECONDS -> driver.advance(Duration.ofSeconds(4));
+                case SAME_DOMAIN_CONFIRMS -> driver.answer(agent, SAME_DOMAIN_ENTRY, false);
+                case WAIT_900_MILLIS -> driver.advance(Duration.ofMillis(900));
+                case WAIT_4_SECONDS -> driver.advance(Duration.ofSeconds(4));
             }
         }
     }
 
     /** What the view must not do, kept apart from how it does it. */
     private static final class Model {
-        private final Set<Incarnation> named = new HashSet<>();
+        private final Set<Incarnation> everAnnounced = new HashSet<>();
         private final Set<Incarnation> left = new HashSet<>();
-        private final Set<Incarnation> reached = new HashSet<>();
+        private final Set<Incarnation> connected = new HashSet<>();
         private final Map<Incarnation, Boolean> lastAnswer = new HashMap<>();
-        private final Set<Incarnation> goneBefore = new HashSet<>();
+        private final Set<Incarnation> declaredGone = new HashSet<>();
         private Set<Incarnation> lastMembers = Set.of();
         private final Set<Incarnation> mustAnnounce = new HashSet<>();
 
-        void take(Step step) {
+        void apply(Step step) {
             Incarnation id = step.agent.id();
             switch (step.kind) {
                 case ANNOUNCE, INTRODUCE -> {
                     mustAnnounce.remove(id);
                     if (!left.contains(id)) {
-                        named.add(id);
+                        everAnnounced.add(id);
                     }
                 }
                 case LEAVE -> left.add(id);
                 case GONE -> {
                     if (lastMembers.contains(id)) {
-                        goneBefore.add(id);
+                        declaredGone.add(id);
                     }
                 }
-                case REACH -> {
-                    reached.add(id);
+                case CONNECT -> {
+                    connected.add(id);
                     lastAnswer.remove(id);
                 }
-                case LOSE -> reached.remove(id);
+                case DISCONNECT -> connected.remove(id);
                 case CONFIRM -> lastAnswer.put(id, false);
                 case REFUTE -> lastAnswer.put(id, true);
                 default -> {
@@ -126,7 +126,7 @@
             MemberList list = driver.view.list();
             Set<Incarnation> members = ids(list.members());
             Set<Incarnation> ended = list.ended().stream().map(EndedMember::id).collect(Collectors.toSet());
-            for (Incarnation id : named) {
+            for (Incarnation id : everAnnounced) {
                 assertThat("named: " + id, members.contains(id) || ended.contains(id), is(true));
             }
             left.forEach(id -> assertThat("left", members, not(hasItem(id))));
@@ -148,9 +148,9 @@
         private void checkDeclared(MemberRecord.Gone gone, Set<Incarnation> members) {
             Incarnation id = new Incarnation(gone.processId(), gone.incarnation());
             assertThat("a member", members, hasItem(id));
-            assertThat("not reached", reached, not(hasItem(id)));
+            assertThat("not reached", connected, not(hasItem(id)));
             assertThat("confirmed by another failure domain", lastAnswer.get(id), is(false));
-            assertThat("declared gone once", goneBefore, not(hasItem(id)));
+            assertThat("declared gone once", declaredGone, not(hasItem(id)));
         }
 
         private static Set<Incarnation> ids(List<Member> members) {
--- a/library/src/test/java/org/chivetally/entry/member/MembershipViewTest.java
+++ b/library/src/test/java/org/chivetally/entry/member/MembershipViewTest.java
@@ -16,11 +16,11 @@
 class MembershipViewTest {
     private static final Member AGENT = MembershipDriver.agent("agent-1", "1");
     private static final Member SUCCESSOR = MembershipDriver.agent("agent-1", "2");
-    private static final Member NEIGHBOUR = MembershipDriver.entry("entry-2", "north");
+    private static final Member SAME_DOMAIN_ENTRY = MembershipDriver.entry("entry-2", "north");
     private static final Member SOUTH = MembershipDriver.entry("entry-3", "south");
     private static final Member EAST = MembershipDriver.entry("entry-4", "east");
     private static final MemberRecord GONE = new MemberRecord.Gone("agent-1", "1", "entry-1");
-    private static final Duration TURNS = Duration.ofMillis(5_500);
+    private static final Duration DECLARATION_WAIT = Duration.ofMillis(5_500);
 
     private final MembershipDriver driver = new MembershipDriver();
 
@@ -35,11 +35,11 @@
     private void loseAgentWith(Member... entries) {
         driver.join(entries);
         driver.join(AGENT);
-        driver.lose(AGENT);
+        driver.disconnect(AGENT);
     }
 
     @Test
-    void agentOnlyThisEntryLosesStaysInTheView() {
+    void agentUnreachableFromOneEntryOnlyStaysInTheView() {
         // One connection goes silent while the agent serves all others. This entry stops using it; were it declared
         // gone, every entry would lose a healthy agent for one bad connection.
         loseAgentWith(SOUTH, EAST);
@@ -54,7 +54,7 @@
     }
 
     @Test
-    void agentThatAnotherFailureDomainLosesTooIsDeclaredGoneOnce() {
+    void agentUnreachableFromTwoFailureDomainsIsDeclaredGoneOnce() {
         loseAgentWith(SOUTH);
         for (int second = 0; second < 20; second++) {
             driver.answer(AGENT, SOUTH, false);
@@ -62,53 +62,53 @@
         }
         assertThat(driver.appended(), contains(GONE));
         assertThat("in the view until the record is read", members(), hasItem(AGENT));
-        driver.gone(AGENT);
+        driver.declareGone(AGENT);
         assertThat(members(), not(hasItem(AGENT)));
         assertThat(driver.view.list().ended(), contains(EndedMember.of(AGENT, EndedMember.Reason.PRESUMED_GONE)));
     }
 
     @Test
-    void neighbourInTheSameFailureDomainConfirmsNothing() {
+    void entryInTheSameFailureDomainDoesNotConfirm() {
         // A switch of one failure domain fails: all entries in it lose agents that serve the rest of the world.
-        loseAgentWith(NEIGHBOUR);
+        loseAgentWith(SAME_DOMAIN_ENTRY);
         driver.advance(Duration.ofMillis(300));
-        driver.answer(AGENT, NEIGHBOUR, false);
+        driver.answer(AGENT, SAME_DOMAIN_ENTRY, false);
         driver.advance(Duration.ofSeconds(30));
         assertThat(driver.effects(MembershipEffect.Ask.class), empty());
         assertThat(driver.appended(), empty());
     }
 
     @Test
-    void shortSilenceInABurstRemovesNobody() {
+    void shortOutageDuringABurstRemovesNoMember() {
         // A burst keeps an agent from answering anyone for two seconds. Both entries lose it, and it is back.
         loseAgentWith(SOUTH);
         driver.advance(Duration.ofMillis(1_300));
         driver.answer(AGENT, SOUTH, false);
         driver.advance(Duration.ofMillis(700));
-        driver.reach(AGENT);
-        driver.advance(TURNS);
+        driver.connect(AGENT);
+        driver.advance(DECLARATION_WAIT);
         assertThat(driver.appended(), empty());
         assertThat(state(AGENT), is(Optional.of(MemberState.ALIVE)));
     }
 
     @Test
-    void answerToAnEarlierQuestionConfirmsNothing() {
+    void answerToAnEarlierQueryDoesNotConfirm() {
         loseAgentWith(SOUTH);
         driver.advance(Duration.ofMillis(300));
         driver.answer(AGENT, SOUTH, false);
         driver.advance(Duration.ofSeconds(1));
-        driver.advance(TURNS);
+        driver.advance(DECLARATION_WAIT);
         assertThat(driver.appended(), empty());
     }
 
     @Test
-    void pausedAgentIsAcceptedAgainOnlyOnceItAnnouncesAnew() {
+    void pausedAgentRejoinsOnlyAfterItAnnouncesItselfAgain() {
         // An agent's process is paused, declared gone, and resumes unaware. Its connection works again at once, but the
         // others have dropped it; it is told, announces itself anew, and is a member for all again.
         driver.join(AGENT);
-        driver.lose(AGENT);
-        driver.gone(AGENT);
-        driver.reach(AGENT);
+        driver.disconnect(AGENT);
+        driver.declareGone(AGENT);
+        driver.connect(AGENT);
         assertThat(members(), not(hasItem(AGENT)));
         assertThat(driver.effects(MembershipEffect.TellGone.class), contains(new MembershipEffect.TellGone(AGENT)));
         driver.announce(AGENT);
@@ -117,12 +117,12 @@
     }
 
     @Test
-    void secondGoneOfAnIncarnationIsIgnored() {
+    void secondGoneRecordOfAnIncarnationIsIgnored() {
         driver.join(AGENT);
-        driver.lose(AGENT);
-        driver.gone(AGENT);
+        driver.disconnect(AGENT);
+        driver.declareGone(AGENT);
         driver.announce(AGENT);
-        driver.gone(AGENT);
+        driver.declareGone(AGENT);
         assertThat(members(), hasItem(AGENT));
     }
 
@@ -137,7 +137,7 @@
     }
 
     @Test
-    void leaveOfAPredecessorDoesNotTakeOutItsSuccessor() {
+    void leaveOfAPredecessorDoesNotRemoveItsSuccessor() {
         driver.announce(AGENT);
         driver.announce(SUCCESSOR);
         driver.leave(AGENT);
@@ -147,7 +147,7 @@
     }
 
     @Test
-    void leaveOfAProcessNeverSeenIsNamedToo() {
+    void leaveOfAnUnknownIncarnationIsListedAsEnded() {
         // The log has dropped its announcements already; it may have run tasks of jobs that are taken over.
         driver.leave(AGENT);
         EndedMember unseen = new EndedMember(AGENT.id(), "", "", EndedMember.Reason.LEFT);
@@ -157,7 +157,7 @@
     }
 
     @Test
-    void agentThatTheLogDoesNotKnowIsAnnouncedFromHere() {
+    void unannouncedAgentIsAnnouncedOnItsBehalf() {
         driver.handle(new MembershipEvent.Introduced(AGENT));
         driver.advance(Duration.ofSeconds(2));
         assertThat(driver.appended(), contains(new MemberRecord.Announce(AGENT)));
@@ -172,32 +172,32 @@
     }
 
     @Test
-    void openConnectionKnowsBetterThanTheOrderOfRecords() {
+    void openConnectionOverridesTheOrderOfRecords() {
         driver.announce(SUCCESSOR);
         driver.announce(AGENT);
-        driver.reach(SUCCESSOR);
+        driver.connect(SUCCESSOR);
         assertThat(members(), hasItem(SUCCESSOR));
         assertThat(driver.view.list().ended(), contains(EndedMember.of(AGENT, EndedMember.Reason.SUPERSEDED)));
     }
 
     @Test
-    void leaveTakesOutAtOnceAndForGood() {
+    void leaveRemovesAtOnceAndPermanently() {
         driver.join(AGENT);
         driver.leave(AGENT);
         assertThat(members(), not(hasItem(AGENT)));
         driver.announce(AGENT);
-        driver.reach(AGENT);
+        driver.connect(AGENT);
         assertThat(members(), not(hasItem(AGENT)));
-        driver.skip(MembershipDriver.WINDOW.multipliedBy(3));
-        driver.lose(AGENT);
-        driver.skip(MembershipDriver.WINDOW.multipliedBy(3));
+        driver.advanceAtOnce(MembershipDriver.CLAIM_WINDOW.multipliedBy(3));
+        driver.disconnect(AGENT);
+        driver.advanceAtOnce(MembershipDriver.CLAIM_WINDOW.multipliedBy(3));
         assertThat(driver.view.list().ended(), empty());
         driver.announce(AGENT);
         assertThat("long after", members(), not(hasItem(AGENT)));
     }
 
     @Test
-    void membersThatOnlyIntroducedThemselvesCount() {
+    void introducedMembersAreListedAsUnannounced() {
         driver.handle(new MembershipEvent.Introduced(AGENT));
         assertThat(members(), hasItem(AGENT));
         assertThat(driver.view.list().unannounced(), contains(AGENT.id()));
@@ -206,7 +206,7 @@
     }
 
     @Test
-    void agentNeverReachedIsSuspectedAndAskedFor() {
+    void agentNeverConnectedIsSuspectedAndQueried() {
         // The records still name an agent that died before this entry started.
         driver.join(SOUTH);
         driver.announce(AGENT);
@@ -220,14 +220,14 @@
     }
 
     @Test
-    void connectionsThatFlapHoldTheAgentDownForLongerEachTime() {
+    void flappingAgentIsHeldDownForLongerEachTime() {
         // A bad cable drops an agent's connection every few seconds. Used fully each time it is back, it would have a
         // share of all tasks in doubt each time it drops.
         driver.join(AGENT);
         for (int failure = 0; failure < 3; failure++) {
-            driver.lose(AGENT);
+            driver.disconnect(AGENT);
             driver.advance(Duration.ofMillis(100));
-            driver.reach(AGENT);
+            driver.connect(AGENT);
         }
         assertThat(
                 driver.effects(MembershipEffect.HoldDown.class),
@@ -244,29 +244,29 @@
     }
 
     @Test
-    void entryDeclaredGoneByMistakeAnnouncesItselfAnew() {
-        driver.gone(driver.self);
+    void entryDeclaredGoneByMistakeAnnouncesItselfAgain() {
+        driver.declareGone(driver.self);
         assertThat(driver.appended(), contains(new MemberRecord.Announce(driver.self)));
         assertThat(members(), hasItem(driver.self));
     }
 
     @Test
-    void memberOfWhichNothingIsHeardIsPresumedGoneInTheEnd() {
+    void memberWithoutContactIsPresumedGoneAfterTheTimeout() {
         driver.announce(AGENT);
-        driver.skip(Duration.ofMinutes(24));
+        driver.advanceAtOnce(Duration.ofMinutes(24));
         assertThat(members(), hasItem(AGENT));
         driver.announce(AGENT);
-        driver.skip(Duration.ofMinutes(25));
+        driver.advanceAtOnce(Duration.ofMinutes(25));
         assertThat(driver.view.list().ended(), contains(EndedMember.of(AGENT, EndedMember.Reason.PRESUMED_GONE)));
     }
 
     @Test
-    void whatEndedIsNamedForAsLongAsItsJobsMayBeTakenOver() {
+    void endedMembersAreListedForTheRetention() {
         driver.announce(AGENT);
         driver.announce(SUCCESSOR);
-        driver.skip(MembershipDriver.WINDOW.multipliedBy(2).minusMillis(1));
+        driver.advanceAtOnce(MembershipDriver.CLAIM_WINDOW.multipliedBy(2).minusMillis(1));
         assertThat(driver.view.list().ended(), hasSize(1));
-        driver.skip(Duration.ofMillis(1));
+        driver.advanceAtOnce(Duration.ofMillis(1));
         assertThat(driver.view.list().ended(), empty());
     }
 }
--- a/load/src/main/java/org/chivetally/load/experiment/ConfigurationCost.java
+++ b/load/src/main/java/org/chivetally/load/experiment/ConfigurationCost.java
@@ -120,7 +120,7 @@
         timer.start();
         for (byte[] announcement : announcements) {
             MemberRecord record = MemberRecords.read(announcement).orElseThrow();
-            table.handle(new MembershipEvent.Recorded(record), 1);
+            table.handle(new MembershipEvent.RecordRead(record), 1);
         }
         timer.stop();
         return timer.microsPerOperationAndReset(announcements.size());
