--- a/library/src/test/java/org/chivetally/entry/link/IdleHeartbeatsTest.java
+++ b/library/src/test/java/org/chivetally/entry/link/IdleHeartbeatsTest.java
@@ -14,6 +14,7 @@
 class IdleHeartbeatsTest {
     private static final Duration SHORTEST_INTERVAL = Duration.ofSeconds(5);
 
+    // With few agents the rate limit doesn't apply, so no entry may probe less often than configured.
     @Test
     void usesShortestIntervalForFewAgents() {
         assertThat(IdleHeartbeats.interval(true, 11, 3, SHORTEST_INTERVAL), is(SHORTEST_INTERVAL));
--- a/library/src/test/java/org/chivetally/entry/link/LinkTest.java
+++ b/library/src/test/java/org/chivetally/entry/link/LinkTest.java
@@ -36,7 +36,7 @@
     private long lastConnectionId;
     private long nowNanos;
 
-    // A connection whose peer has not been identified must not carry frames.
+    // If the handshake did not complete, the process would stay unreachable although its connection is open.
     @Test
     void becomesUsableOncePeerSendsHello() {
         assertThat(link.tick(nowNanos, false), contains(new LinkEffect.Dial(1)));
@@ -45,6 +45,7 @@
         assertThat(link.received(1, RESULT, nowNanos), contains(new LinkEffect.Deliver(AGENT, RESULT)));
     }
 
+    // A dead connection must be detected quickly while answers are awaited; idle connections send few heartbeats.
     @Test
     void sendsHeartbeatsMoreOftenWhileAnswersAreAwaited() {
         makeUsable();
@@ -58,8 +59,7 @@
     }
 
     // A longer heartbeat interval extends the time until an idle connection counts as silent; otherwise a healthy
-    // connection
-    // would be replaced before its heartbeat is due.
+    // connection would be replaced before its heartbeat is due.
     @Test
     void usesConfiguredIdleInterval() {
         makeUsable();
@@ -136,6 +136,7 @@
         assertThat(link.usableConnectionId(), is(1L));
     }
 
+    // Without a growing wait, an unreachable process would be dialled continuously.
     @Test
     void backsOffExponentiallyAfterFailures() {
         link.tick(nowNanos, false);
