--- a/library/src/main/java/org/chivetally/entry/http/OperationRoutes.java
+++ b/library/src/main/java/org/chivetally/entry/http/OperationRoutes.java
@@ -22,7 +22,7 @@
     /**
      * Creates the routes.
      *
-     * @param meters registry whose metrics are exposed; must be or contain a Prometheus registry
+     * @param meters Prometheus registry, or a composite that contains one; without one {@code /metrics} is not found
      * @param unmetConditions supplies the reasons why this process is not ready for requests; empty when it is ready
      */
     public OperationRoutes(MeterRegistry meters, Supplier<List<String>> unmetConditions) {
--- a/library/src/main/java/org/chivetally/entry/http/WaitPreference.java
+++ b/library/src/main/java/org/chivetally/entry/http/WaitPreference.java
@@ -11,7 +11,7 @@
  * header {@code Prefer: wait=SECONDS}.
  */
 final class WaitPreference {
-    /** Maximum time that a request waits; also used when the preference has no value. */
+    /** Maximum wait that a client can request; also used when the preference has no value. */
     static final Duration MAXIMUM_WAIT = Duration.ofMinutes(10);
 
     private static final String WAIT = "wait";
