--- a/library/src/main/java/org/chivetally/claim/ClaimRecord.java
+++ b/library/src/main/java/org/chivetally/claim/ClaimRecord.java
@@ -101,7 +101,7 @@
 
     /** Ends a process's lease permanently. */
     record Departed(Coordinator coordinator) implements ClaimRecord {
-        /** Refuses missing parts. */
+        /** Rejects null components. */
         public Departed {
             Objects.requireNonNull(coordinator, "coordinator");
         }
@@ -109,7 +109,7 @@
 
     /** Records that a job has its final outcome. */
     record Finished(SubmissionKey key, JobId job) implements ClaimRecord {
-        /** Refuses missing parts. */
+        /** Rejects null components. */
         public Finished {
             Objects.requireNonNull(key, "key");
             Objects.requireNonNull(job, "job");
@@ -117,8 +117,8 @@
     }
 
     /**
-     * Releases a claim or takeover of which its process has started nothing and will start nothing: because it
-     * abandoned it before reading that it had won, or refused the job afterwards.
+     * Releases a claim or takeover for which its process has started nothing and will start nothing. The process either
+     * abandoned the claim before reading that it had won, or refused the job afterwards.
      *
      * <p>The caller was answered that nothing has run, and that must stay true even if the claim is later read as the
      * winner. Only the process named in a claim may start tasks of its generation, and it writes this record only if it
--- a/library/src/main/java/org/chivetally/claim/LeaseManager.java
+++ b/library/src/main/java/org/chivetally/claim/LeaseManager.java
@@ -33,7 +33,7 @@
         return Optional.of(new ClaimRecord.Renewed(self, settings.lease()));
     }
 
-    /** Records the time at which a renewal is about to be sent. */
+    /** Records the time at which a renewal is first sent; sending it again changes nothing. */
     void recordSending(long sequence, long nanos) {
         lease.recordSending(sequence, nanos);
     }
--- a/library/src/main/java/org/chivetally/claim/PendingClaim.java
+++ b/library/src/main/java/org/chivetally/claim/PendingClaim.java
@@ -20,11 +20,11 @@
      *
      * @param requestedNanos monotonic clock reading of the caller's request, in nanoseconds
      */
-    PendingClaim(ClaimRecord content, ClaimMode mode, CompletableFuture<ClaimDecision> reply, long startedNanos) {
+    PendingClaim(ClaimRecord content, ClaimMode mode, CompletableFuture<ClaimDecision> reply, long requestedNanos) {
         this.content = content;
         this.mode = mode;
         this.reply = reply;
-        this.requestedNanos = startedNanos;
+        this.requestedNanos = requestedNanos;
     }
 
     /** Returns the record whose position in the log decides. */
