--- a/library/src/test/java/org/chivetally/entry/link/LinkTest.java
+++ b/library/src/test/java/org/chivetally/entry/link/LinkTest.java
@@ -17,6 +17,7 @@
 import org.chivetally.wire.v1.Result;
 import org.junit.jupiter.api.Test;
 
+/** Tests dialling, heartbeats, silence detection and reconnection of one link against a simulated clock. */
 class LinkTest {
     private static final long NANOS_PER_MILLI = 1_000_000;
     private static final long TICK_NANOS = 20 * NANOS_PER_MILLI;
@@ -35,6 +36,7 @@
     private long lastConnectionId;
     private long nowNanos;
 
+    // A connection whose peer has not been identified must not carry frames.
     @Test
     void becomesUsableOncePeerSendsHello() {
         assertThat(link.tick(nowNanos, false), contains(new LinkEffect.Dial(1)));
@@ -55,6 +57,9 @@
                 lessThanOrEqualTo(HeartbeatSettings.standard().busyInterval().toNanos() + TICK_NANOS));
     }
 
+    // A longer heartbeat interval extends the time until an idle connection counts as silent; otherwise a healthy
+    // connection
+    // would be replaced before its heartbeat is due.
     @Test
     void usesConfiguredIdleInterval() {
         makeUsable();
@@ -65,6 +70,7 @@
         assertThat(untilNext(LinkEffect.Down.class, false), is(silence));
     }
 
+    // After many failures the link waits up to five seconds, although the process is known to run again.
     @Test
     void dialsImmediatelyAfterBackoffReset() {
         for (int failure = 0; failure < 10; failure++) {
@@ -75,6 +81,7 @@
         assertThat(link.tick(nowNanos, false), contains(new LinkEffect.Dial(11)));
     }
 
+    // If answers were answered, two processes would exchange heartbeats endlessly.
     @Test
     void answersHeartbeatsButNotHeartbeatAnswers() {
         makeUsable();
@@ -90,9 +97,9 @@
                 link.received(1, heartbeatAnswer, nowNanos), contains(new LinkEffect.Deliver(AGENT, heartbeatAnswer)));
     }
 
-    // A device between the ends loses track of the connection while tasks run: nothing arrives, and no error comes.
-    // After a second the connection is given up for new requests and another one dialled; the old one still brings its
-    // late answers for 30 seconds and is closed then.
+    // A network device drops the state of the connection while tasks run: no frame arrives and no error is reported.
+    // After one second the link dials a new connection and sends requests only on that one. The old connection stays
+    // open for another 30 seconds to receive late answers.
     @Test
     void replacesSilentConnectionAndDeliversItsLateAnswers() {
         makeUsable();
@@ -108,8 +115,9 @@
         assertThat(link.received(1, RESULT, nowNanos), is(empty()));
     }
 
-    // An idle connection was quiet for nearly two seconds, as it may be, when a task is started on it. Its silence
-    // counts from the start on, so it is not given up before the agent had a second to answer.
+    // An idle connection has received nothing for nearly two seconds, which is normal, when a task is started on it.
+    // Silence is measured from the start of the task; otherwise the connection would be replaced before the agent had
+    // one second to answer.
     @Test
     void measuresSilenceFromWhenAnAnswerIsFirstAwaited() {
         makeUsable();
@@ -117,8 +125,8 @@
         assertThat(untilNext(LinkEffect.Down.class, true), greaterThanOrEqualTo(1_000 * NANOS_PER_MILLI));
     }
 
-    // The process is paused for ten seconds while tasks run. On resuming, all connections look silent, but their
-    // answers wait unread in the sockets: none is given up for it.
+    // This process is paused for ten seconds while tasks run. When it resumes, all connections look silent although
+    // answers are waiting unread in the sockets: none of them may be replaced.
     @Test
     void ignoresSilenceDuringPauseOfThisProcess() {
         makeUsable();
@@ -141,6 +149,7 @@
         assertThat(waitsNanos.getLast(), lessThanOrEqualTo(5_000 * NANOS_PER_MILLI + TICK_NANOS));
     }
 
+    // A connection that opens after its dial was aborted must be closed, or it would stay open unused.
     @Test
     void abortsDialAfterTimeoutAndClosesLateConnection() {
         link.tick(nowNanos, false);
@@ -148,6 +157,8 @@
         assertThat(link.opened(1, nowNanos), contains(new LinkEffect.Close(1)));
     }
 
+    // Another process may now listen at the address. It must not receive frames, and the next dial waits for the
+    // backoff.
     @Test
     void closesConnectionToUnexpectedProcess() {
         link.tick(nowNanos, false);
@@ -159,6 +170,7 @@
         assertThat(link.tick(nowNanos, false), is(empty()));
     }
 
+    // The transport may report the same closing twice; the observer must receive one event.
     @Test
     void reportsDownOnceWhenUsableConnectionCloses() {
         makeUsable();
