--- a/library/src/main/java/org/chivetally/daemon/AgentDaemonCallbacks.java
+++ b/library/src/main/java/org/chivetally/daemon/AgentDaemonCallbacks.java
@@ -2,16 +2,16 @@
 
 import com.google.common.flogger.FluentLogger;
 import java.util.concurrent.CompletableFuture;
+import org.chivetally.agent.AgentCallbacks;
 import org.chivetally.agent.AgentConfiguration;
-import org.chivetally.agent.AgentSurroundings;
 import org.chivetally.agent.MemberAnnouncer;
 import org.chivetally.logging.EventLine;
 import org.chivetally.resource.BackendServerPolicy;
 import org.chivetally.resource.ReceivedConfiguration;
 import org.chivetally.time.NanoClock;
 
-/** The parts of an agent's process around the agent: its configuration and its announcements. */
-final class AgentDaemonCallbacks implements AgentSurroundings {
+/** Provides an agent with the configuration and the announcements of its process. */
+final class AgentDaemonCallbacks implements AgentCallbacks {
     private static final FluentLogger LOGGER = FluentLogger.forEnclosingClass();
 
     private final String backend;
@@ -23,13 +23,13 @@
         this.configuration = new ReceivedConfiguration(clock);
     }
 
-    /** Sets who announces, once the agent's address is known. */
+    /** Sets the announcer, which can be created only once the agent's address is known. */
     void setAnnouncer(MemberAnnouncer started) {
         announcer.complete(started);
     }
 
     @Override
-    public AgentConfiguration offer(long version, byte[] snapshot) {
+    public AgentConfiguration offerConfiguration(long version, byte[] snapshot) {
         configuration.offerSnapshot(version, snapshot);
         boolean draining = configuration
                 .policies()
@@ -40,7 +40,7 @@
     }
 
     @Override
-    public void announceAnew(String reason) {
+    public void reannounce(String reason) {
         LOGGER.atInfo().log("%s", EventLine.of("announce-anew").with("reason", reason));
         announcer.thenAccept(MemberAnnouncer::announceNow);
     }
--- a/library/src/test/java/org/chivetally/agent/AgentFixture.java
+++ b/library/src/test/java/org/chivetally/agent/AgentFixture.java
@@ -12,7 +12,7 @@
 import org.chivetally.wire.v1.Start;
 import org.chivetally.wire.v1.TaskStatus;
 
-/** An agent of two slots and two waiting places on a clock that stands until it is advanced. */
+/** An {@link AgentState} with two slots and a queue of two tasks, a manual clock, and a record of its effects. */
 final class AgentFixture {
     static final PeerId PEER = new PeerId(1);
     static final AgentLimits LIMITS = limits(1_000);
@@ -22,12 +22,12 @@
 
     private final AgentState state;
     private final List<Frame> frames = new ArrayList<>();
-    private final List<PeerId> receivers = new ArrayList<>();
+    private final List<PeerId> recipients = new ArrayList<>();
     private final List<String> runs = new ArrayList<>();
     private final List<String> abandoned = new ArrayList<>();
     private final List<AgentEffect.WasteKind> wasted = new ArrayList<>();
     private long now = -7_000_000_000L;
-    private boolean stopReady;
+    private boolean readyToStop;
 
     AgentFixture() {
         this(LIMITS);
@@ -35,7 +35,7 @@
 
     AgentFixture(AgentLimits limits) {
         state = new AgentState(settings(limits), Hello.getDefaultInstance(), TICKET_OFFSET, now);
-        join(PEER, "entry-1");
+        connectPeer(PEER, "entry-1");
         apply(new AgentEvent.MinionReported(HEALTHY, now));
     }
 
@@ -73,28 +73,28 @@
         return state;
     }
 
-    void join(PeerId peer, String processId) {
+    void connectPeer(PeerId peer, String processId) {
         apply(new AgentEvent.PeerConnected(peer));
         apply(new AgentEvent.PeerIdentified(peer, processId, "1"));
     }
 
-    /** Advances the clock and lets the agent notice. */
-    void pass(Duration time) {
-        pause(time);
+    /** Advances the clock and then applies a tick. */
+    void advance(Duration time) {
+        advanceWithoutTick(time);
         apply(new AgentEvent.Ticked());
     }
 
-    /** Advances the clock while the agent is stopped and notices nothing. */
-    void pause(Duration time) {
+    /** Advances the clock without a tick, as while the agent's process is paused. */
+    void advanceWithoutTick(Duration time) {
         now += time.toNanos();
     }
 
-    /** Returns a ticket issued now. */
+    /** Returns a ticket that the agent issues at the current time. */
     long ticket() {
         int before = frames.size();
         apply(new AgentEvent.HeartbeatRequested(PEER, 1));
         Report report = frames.remove(before).getHeartbeat().getReport();
-        receivers.remove(before);
+        recipients.remove(before);
         return report.getTicket();
     }
 
@@ -112,18 +112,18 @@
                 .setQueueMillis(5_000);
     }
 
-    /** Asks for one attempt of task 0 of a job of its own for each id. */
-    void startAll(String... attemptIds) {
+    /** Requests one attempt for each id, each of task 0 of a separate job. */
+    void requestStarts(String... attemptIds) {
         for (String id : attemptIds) {
-            ask(start(id, "job-of-" + id, 0));
+            requestStart(start(id, "job-of-" + id, 0));
         }
     }
 
-    void ask(Start.Builder start) {
-        ask(PEER, start);
+    void requestStart(Start.Builder start) {
+        requestStart(PEER, start);
     }
 
-    void ask(PeerId peer, Start.Builder start) {
+    void requestStart(PeerId peer, Start.Builder start) {
         apply(new AgentEvent.StartRequested(peer, 77, start.build()));
     }
 
@@ -142,16 +142,16 @@
     }
 
     void report(boolean healthy, boolean draining, int running) {
-        reportAsOf(now, healthy, draining, running);
+        reportRequestedAt(now, healthy, draining, running);
     }
 
-    /** The same in answer to a question sent at an earlier reading of the clock. */
-    void reportAsOf(long askedNanos, boolean healthy, boolean draining, int running) {
+    /** Applies a report of the minion that was requested at an earlier reading of the clock. */
+    void reportRequestedAt(long requestedNanos, boolean healthy, boolean draining, int running) {
         MinionState state = new MinionState.Reported(healthy, draining, 2 - running, running);
-        apply(new AgentEvent.MinionReported(state, askedNanos));
+        apply(new AgentEvent.MinionReported(state, requestedNanos));
     }
 
-    /** Returns the reading of the clock. */
+    /** Returns the current reading of the clock in nanoseconds. */
     long now() {
         return now;
     }
@@ -159,21 +159,21 @@
     List<AgentEffect> apply(AgentEvent event) {
         List<AgentEffect> effects = state.apply(event, now);
         for (AgentEffect effect : effects) {
-            note(effect);
+            record(effect);
         }
         return effects;
     }
 
-    private void note(AgentEffect effect) {
+    private void record(AgentEffect effect) {
         switch (effect) {
             case AgentEffect.SendTo send -> {
                 frames.add(send.frame());
-                receivers.add(send.peer());
+                recipients.add(send.peer());
             }
             case AgentEffect.RunOnMinion run -> runs.add(run.attemptId());
             case AgentEffect.AbandonRun abandon -> abandoned.add(abandon.attemptId());
             case AgentEffect.CountWaste waste -> wasted.add(waste.kind());
-            case AgentEffect.StopReady ready -> stopReady = true;
+            case AgentEffect.ReadyToStop ready -> readyToStop = true;
             case AgentEffect.WriteLine line -> line.line().toString();
         }
     }
@@ -191,23 +191,23 @@
         return wasted;
     }
 
-    boolean stopReady() {
-        return stopReady;
+    boolean readyToStop() {
+        return readyToStop;
     }
 
     Frame lastFrame() {
         return frames.getLast();
     }
 
-    PeerId lastReceiver() {
-        return receivers.getLast();
+    PeerId lastRecipient() {
+        return recipients.getLast();
     }
 
     List<Frame> frames() {
         return frames;
     }
 
-    /** Returns all refusals so far as "attempt REASON". */
+    /** Returns all refusals sent so far as "attempt REASON". */
     List<String> refusals() {
         return frames.stream()
                 .filter(Frame::hasRefusal)
@@ -216,7 +216,7 @@
                 .toList();
     }
 
-    /** Returns all results so far as "attempt STATUS text". */
+    /** Returns all results sent so far as "attempt STATUS text". */
     List<String> results() {
         return frames.stream()
                 .filter(Frame::hasResult)
@@ -226,7 +226,7 @@
                 .toList();
     }
 
-    /** Returns the tasks of the newest answer to an inquiry as "attempt STATUS text". */
+    /** Returns the tasks in the last answer to an inquiry as "attempt STATUS text". */
     List<String> lastInquiryAnswer() {
         return frames.stream()
                 .filter(Frame::hasInquiryAnswer)
--- a/library/src/test/java/org/chivetally/agent/AgentServerTest.java
+++ b/library/src/test/java/org/chivetally/agent/AgentServerTest.java
@@ -22,6 +22,7 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
+/** Runs an agent over real connections: to coordinators by the frame transport and to a minion by HTTP. */
 class AgentServerTest {
     private static final String LOOPBACK = "127.0.0.1";
 
@@ -39,53 +40,55 @@
         minionKit.shutdownTestKit();
     }
 
+    /** Guards against lost headers and against wrong encodings of payloads and results outside ASCII. */
     @Test
     void runsATaskOnTheMinion() throws InterruptedException {
         AgentServer agent = startAgent(minion.base());
         FrameConnection connection = connect(agent);
         long ticket = ticketOfHealthyAgent();
         connection.send(start("a1", 3, ticket));
-        LoopbackMinion.Arrival arrival = minion.nextArrival();
-        assertThat(arrival.attempt(), is("a1"));
-        assertThat(arrival.job(), is("j1"));
-        assertThat(arrival.task(), is("3"));
-        assertThat(arrival.body(), is("{\"plot\":\"Gärten\"}"));
-        arrival.succeed("[\"größer\"]");
+        LoopbackMinion.TaskRequest task = minion.nextTask();
+        assertThat(task.attempt(), is("a1"));
+        assertThat(task.job(), is("j1"));
+        assertThat(task.task(), is("3"));
+        assertThat(task.body(), is("{\"plot\":\"Gärten\"}"));
+        task.succeed("[\"größer\"]");
         Result result = coordinator.nextFrame().getResult();
         assertThat(result.getStatus(), is(TaskStatus.TASK_STATUS_DONE));
         assertThat(result.getBody(), is("[\"größer\"]"));
     }
 
+    /** Guards against confusing a failed task, a declined one that did not run, and a response that is too large. */
     @Test
-    void tellsFailuresOfTheMinionApart() throws InterruptedException {
+    void distinguishesFailuresOfTheMinion() throws InterruptedException {
         FrameConnection connection = connect(startAgent(minion.base()));
         long ticket = ticketOfHealthyAgent();
         connection.send(start("a1", 1, ticket));
-        minion.nextArrival().fail(500, "no such plot");
+        minion.nextTask().fail(500, "no such plot");
         Result failed = coordinator.nextFrame().getResult();
         assertThat(failed.getStatus(), is(TaskStatus.TASK_STATUS_FAILED));
         assertThat(failed.getError(), is("no such plot"));
         connection.send(start("a2", 2, ticket));
-        minion.nextArrival().decline();
+        minion.nextTask().decline();
         assertThat(coordinator.nextFrame().getRefusal().getReason(), is(RefusalReason.REFUSAL_REASON_FULL));
         connection.send(start("a3", 3, ticket));
-        minion.nextArrival().succeed("\"" + "x".repeat(3_000_000) + "\"");
+        minion.nextTask().succeed("\"" + "x".repeat(3_000_000) + "\"");
         Result tooLong = coordinator.nextFrame().getResult();
         assertThat(tooLong.getStatus(), is(TaskStatus.TASK_STATUS_FAILED));
         assertThat(tooLong.getError(), containsString("more than"));
     }
 
     /**
-     * What the caller sees: "unknown" for a task whose minion died under it, "not run" for the next one. The minion
-     * takes a task and its process dies, which closes the connection without an answer. The next task finds nobody
-     * listening: nothing was sent, so the refusal that says "not run" is true.
+     * Guards against reporting a task as not run although it may have run. The minion receives a task and crashes,
+     * which closes the connection without a response: the task is unknown. The connection for the next task is refused,
+     * so nothing was sent and the task is refused as not run.
      */
     @Test
-    void tellsALostTaskFromOneThatWasNeverSent() throws InterruptedException {
+    void distinguishesALostTaskFromOneNeverSent() throws InterruptedException {
         FrameConnection connection = connect(startAgent(minion.base()));
         long ticket = ticketOfHealthyAgent();
         connection.send(start("a1", 1, ticket));
-        minion.nextArrival();
+        minion.nextTask();
         minionKit.shutdownTestKit();
         Frame lost = nextOutcome();
         assertThat(lost.getResult().getStatus(), is(TaskStatus.TASK_STATUS_UNKNOWN));
@@ -94,28 +97,29 @@
     }
 
     /**
-     * What the caller sees: "unknown" at the end of the lease, while the minion hangs. The agent closes the connection
-     * below the request, so the minion can notice, and its late answer goes nowhere.
+     * Guards against a task without an outcome while the minion is unresponsive. When the lease expires the agent
+     * closes the connection, so that the minion can detect it, and reports the task as unknown; a late response is
+     * ignored.
      */
     @Test
-    void breaksOffTheRequestAtTheLeaseEnd() throws InterruptedException {
+    void cancelsTheRequestWhenTheLeaseExpires() throws InterruptedException {
         FrameConnection connection = connect(startAgent(minion.base()));
         Frame start = start("a1", 1, ticketOfHealthyAgent());
         connection.send(start.toBuilder()
                 .setStart(start.getStart().toBuilder().setLeaseMillis(100))
                 .build());
-        LoopbackMinion.Arrival arrival = minion.nextArrival();
+        LoopbackMinion.TaskRequest task = minion.nextTask();
         Result result = nextOutcome().getResult();
-        assertThat(result.getError(), is(AgentState.LEASE_OVER));
-        arrival.succeed("1");
+        assertThat(result.getError(), is(AgentState.LEASE_EXPIRED));
+        task.succeed("1");
         connection.send(heartbeat());
         assertThat(coordinator.nextFrame().getHeartbeat().getReport().getRunning(), is(0));
     }
 
     /**
-     * What the caller sees: a planned stop of an agent cuts no request in progress. The agent is told to drain while a
-     * task runs: its peers hear of it and new starts are refused. The running task ends and its result arrives, and
-     * only then the connection closes and the drain completes.
+     * Guards against a planned stop that interrupts a running task. The agent is drained while a task runs: its peers
+     * receive a Leaving message, and new starts are refused. The connection closes and the drain completes only after
+     * the result of the running task has been sent.
      */
     @Test
     void drainsWithoutCuttingARequest() throws InterruptedException {
@@ -123,26 +127,28 @@
         FrameConnection connection = connect(agent);
         long ticket = ticketOfHealthyAgent();
         connection.send(start("a1", 1, ticket));
-        LoopbackMinion.Arrival arrival = minion.nextArrival();
+        LoopbackMinion.TaskRequest task = minion.nextTask();
         CompletableFuture<Void> drained = agent.drain("replaced").toCompletableFuture();
         assertThat(coordinator.nextFrame().getLeaving().getReason(), is("replaced"));
         connection.send(start("a2", 2, ticket));
         assertThat(nextOutcome().getRefusal().getReason(), is(RefusalReason.REFUSAL_REASON_DRAINING));
-        arrival.succeed("1");
+        task.succeed("1");
         assertThat(nextOutcome().getResult().getStatus(), is(TaskStatus.TASK_STATUS_DONE));
         assertThat(coordinator.nextDisconnectReason(), is("closed by the peer"));
         drained.join();
-        assertThat(minion.arrivalsLeft(), is(0));
+        assertThat(minion.pendingTasks(), is(0));
     }
 
+    /** Guards against coordinators that keep sending tasks after the minion has reported that it is draining. */
     @Test
-    void hearsThatTheMinionIsLeaving() throws InterruptedException {
+    void reportsThatTheMinionIsDraining() throws InterruptedException {
         connect(startAgent(minion.base()));
         ticketOfHealthyAgent();
-        minion.tellState("{\"freeSlots\":0,\"running\":0,\"draining\":true,\"healthy\":true}");
+        minion.setState("{\"freeSlots\":0,\"running\":0,\"draining\":true,\"healthy\":true}");
         assertThat(coordinator.nextFrame().getHeartbeat().getReport().getDraining(), is(true));
     }
 
+    /** Guards against results that can't be routed: a connection must identify its process in its first frame. */
     @Test
     void closesAConnectionThatDoesNotSayHello() throws InterruptedException {
         AgentServer agent = startAgent(minion.base());
@@ -151,7 +157,7 @@
         assertThat(coordinator.nextDisconnectReason(), is("closed by the peer"));
     }
 
-    /** Waits for the next result or refusal, past news of the agent's state. */
+    /** Waits for the next result or refusal, and skips heartbeats. */
     private Frame nextOutcome() throws InterruptedException {
         Frame next = coordinator.nextFrame();
         while (next.hasHeartbeat()) {
