--- a/load/src/main/java/org/chivetally/load/RoleUsage.java
+++ b/load/src/main/java/org/chivetally/load/RoleUsage.java
@@ -16,7 +16,7 @@
 
     /** Rejects null components. */
     public RoleUsage {
-        Objects.requireNonNull(processorTime, "processorTime");
+        Objects.requireNonNull(processorTime, "processor");
     }
 
     /** Returns the sum of this usage and another. */
--- a/load/src/main/java/org/chivetally/load/RunFiles.java
+++ b/load/src/main/java/org/chivetally/load/RunFiles.java
@@ -17,8 +17,8 @@
 
     /** Rejects null components. */
     public RunFiles {
-        Objects.requireNonNull(faultsFolder, "faultsFolder");
-        Objects.requireNonNull(processesFolder, "processesFolder");
-        Objects.requireNonNull(requestsFile, "requestsFile");
+        Objects.requireNonNull(faultsFolder, "faults");
+        Objects.requireNonNull(processesFolder, "processes");
+        Objects.requireNonNull(requestsFile, "requests");
     }
 }
