--- a/library/src/main/java/org/chivetally/entry/member/EndedMember.java
+++ b/library/src/main/java/org/chivetally/entry/member/EndedMember.java
@@ -3,13 +3,13 @@
 import java.util.Objects;
 
 /**
- * An incarnation that is not in the view any more, and why.
+ * An incarnation that was removed from the membership view, and the reason.
  *
- * @param role its role; empty when only its end is known
- * @param service service of its minion; empty for an entry, or when only its end is known
+ * @param role {@link Member#AGENT} or {@link Member#ENTRY}; empty when only its leave record was read
+ * @param service service of its minion; empty for an entry, or when only its leave record was read
  */
 public record EndedMember(Incarnation id, String role, String service, Reason reason) {
-    /** Refuses missing parts. */
+    /** Rejects null components. */
     public EndedMember {
         Objects.requireNonNull(id, "id");
         Objects.requireNonNull(role, "role");
@@ -17,28 +17,28 @@
         Objects.requireNonNull(reason, "reason");
     }
 
-    /** Returns a member that has ended. */
+    /** Creates the ended form of a member. */
     public static EndedMember of(Member member, Reason reason) {
         return new EndedMember(member.id(), member.role(), member.service(), reason);
     }
 
-    /** Tells whether it was an agent, as far as is known. */
+    /** Returns whether it was an agent, or its role is unknown. */
     public boolean mayBeAgent() {
         return !role.equals(Member.ENTRY);
     }
 
-    /** Tells whether it was an entry, as far as is known. */
+    /** Returns whether it was an entry, or its role is unknown. */
     public boolean mayBeEntry() {
         return !role.equals(Member.AGENT);
     }
 
-    /** Why an incarnation is not in the view. */
+    /** Why an incarnation was removed from the view. */
     public enum Reason {
-        /** A newer incarnation of its process runs: it is dead beyond doubt. */
+        /** A newer incarnation of its process runs, so it has certainly stopped. */
         SUPERSEDED,
-        /** It said that it stops; it may still finish what it has. */
+        /** It wrote a leave record; it may still finish its running work. */
         LEFT,
-        /** Nobody reaches it; it may come back. */
+        /** It is unreachable; it may rejoin when it announces itself again. */
         PRESUMED_GONE
     }
 }
--- a/library/src/main/java/org/chivetally/entry/member/FlapHistory.java
+++ b/library/src/main/java/org/chivetally/entry/member/FlapHistory.java
@@ -1,6 +1,8 @@
 package org.chivetally.entry.member;
 
-/** How often connections to one process failed lately, and how long it is held down for that. */
+/**
+ * Counts recent connection failures of one process and holds it down while its connections flap. Times are nanoseconds.
+ */
 final class FlapHistory {
     private int failureCount;
     private long lastFailureNanos;
@@ -15,7 +17,7 @@
         lastFailureNanos = now;
     }
 
-    /** Begins a hold-down when the process came back after it failed more than once; true when it is held now. */
+    /** Begins a hold-down when the process reconnects after two or more recent failures; returns whether it did. */
     boolean beginHoldDownIfFlapping(MembershipSettings settings, long now) {
         if (failureCount < 2 || now - lastFailureNanos > settings.flapWindow().toNanos()) {
             return false;
@@ -28,7 +30,7 @@
         return true;
     }
 
-    /** Tells, once, that the hold-down is over. */
+    /** Returns true once, when the hold-down has expired. */
     boolean endHoldDownIfExpired(long now) {
         if (!heldDown || now - holdDownEndNanos < 0) {
             return false;
@@ -37,7 +39,7 @@
         return true;
     }
 
-    /** Tells whether nothing has to be remembered any more. */
+    /** Returns whether the history can be discarded. */
     boolean isExpired(MembershipSettings settings, long now) {
         return !heldDown && now - lastFailureNanos > settings.flapWindow().toNanos();
     }
--- a/library/src/main/java/org/chivetally/entry/member/Incarnation.java
+++ b/library/src/main/java/org/chivetally/entry/member/Incarnation.java
@@ -2,9 +2,9 @@
 
 import java.util.Objects;
 
-/** One run of a process. */
+/** Identifies one run of a process: a restarted process has a new incarnation. */
 public record Incarnation(String processId, String incarnation) {
-    /** Refuses missing parts. */
+    /** Rejects null components. */
     public Incarnation {
         Objects.requireNonNull(processId, "processId");
         Objects.requireNonNull(incarnation, "incarnation");
--- a/library/src/main/java/org/chivetally/entry/member/Member.java
+++ b/library/src/main/java/org/chivetally/entry/member/Member.java
@@ -4,13 +4,13 @@
 import org.chivetally.entry.link.Address;
 
 /**
- * One incarnation of an agent or an entry, as it announced itself.
+ * One incarnation of an agent or an entry, as announced.
  *
  * @param role {@link #AGENT} or {@link #ENTRY}
- * @param address where others reach its frames' listener
+ * @param address host and port of its frame listener
  * @param service service of its minion; empty for an entry
  * @param backend name of its backend server instance; empty for an entry
- * @param capacity what its worker gives to its minion; all zero for an entry
+ * @param capacity what its worker allots to its minion; all zero for an entry
  */
 public record Member(
         String processId,
@@ -21,13 +21,13 @@
         String service,
         String backend,
         MemberCapacity capacity) {
-    /** Role of a process beside a minion. */
+    /** Role of a process that runs beside a minion and starts its tasks. */
     public static final String AGENT = "agent";
 
-    /** Role of a process that callers talk to. */
+    /** Role of a process that accepts jobs from clients. */
     public static final String ENTRY = "entry";
 
-    /** Refuses missing parts and unknown roles. */
+    /** Rejects null components and unknown roles. */
     public Member {
         Objects.requireNonNull(processId, "processId");
         Objects.requireNonNull(incarnation, "incarnation");
@@ -41,12 +41,12 @@
         }
     }
 
-    /** Returns the incarnation. */
+    /** Returns the identity of this incarnation. */
     public Incarnation id() {
         return new Incarnation(processId, incarnation);
     }
 
-    /** Tells whether this is an agent. */
+    /** Returns whether this is an agent. */
     public boolean isAgent() {
         return AGENT.equals(role);
     }
--- a/library/src/main/java/org/chivetally/entry/member/MemberActor.java
+++ b/library/src/main/java/org/chivetally/entry/member/MemberActor.java
@@ -21,7 +21,7 @@
 import org.chivetally.logging.EventLine;
 import org.chivetally.time.NanoClock;
 
-/** Shell of {@link MembershipView}: reads and writes the stream {@code members}, and passes on what the view wants. */
+/** Drives a {@link MembershipView}: reads and writes the stream {@code members}, and executes effects. */
 public final class MemberActor extends AbstractBehavior<MemberActor.Command> {
     private static final FluentLogger LOGGER = FluentLogger.forEnclosingClass();
     private static final int RECORDS_PER_READ = 1_000;
@@ -74,15 +74,16 @@
         switch (command) {
             case Event event -> applyAndPublish(event.event());
             case ReadDone done -> onRead(done.outcome());
-            case RetryRead again -> read();
+            case RetryRead retry -> read();
             case CatchUpRead read -> onCatchUpRead(read);
             case CatchUp catchUp -> catchUp(catchUp);
-            case ListMembers asked -> asked.reply().accept(view.list().members());
+            case ListMembers listMembers ->
+                listMembers.reply().accept(view.list().members());
             case Announce announce -> announce();
             case Introduce introduce -> introduceUnlessLogReachable();
             case Tick tick -> applyAndPublish(new MembershipEvent.Ticked());
             case Written written -> onWritten(written);
-            case Leave leave -> throw new IllegalStateException("handled before");
+            case Leave leave -> throw new IllegalStateException("Leave is handled by onLeave");
         }
     }
 
@@ -105,11 +106,11 @@
     private void applyRecords(ReadOutcome.Records records) {
         setLogReachable(true);
         for (LogRecord record : records.records()) {
-            // Two reads may be under way; the later answer repeats records of the earlier one.
+            // Two reads may run concurrently; the later answer repeats records of the earlier one.
             if (record.offset() >= nextOffset) {
                 nextOffset = record.offset() + 1;
                 MemberRecords.read(record.payload())
-                        .ifPresent(known -> applyEvent(new MembershipEvent.RecordRead(known)));
+                        .ifPresent(memberRecord -> applyEvent(new MembershipEvent.RecordRead(memberRecord)));
             }
         }
         publishIfChanged();
@@ -125,7 +126,7 @@
         parts.logReachable().accept(isReachable);
     }
 
-    // A long read under way may have begun before what is asked for was written, so this is a read of its own.
+    // A pending long-poll read may have started before the requested records were written, so this reads separately.
     private void catchUp(CatchUp catchUp) {
         getContext()
                 .pipeToSelf(
@@ -146,8 +147,9 @@
         read.catchUp().done().complete(true);
     }
 
-    // While the log is down nobody reads an announcement, and a process that starts then would stay unknown. It says so
-    // to the processes of its settings instead, and asks them whom they know.
+    // While the log is down, announcements are not read, and a process that starts then would stay unknown. It
+    // introduces
+    // itself to the processes in its settings instead, and requests their members.
     private void introduceUnlessLogReachable() {
         if (!logReachable) {
             parts.introduce().run();
@@ -219,10 +221,10 @@
 
     private void execute(MembershipEffect effect) {
         switch (effect) {
-            case MembershipEffect.Changed another -> changed = true;
+            case MembershipEffect.Changed changedView -> changed = true;
             case MembershipEffect.Append append when !upToDate -> {
-                // Most of what could be written stands in records not read yet; in an outage nothing can be written at
-                // all. What is still wanted after the next read comes again.
+                // Unread records most likely contain this record already, and nothing can be written during an outage.
+                // The view requests the append again if it is still needed after the next read.
             }
             case MembershipEffect.Append append -> {
                 LOGGER.atInfo().log("%s", EventLine.of("member-record").with("record", append.record()));
@@ -235,19 +237,22 @@
         }
     }
 
-    /** Messages of the actor. */
+    /** Messages to the actor. */
     public sealed interface Command {}
 
-    /** Something happened to a member. */
+    /** Applies an event to the view. */
     public record Event(MembershipEvent event) implements Command {}
 
-    /** Reads the stream to its present end; true once all that it holds was published. */
+    /**
+     * Reads the stream to its current end; completes with true once its records are published, with false if a read
+     * fails.
+     */
     public record CatchUp(CompletableFuture<Boolean> done) implements Command {}
 
-    /** Give the members to a peer that can't read them. */
+    /** Returns the members, for a peer that cannot read the log. */
     public record ListMembers(Consumer<List<Member>> reply) implements Command {}
 
-    /** Says in the log that this process stops, and ends the actor. */
+    /** Writes the leave record of this process, and stops the actor. */
     public record Leave(CompletableFuture<Void> done) implements Command {}
 
     private record ReadDone(ReadOutcome outcome) implements Command {}
@@ -267,15 +272,15 @@
     private record Tick() implements Command {}
 
     /**
-     * What the actor works with.
+     * Dependencies of the actor.
      *
      * @param self this process as a member
-     * @param announceInterval time between announcements; well under what the log keeps
-     * @param publish takes each new list, on the actor's thread
-     * @param connectionEffects takes effects that concern connections, on the actor's thread
-     * @param caughtUp run once, when the stream was read to its end for the first time
-     * @param logReachable told after each read whether it succeeded
-     * @param introduce tells the processes of the settings of this one, and asks them whom they know
+     * @param announceInterval time between announcements; well below the retention of the log
+     * @param publish receives each new list, on the actor's thread
+     * @param connectionEffects receives all effects except appends and changes, on the actor's thread
+     * @param caughtUp runs once, when the stream was read to its end for the first time
+     * @param logReachable receives after each read whether it succeeded
+     * @param introduce introduces this process to the processes in its settings, and requests their members
      */
     public record Parts(
             PlatformLog log,
--- a/library/src/main/java/org/chivetally/entry/member/MemberCapacity.java
+++ b/library/src/main/java/org/chivetally/entry/member/MemberCapacity.java
@@ -1,13 +1,13 @@
 package org.chivetally.entry.member;
 
 /**
- * What a worker gives to one minion.
+ * Resources that a worker allots to one minion.
  *
- * @param slots tasks that may run at once
- * @param connections connections that may be open at once
+ * @param slots maximum number of concurrent tasks
+ * @param connections maximum number of open connections
  * @param processorMillis thousandths of a processor
  * @param memoryBytes memory in bytes
- * @param accelerators whole accelerators
+ * @param accelerators number of whole accelerators
  */
 public record MemberCapacity(int slots, int connections, long processorMillis, long memoryBytes, int accelerators) {
     /** Capacity of a process without a minion. */
--- a/library/src/main/java/org/chivetally/entry/member/MemberList.java
+++ b/library/src/main/java/org/chivetally/entry/member/MemberList.java
@@ -4,31 +4,31 @@
 import java.util.Set;
 
 /**
- * All members at one moment.
+ * Snapshot of the membership view.
  *
- * @param members those in the view, in the order of their process ids
- * @param unannounced those of them that only introduced themselves, and do not stand in the log
- * @param ended incarnations that were members lately
+ * @param members members in the view, sorted by process id
+ * @param unannounced members known from an introduction only, whose announcement was not read from the log
+ * @param ended incarnations that ended within the retention time
  */
 public record MemberList(List<Member> members, Set<Incarnation> unannounced, List<EndedMember> ended) {
-    /** Copies the collections. */
+    /** Makes defensive copies of the collections. */
     public MemberList {
         members = List.copyOf(members);
         unannounced = Set.copyOf(unannounced);
         ended = List.copyOf(ended);
     }
 
-    /** Creates the list of members that all stand in the log and of which none ended lately. */
+    /** Creates a list of announced members without ended incarnations. */
     public MemberList(List<Member> members) {
         this(members, Set.of(), List.of());
     }
 
-    /** Returns the agents only. */
+    /** Returns the members that are agents. */
     public List<Member> agents() {
         return members.stream().filter(Member::isAgent).toList();
     }
 
-    /** Returns the entries only. */
+    /** Returns the members that are entries. */
     public List<Member> entries() {
         return members.stream().filter(member -> !member.isAgent()).toList();
     }
--- a/library/src/main/java/org/chivetally/entry/member/MemberRecord.java
+++ b/library/src/main/java/org/chivetally/entry/member/MemberRecord.java
@@ -1,17 +1,17 @@
 package org.chivetally.entry.member;
 
-/** One record of the stream {@code members}. */
+/** A record of the log stream {@code members}. */
 public sealed interface MemberRecord {
-    /** The process runs and can be reached. */
+    /** The process runs and accepts connections. */
     record Announce(Member member) implements MemberRecord {}
 
-    /** The process stops. */
+    /** The process is stopping. */
     record Leave(String processId, String incarnation) implements MemberRecord {}
 
     /**
-     * Entries of two failure domains don't reach the incarnation.
+     * Entries in two failure domains cannot reach the incarnation.
      *
-     * @param declaredBy process id of the entry that writes this
+     * @param declaredBy process id of the entry that writes this record
      */
     record Gone(String processId, String incarnation, String declaredBy) implements MemberRecord {}
 }
--- a/library/src/main/java/org/chivetally/entry/member/MemberRecords.java
+++ b/library/src/main/java/org/chivetally/entry/member/MemberRecords.java
@@ -10,9 +10,9 @@
 import tools.jackson.databind.json.JsonMapper;
 import tools.jackson.databind.node.ObjectNode;
 
-/** Writes and reads records of the stream {@code members}, and turns introductions into members. */
+/** Serializes records of the stream {@code members}, and converts between members and {@code Hello} messages. */
 public final class MemberRecords {
-    /** Name of the stream. */
+    /** Name of the log stream. */
     public static final String STREAM = "members";
 
     private static final String ANNOUNCE = "announce";
@@ -22,7 +22,7 @@
 
     private MemberRecords() {}
 
-    /** Returns the JSON of a record. */
+    /** Serializes a record as JSON. */
     public static byte[] write(MemberRecord record) {
         ObjectNode document = MAPPER.createObjectNode();
         switch (record) {
@@ -38,7 +38,7 @@
         return MAPPER.writeValueAsBytes(document);
     }
 
-    /** Reads a record; empty for content that is none, so that one bad record does not stop all readers. */
+    /** Parses a record; empty for malformed content, so that one bad record does not stop all readers. */
     public static Optional<MemberRecord> read(byte[] payload) {
         try {
             return readDocument(MAPPER.readTree(new String(payload, StandardCharsets.UTF_8)));
@@ -47,7 +47,7 @@
         }
     }
 
-    /** Returns the member that introduces itself; empty when it names no role or no address. */
+    /** Converts a {@code Hello} message to a member; empty when its role or address is invalid. */
     public static Optional<Member> ofHello(Hello hello) {
         try {
             return Optional.of(new Member(
@@ -64,7 +64,7 @@
         }
     }
 
-    /** Returns the introduction of a member, without a report. */
+    /** Converts a member to a {@code Hello} message without a load report. */
     public static Hello toHello(Member member) {
         return Hello.newBuilder()
                 .setProcessId(member.processId())
--- a/library/src/main/java/org/chivetally/entry/member/MemberState.java
+++ b/library/src/main/java/org/chivetally/entry/member/MemberState.java
@@ -1,15 +1,15 @@
 package org.chivetally.entry.member;
 
-/** State of one incarnation, as one entry sees it. */
+/** State of one incarnation in the view of one entry. */
 public enum MemberState {
-    /** Announced, and not reached from here yet. */
+    /** Known, and not connected to this entry yet. */
     JOINING,
-    /** Reached from here now. */
+    /** Connected to this entry. */
     ALIVE,
-    /** Not reached from here now; in the view still. */
+    /** Not connected to this entry; still in the view. */
     SUSPECT,
-    /** Out of the view, as nobody reaches it. */
+    /** Removed from the view because it is presumed gone. */
     GONE,
-    /** Out of the view, as it left or a newer incarnation runs. */
+    /** Removed from the view because it left or a newer incarnation runs. */
     ENDED
 }
--- a/library/src/main/java/org/chivetally/entry/member/MembershipEffect.java
+++ b/library/src/main/java/org/chivetally/entry/member/MembershipEffect.java
@@ -1,19 +1,19 @@
 package org.chivetally.entry.member;
 
-/** What the view of members wants done. */
+/** Action that a {@link MembershipView} requests. */
 public sealed interface MembershipEffect {
-    /** The view is another one than before. */
+    /** The view has changed. */
     record Changed() implements MembershipEffect {}
 
-    /** Ask an entry whether it reaches a suspected member. */
+    /** Ask another entry whether it can reach a suspected member. */
     record Ask(Incarnation entry, Incarnation suspect) implements MembershipEffect {}
 
     /** Append this record to the stream {@code members}. */
     record Append(MemberRecord record) implements MembershipEffect {}
 
-    /** Tell a member that can be reached that it was declared gone, so that it announces itself anew. */
+    /** Notify a connected member that it was declared gone, so that it announces itself again. */
     record TellGone(Member member) implements MembershipEffect {}
 
-    /** Give an agent one task at a time only, or as many as it takes again. */
+    /** Limit an agent to one task at a time, or lift that limit. */
     record HoldDown(Incarnation agent, boolean held) implements MembershipEffect {}
 }
--- a/library/src/main/java/org/chivetally/entry/member/MembershipSettings.java
+++ b/library/src/main/java/org/chivetally/entry/member/MembershipSettings.java
@@ -3,22 +3,22 @@
 import java.time.Duration;
 
 /**
- * Times of the view of members.
+ * Timeouts and intervals of the membership view.
  *
- * @param joinTimeout time without a connection after which a member that was never reached is suspected
+ * @param joinTimeout time after which a member that never connected is suspected
  * @param contactTimeout time without a connection or an announcement after which a member is presumed gone without
- *     anyone's word; longer than the time between two announcements
- * @param endedRetention how long ended incarnations are named; at least as long as a claim may be taken over
- * @param firstQueryDelay time from a suspicion to the first question to other entries
- * @param queryInterval time to the next question; doubles up to the limit
- * @param longestQueryInterval longest time between two questions
- * @param answerTimeout time in which answers to a question count
- * @param minimumSuspicion least time of suspicion before a member is declared gone
- * @param declarationStagger time that each further entry waits before it declares the same member gone
- * @param announceOnBehalfAfter time after which an agent that only introduced itself is announced by this entry
- * @param flapWindow time without a suspicion after which earlier ones are forgotten
- * @param shortestHoldDown hold-down after the second suspicion; doubles with each further one
- * @param longestHoldDown longest hold-down
+ *     confirmation by another entry; longer than the time between two announcements
+ * @param endedRetention how long ended incarnations stay listed; at least as long as a claim may be taken over
+ * @param firstQueryDelay time from a suspicion to the first query to other entries
+ * @param queryInterval time between the first two queries; doubles up to {@code longestQueryInterval}
+ * @param longestQueryInterval longest time between two queries
+ * @param answerTimeout time to wait for the answers to a query before they are evaluated
+ * @param minimumSuspicion shortest time that a member is suspected before it is declared gone
+ * @param declarationStagger additional delay per rank of an entry before it declares the same member gone
+ * @param announceOnBehalfAfter time after which this entry announces an agent that is not announced in the log
+ * @param flapWindow time without a connection failure after which earlier failures are discarded
+ * @param shortestHoldDown hold-down after the second connection failure; doubles with each further failure
+ * @param longestHoldDown upper limit of the hold-down
  */
 public record MembershipSettings(
         Duration joinTimeout,
@@ -34,7 +34,7 @@
         Duration flapWindow,
         Duration shortestHoldDown,
         Duration longestHoldDown) {
-    /** Returns the times of the design note for claims that are remembered for a time. */
+    /** Returns the default settings; ended incarnations are kept for twice the given claim window. */
     public static MembershipSettings standard(Duration claimWindow) {
         return new MembershipSettings(
                 Duration.ofSeconds(10),
--- a/library/src/main/java/org/chivetally/entry/member/MembershipView.java
+++ b/library/src/main/java/org/chivetally/entry/member/MembershipView.java
@@ -12,16 +12,16 @@
 import org.chivetally.membership.RendezvousOrder;
 
 /**
- * The members as one entry sees them, from the stream {@code members}, from introductions, and from its own
- * connections.
+ * Membership view of one entry, built from the stream {@code members}, from introductions and from its own connections.
  *
  * <p>Pure and single-threaded: it takes events with the time in nanoseconds of a monotonic clock, and returns effects.
- * A hint for routing only; what rests on it for safety is that an incarnation that was ever a member is named, among
- * the members or the ended ones, for the retention.
+ * Routing uses the view as a hint only. Safety depends on one property: every incarnation that was ever a member stays
+ * listed, as a member or as ended, for the retention time.
  *
- * <p>A member that this entry loses is suspected: this entry uses it no more, and nobody else is concerned. Only when
- * an entry of another failure domain does not reach it either, and none that was asked does, is it declared gone for
- * all. A fault of one entry, one connection or one failure domain therefore takes a member out of one view at most.
+ * <p>A member whose connection to this entry is lost becomes suspect: this entry stops using it, and other entries are
+ * not affected. It is declared gone for all entries only when an entry in another failure domain cannot reach it
+ * either, and no queried entry can. A fault of one entry, one connection or one failure domain therefore never removes
+ * a member from the views of all entries.
  */
 public final class MembershipView {
     private static final int MAXIMUM_QUERIED_ENTRIES = 3;
@@ -30,10 +30,10 @@
     private final MembershipSettings settings;
     private final Map<String, TrackedMember> activeMembers = new HashMap<>();
     private final Map<Incarnation, TrackedMember> endedMembers = new LinkedHashMap<>();
-    /** Incarnations that are over and not named any more; never to be members again. */
+    /** Ended incarnations whose retention is over, and departed ones never seen; they cannot become members again. */
     private final Set<Incarnation> retiredIncarnations = new HashSet<>();
 
-    /** Incarnations of which the records told nothing but that they left, and when that was read. */
+    /** Incarnations of which only the leave record was read, with the time of that read in nanoseconds. */
     private final Map<Incarnation, Long> unknownDepartures = new LinkedHashMap<>();
 
     private final Map<String, FlapHistory> flapHistories = new HashMap<>();
@@ -41,7 +41,7 @@
     private boolean changed;
     private long now;
 
-    /** Creates the view of an entry that knows itself only. */
+    /** Creates a view that contains only this entry. */
     public MembershipView(Member self, MembershipSettings settings, long now) {
         this.self = self;
         this.settings = settings;
@@ -50,15 +50,15 @@
         activeMembers.put(self.processId(), own);
     }
 
-    /** Takes an event in and returns what to do, in order. */
+    /** Applies an event and returns the resulting effects, in order. */
     public List<MembershipEffect> handle(MembershipEvent event, long nowNanos) {
         now = nowNanos;
         effects = new ArrayList<>();
         changed = false;
         switch (event) {
-            case MembershipEvent.RecordRead recorded -> applyRecord(recorded.record());
+            case MembershipEvent.RecordRead recordRead -> applyRecord(recordRead.record());
             case MembershipEvent.Introduced introduced -> applyAnnouncement(introduced.member(), false);
-            case MembershipEvent.ConnectionOpened reached -> applyConnectionOpened(reached.member());
+            case MembershipEvent.ConnectionOpened opened -> applyConnectionOpened(opened.member());
             case MembershipEvent.ConnectionLost lost -> applyConnectionLost(lost.member());
             case MembershipEvent.ConnectedProcesses connected -> refreshContact(connected.processIds());
             case MembershipEvent.SuspicionAnswered answered -> applyAnswer(answered);
@@ -70,28 +70,28 @@
         return effects;
     }
 
-    /** Returns all members and those that ended lately. */
+    /** Returns a snapshot of the members and of recently ended incarnations. */
     public MemberList list() {
         List<Member> members = new ArrayList<>();
         Set<Incarnation> unannounced = new HashSet<>();
-        for (TrackedMember one : activeMembers.values()) {
-            members.add(one.member);
-            if (!one.announced) {
-                unannounced.add(one.id());
+        for (TrackedMember tracked : activeMembers.values()) {
+            members.add(tracked.member);
+            if (!tracked.announced) {
+                unannounced.add(tracked.id());
             }
         }
         members.sort(Comparator.comparing(Member::processId));
         List<EndedMember> recentlyEnded = new ArrayList<>();
-        endedMembers.values().forEach(one -> recentlyEnded.add(EndedMember.of(one.member, one.endReason)));
+        endedMembers.values().forEach(tracked -> recentlyEnded.add(EndedMember.of(tracked.member, tracked.endReason)));
         unknownDepartures
                 .keySet()
                 .forEach(id -> recentlyEnded.add(new EndedMember(id, "", "", EndedMember.Reason.LEFT)));
         return new MemberList(members, unannounced, recentlyEnded);
     }
 
-    /** Returns the state of an incarnation; empty when it is not known. */
+    /** Returns the state of an incarnation; empty when it is unknown. */
     public Optional<MemberState> state(Incarnation id) {
-        return Optional.ofNullable(find(id)).map(one -> one.state);
+        return Optional.ofNullable(find(id)).map(tracked -> tracked.state);
     }
 
     private void applyRecord(MemberRecord record) {
@@ -102,9 +102,9 @@
         }
     }
 
-    // An append that was delayed for long can bring the announcement of an incarnation after its successor's or after
-    // its own end. Agents would be dialled at old addresses and counted as ended, in turns. Incarnations are never
-    // reused, so one that has ended stays ended; only one that was presumed gone may come back.
+    // A long-delayed append can place the announcement of an incarnation after that of its successor or after its own
+    // end. If it were applied, the view would alternate between incarnations: agents would be dialled at old addresses
+    // and listed as ended. Incarnations are never reused, so only one that was presumed gone may rejoin.
     private void applyAnnouncement(Member member, boolean inLog) {
         if (retiredIncarnations.contains(member.id())) {
             return;
@@ -140,24 +140,24 @@
         known.lastContactNanos = now;
     }
 
-    private void addMember(TrackedMember entering) {
-        String processId = entering.member.processId();
-        if (processId.equals(self.processId()) && !entering.id().equals(self.id())) {
-            // An earlier run of this very process.
-            endMember(entering, EndedMember.Reason.SUPERSEDED);
+    private void addMember(TrackedMember added) {
+        String processId = added.member.processId();
+        if (processId.equals(self.processId()) && !added.id().equals(self.id())) {
+            // An earlier run of this process.
+            endMember(added, EndedMember.Reason.SUPERSEDED);
             return;
         }
-        TrackedMember predecessor = activeMembers.put(processId, entering);
+        TrackedMember predecessor = activeMembers.put(processId, added);
         if (predecessor != null) {
             endMember(predecessor, EndedMember.Reason.SUPERSEDED);
         }
         changed = true;
     }
 
-    private void endMember(TrackedMember ending, EndedMember.Reason reason) {
-        activeMembers.remove(ending.member.processId(), ending);
-        ending.end(reason, now);
-        endedMembers.put(ending.id(), ending);
+    private void endMember(TrackedMember tracked, EndedMember.Reason reason) {
+        activeMembers.remove(tracked.member.processId(), tracked);
+        tracked.end(reason, now);
+        endedMembers.put(tracked.id(), tracked);
         changed = true;
     }
 
@@ -181,8 +181,8 @@
         }
     }
 
-    // Several entries may write the record, and a lost answer may write it twice. Counted once per incarnation, a late
-    // one can't take a member out again that has announced itself since.
+    // Several entries may write the record, and a retry after a lost answer may write it twice. It is applied once per
+    // incarnation, so that a late copy cannot remove a member that has announced itself again since.
     private void applyGone(Incarnation id) {
         TrackedMember known = find(id);
         if (known == null || known.endReason != null || known.declaredGone) {
@@ -220,11 +220,11 @@
     private void applyConnectionToEnded(TrackedMember known) {
         switch (known.endReason) {
             case LEFT -> {
-                // It finishes what it has.
+                // It only finishes its running work.
             }
             case PRESUMED_GONE -> effects.add(new MembershipEffect.TellGone(known.member));
             case SUPERSEDED -> {
-                // The records came in another order than the incarnations ran; an open connection knows better.
+                // The records are out of order; the open connection shows that this incarnation runs.
                 endedMembers.remove(known.id());
                 known.endReason = null;
                 addMember(known);
@@ -258,9 +258,9 @@
 
     private void refreshContact(Set<String> processIds) {
         for (String processId : processIds) {
-            TrackedMember one = activeMembers.get(processId);
-            if (one != null) {
-                one.lastContactNanos = now;
+            TrackedMember tracked = activeMembers.get(processId);
+            if (tracked != null) {
+                tracked.lastContactNanos = now;
             }
         }
     }
@@ -277,46 +277,47 @@
 
     private void applyTick() {
         activeMembers.get(self.processId()).lastContactNanos = now;
-        for (TrackedMember one : List.copyOf(activeMembers.values())) {
-            checkMember(one);
+        for (TrackedMember tracked : List.copyOf(activeMembers.values())) {
+            checkMember(tracked);
         }
         flapHistories.forEach(this::endHoldDown);
         flapHistories.values().removeIf(history -> history.isExpired(settings, now));
         long retentionNanos = settings.endedRetention().toNanos();
-        changed |= unknownDepartures.values().removeIf(at -> now - at >= retentionNanos);
+        changed |= unknownDepartures.values().removeIf(departureNanos -> now - departureNanos >= retentionNanos);
         changed |= endedMembers
                 .values()
-                .removeIf(one -> !one.connected && now - one.stateSinceNanos >= retentionNanos && retire(one));
+                .removeIf(tracked ->
+                        !tracked.connected && now - tracked.stateSinceNanos >= retentionNanos && retire(tracked));
     }
 
-    private boolean retire(TrackedMember one) {
-        if (one.endReason != EndedMember.Reason.PRESUMED_GONE) {
-            retiredIncarnations.add(one.id());
+    private boolean retire(TrackedMember tracked) {
+        if (tracked.endReason != EndedMember.Reason.PRESUMED_GONE) {
+            retiredIncarnations.add(tracked.id());
         }
         return true;
     }
 
-    private void checkMember(TrackedMember one) {
+    private void checkMember(TrackedMember tracked) {
         boolean joinTimedOut =
-                now - one.stateSinceNanos >= settings.joinTimeout().toNanos();
-        if (one.state == MemberState.JOINING && joinTimedOut) {
-            one.transitionTo(MemberState.SUSPECT, now);
+                now - tracked.stateSinceNanos >= settings.joinTimeout().toNanos();
+        if (tracked.state == MemberState.JOINING && joinTimedOut) {
+            tracked.transitionTo(MemberState.SUSPECT, now);
         }
-        if (one.suspicion != null) {
-            checkSuspicion(one);
+        if (tracked.suspicion != null) {
+            checkSuspicion(tracked);
         }
-        if (!one.announced && one.member.isAgent()) {
-            announceOnBehalf(one);
+        if (!tracked.announced && tracked.member.isAgent()) {
+            announceOnBehalf(tracked);
         }
         boolean contactTimedOut =
-                now - one.lastContactNanos >= settings.contactTimeout().toNanos();
-        if (contactTimedOut && !one.connected && !one.id().equals(self.id())) {
-            endMember(one, EndedMember.Reason.PRESUMED_GONE);
+                now - tracked.lastContactNanos >= settings.contactTimeout().toNanos();
+        if (contactTimedOut && !tracked.connected && !tracked.id().equals(self.id())) {
+            endMember(tracked, EndedMember.Reason.PRESUMED_GONE);
         }
     }
 
-    // An entry that takes a job over has to ask all agents that may have run its tasks, and knows of them by the log.
-    // An agent that the log does not know yet is therefore announced from here as well as by its own next attempt.
+    // An entry that takes over a job has to query all agents that may have run its tasks, and finds them through the
+    // log. An agent missing from the log is therefore announced by this entry, in addition to the agent's own retries.
     private void announceOnBehalf(TrackedMember agent) {
         if (now - agent.lastAnnouncedNanos >= settings.announceOnBehalfAfter().toNanos()) {
             agent.lastAnnouncedNanos = now;
@@ -339,19 +340,19 @@
 
     private int declarationRank(TrackedMember suspect) {
         List<String> entries = new ArrayList<>();
-        for (TrackedMember one : activeMembers.values()) {
-            if (!one.member.isAgent() && one.state == MemberState.ALIVE) {
-                entries.add(one.member.processId());
+        for (TrackedMember tracked : activeMembers.values()) {
+            if (!tracked.member.isAgent() && tracked.state == MemberState.ALIVE) {
+                entries.add(tracked.member.processId());
             }
         }
         return RendezvousOrder.rank(self.processId(), entries, suspect.member.processId());
     }
 
-    /** Returns the entries to ask: one of each other failure domain, of three at most. */
+    /** Returns the entries to query: one in each other failure domain, in three domains at most. */
     private List<TrackedMember> entriesToQuery(TrackedMember suspect) {
         Map<String, TrackedMember> byDomain = new LinkedHashMap<>();
         List<TrackedMember> entries = new ArrayList<>(activeMembers.values());
-        entries.sort(Comparator.comparing(one -> one.member.processId()));
+        entries.sort(Comparator.comparing(tracked -> tracked.member.processId()));
         for (TrackedMember entry : entries) {
             String domain = entry.member.failureDomain();
             boolean usable = !entry.member.isAgent() && entry.connected && entry != suspect;
@@ -366,14 +367,14 @@
         if (!history.endHoldDownIfExpired(now)) {
             return;
         }
-        TrackedMember one = activeMembers.get(processId);
-        if (one != null) {
-            effects.add(new MembershipEffect.HoldDown(one.id(), false));
+        TrackedMember tracked = activeMembers.get(processId);
+        if (tracked != null) {
+            effects.add(new MembershipEffect.HoldDown(tracked.id(), false));
         }
     }
 
     private TrackedMember find(Incarnation id) {
-        TrackedMember one = activeMembers.get(id.processId());
-        return one != null && one.id().equals(id) ? one : endedMembers.get(id);
+        TrackedMember tracked = activeMembers.get(id.processId());
+        return tracked != null && tracked.id().equals(id) ? tracked : endedMembers.get(id);
     }
 }
--- a/library/src/main/java/org/chivetally/entry/member/Probes.java
+++ b/library/src/main/java/org/chivetally/entry/member/Probes.java
@@ -7,18 +7,18 @@
 import java.util.function.Consumer;
 import java.util.function.Predicate;
 
-/** Members that another entry suspects and that were asked for a sign of life. Owned by one actor. */
+/** Pending liveness probes of members that another entry suspects. Owned by one actor. */
 public final class Probes {
     private static final long PROBE_TIMEOUT_NANOS = Duration.ofMillis(500).toNanos();
 
     private final List<Probe> pending = new ArrayList<>();
 
-    /** Notes that a member was asked; the reply is true if anything comes from it in time. */
+    /** Adds a probe of a member; the reply is true if any frame arrives from it before the timeout. */
     public void begin(Incarnation member, Consumer<Boolean> alive, long now) {
         pending.add(new Probe(member, alive, now + PROBE_TIMEOUT_NANOS));
     }
 
-    /** Notes that a frame of a member arrived. */
+    /** Completes the probes of a member that sent a frame. */
     public void received(Incarnation member) {
         if (pending.isEmpty()) {
             return;
@@ -26,7 +26,7 @@
         answer(probe -> probe.member.equals(member), true);
     }
 
-    /** Ends probes that nothing came back for. */
+    /** Completes the probes that timed out. */
     public void expire(long now) {
         answer(probe -> now - probe.deadlineNanos >= 0, false);
     }
--- a/library/src/main/java/org/chivetally/entry/member/Suspicion.java
+++ b/library/src/main/java/org/chivetally/entry/member/Suspicion.java
@@ -1,10 +1,10 @@
 package org.chivetally.entry.member;
 
 /**
- * The questions about one suspected member and what other entries answered. Times are nanoseconds.
+ * Queries to other entries about one suspected member, and their answers. Times are nanoseconds.
  *
- * <p>Only answers to the newest question count, and one entry that reaches the member outweighs all that don't: a
- * member cut off from some still serves the others.
+ * <p>Only answers to the latest query count. One entry that reaches the member refutes the suspicion, whatever the
+ * others answer: a member that some entries cannot reach still serves the rest.
  */
 final class Suspicion {
     private final long startedNanos;
@@ -19,7 +19,7 @@
         this.startedNanos = now;
     }
 
-    /** Tells whether the next question is due. */
+    /** Returns whether the next query is due. */
     boolean isQueryDue(MembershipSettings settings, long now) {
         if (queryCount == 0) {
             return now - startedNanos >= settings.firstQueryDelay().toNanos();
@@ -38,16 +38,17 @@
     }
 
     /**
-     * Notes an answer.
+     * Records an answer to the latest query.
      *
-     * @param elsewhere whether the entry that answers is in another failure domain than this one
+     * @param alive whether the answering entry reaches the member
+     * @param otherFailureDomain whether the answering entry is in another failure domain than this one
      */
     void recordAnswer(boolean alive, boolean otherFailureDomain) {
         refuted |= alive;
         confirmed |= !alive && otherFailureDomain;
     }
 
-    /** Tells whether the member may be declared gone by the entry whose turn comes after the given time. */
+    /** Returns whether this entry, delayed by the given stagger, may declare the member gone. */
     boolean mayDeclareGone(MembershipSettings settings, long staggerNanos, long now) {
         boolean suspectedLongEnough =
                 now - startedNanos >= settings.minimumSuspicion().toNanos() + staggerNanos;
@@ -56,7 +57,7 @@
         return suspectedLongEnough && answerTimeoutPassed && confirmed && !refuted;
     }
 
-    /** Tells whether the record is to be written now: once, and again only when it does not come back from the log. */
+    /** Returns whether to write the gone record now: once, and again when it was not read back from the log in time. */
     boolean beginDeclaration(MembershipSettings settings, long now) {
         if (declared && now - declaredNanos < settings.longestQueryInterval().toNanos()) {
             return false;
--- a/library/src/main/java/org/chivetally/entry/member/TrackedMember.java
+++ b/library/src/main/java/org/chivetally/entry/member/TrackedMember.java
@@ -1,22 +1,22 @@
 package org.chivetally.entry.member;
 
-/** What one entry knows of one incarnation of a process. Owned by a {@link MembershipView}. */
+/** State that one entry tracks for one incarnation of a process. Owned by a {@link MembershipView}. */
 final class TrackedMember {
     Member member;
     MemberState state = MemberState.JOINING;
-    /** Whether it stands in the log, and not only introduced itself. */
+    /** Whether its announcement was read from the log; false while it is known from an introduction only. */
     boolean announced;
-    /** Whether a connection of this entry to it can be used. */
+    /** Whether this entry has a usable connection to it. */
     boolean connected;
-    /** Whether it was declared gone before; that happens once to an incarnation. */
+    /** Whether it was declared gone before; an incarnation is declared gone at most once. */
     boolean declaredGone;
-    /** When it came into its state. */
+    /** When it entered its current state, in nanoseconds. */
     long stateSinceNanos;
-    /** When it was last connected or announced. */
+    /** When it was last connected or announced, in nanoseconds. */
     long lastContactNanos;
-    /** When it was last announced from here, or came to be known. */
+    /** When this entry last announced it on its behalf, or first learned of it, in nanoseconds. */
     long lastAnnouncedNanos;
-    /** Why it is not in the view; null while it is. */
+    /** Why it was removed from the view; null while it is in the view. */
     EndedMember.Reason endReason;
 
     Suspicion suspicion;
--- a/library/src/main/java/org/chivetally/entry/member/package-info.java
+++ b/library/src/main/java/org/chivetally/entry/member/package-info.java
@@ -1,2 +1,2 @@
-/** Which agents and entries there are, as they announce themselves in the platform's log. */
+/** Membership of agents and entries: announcements in the platform log, suspicion and failure detection. */
 package org.chivetally.entry.member;
--- a/library/src/test/java/org/chivetally/entry/member/MemberRecordsTest.java
+++ b/library/src/test/java/org/chivetally/entry/member/MemberRecordsTest.java
@@ -11,6 +11,7 @@
 import org.chivetally.entry.link.Address;
 import org.junit.jupiter.api.Test;
 
+/** Serialization of member records and introductions. */
 class MemberRecordsTest {
     private static final Member MEMBER = new Member(
             "a",
@@ -24,6 +25,7 @@
 
     @Test
     void recordsRoundTripThroughJson() {
+        // A component missing from the JSON would be lost for every entry that reads the record.
         List<MemberRecord> records = List.of(
                 new MemberRecord.Announce(MEMBER),
                 new MemberRecord.Leave("a", "1"),
@@ -35,11 +37,13 @@
 
     @Test
     void membersRoundTripThroughHello() {
+        // A field missing from the conversion would be lost when members are introduced while the log is down.
         assertThat(MemberRecords.ofHello(MemberRecords.toHello(MEMBER)), is(Optional.of(MEMBER)));
     }
 
     @Property(tries = 200)
     void malformedContentIsSkipped(@ForAll String text) {
+        // An exception for one malformed record would stop all readers of the stream.
         assertThat(MemberRecords.read(text.getBytes(StandardCharsets.UTF_8)), is(Optional.empty()));
     }
 }
--- a/library/src/test/java/org/chivetally/entry/member/MembershipDriver.java
+++ b/library/src/test/java/org/chivetally/entry/member/MembershipDriver.java
@@ -6,7 +6,7 @@
 import java.util.Set;
 import org.chivetally.entry.link.Address;
 
-/** Feeds a view with events at a paused time and keeps its effects. */
+/** Sends events to a view under a manual clock and collects its effects. */
 final class MembershipDriver {
     static final Duration CLAIM_WINDOW = Duration.ofMinutes(10);
 
@@ -38,16 +38,16 @@
         return newEffects;
     }
 
-    /** Lets time pass in steps of the shell's tick. */
+    /** Advances the clock in steps of the actor's tick interval, with a tick event for each. */
     void advance(Duration time) {
         Duration step = Duration.ofMillis(100);
-        for (Duration left = time; left.isPositive(); left = left.minus(step)) {
+        for (Duration remaining = time; remaining.isPositive(); remaining = remaining.minus(step)) {
             now += step.toNanos();
             handle(new MembershipEvent.Ticked());
         }
     }
 
-    /** Lets much time pass at once. */
+    /** Advances the clock in one step, with a single tick event. */
     void advanceAtOnce(Duration time) {
         now += time.toNanos();
         handle(new MembershipEvent.Ticked());
--- a/library/src/test/java/org/chivetally/entry/member/MembershipPropertyTest.java
+++ b/library/src/test/java/org/chivetally/entry/member/MembershipPropertyTest.java
@@ -20,13 +20,14 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.Provide;
 
-/** What holds for any interleaving of records, connections, answers and time. */
+/** Invariants of the view for any interleaving of records, connections, answers and time. */
 class MembershipPropertyTest {
     private static final Member SOUTH = MembershipDriver.entry("entry-3", "south");
     private static final Member SAME_DOMAIN_ENTRY = MembershipDriver.entry("entry-2", "north");
 
     @Property(tries = 2_000)
     void membersAreRemovedOnlyForAReasonAndStayListed(@ForAll("histories") List<Step> history) {
+        // A member removed without a reason gets no tasks; one that is not listed is not queried at a takeover.
         MembershipDriver driver = new MembershipDriver();
         MembershipDriver replica = new MembershipDriver();
         Model model = new Model();
@@ -84,7 +85,7 @@
         }
     }
 
-    /** What the view must not do, kept apart from how it does it. */
+    /** Reference model of the invariants, independent of the implementation of the view. */
     private static final class Model {
         private final Set<Incarnation> everAnnounced = new HashSet<>();
         private final Set<Incarnation> left = new HashSet<>();
@@ -117,7 +118,7 @@
                 case CONFIRM -> lastAnswer.put(id, false);
                 case REFUTE -> lastAnswer.put(id, true);
                 default -> {
-                    // Says nothing of one member.
+                    // Does not concern a particular member.
                 }
             }
         }
@@ -127,20 +128,20 @@
             Set<Incarnation> members = ids(list.members());
             Set<Incarnation> ended = list.ended().stream().map(EndedMember::id).collect(Collectors.toSet());
             for (Incarnation id : everAnnounced) {
-                assertThat("named: " + id, members.contains(id) || ended.contains(id), is(true));
+                assertThat("listed: " + id, members.contains(id) || ended.contains(id), is(true));
             }
             left.forEach(id -> assertThat("left", members, not(hasItem(id))));
-            mustAnnounce.forEach(id -> assertThat("to announce itself anew", members, not(hasItem(id))));
+            mustAnnounce.forEach(id -> assertThat("must announce itself again", members, not(hasItem(id))));
             for (MemberRecord record : driver.appended()) {
                 if (record instanceof MemberRecord.Gone gone) {
                     checkDeclared(gone, members);
                 }
             }
             lastMembers = members;
-            for (EndedMember over : list.ended()) {
-                boolean presumed = over.reason() == EndedMember.Reason.PRESUMED_GONE;
-                if (presumed) {
-                    mustAnnounce.add(over.id());
+            for (EndedMember endedMember : list.ended()) {
+                boolean presumedGone = endedMember.reason() == EndedMember.Reason.PRESUMED_GONE;
+                if (presumedGone) {
+                    mustAnnounce.add(endedMember.id());
                 }
             }
         }
--- a/library/src/test/java/org/chivetally/entry/member/MembershipViewTest.java
+++ b/library/src/test/java/org/chivetally/entry/member/MembershipViewTest.java
@@ -13,6 +13,7 @@
 import java.util.Optional;
 import org.junit.jupiter.api.Test;
 
+/** Transitions of the membership view: joining, suspicion, declared failures, rejoining and retention. */
 class MembershipViewTest {
     private static final Member AGENT = MembershipDriver.agent("agent-1", "1");
     private static final Member SUCCESSOR = MembershipDriver.agent("agent-1", "2");
@@ -40,8 +41,9 @@
 
     @Test
     void agentUnreachableFromOneEntryOnlyStaysInTheView() {
-        // One connection goes silent while the agent serves all others. This entry stops using it; were it declared
-        // gone, every entry would lose a healthy agent for one bad connection.
+        // One connection fails while the agent serves all other entries. Only this entry may stop using it: if the
+        // agent
+        // were declared gone, every entry would lose a healthy agent because of one bad connection.
         loseAgentWith(SOUTH, EAST);
         assertThat(state(AGENT), is(Optional.of(MemberState.SUSPECT)));
         driver.advance(Duration.ofMillis(300));
@@ -55,6 +57,9 @@
 
     @Test
     void agentUnreachableFromTwoFailureDomainsIsDeclaredGoneOnce() {
+        // A crashed agent is unreachable from two failure domains. The view must request its gone record, and must not
+        // append
+        // one per query round.
         loseAgentWith(SOUTH);
         for (int second = 0; second < 20; second++) {
             driver.answer(AGENT, SOUTH, false);
@@ -69,7 +74,7 @@
 
     @Test
     void entryInTheSameFailureDomainDoesNotConfirm() {
-        // A switch of one failure domain fails: all entries in it lose agents that serve the rest of the world.
+        // A switch of one failure domain fails: its entries lose agents that still serve all other failure domains.
         loseAgentWith(SAME_DOMAIN_ENTRY);
         driver.advance(Duration.ofMillis(300));
         driver.answer(AGENT, SAME_DOMAIN_ENTRY, false);
@@ -80,7 +85,7 @@
 
     @Test
     void shortOutageDuringABurstRemovesNoMember() {
-        // A burst keeps an agent from answering anyone for two seconds. Both entries lose it, and it is back.
+        // A load burst keeps an agent from answering for two seconds: two entries lose it, then it reconnects.
         loseAgentWith(SOUTH);
         driver.advance(Duration.ofMillis(1_300));
         driver.answer(AGENT, SOUTH, false);
@@ -93,6 +98,8 @@
 
     @Test
     void answerToAnEarlierQueryDoesNotConfirm() {
+        // An answer to a query that a later query has replaced must not confirm: the agent may be reachable again
+        // since.
         loseAgentWith(SOUTH);
         driver.advance(Duration.ofMillis(300));
         driver.answer(AGENT, SOUTH, false);
@@ -103,8 +110,8 @@
 
     @Test
     void pausedAgentRejoinsOnlyAfterItAnnouncesItselfAgain() {
-        // An agent's process is paused, declared gone, and resumes unaware. Its connection works again at once, but the
-        // others have dropped it; it is told, announces itself anew, and is a member for all again.
+        // An agent process is paused, declared gone, and resumes. This entry reconnects at once, but other entries have
+        // removed the agent: it must be notified and announce itself again to become a member for all entries.
         driver.join(AGENT);
         driver.disconnect(AGENT);
         driver.declareGone(AGENT);
@@ -118,6 +125,7 @@
 
     @Test
     void secondGoneRecordOfAnIncarnationIsIgnored() {
+        // A duplicate gone record must not remove an agent that has announced itself again since the first one.
         driver.join(AGENT);
         driver.disconnect(AGENT);
         driver.declareGone(AGENT);
@@ -128,16 +136,18 @@
 
     @Test
     void newIncarnationAtTheSameAddressSupersedes() {
+        // A restarted agent replaces its predecessor. A late announcement must not restore the stopped incarnation.
         driver.join(AGENT);
         driver.announce(SUCCESSOR);
         assertThat(members(), hasItem(SUCCESSOR));
         assertThat(driver.view.list().ended(), contains(EndedMember.of(AGENT, EndedMember.Reason.SUPERSEDED)));
         driver.announce(AGENT);
-        assertThat("a late announcement", members(), not(hasItem(AGENT)));
+        assertThat("after a late announcement", members(), not(hasItem(AGENT)));
     }
 
     @Test
     void leaveOfAPredecessorDoesNotRemoveItsSuccessor() {
+        // The leave record of a stopped incarnation may be read after its successor's announcement.
         driver.announce(AGENT);
         driver.announce(SUCCESSOR);
         driver.leave(AGENT);
@@ -148,16 +158,17 @@
 
     @Test
     void leaveOfAnUnknownIncarnationIsListedAsEnded() {
-        // The log has dropped its announcements already; it may have run tasks of jobs that are taken over.
+        // The log has expired its announcements, but it may have run tasks of jobs that are taken over.
         driver.leave(AGENT);
-        EndedMember unseen = new EndedMember(AGENT.id(), "", "", EndedMember.Reason.LEFT);
-        assertThat(driver.view.list().ended(), contains(unseen));
+        EndedMember departed = new EndedMember(AGENT.id(), "", "", EndedMember.Reason.LEFT);
+        assertThat(driver.view.list().ended(), contains(departed));
         driver.announce(AGENT);
         assertThat(members(), contains(driver.self));
     }
 
     @Test
     void unannouncedAgentIsAnnouncedOnItsBehalf() {
+        // An entry that takes over a job finds agents through the log, so an agent missing there must be announced.
         driver.handle(new MembershipEvent.Introduced(AGENT));
         driver.advance(Duration.ofSeconds(2));
         assertThat(driver.appended(), contains(new MemberRecord.Announce(AGENT)));
@@ -165,6 +176,7 @@
 
     @Test
     void repeatedAnnouncementChangesNothing() {
+        // Members announce themselves periodically; that must not publish a new list each time.
         driver.announce(AGENT);
         driver.effects.clear();
         driver.announce(AGENT);
@@ -173,6 +185,7 @@
 
     @Test
     void openConnectionOverridesTheOrderOfRecords() {
+        // Records out of order make the older incarnation the member; a connection to the newer one must correct that.
         driver.announce(SUCCESSOR);
         driver.announce(AGENT);
         driver.connect(SUCCESSOR);
@@ -182,6 +195,7 @@
 
     @Test
     void leaveRemovesAtOnceAndPermanently() {
+        // Late announcements and open connections must not restore an incarnation that left, even after the retention.
         driver.join(AGENT);
         driver.leave(AGENT);
         assertThat(members(), not(hasItem(AGENT)));
@@ -193,11 +207,12 @@
         driver.advanceAtOnce(MembershipDriver.CLAIM_WINDOW.multipliedBy(3));
         assertThat(driver.view.list().ended(), empty());
         driver.announce(AGENT);
-        assertThat("long after", members(), not(hasItem(AGENT)));
+        assertThat("after the retention", members(), not(hasItem(AGENT)));
     }
 
     @Test
     void introducedMembersAreListedAsUnannounced() {
+        // While the log is down, processes are known by their introductions only, and must be members nevertheless.
         driver.handle(new MembershipEvent.Introduced(AGENT));
         assertThat(members(), hasItem(AGENT));
         assertThat(driver.view.list().unannounced(), contains(AGENT.id()));
@@ -207,7 +222,7 @@
 
     @Test
     void agentNeverConnectedIsSuspectedAndQueried() {
-        // The records still name an agent that died before this entry started.
+        // The log still lists an agent that crashed before this entry started.
         driver.join(SOUTH);
         driver.announce(AGENT);
         driver.advance(Duration.ofSeconds(10));
@@ -221,8 +236,9 @@
 
     @Test
     void flappingAgentIsHeldDownForLongerEachTime() {
-        // A bad cable drops an agent's connection every few seconds. Used fully each time it is back, it would have a
-        // share of all tasks in doubt each time it drops.
+        // A bad cable drops an agent's connection every few seconds. If the agent got its full share of tasks after
+        // each
+        // reconnection, each drop would leave that share of all tasks with an unknown outcome.
         driver.join(AGENT);
         for (int failure = 0; failure < 3; failure++) {
             driver.disconnect(AGENT);
@@ -245,6 +261,7 @@
 
     @Test
     void entryDeclaredGoneByMistakeAnnouncesItselfAgain() {
+        // An entry that reads its own gone record must announce itself again, or other entries would keep it removed.
         driver.declareGone(driver.self);
         assertThat(driver.appended(), contains(new MemberRecord.Announce(driver.self)));
         assertThat(members(), hasItem(driver.self));
@@ -252,6 +269,7 @@
 
     @Test
     void memberWithoutContactIsPresumedGoneAfterTheTimeout() {
+        // No other entry confirms the failure of this agent; without the timeout of 25 minutes it would stay a member.
         driver.announce(AGENT);
         driver.advanceAtOnce(Duration.ofMinutes(24));
         assertThat(members(), hasItem(AGENT));
@@ -262,6 +280,8 @@
 
     @Test
     void endedMembersAreListedForTheRetention() {
+        // Jobs may be taken over for that long, and the new owner has to query ended agents that may have run their
+        // tasks.
         driver.announce(AGENT);
         driver.announce(SUCCESSOR);
         driver.advanceAtOnce(MembershipDriver.CLAIM_WINDOW.multipliedBy(2).minusMillis(1));
