--- a/library/src/main/java/org/chivetally/entry/member/MemberActor.java
+++ b/library/src/main/java/org/chivetally/entry/member/MemberActor.java
@@ -147,9 +147,8 @@
         read.catchUp().done().complete(true);
     }
 
-    // While the log is down, announcements are not read, and a process that starts then would stay unknown. It
-    // introduces
-    // itself to the processes in its settings instead, and requests their members.
+    // While the log is down, announcements are not read, and a process that starts then would stay unknown. Instead it
+    // introduces itself to the processes in its settings, and requests their members.
     private void introduceUnlessLogReachable() {
         if (!logReachable) {
             parts.introduce().run();
--- a/library/src/main/java/org/chivetally/entry/member/MemberCapacity.java
+++ b/library/src/main/java/org/chivetally/entry/member/MemberCapacity.java
@@ -5,7 +5,7 @@
  *
  * @param slots maximum number of concurrent tasks
  * @param connections maximum number of open connections
- * @param processorMillis thousandths of a processor
+ * @param processorMillis processor share in thousandths of a processor
  * @param memoryBytes memory in bytes
  * @param accelerators number of whole accelerators
  */
--- a/library/src/main/java/org/chivetally/entry/member/MembershipView.java
+++ b/library/src/main/java/org/chivetally/entry/member/MembershipView.java
@@ -20,8 +20,8 @@
  *
  * <p>A member whose connection to this entry is lost becomes suspect: this entry stops using it, and other entries are
  * not affected. It is declared gone for all entries only when an entry in another failure domain cannot reach it
- * either, and no queried entry can. A fault of one entry, one connection or one failure domain therefore never removes
- * a member from the views of all entries.
+ * either, and no queried entry can. A fault of one entry, one connection or one failure domain therefore removes a
+ * member at most from the views of the entries that it affects, never for all.
  */
 public final class MembershipView {
     private static final int MAXIMUM_QUERIED_ENTRIES = 3;
--- a/library/src/main/java/org/chivetally/entry/member/Probes.java
+++ b/library/src/main/java/org/chivetally/entry/member/Probes.java
@@ -7,7 +7,7 @@
 import java.util.function.Consumer;
 import java.util.function.Predicate;
 
-/** Pending liveness probes of members that another entry suspects. Owned by one actor. */
+/** Pending liveness probes of members that another entry suspects. Owned by one actor. Times are nanoseconds. */
 public final class Probes {
     private static final long PROBE_TIMEOUT_NANOS = Duration.ofMillis(500).toNanos();
 
--- a/library/src/main/java/org/chivetally/entry/member/Suspicion.java
+++ b/library/src/main/java/org/chivetally/entry/member/Suspicion.java
@@ -48,7 +48,12 @@
         confirmed |= !alive && otherFailureDomain;
     }
 
-    /** Returns whether this entry, delayed by the given stagger, may declare the member gone. */
+    /**
+     * Returns whether this entry may declare the member gone: it has been suspected for long enough, and the answers to
+     * the latest query confirm it from another failure domain without any that refutes it.
+     *
+     * @param staggerNanos additional delay of this entry, in nanoseconds
+     */
     boolean mayDeclareGone(MembershipSettings settings, long staggerNanos, long now) {
         boolean suspectedLongEnough =
                 now - startedNanos >= settings.minimumSuspicion().toNanos() + staggerNanos;
