--- a/library/src/main/java/org/chivetally/resource/http/ApplyRequest.java
+++ b/library/src/main/java/org/chivetally/resource/http/ApplyRequest.java
@@ -25,7 +25,7 @@
         Map<String, String> prune,
         Mistakes mistakes) {
     private static final String PLACE = "body";
-    private static final long NOT_GIVEN = -1;
+    private static final long UNSPECIFIED_VERSION = -1;
 
     static ApplyRequest read(String body) {
         Document document = Document.parse(PLACE, body);
@@ -33,23 +33,24 @@
         List<DeclaredResource> resources = new ArrayList<>();
         Map<ResourceKey, Long> basedOn = new HashMap<>();
         for (Section section : root.sections("resources")) {
-            long seen = section.integer("basedOn", 0, Long.MAX_VALUE, NOT_GIVEN);
+            long basedOnVersion = section.integer("basedOn", 0, Long.MAX_VALUE, UNSPECIFIED_VERSION);
             Optional<DeclaredResource> resource = ResourceDocuments.readResource(section);
             resource.ifPresent(resources::add);
-            resource.filter(ignored -> seen != NOT_GIVEN).ifPresent(found -> basedOn.put(found.key(), seen));
+            resource.filter(ignored -> basedOnVersion != UNSPECIFIED_VERSION)
+                    .ifPresent(declared -> basedOn.put(declared.key(), basedOnVersion));
         }
         Map<String, String> prune = readPrune(root);
-        checkNumber(root);
+        checkResourceCount(root);
         Mistakes mistakes = document.finish();
         ResourceDocuments.refuseRepeats(resources, mistakes);
         return new ApplyRequest(resources, basedOn, prune, mistakes);
     }
 
-    private static void checkNumber(Section root) {
-        int number = root.sections("resources").size();
+    private static void checkResourceCount(Section root) {
+        int count = root.sections("resources").size();
         // Pruning against an empty list, as from a mistyped folder, would delete everything with the labels.
-        if (number == 0 || number > WriteRecord.MAXIMUM_CHANGES) {
-            root.mistake("resources", "1 to " + WriteRecord.MAXIMUM_CHANGES + " resources are needed, not " + number);
+        if (count == 0 || count > WriteRecord.MAXIMUM_CHANGES) {
+            root.mistake("resources", "1 to " + WriteRecord.MAXIMUM_CHANGES + " resources are needed, not " + count);
         }
     }
 
--- a/library/src/main/java/org/chivetally/resource/http/ProblemDocument.java
+++ b/library/src/main/java/org/chivetally/resource/http/ProblemDocument.java
@@ -19,7 +19,7 @@
 public final class ProblemDocument {
     private static final ContentType PROBLEM_JSON =
             MediaTypes.applicationBinary("problem+json", true, "json").toContentType();
-    private static final String RETRY_SECONDS = "1";
+    private static final String RETRY_AFTER_SECONDS = "1";
 
     private final ErrorCode code;
     private final ObjectNode node = JsonNodeFactory.instance.objectNode();
@@ -79,7 +79,7 @@
                 .withEntity(HttpEntities.create(PROBLEM_JSON, text().getBytes(StandardCharsets.UTF_8)));
         return switch (code) {
             case OVERLOADED, LOG_UNAVAILABLE, NOT_READY ->
-                response.addHeader(RawHeader.create("Retry-After", RETRY_SECONDS));
+                response.addHeader(RawHeader.create("Retry-After", RETRY_AFTER_SECONDS));
             default -> response;
         };
     }
--- a/library/src/main/java/org/chivetally/resource/http/QueryParameters.java
+++ b/library/src/main/java/org/chivetally/resource/http/QueryParameters.java
@@ -17,7 +17,7 @@
  */
 final class QueryParameters {
     private final Map<String, List<String>> values;
-    private final Set<String> known = new TreeSet<>();
+    private final Set<String> knownNames = new TreeSet<>();
     private final Mistakes mistakes = new Mistakes();
 
     QueryParameters(HttpRequest request) {
@@ -25,63 +25,63 @@
     }
 
     boolean flag(String name) {
-        String text = single(name, "false");
+        String text = singleValue(name, "false");
         if (!text.equals("true") && !text.equals("false")) {
-            mistake(name, "\"" + text + "\" is not true or false");
+            addMistake(name, "\"" + text + "\" is not true or false");
         }
         return text.equals("true");
     }
 
     OptionalLong version(String name) {
-        String text = single(name, "");
+        String text = singleValue(name, "");
         if (text.isEmpty()) {
             return OptionalLong.empty();
         }
-        OptionalLong version = versionOf(text);
+        OptionalLong version = parseVersion(text);
         if (version.isEmpty()) {
-            mistake(name, "\"" + text + "\" is not a version: a whole number from 0");
+            addMistake(name, "\"" + text + "\" is not a version: a whole number from 0");
         }
         return version;
     }
 
     /** Returns the labels of parameters of the form {@code label=name=value}. */
     Map<String, String> labels(String name) {
-        known.add(name);
+        knownNames.add(name);
         Map<String, String> labels = new LinkedHashMap<>();
         for (String text : values.getOrDefault(name, List.of())) {
-            int middle = text.indexOf('=');
-            if (middle < 1) {
-                mistake(name, "\"" + text + "\" is not of the form name=value");
+            int separator = text.indexOf('=');
+            if (separator < 1) {
+                addMistake(name, "\"" + text + "\" is not of the form name=value");
             } else {
-                labels.put(text.substring(0, middle), text.substring(middle + 1));
+                labels.put(text.substring(0, separator), text.substring(separator + 1));
             }
         }
         return labels;
     }
 
-    void mistake(String name, String message) {
+    void addMistake(String name, String message) {
         mistakes.add(new Mistake("query", name, message));
     }
 
     Mistakes finish() {
         for (String name : values.keySet()) {
-            if (!known.contains(name)) {
-                mistake(name, "unknown parameter; allowed here: " + String.join(", ", known));
+            if (!knownNames.contains(name)) {
+                addMistake(name, "unknown parameter; allowed here: " + String.join(", ", knownNames));
             }
         }
         return mistakes;
     }
 
-    static OptionalLong versionOf(String text) {
+    static OptionalLong parseVersion(String text) {
         return text.matches("[0-9]{1,18}") ? OptionalLong.of(Long.parseLong(text)) : OptionalLong.empty();
     }
 
-    private String single(String name, String otherwise) {
-        known.add(name);
-        List<String> given = values.getOrDefault(name, List.of());
-        if (given.size() > 1) {
-            mistake(name, "stands " + given.size() + " times");
+    private String singleValue(String name, String defaultValue) {
+        knownNames.add(name);
+        List<String> occurrences = values.getOrDefault(name, List.of());
+        if (occurrences.size() > 1) {
+            addMistake(name, "stands " + occurrences.size() + " times");
         }
-        return given.isEmpty() ? otherwise : given.getFirst();
+        return occurrences.isEmpty() ? defaultValue : occurrences.getFirst();
     }
 }
--- a/library/src/main/java/org/chivetally/resource/http/ResourceJson.java
+++ b/library/src/main/java/org/chivetally/resource/http/ResourceJson.java
@@ -39,7 +39,7 @@
         for (Map.Entry<String, String> label : content.labels().entrySet()) {
             labels.put(label.getKey(), label.getValue());
         }
-        node.set("spec", specOf(content.spec()));
+        node.set("spec", specToJson(content.spec()));
     }
 
     static ObjectNode of(Resource resource) {
@@ -89,7 +89,7 @@
     }
 
     // A spec is only a text to the log's fold; one that is no JSON must not end a list or a watch of all the others.
-    private static JsonNode specOf(String spec) {
+    private static JsonNode specToJson(String spec) {
         try {
             return MAPPER.readTree(spec);
         } catch (JacksonException malformed) {
--- a/library/src/main/java/org/chivetally/resource/http/ResourceRoutes.java
+++ b/library/src/main/java/org/chivetally/resource/http/ResourceRoutes.java
@@ -53,13 +53,13 @@
     /** Largest body accepted, in bytes. */
     public static final long MAXIMUM_BODY_BYTES = 4L * 1024 * 1024;
 
-    private static final ContentType LINES_OF_JSON =
+    private static final ContentType NDJSON =
             MediaTypes.applicationBinary("x-ndjson", true, "ndjson").toContentType();
     private static final String BODY = "body";
 
     private final ResourceService resources;
-    private final StatusSource status;
-    private final ProcessVersions processes;
+    private final StatusSource statusSource;
+    private final ProcessVersions processVersions;
     private final String processId;
     private final NanoClock clock;
 
@@ -73,13 +73,13 @@
      */
     public ResourceRoutes(
             ResourceService resources,
-            StatusSource status,
-            ProcessVersions processes,
+            StatusSource statusSource,
+            ProcessVersions processVersions,
             String processId,
             NanoClock clock) {
         this.resources = Objects.requireNonNull(resources, "resources");
-        this.status = Objects.requireNonNull(status, "status");
-        this.processes = Objects.requireNonNull(processes, "processes");
+        this.statusSource = Objects.requireNonNull(statusSource, "status");
+        this.processVersions = Objects.requireNonNull(processVersions, "processes");
         this.processId = Objects.requireNonNull(processId, "processId");
         this.clock = Objects.requireNonNull(clock, "clock");
     }
@@ -90,18 +90,24 @@
                 "v1",
                 () -> concat(
                         path("apply", () -> post(() -> withBody(this::apply))),
-                        path(PathMatchers.segment("configuration").slash("status"), () -> get(this::ownStatus)),
-                        path(PathMatchers.segment("writes").slash(PathMatchers.segment()), id -> get(() -> write(id))),
-                        allOf(ResourceKind.BACKEND_SERVER),
-                        allOf(ResourceKind.SERVICE),
-                        allOf(ResourceKind.TEAM),
-                        allOf(ResourceKind.ROUTING)));
+                        path(
+                                PathMatchers.segment("configuration").slash("status"),
+                                () -> get(this::processStatusRoute)),
+                        path(
+                                PathMatchers.segment("writes").slash(PathMatchers.segment()),
+                                id -> get(() -> writeStatusRoute(id))),
+                        routesForKind(ResourceKind.BACKEND_SERVER),
+                        routesForKind(ResourceKind.SERVICE),
+                        routesForKind(ResourceKind.TEAM),
+                        routesForKind(ResourceKind.ROUTING)));
     }
 
-    private Route allOf(ResourceKind kind) {
+    private Route routesForKind(ResourceKind kind) {
         return concat(
                 path(kind.plural(), () -> get(() -> extractRequest(request -> list(kind, request)))),
-                path(PathMatchers.segment(kind.plural()).slash(PathMatchers.segment()), name -> one(kind, name)));
+                path(
+                        PathMatchers.segment(kind.plural()).slash(PathMatchers.segment()),
+                        name -> resourceRoute(kind, name)));
     }
 
     private Route withBody(BodyHandler handler) {
@@ -109,21 +115,22 @@
                 MAXIMUM_BODY_BYTES,
                 () -> entity(
                         Unmarshaller.entityToByteString(),
-                        body -> extractRequest(
-                                request -> completeWithFuture(decoded(handler, request, body.toArrayUnsafe())))));
+                        body -> extractRequest(request ->
+                                completeWithFuture(decodeAndHandle(handler, request, body.toArrayUnsafe())))));
     }
 
-    private static CompletionStage<HttpResponse> decoded(BodyHandler handler, HttpRequest request, byte[] body) {
+    private static CompletionStage<HttpResponse> decodeAndHandle(
+            BodyHandler handler, HttpRequest request, byte[] body) {
         return switch (Utf8.decode(body)) {
-            case Utf8.Decoded.Text whole -> handler.handle(request, whole.text());
+            case Utf8.Decoded.Text valid -> handler.handle(request, valid.text());
             case Utf8.Decoded.Malformed malformed -> {
                 String place = BODY + ":" + malformed.line() + ":" + malformed.column();
-                yield now(refused(place, "", Utf8.Decoded.Malformed.MESSAGE));
+                yield completed(invalidInput(place, "", Utf8.Decoded.Malformed.MESSAGE));
             }
         };
     }
 
-    private static HttpResponse refused(String place, String path, String message) {
+    private static HttpResponse invalidInput(String place, String path, String message) {
         Mistakes mistakes = new Mistakes();
         mistakes.add(new Mistake(place, path, message));
         return ProblemDocument.of(mistakes).response();
@@ -134,9 +141,9 @@
         CompletionStage<HttpResponse> handle(HttpRequest request, String body);
     }
 
-    private Route one(ResourceKind kind, String name) {
+    private Route resourceRoute(ResourceKind kind, String name) {
         if (!ResourceKey.isName(name)) {
-            return complete(refused("path", "name", ResourceKey.NAME_RULE));
+            return complete(invalidInput("path", "name", ResourceKey.NAME_RULE));
         }
         ResourceKey key = new ResourceKey(kind, name);
         return concat(
@@ -166,7 +173,7 @@
         for (Resource resource : resources.list(kind, labels)) {
             items.add(ResourceJson.of(resource, statusOf(resource)));
         }
-        return json(200, node);
+        return jsonResponse(200, node);
     }
 
     private HttpResponse watch(ResourceKind kind, OptionalLong from) {
@@ -176,7 +183,7 @@
             case WatchAnswer.Started started ->
                 HttpResponse.create()
                         .withEntity(HttpEntities.createChunked(
-                                LINES_OF_JSON,
+                                NDJSON,
                                 started.events().map(event -> ByteString.fromString(ResourceJson.of(event) + "\n"))));
         };
     }
@@ -187,76 +194,78 @@
             return ProblemDocument.of(ErrorCode.NOT_FOUND, key + " does not exist")
                     .response();
         }
-        return tagged(resource.get().version(), json(200, ResourceJson.of(resource.get(), statusOf(resource.get()))));
+        return withEntityTag(
+                resource.get().version(), jsonResponse(200, ResourceJson.of(resource.get(), statusOf(resource.get()))));
     }
 
     private ResourceStatus statusOf(Resource resource) {
         if (resource.key().kind() == ResourceKind.BACKEND_SERVER) {
             return ResourceStatus.ofBackendServer(
-                    status.lastReport(resource.key().name()), clock.nanos(), processes.silentAfter());
+                    statusSource.lastReport(resource.key().name()), clock.nanos(), processVersions.silentAfter());
         }
         return ResourceStatus.ofDeclaration(resources.age());
     }
 
     private CompletionStage<HttpResponse> replace(ResourceKey key, HttpRequest request, String body) {
-        WriteParameters parameters = WriteParameters.ofOne(request);
+        WriteParameters parameters = WriteParameters.forSingleChange(request);
         ResourceDocuments.Declared declared = ResourceDocuments.readBody(BODY, key, body);
         Mistakes mistakes = parameters.mistakes();
         mistakes.addAll(declared.mistakes());
         if (!mistakes.isEmpty()) {
-            return now(ProblemDocument.of(mistakes).response());
+            return completed(ProblemDocument.of(mistakes).response());
         }
         DeclaredResource resource = declared.resources().getFirst();
         Change change =
                 new Change(key, parameters.basedOn().orElse(0), parameters.force(), Optional.of(resource.content()));
-        return carryOut(List.of(change), parameters);
+        return writeChanges(List.of(change), parameters);
     }
 
     private CompletionStage<HttpResponse> remove(ResourceKey key, HttpRequest request) {
-        WriteParameters parameters = WriteParameters.ofOne(request);
+        WriteParameters parameters = WriteParameters.forSingleChange(request);
         Mistakes mistakes = parameters.mistakes();
         if (!mistakes.isEmpty()) {
-            return now(ProblemDocument.of(mistakes).response());
+            return completed(ProblemDocument.of(mistakes).response());
         }
         long basedOn = parameters.basedOn().orElse(0);
         if (basedOn == 0 && !parameters.force()) {
-            return now(refused("query", "basedOn", "what must not exist can't be deleted"));
+            return completed(invalidInput("query", "basedOn", "what must not exist can't be deleted"));
         }
-        return carryOut(List.of(new Change(key, basedOn, parameters.force(), Optional.empty())), parameters);
+        return writeChanges(List.of(new Change(key, basedOn, parameters.force(), Optional.empty())), parameters);
     }
 
     private CompletionStage<HttpResponse> apply(HttpRequest request, String body) {
-        WriteParameters parameters = WriteParameters.ofSeveral(request);
-        ApplyRequest wanted = ApplyRequest.read(body);
+        WriteParameters parameters = WriteParameters.forBatch(request);
+        ApplyRequest applyRequest = ApplyRequest.read(body);
         Mistakes mistakes = parameters.mistakes();
-        mistakes.addAll(wanted.mistakes());
+        mistakes.addAll(applyRequest.mistakes());
         if (!mistakes.isEmpty()) {
-            return now(ProblemDocument.of(mistakes).response());
+            return completed(ProblemDocument.of(mistakes).response());
         }
-        ApplyPlan plan = ApplyPlan.of(resources.table(), wanted.resources(), wanted.basedOn(), wanted.prune());
+        ApplyPlan plan =
+                ApplyPlan.of(resources.table(), applyRequest.resources(), applyRequest.basedOn(), applyRequest.prune());
         List<Change> changes = plan.changes();
         if (changes.size() > WriteRecord.MAXIMUM_CHANGES) {
-            return now(refused(BODY, "prune", "too many changes with those pruned"));
+            return completed(invalidInput(BODY, "prune", "too many changes with those pruned"));
         }
         if (parameters.dryRun()) {
-            return now(preview(plan));
+            return completed(preview(plan));
         }
         if (changes.isEmpty()) {
-            return now(json(200, results(plan, plan.basis())));
+            return completed(jsonResponse(200, results(plan, plan.basis())));
         }
         return resources
                 .write(parameters.writeId(), changes, parameters.changedBy())
-                .thenApply(outcome -> response(outcome, version -> json(200, results(plan, version))));
+                .thenApply(outcome -> writeResponse(outcome, version -> jsonResponse(200, results(plan, version))));
     }
 
-    private CompletionStage<HttpResponse> carryOut(List<Change> changes, WriteParameters parameters) {
+    private CompletionStage<HttpResponse> writeChanges(List<Change> changes, WriteParameters parameters) {
         Change change = changes.getFirst();
         if (parameters.dryRun()) {
-            return now(preview(planOf(change)));
+            return completed(preview(planOf(change)));
         }
         return resources
                 .write(parameters.writeId(), changes, parameters.changedBy())
-                .thenApply(outcome -> response(outcome, version -> written(change, version, parameters)));
+                .thenApply(outcome -> writeResponse(outcome, version -> writtenResponse(change, version, parameters)));
     }
 
     private ApplyPlan planOf(Change change) {
@@ -280,7 +289,7 @@
             return ProblemDocument.of(conflicts).response();
         }
         ObjectNode node = results(plan, plan.basis());
-        return json(200, node.put("dryRun", true));
+        return jsonResponse(200, node.put("dryRun", true));
     }
 
     private static ObjectNode results(ApplyPlan plan, long version) {
@@ -296,29 +305,29 @@
         return node;
     }
 
-    private HttpResponse written(Change change, long version, WriteParameters parameters) {
+    private HttpResponse writtenResponse(Change change, long version, WriteParameters parameters) {
         ObjectNode node = ResourceJson.object();
         ResourceJson.write(node, change.key());
         change.content().ifPresent(content -> ResourceJson.write(node, content));
         node.put("version", version).put("changedBy", parameters.changedBy());
         node.put("deleted", change.content().isEmpty());
         boolean isNew = change.content().isPresent() && change.basedOn() == 0 && !change.force();
-        return tagged(version, json(isNew ? 201 : 200, node));
+        return withEntityTag(version, jsonResponse(isNew ? 201 : 200, node));
     }
 
-    private static HttpResponse response(WriteOutcome outcome, Function<Long, HttpResponse> applied) {
+    private static HttpResponse writeResponse(WriteOutcome outcome, Function<Long, HttpResponse> onApplied) {
         HttpResponse response = switch (outcome) {
-            case WriteOutcome.Applied done -> applied.apply(done.version());
+            case WriteOutcome.Applied applied -> onApplied.apply(applied.version());
             case WriteOutcome.Conflicting conflicting ->
                 ProblemDocument.of(conflicting.conflicts())
                         .with("writeId", outcome.id())
                         .response();
-            case WriteOutcome.NotWritten not ->
-                ProblemDocument.of(not.code(), "nothing was written: " + not.reason())
+            case WriteOutcome.NotWritten notWritten ->
+                ProblemDocument.of(notWritten.code(), "nothing was written: " + notWritten.reason())
                         .with("writeId", outcome.id())
                         .response();
-            case WriteOutcome.InDoubt doubt ->
-                ProblemDocument.of(ErrorCode.LOG_UNAVAILABLE, doubtText(doubt))
+            case WriteOutcome.InDoubt inDoubt ->
+                ProblemDocument.of(ErrorCode.LOG_UNAVAILABLE, inDoubtDetail(inDoubt))
                         .with("certainty", JobOutcome.Certainty.UNKNOWN.text())
                         .with("writeId", outcome.id())
                         .response();
@@ -326,23 +335,25 @@
         return response.addHeader(RawHeader.create("Chivetally-Write-Id", outcome.id()));
     }
 
-    private static String doubtText(WriteOutcome.InDoubt doubt) {
-        return "the write may still take effect under id " + doubt.id() + " (" + doubt.reason() + "); /v1/writes/"
-                + doubt.id() + " tells once the log can be read";
+    private static String inDoubtDetail(WriteOutcome.InDoubt inDoubt) {
+        return "the write may still take effect under id " + inDoubt.id() + " (" + inDoubt.reason() + "); /v1/writes/"
+                + inDoubt.id() + " tells once the log can be read";
     }
 
-    private Route write(String id) {
-        return completeWithFuture(resources.writeStatus(id).thenApply(known -> json(200, writeJson(id, known))));
+    private Route writeStatusRoute(String id) {
+        return completeWithFuture(resources
+                .writeStatus(id)
+                .thenApply(writeStatus -> jsonResponse(200, writeStatusJson(id, writeStatus))));
     }
 
-    private static ObjectNode writeJson(String id, WriteStatus known) {
+    private static ObjectNode writeStatusJson(String id, WriteStatus writeStatus) {
         ObjectNode node = ResourceJson.object().put("id", id);
-        return switch (known) {
+        return switch (writeStatus) {
             case WriteStatus.Open ignored -> node.put("state", "open");
-            case WriteStatus.NotSeen unseen ->
+            case WriteStatus.NotSeen notSeen ->
                 node.put("state", "not-seen")
-                        .put("version", unseen.version())
-                        .put("ageMillis", unseen.age().toMillis());
+                        .put("version", notSeen.version())
+                        .put("ageMillis", notSeen.age().toMillis());
             case WriteStatus.Decided decided -> {
                 node.put("state", decided.outcome().applied() ? "applied" : "conflict");
                 node.put("version", decided.outcome().version());
@@ -353,40 +364,40 @@
         };
     }
 
-    private Route ownStatus() {
+    private Route processStatusRoute() {
         ObjectNode node = ResourceJson.object().put("process", processId);
         node.put("version", resources.version())
                 .put("ageMillis", resources.age().toMillis());
         node.put("usable", resources.isUsable());
         node.put("earliestWatch", resources.table().earliestWatch());
         resources.table().unreadableFormat().ifPresent(format -> node.put("unreadableFormat", format));
-        ArrayNode others = node.putArray("processes");
-        for (ProcessVersions.ProcessVersion report : processes.lastReports()) {
+        ArrayNode processNodes = node.putArray("processes");
+        for (ProcessVersions.ProcessVersion report : processVersions.lastReports()) {
             Duration age = Duration.ofNanos(Math.max(0, clock.nanos() - report.observedNanos()));
-            ObjectNode other = others.addObject().put("process", report.processId());
-            other.put("role", report.role()).put("ageMillis", age.toMillis());
-            if (age.compareTo(processes.silentAfter()) > 0) {
-                other.put("state", ResourceStatus.State.UNKNOWN.text());
+            ObjectNode processNode = processNodes.addObject().put("process", report.processId());
+            processNode.put("role", report.role()).put("ageMillis", age.toMillis());
+            if (age.compareTo(processVersions.silentAfter()) > 0) {
+                processNode.put("state", ResourceStatus.State.UNKNOWN.text());
             } else {
-                other.put("version", report.version());
-                other.put("state", report.version() >= resources.version() ? "current" : "lagging");
+                processNode.put("version", report.version());
+                processNode.put("state", report.version() >= resources.version() ? "current" : "lagging");
             }
         }
-        return complete(json(200, node));
+        return complete(jsonResponse(200, node));
     }
 
-    private static HttpResponse tagged(long version, HttpResponse response) {
+    private static HttpResponse withEntityTag(long version, HttpResponse response) {
         return response.addHeader(RawHeader.create("ETag", "\"" + version + "\""));
     }
 
-    private static HttpResponse json(int code, ObjectNode node) {
+    private static HttpResponse jsonResponse(int code, ObjectNode node) {
         return HttpResponse.create()
                 .withStatus(code)
                 .withEntity(HttpEntities.create(
                         ContentTypes.APPLICATION_JSON, node.toString().getBytes(StandardCharsets.UTF_8)));
     }
 
-    private static CompletionStage<HttpResponse> now(HttpResponse response) {
+    private static CompletionStage<HttpResponse> completed(HttpResponse response) {
         return CompletableFuture.completedStage(response);
     }
 }
--- a/library/src/main/java/org/chivetally/resource/http/WriteParameters.java
+++ b/library/src/main/java/org/chivetally/resource/http/WriteParameters.java
@@ -19,52 +19,53 @@
  */
 record WriteParameters(
         OptionalLong basedOn, boolean force, boolean dryRun, String changedBy, String writeId, Mistakes mistakes) {
-    private static final String OPERATOR = "Chivetally-Operator";
-    private static final String WRITE_ID = "Idempotency-Key";
-    private static final String NOBODY = "unnamed";
-    private static final Pattern NAME = Pattern.compile("[^\\p{Cntrl}]{1,100}");
-    private static final Pattern ID = Pattern.compile("[A-Za-z0-9_-]{8,100}");
+    private static final String OPERATOR_HEADER = "Chivetally-Operator";
+    private static final String WRITE_ID_HEADER = "Idempotency-Key";
+    private static final String DEFAULT_OPERATOR = "unnamed";
+    private static final Pattern OPERATOR_PATTERN = Pattern.compile("[^\\p{Cntrl}]{1,100}");
+    private static final Pattern WRITE_ID_PATTERN = Pattern.compile("[A-Za-z0-9_-]{8,100}");
 
     /** Reads the parameters of a change of one resource, which must say what it is based on. */
-    static WriteParameters ofOne(HttpRequest request) {
+    static WriteParameters forSingleChange(HttpRequest request) {
         QueryParameters query = new QueryParameters(request);
         OptionalLong basedOn = query.version("basedOn");
         boolean force = query.flag("force");
         if (basedOn.isEmpty()) {
-            basedOn = ifMatch(request, query);
+            basedOn = versionFromIfMatch(request, query);
         }
         if (basedOn.isEmpty() && !force) {
-            query.mistake("basedOn", "is missing: the version that was seen, 0 to create, or force=true for any");
+            query.addMistake("basedOn", "is missing: the version that was seen, 0 to create, or force=true for any");
         }
         return of(request, query, basedOn, force);
     }
 
     /** Reads the parameters of a change of several resources. */
-    static WriteParameters ofSeveral(HttpRequest request) {
+    static WriteParameters forBatch(HttpRequest request) {
         return of(request, new QueryParameters(request), OptionalLong.empty(), false);
     }
 
     private static WriteParameters of(HttpRequest request, QueryParameters query, OptionalLong basedOn, boolean force) {
         boolean dryRun = query.flag("dryRun");
-        String changedBy = header(request, OPERATOR).orElse(NOBODY);
-        if (!NAME.matcher(changedBy).matches()) {
-            query.mistake(OPERATOR, "a name has 1 to 100 characters and no control characters");
+        String changedBy = header(request, OPERATOR_HEADER).orElse(DEFAULT_OPERATOR);
+        if (!OPERATOR_PATTERN.matcher(changedBy).matches()) {
+            query.addMistake(OPERATOR_HEADER, "a name has 1 to 100 characters and no control characters");
         }
-        String id = header(request, WRITE_ID).orElseGet(() -> UUID.randomUUID().toString());
-        if (!ID.matcher(id).matches()) {
-            query.mistake(WRITE_ID, "an id has 8 to 100 characters of A-Z, a-z, 0-9, hyphen and underscore");
+        String writeId = header(request, WRITE_ID_HEADER)
+                .orElseGet(() -> UUID.randomUUID().toString());
+        if (!WRITE_ID_PATTERN.matcher(writeId).matches()) {
+            query.addMistake(WRITE_ID_HEADER, "an id has 8 to 100 characters of A-Z, a-z, 0-9, hyphen and underscore");
         }
-        return new WriteParameters(basedOn, force, dryRun, changedBy, id, query.finish());
+        return new WriteParameters(basedOn, force, dryRun, changedBy, writeId, query.finish());
     }
 
-    private static OptionalLong ifMatch(HttpRequest request, QueryParameters query) {
-        Optional<String> tag = header(request, "If-Match");
-        if (tag.isEmpty()) {
+    private static OptionalLong versionFromIfMatch(HttpRequest request, QueryParameters query) {
+        Optional<String> entityTag = header(request, "If-Match");
+        if (entityTag.isEmpty()) {
             return OptionalLong.empty();
         }
-        OptionalLong version = QueryParameters.versionOf(tag.get().replace("\"", ""));
+        OptionalLong version = QueryParameters.parseVersion(entityTag.get().replace("\"", ""));
         if (version.isEmpty()) {
-            query.mistake("If-Match", "\"" + tag.get() + "\" is not a version");
+            query.addMistake("If-Match", "\"" + entityTag.get() + "\" is not a version");
         }
         return version;
     }
--- a/library/src/test/java/org/chivetally/resource/http/ResourceRoutesTest.java
+++ b/library/src/test/java/org/chivetally/resource/http/ResourceRoutesTest.java
@@ -34,28 +34,28 @@
 
 class ResourceRoutesTest {
     private static final JsonMapper MAPPER = new JsonMapper();
-    private static final String TEAM = "{\"labels\":{\"owner\":\"us\"},\"spec\":{\"weight\":2}}";
-    private static final long SECOND = 1_000_000_000L;
+    private static final String TEAM_BODY = "{\"labels\":{\"owner\":\"us\"},\"spec\":{\"weight\":2}}";
+    private static final long SECOND_NANOS = 1_000_000_000L;
 
-    private final ActorTestKit kit = ActorTestKit.create();
-    private final AtomicLong nanos = new AtomicLong();
+    private final ActorTestKit testKit = ActorTestKit.create();
+    private final AtomicLong nowNanos = new AtomicLong();
     private final HttpClient client = HttpClient.newHttpClient();
     private ScriptedLog log;
-    private URI root;
+    private URI baseUri;
 
     @BeforeEach
     void start() {
-        log = new ScriptedLog(kit.system().scheduler(), kit.system().executionContext());
+        log = new ScriptedLog(testKit.system().scheduler(), testKit.system().executionContext());
         ResourceService service =
-                ResourceService.start(kit.system(), log, ResourceSettings.defaults("entry-1"), System::nanoTime);
+                ResourceService.start(testKit.system(), log, ResourceSettings.defaults("entry-1"), System::nanoTime);
         BackendServerReport report = new BackendServerReport(0, "agent-1", "north", 3, 1, 5, true, false);
         ResourceRoutes routes = new ResourceRoutes(
                 service,
                 name -> name.equals("m1") ? Optional.of(report) : Optional.empty(),
                 () -> List.of(new ProcessVersion("agent-1", "agent", 0, 0)),
                 "entry-1",
-                nanos::get);
-        ServerBinding binding = Http.get(kit.system())
+                nowNanos::get);
+        ServerBinding binding = Http.get(testKit.system())
                 .newServerAt("127.0.0.1", 0)
                 .bind(Directives.concat(
                         routes.route(),
@@ -64,18 +64,18 @@
                                 () -> Directives.complete(StatusCodes.ACCEPTED))))
                 .toCompletableFuture()
                 .join();
-        root = URI.create("http://127.0.0.1:" + binding.localAddress().getPort() + "/v1/");
+        baseUri = URI.create("http://127.0.0.1:" + binding.localAddress().getPort() + "/v1/");
     }
 
     @AfterEach
     void stop() {
         client.close();
-        kit.shutdownTestKit();
+        testKit.shutdownTestKit();
     }
 
     @Test
     void createsReadsReplacesAndDeletes() throws Exception {
-        HttpResponse<String> created = send("PUT", "teams/a?basedOn=0", TEAM);
+        HttpResponse<String> created = send("PUT", "teams/a?basedOn=0", TEAM_BODY);
         assertThat(created.statusCode(), is(201));
         HttpResponse<String> read = send("GET", "teams/a", "");
         JsonNode resource = MAPPER.readTree(read.body());
@@ -85,7 +85,7 @@
         assertThat(resource.at("/changedBy").stringValue(), is("ann"));
         assertThat(resource.at("/status/state").stringValue(), is("in-force"));
         assertThat(read.headers().firstValue("ETag"), is(Optional.of("\"1\"")));
-        assertThat(send("PUT", "teams/a?basedOn=1", TEAM.replace("2", "3")).statusCode(), is(200));
+        assertThat(send("PUT", "teams/a?basedOn=1", TEAM_BODY.replace("2", "3")).statusCode(), is(200));
         assertThat(
                 MAPPER.readTree(send("GET", "teams?label=owner=us", "").body())
                         .at("/items/0/spec/weight")
@@ -101,11 +101,11 @@
     }
 
     @Test
-    void namesTheOthersVersionToTheLoserOfARace() throws Exception {
-        send("PUT", "teams/a?basedOn=0", TEAM);
-        HttpResponse<String> lost = send("PUT", "teams/a?basedOn=0", TEAM);
-        assertThat(lost.statusCode(), is(409));
-        JsonNode problem = MAPPER.readTree(lost.body());
+    void reportsCurrentVersionOnConflict() throws Exception {
+        send("PUT", "teams/a?basedOn=0", TEAM_BODY);
+        HttpResponse<String> conflicting = send("PUT", "teams/a?basedOn=0", TEAM_BODY);
+        assertThat(conflicting.statusCode(), is(409));
+        JsonNode problem = MAPPER.readTree(conflicting.body());
         assertThat(problem.at("/code").stringValue(), is("version-conflict"));
         assertThat(problem.at("/conflicts/0/current").longValue(), is(1L));
         String id = problem.at("/writeId").stringValue();
@@ -114,44 +114,45 @@
     }
 
     @Test
-    void reportsAllMistakesOfARequestAndChangesNothing() throws Exception {
-        HttpResponse<String> refused = send("PUT", "teams/a?dryrun=true", "{\"spec\":{\"weight\":0,\"size\":1}}");
-        assertThat(refused.statusCode(), is(400));
-        assertThat(refused.headers().firstValue("Content-Type"), is(Optional.of("application/problem+json")));
-        String text = MAPPER.readTree(refused.body()).at("/detail").stringValue();
+    void reportsAllMistakesAndWritesNothing() throws Exception {
+        HttpResponse<String> rejected = send("PUT", "teams/a?dryrun=true", "{\"spec\":{\"weight\":0,\"size\":1}}");
+        assertThat(rejected.statusCode(), is(400));
+        assertThat(rejected.headers().firstValue("Content-Type"), is(Optional.of("application/problem+json")));
+        String text = MAPPER.readTree(rejected.body()).at("/detail").stringValue();
         assertThat(text, containsString("query: basedOn: is missing"));
         assertThat(text, containsString("query: dryrun: unknown parameter"));
         assertThat(text, containsString("body:1:19: spec.weight"));
         assertThat(text, containsString("body:1:21: spec.size: unknown key"));
         assertThat(send("GET", "teams/a", "").statusCode(), is(404));
-        assertThat(send("PUT", "teams/No", TEAM).statusCode(), is(400));
+        assertThat(send("PUT", "teams/No", TEAM_BODY).statusCode(), is(400));
     }
 
     @Test
-    void appliesAFolderAsOneChangeAndPrunes() throws Exception {
-        String two = "{\"resources\":[" + named("a", 1) + "," + named("b", 1)
+    void appliesResourcesAtomicallyAndPrunes() throws Exception {
+        String twoTeams = "{\"resources\":[" + teamDocument("a", 1) + "," + teamDocument("b", 1)
                 + "],\"prune\":{\"labels\":{\"owner\":\"us\"}}}";
-        assertThat(actions(send("POST", "apply?dryRun=true", two)), is("added added "));
+        assertThat(appliedActions(send("POST", "apply?dryRun=true", twoTeams)), is("added added "));
         assertThat(send("GET", "teams/a", "").statusCode(), is(404));
-        assertThat(actions(send("POST", "apply", two)), is("added added "));
-        assertThat(actions(send("POST", "apply", two)), is("unchanged unchanged "));
-        String one = two.replace(named("a", 1) + ",", "").replace(named("b", 1), named("b", 5));
-        assertThat(actions(send("POST", "apply", one)), is("changed deleted "));
+        assertThat(appliedActions(send("POST", "apply", twoTeams)), is("added added "));
+        assertThat(appliedActions(send("POST", "apply", twoTeams)), is("unchanged unchanged "));
+        String onlyTeamB =
+                twoTeams.replace(teamDocument("a", 1) + ",", "").replace(teamDocument("b", 1), teamDocument("b", 5));
+        assertThat(appliedActions(send("POST", "apply", onlyTeamB)), is("changed deleted "));
         assertThat(send("GET", "teams/a", "").statusCode(), is(404));
-        String stale = "{\"resources\":[" + named("c", 1) + ","
-                + named("b", 6).replace("{\"kind", "{\"basedOn\":1,\"kind") + "]}";
-        assertThat(send("POST", "apply", stale).statusCode(), is(409));
+        String staleVersion = "{\"resources\":[" + teamDocument("c", 1) + ","
+                + teamDocument("b", 6).replace("{\"kind", "{\"basedOn\":1,\"kind") + "]}";
+        assertThat(send("POST", "apply", staleVersion).statusCode(), is(409));
         assertThat(send("GET", "teams/c", "").statusCode(), is(404));
-        HttpResponse<String> empty =
+        HttpResponse<String> emptyList =
                 send("POST", "apply", "{\"resources\":[],\"prune\":{\"labels\":{\"owner\":\"us\"}}}");
-        assertThat(empty.statusCode(), is(400));
+        assertThat(emptyList.statusCode(), is(400));
     }
 
     @Test
-    void watchesAsLinesFromAVersion() throws Exception {
-        send("PUT", "teams/a?basedOn=0", TEAM);
-        HttpRequest request =
-                HttpRequest.newBuilder(root.resolve("teams?watch=true&from=0")).build();
+    void streamsEventsAsNdjsonFromVersion() throws Exception {
+        send("PUT", "teams/a?basedOn=0", TEAM_BODY);
+        HttpRequest request = HttpRequest.newBuilder(baseUri.resolve("teams?watch=true&from=0"))
+                .build();
         HttpResponse<InputStream> watch = client.send(request, HttpResponse.BodyHandlers.ofInputStream());
         try (BufferedReader lines = new BufferedReader(new InputStreamReader(watch.body()))) {
             assertThat(MAPPER.readTree(lines.readLine()).at("/type").stringValue(), is("added"));
@@ -165,26 +166,27 @@
     }
 
     @Test
-    void callsASilentSourceUnknown() throws Exception {
+    void reportsUnknownStatusWhenReportsStop() throws Exception {
         // An agent reported its minion as draining and then fell silent, as when its worker died. For five seconds its
         // report is shown with its age; after that the status says unknown rather than the last thing heard.
         send("PUT", "backendservers/m1?basedOn=0", "{\"spec\":{\"service\":\"reports\"}}");
-        nanos.set(2 * SECOND);
+        nowNanos.set(2 * SECOND_NANOS);
         JsonNode fresh =
                 MAPPER.readTree(send("GET", "backendservers/m1", "").body()).at("/status");
         assertThat(fresh.at("/state").stringValue(), is("draining"));
         assertThat(fresh.at("/ageMillis").longValue(), is(2_000L));
-        nanos.set(6 * SECOND);
-        JsonNode silent =
+        nowNanos.set(6 * SECOND_NANOS);
+        JsonNode stale =
                 MAPPER.readTree(send("GET", "backendservers/m1", "").body()).at("/status");
-        assertThat(silent.toString(), is("{\"state\":\"unknown\",\"ageMillis\":6000}"));
-        JsonNode own = MAPPER.readTree(send("GET", "configuration/status", "").body());
-        assertThat(own.at("/version").longValue(), is(1L));
-        assertThat(own.at("/processes/0/state").stringValue(), is("unknown"));
+        assertThat(stale.toString(), is("{\"state\":\"unknown\",\"ageMillis\":6000}"));
+        JsonNode processStatus =
+                MAPPER.readTree(send("GET", "configuration/status", "").body());
+        assertThat(processStatus.at("/version").longValue(), is(1L));
+        assertThat(processStatus.at("/processes/0/state").stringValue(), is("unknown"));
     }
 
     @Test
-    void leavesOtherPathsToOtherRoutes() throws Exception {
+    void passesUnknownPathsToOtherRoutes() throws Exception {
         assertThat(send("GET", "jobs", "").statusCode(), is(202));
         assertThat(send("GET", "servicesx", "").statusCode(), is(404));
         assertThat(send("GET", "teams?watch=true&from=x", "").statusCode(), is(400));
@@ -192,19 +194,19 @@
 
     private HttpResponse<String> send(String method, String path, String body)
             throws IOException, InterruptedException {
-        HttpRequest request = HttpRequest.newBuilder(root.resolve(path))
+        HttpRequest request = HttpRequest.newBuilder(baseUri.resolve(path))
                 .header("Chivetally-Operator", "ann")
                 .method(method, HttpRequest.BodyPublishers.ofString(body))
                 .build();
         return client.send(request, HttpResponse.BodyHandlers.ofString());
     }
 
-    private static String named(String name, int weight) {
+    private static String teamDocument(String name, int weight) {
         return "{\"kind\":\"team\",\"name\":\"" + name + "\",\"labels\":{\"owner\":\"us\"},\"spec\":{\"weight\":"
                 + weight + "}}";
     }
 
-    private static String actions(HttpResponse<String> response) {
+    private static String appliedActions(HttpResponse<String> response) {
         assertThat(response.body(), response.statusCode(), is(200));
         StringBuilder actions = new StringBuilder();
         for (JsonNode result : MAPPER.readTree(response.body()).at("/results").values()) {
