--- a/library/src/main/java/org/chivetally/resource/http/ApplyRequest.java
+++ b/library/src/main/java/org/chivetally/resource/http/ApplyRequest.java
@@ -14,10 +14,12 @@
 import org.chivetally.resource.WriteRecord;
 
 /**
- * Body of {@code POST /v1/apply}; usable only without mistakes.
+ * Body of {@code POST /v1/apply}. Other components are valid only if there are no mistakes.
  *
- * @param basedOn versions that the writer has seen, where given
- * @param prune labels of the resources to delete unless declared; empty deletes none
+ * @param resources resources to create or replace
+ * @param basedOn versions on which the changes are based, for the resources that give one
+ * @param prune labels that select the resources to delete if the request does not declare them; empty deletes none
+ * @param mistakes mistakes found in the body
  */
 record ApplyRequest(
         List<DeclaredResource> resources,
@@ -48,7 +50,7 @@
 
     private static void checkResourceCount(Section root) {
         int count = root.sections("resources").size();
-        // Pruning against an empty list, as from a mistyped folder, would delete everything with the labels.
+        // Pruning against an empty list, as from a mistyped folder, would delete every resource with the labels.
         if (count == 0 || count > WriteRecord.MAXIMUM_CHANGES) {
             root.mistake("resources", "1 to " + WriteRecord.MAXIMUM_CHANGES + " resources are needed, not " + count);
         }
--- a/library/src/main/java/org/chivetally/resource/http/ProblemDocument.java
+++ b/library/src/main/java/org/chivetally/resource/http/ProblemDocument.java
@@ -15,7 +15,7 @@
 import tools.jackson.databind.node.JsonNodeFactory;
 import tools.jackson.databind.node.ObjectNode;
 
-/** Builds problem documents with a stable code. */
+/** Builder of problem details documents ({@code application/problem+json}) with a stable error code. */
 public final class ProblemDocument {
     private static final ContentType PROBLEM_JSON =
             MediaTypes.applicationBinary("problem+json", true, "json").toContentType();
@@ -33,12 +33,16 @@
         node.put("detail", detail);
     }
 
-    /** Starts a document with its code and one sentence for a person. */
+    /**
+     * Creates a document.
+     *
+     * @param detail explanation for a human reader
+     */
     public static ProblemDocument of(ErrorCode code, String detail) {
         return new ProblemDocument(code, detail);
     }
 
-    /** Returns the document of malformed input, with every mistake and its place. */
+    /** Creates a document for invalid input that lists every mistake with its place. */
     public static ProblemDocument of(Mistakes mistakes) {
         ProblemDocument problem = of(ErrorCode.INVALID_INPUT, mistakes.text());
         ArrayNode list = problem.node.putArray("mistakes");
@@ -51,7 +55,7 @@
         return problem;
     }
 
-    /** Returns the document of changes that did not fit, with the other writes. */
+    /** Creates a document for version conflicts with the current version of each resource and who changed it. */
     public static ProblemDocument of(List<Conflict> conflicts) {
         ProblemDocument problem = of(
                 ErrorCode.VERSION_CONFLICT,
@@ -61,18 +65,18 @@
         return problem;
     }
 
-    /** Adds one more text member. */
+    /** Adds a member with a string value. */
     public ProblemDocument with(String key, String value) {
         node.put(key, value);
         return this;
     }
 
-    /** Returns the JSON text. */
+    /** Returns the document as JSON. */
     public String text() {
         return node.toString();
     }
 
-    /** Returns the answer; with Retry-After where the code may pass by itself. */
+    /** Returns the HTTP response, with a Retry-After header for codes of temporary conditions. */
     public HttpResponse response() {
         HttpResponse response = HttpResponse.create()
                 .withStatus(code.httpStatus())
--- a/library/src/main/java/org/chivetally/resource/http/QueryParameters.java
+++ b/library/src/main/java/org/chivetally/resource/http/QueryParameters.java
@@ -11,9 +11,10 @@
 import org.chivetally.document.Mistakes;
 
 /**
- * Query parameters of one request under strict reading.
+ * Strict parser of the query parameters of one request.
  *
- * <p>An unknown parameter is refused: a mistyped {@code dryRun} would otherwise make the change that it was to preview.
+ * <p>Rejects unknown parameters: with a mistyped {@code dryRun} the request would otherwise make the change instead of
+ * previewing it. Callers read every allowed parameter, then call {@link #finish()} for the mistakes found.
  */
 final class QueryParameters {
     private final Map<String, List<String>> values;
@@ -24,6 +25,7 @@
         this.values = request.getUri().query().toMultiMap();
     }
 
+    /** Returns the value of a boolean parameter, false if it is absent. */
     boolean flag(String name) {
         String text = singleValue(name, "false");
         if (!text.equals("true") && !text.equals("false")) {
@@ -32,6 +34,7 @@
         return text.equals("true");
     }
 
+    /** Returns a resource version, or empty if the parameter is absent or malformed. */
     OptionalLong version(String name) {
         String text = singleValue(name, "");
         if (text.isEmpty()) {
@@ -44,7 +47,7 @@
         return version;
     }
 
-    /** Returns the labels of parameters of the form {@code label=name=value}. */
+    /** Returns the labels given by repeated parameters such as {@code label=owner=payments}. */
     Map<String, String> labels(String name) {
         knownNames.add(name);
         Map<String, String> labels = new LinkedHashMap<>();
@@ -63,6 +66,7 @@
         mistakes.add(new Mistake("query", name, message));
     }
 
+    /** Returns all mistakes, including one for each parameter that no call has read. */
     Mistakes finish() {
         for (String name : values.keySet()) {
             if (!knownNames.contains(name)) {
@@ -72,6 +76,7 @@
         return mistakes;
     }
 
+    /** Parses a version of at most 18 digits, which always fits in a long; returns empty for any other text. */
     static OptionalLong parseVersion(String text) {
         return text.matches("[0-9]{1,18}") ? OptionalLong.of(Long.parseLong(text)) : OptionalLong.empty();
     }
--- a/library/src/main/java/org/chivetally/resource/http/ResourceJson.java
+++ b/library/src/main/java/org/chivetally/resource/http/ResourceJson.java
@@ -14,7 +14,7 @@
 import tools.jackson.databind.node.JsonNodeFactory;
 import tools.jackson.databind.node.ObjectNode;
 
-/** Writes resources, their status and events as JSON. */
+/** Converts resources, their status and watch events to JSON. */
 final class ResourceJson {
     private static final JsonMapper MAPPER = new JsonMapper();
 
@@ -88,7 +88,8 @@
         };
     }
 
-    // A spec is only a text to the log's fold; one that is no JSON must not end a list or a watch of all the others.
+    // Specs are not parsed when the log is replayed. A spec that is not valid JSON is returned as a string, since an
+    // exception would end the list or watch for all other resources.
     private static JsonNode specToJson(String spec) {
         try {
             return MAPPER.readTree(spec);
--- a/library/src/main/java/org/chivetally/resource/http/ResourceRoutes.java
+++ b/library/src/main/java/org/chivetally/resource/http/ResourceRoutes.java
@@ -48,9 +48,9 @@
 import tools.jackson.databind.node.ArrayNode;
 import tools.jackson.databind.node.ObjectNode;
 
-/** Routes for resources under {@code /v1}. */
+/** HTTP routes under {@code /v1} that read, change and watch resources. */
 public final class ResourceRoutes extends AllDirectives {
-    /** Largest body accepted, in bytes. */
+    /** Maximum size of a request body in bytes. */
     public static final long MAXIMUM_BODY_BYTES = 4L * 1024 * 1024;
 
     private static final ContentType NDJSON =
@@ -66,10 +66,11 @@
     /**
      * Creates the routes.
      *
-     * @param status where the status of backend servers comes from
-     * @param processes where the other processes' versions come from
-     * @param processId name of this process, for its status
-     * @param clock the clock of the reports of both
+     * @param resources service that stores the resources
+     * @param statusSource source of the status reports of backend servers
+     * @param processVersions source of the configuration versions that other processes report
+     * @param processId id of this process, returned by {@code GET /v1/configuration/status}
+     * @param clock clock from which the arrival times of the reports of both sources are taken, in nanoseconds
      */
     public ResourceRoutes(
             ResourceService resources,
@@ -78,13 +79,13 @@
             String processId,
             NanoClock clock) {
         this.resources = Objects.requireNonNull(resources, "resources");
-        this.statusSource = Objects.requireNonNull(statusSource, "status");
-        this.processVersions = Objects.requireNonNull(processVersions, "processes");
+        this.statusSource = Objects.requireNonNull(statusSource, "statusSource");
+        this.processVersions = Objects.requireNonNull(processVersions, "processVersions");
         this.processId = Objects.requireNonNull(processId, "processId");
         this.clock = Objects.requireNonNull(clock, "clock");
     }
 
-    /** Returns the route; paths of other kinds, such as jobs, are left to other routes. */
+    /** Returns the route; it rejects paths of other interfaces, such as jobs, for other routes to handle. */
     public Route route() {
         return pathPrefix(
                 "v1",
@@ -166,7 +167,7 @@
 
     private HttpResponse list(ResourceKind kind, Map<String, String> labels) {
         ObjectNode node = ResourceJson.object();
-        // Read before the list, so that a watch from this version repeats a change at worst, and never misses one.
+        // Read before the list, so that a watch from this version may repeat a change but never misses one.
         node.put("kind", kind.plural()).put("version", resources.version());
         node.put("ageMillis", resources.age().toMillis());
         ArrayNode items = node.putArray("items");
--- a/library/src/main/java/org/chivetally/resource/http/WriteParameters.java
+++ b/library/src/main/java/org/chivetally/resource/http/WriteParameters.java
@@ -9,13 +9,14 @@
 import org.chivetally.document.Mistakes;
 
 /**
- * How a write is to be made; usable only without mistakes.
+ * Parameters of a write request, from its query and headers. Other components are valid only if there are no mistakes.
  *
- * @param basedOn version that the writer has seen, from the query or from If-Match
- * @param force whether any version fits
- * @param dryRun whether only to tell what would change
- * @param changedBy name from the header Chivetally-Operator
- * @param writeId id from the header Idempotency-Key, or a new one
+ * @param basedOn version on which the change is based, from the query or else from the header If-Match
+ * @param force whether the change applies to any current version
+ * @param dryRun whether to return the changes without making them
+ * @param changedBy name from the header Chivetally-Operator, or {@code unnamed} if absent
+ * @param writeId id from the header Idempotency-Key, or a random UUID if absent
+ * @param mistakes mistakes found in the query and the headers
  */
 record WriteParameters(
         OptionalLong basedOn, boolean force, boolean dryRun, String changedBy, String writeId, Mistakes mistakes) {
@@ -25,7 +26,7 @@
     private static final Pattern OPERATOR_PATTERN = Pattern.compile("[^\\p{Cntrl}]{1,100}");
     private static final Pattern WRITE_ID_PATTERN = Pattern.compile("[A-Za-z0-9_-]{8,100}");
 
-    /** Reads the parameters of a change of one resource, which must say what it is based on. */
+    /** Reads the parameters of a change of one resource, which needs a base version or {@code force}. */
     static WriteParameters forSingleChange(HttpRequest request) {
         QueryParameters query = new QueryParameters(request);
         OptionalLong basedOn = query.version("basedOn");
@@ -39,7 +40,7 @@
         return of(request, query, basedOn, force);
     }
 
-    /** Reads the parameters of a change of several resources. */
+    /** Reads the parameters of a change of several resources, whose base versions are in the request body. */
     static WriteParameters forBatch(HttpRequest request) {
         return of(request, new QueryParameters(request), OptionalLong.empty(), false);
     }
--- a/library/src/main/java/org/chivetally/resource/http/package-info.java
+++ b/library/src/main/java/org/chivetally/resource/http/package-info.java
@@ -1,2 +1,2 @@
-/** Resources over HTTP with JSON, for operators and their tools. */
+/** HTTP interface with JSON documents through which operators and their tools read, change and watch resources. */
 package org.chivetally.resource.http;
--- a/library/src/test/java/org/chivetally/resource/http/ResourceRoutesTest.java
+++ b/library/src/test/java/org/chivetally/resource/http/ResourceRoutesTest.java
@@ -32,6 +32,7 @@
 import tools.jackson.databind.JsonNode;
 import tools.jackson.databind.json.JsonMapper;
 
+/** Sends requests to the resource routes of an HTTP server whose log is scripted. */
 class ResourceRoutesTest {
     private static final JsonMapper MAPPER = new JsonMapper();
     private static final String TEAM_BODY = "{\"labels\":{\"owner\":\"us\"},\"spec\":{\"weight\":2}}";
@@ -75,6 +76,7 @@
 
     @Test
     void createsReadsReplacesAndDeletes() throws Exception {
+        // Covers the life cycle of a resource, its ETag and the selection by labels.
         HttpResponse<String> created = send("PUT", "teams/a?basedOn=0", TEAM_BODY);
         assertThat(created.statusCode(), is(201));
         HttpResponse<String> read = send("GET", "teams/a", "");
@@ -102,6 +104,8 @@
 
     @Test
     void reportsCurrentVersionOnConflict() throws Exception {
+        // Guards against a lost update when two writers create the same resource: the second gets a conflict with the
+        // current version and an id by which it can look up its write.
         send("PUT", "teams/a?basedOn=0", TEAM_BODY);
         HttpResponse<String> conflicting = send("PUT", "teams/a?basedOn=0", TEAM_BODY);
         assertThat(conflicting.statusCode(), is(409));
@@ -115,6 +119,8 @@
 
     @Test
     void reportsAllMistakesAndWritesNothing() throws Exception {
+        // Guards against a partly valid request that takes effect, such as one with a mistyped dryRun, and against
+        // reporting only the first mistake.
         HttpResponse<String> rejected = send("PUT", "teams/a?dryrun=true", "{\"spec\":{\"weight\":0,\"size\":1}}");
         assertThat(rejected.statusCode(), is(400));
         assertThat(rejected.headers().firstValue("Content-Type"), is(Optional.of("application/problem+json")));
@@ -129,6 +135,8 @@
 
     @Test
     void appliesResourcesAtomicallyAndPrunes() throws Exception {
+        // Guards against a dry run that writes, a request with one stale version that is applied in part, and an empty
+        // list that prunes every resource with the labels.
         String twoTeams = "{\"resources\":[" + teamDocument("a", 1) + "," + teamDocument("b", 1)
                 + "],\"prune\":{\"labels\":{\"owner\":\"us\"}}}";
         assertThat(appliedActions(send("POST", "apply?dryRun=true", twoTeams)), is("added added "));
@@ -150,6 +158,8 @@
 
     @Test
     void streamsEventsAsNdjsonFromVersion() throws Exception {
+        // Guards against a watch that misses changes after its start version or sends changes of other resource kinds:
+        // a deletion after a write of another kind arrives with the version to resume from.
         send("PUT", "teams/a?basedOn=0", TEAM_BODY);
         HttpRequest request = HttpRequest.newBuilder(baseUri.resolve("teams?watch=true&from=0"))
                 .build();
@@ -167,8 +177,9 @@
 
     @Test
     void reportsUnknownStatusWhenReportsStop() throws Exception {
-        // An agent reported its minion as draining and then fell silent, as when its worker died. For five seconds its
-        // report is shown with its age; after that the status says unknown rather than the last thing heard.
+        // Guards against showing a stale report as the current state. An agent reports its minion as draining, then
+        // stops reporting, as after a crash of its worker. The report is shown with its age for 5 s; after that the
+        // state is unknown.
         send("PUT", "backendservers/m1?basedOn=0", "{\"spec\":{\"service\":\"reports\"}}");
         nowNanos.set(2 * SECOND_NANOS);
         JsonNode fresh =
@@ -187,6 +198,7 @@
 
     @Test
     void passesUnknownPathsToOtherRoutes() throws Exception {
+        // Guards against routes that capture paths of other interfaces or match a mere prefix of a path.
         assertThat(send("GET", "jobs", "").statusCode(), is(202));
         assertThat(send("GET", "servicesx", "").statusCode(), is(404));
         assertThat(send("GET", "teams?watch=true&from=x", "").statusCode(), is(400));
