--- a/library/src/main/java/org/chivetally/resource/http/ResourceJson.java
+++ b/library/src/main/java/org/chivetally/resource/http/ResourceJson.java
@@ -14,7 +14,7 @@
 import tools.jackson.databind.node.JsonNodeFactory;
 import tools.jackson.databind.node.ObjectNode;
 
-/** Writes resources, their status and events as JSON. */
+/** Converts resources, their status and watch events to JSON. */
 final class ResourceJson {
     private static final JsonMapper MAPPER = new JsonMapper();
 
@@ -39,7 +39,7 @@
         for (Map.Entry<String, String> label : content.labels().entrySet()) {
             labels.put(label.getKey(), label.getValue());
         }
-        node.set("spec", specOf(content.spec()));
+        node.set("spec", specToJson(content.spec()));
     }
 
     static ObjectNode of(Resource resource) {
@@ -88,8 +88,9 @@
         };
     }
 
-    // A spec is only a text to the log's fold; one that is no JSON must not end a list or a watch of all the others.
-    private static JsonNode specOf(String spec) {
+    // Specs are not parsed when the log is replayed. A spec that is not valid JSON is returned as a string, since an
+    // exception would end the list or watch for all other resources.
+    private static JsonNode specToJson(String spec) {
         try {
             return MAPPER.readTree(spec);
         } catch (JacksonException malformed) {
