--- a/wire/src/main/java/org/chivetally/wire/v1/AgentBeat.java
+++ b/wire/src/main/java/org/chivetally/wire/v1/AgentBeat.java
@@ -7,7 +7,7 @@
 
 /**
  * <pre>
- * Agent to entry. Sent in regular intervals and when the free room has changed.
+ * Heartbeat of an agent to an entry. Sent periodically, and when the free capacity changes.
  * </pre>
  *
  * Protobuf type {@code org.chivetally.wire.v1.AgentBeat}
@@ -293,7 +293,7 @@
   }
   /**
    * <pre>
-   * Agent to entry. Sent in regular intervals and when the free room has changed.
+   * Heartbeat of an agent to an entry. Sent periodically, and when the free capacity changes.
    * </pre>
    *
    * Protobuf type {@code org.chivetally.wire.v1.AgentBeat}
--- a/wire/src/main/java/org/chivetally/wire/v1/Attach.java
+++ b/wire/src/main/java/org/chivetally/wire/v1/Attach.java
@@ -7,7 +7,7 @@
 
 /**
  * <pre>
- * Entry to entry: answer with the outcome of this job once it is final.
+ * Entry to entry: requests the outcome of a job as soon as it is final.
  * </pre>
  *
  * Protobuf type {@code org.chivetally.wire.v1.Attach}
@@ -304,7 +304,7 @@
   }
   /**
    * <pre>
-   * Entry to entry: answer with the outcome of this job once it is final.
+   * Entry to entry: requests the outcome of a job as soon as it is final.
    * </pre>
    *
    * Protobuf type {@code org.chivetally.wire.v1.Attach}
--- a/wire/src/main/java/org/chivetally/wire/v1/BeatEcho.java
+++ b/wire/src/main/java/org/chivetally/wire/v1/BeatEcho.java
@@ -7,7 +7,7 @@
 
 /**
  * <pre>
- * Answer to an AgentBeat, so that the agent knows at once how fresh the entry's knowledge of it is.
+ * Answer to an AgentBeat, from which the agent determines how recent the entry's view of it is.
  * </pre>
  *
  * Protobuf type {@code org.chivetally.wire.v1.BeatEcho}
@@ -227,7 +227,7 @@
   }
   /**
    * <pre>
-   * Answer to an AgentBeat, so that the agent knows at once how fresh the entry's knowledge of it is.
+   * Answer to an AgentBeat, from which the agent determines how recent the entry's view of it is.
    * </pre>
    *
    * Protobuf type {@code org.chivetally.wire.v1.BeatEcho}
--- a/wire/src/main/java/org/chivetally/wire/v1/Cancel.java
+++ b/wire/src/main/java/org/chivetally/wire/v1/Cancel.java
@@ -7,7 +7,7 @@
 
 /**
  * <pre>
- * Drops every waiting task of these jobs at the agent; running ones finish.
+ * Cancels the waiting tasks of these jobs at the agent; running tasks continue.
  * </pre>
  *
  * Protobuf type {@code org.chivetally.wire.v1.Cancel}
@@ -260,7 +260,7 @@
   }
   /**
    * <pre>
-   * Drops every waiting task of these jobs at the agent; running ones finish.
+   * Cancels the waiting tasks of these jobs at the agent; running tasks continue.
    * </pre>
    *
    * Protobuf type {@code org.chivetally.wire.v1.Cancel}
--- a/wire/src/main/java/org/chivetally/wire/v1/Capacity.java
+++ b/wire/src/main/java/org/chivetally/wire/v1/Capacity.java
@@ -7,7 +7,7 @@
 
 /**
  * <pre>
- * What a worker gives to one minion. Processors in thousandths, memory in bytes.
+ * Capacity that a worker provides to one minion. Processors in thousandths, memory in bytes.
  * </pre>
  *
  * Protobuf type {@code org.chivetally.wire.v1.Capacity}
@@ -316,7 +316,7 @@
   }
   /**
    * <pre>
-   * What a worker gives to one minion. Processors in thousandths, memory in bytes.
+   * Capacity that a worker provides to one minion. Processors in thousandths, memory in bytes.
    * </pre>
    *
    * Protobuf type {@code org.chivetally.wire.v1.Capacity}
--- a/wire/src/main/java/org/chivetally/wire/v1/ConfigurationPush.java
+++ b/wire/src/main/java/org/chivetally/wire/v1/ConfigurationPush.java
@@ -64,7 +64,7 @@
   private com.google.protobuf.ByteString snapshot_ = com.google.protobuf.ByteString.EMPTY;
   /**
    * <pre>
-   * all resources at `version`, JSON
+   * JSON of all resources at `version`
    * </pre>
    *
    * <code>bytes snapshot = 2;</code>
@@ -429,7 +429,7 @@
     private com.google.protobuf.ByteString snapshot_ = com.google.protobuf.ByteString.EMPTY;
     /**
      * <pre>
-     * all resources at `version`, JSON
+     * JSON of all resources at `version`
      * </pre>
      *
      * <code>bytes snapshot = 2;</code>
@@ -441,7 +441,7 @@
     }
     /**
      * <pre>
-     * all resources at `version`, JSON
+     * JSON of all resources at `version`
      * </pre>
      *
      * <code>bytes snapshot = 2;</code>
@@ -457,7 +457,7 @@
     }
     /**
      * <pre>
-     * all resources at `version`, JSON
+     * JSON of all resources at `version`
      * </pre>
      *
      * <code>bytes snapshot = 2;</code>
--- a/wire/src/main/java/org/chivetally/wire/v1/ConfigurationPushOrBuilder.java
+++ b/wire/src/main/java/org/chivetally/wire/v1/ConfigurationPushOrBuilder.java
@@ -18,7 +18,7 @@
 
   /**
    * <pre>
-   * all resources at `version`, JSON
+   * JSON of all resources at `version`
    * </pre>
    *
    * <code>bytes snapshot = 2;</code>
--- a/wire/src/main/java/org/chivetally/wire/v1/Demand.java
+++ b/wire/src/main/java/org/chivetally/wire/v1/Demand.java
@@ -7,7 +7,7 @@
 
 /**
  * <pre>
- * What an entry asks of a service's workers.
+ * Demand of an entry on the workers of a service.
  * </pre>
  *
  * Protobuf type {@code org.chivetally.wire.v1.Demand}
@@ -96,7 +96,7 @@
   private long arrivingMillis_ = 0L;
   /**
    * <pre>
-   * processors in thousandths that the jobs coming to the sender keep busy
+   * processors, in thousandths, that the jobs arriving at the sender keep busy
    * </pre>
    *
    * <code>uint64 arriving_millis = 2;</code>
@@ -111,7 +111,7 @@
   private long waitingWork_ = 0L;
   /**
    * <pre>
-   * processor milliseconds of the tasks that wait at the sender
+   * work of the tasks that wait at the sender, in processor milliseconds
    * </pre>
    *
    * <code>uint64 waiting_work = 3;</code>
@@ -308,7 +308,7 @@
   }
   /**
    * <pre>
-   * What an entry asks of a service's workers.
+   * Demand of an entry on the workers of a service.
    * </pre>
    *
    * Protobuf type {@code org.chivetally.wire.v1.Demand}
@@ -545,7 +545,7 @@
     private long arrivingMillis_ ;
     /**
      * <pre>
-     * processors in thousandths that the jobs coming to the sender keep busy
+     * processors, in thousandths, that the jobs arriving at the sender keep busy
      * </pre>
      *
      * <code>uint64 arriving_millis = 2;</code>
@@ -557,7 +557,7 @@
     }
     /**
      * <pre>
-     * processors in thousandths that the jobs coming to the sender keep busy
+     * processors, in thousandths, that the jobs arriving at the sender keep busy
      * </pre>
      *
      * <code>uint64 arriving_millis = 2;</code>
@@ -573,7 +573,7 @@
     }
     /**
      * <pre>
-     * processors in thousandths that the jobs coming to the sender keep busy
+     * processors, in thousandths, that the jobs arriving at the sender keep busy
      * </pre>
      *
      * <code>uint64 arriving_millis = 2;</code>
@@ -589,7 +589,7 @@
     private long waitingWork_ ;
     /**
      * <pre>
-     * processor milliseconds of the tasks that wait at the sender
+     * work of the tasks that wait at the sender, in processor milliseconds
      * </pre>
      *
      * <code>uint64 waiting_work = 3;</code>
@@ -601,7 +601,7 @@
     }
     /**
      * <pre>
-     * processor milliseconds of the tasks that wait at the sender
+     * work of the tasks that wait at the sender, in processor milliseconds
      * </pre>
      *
      * <code>uint64 waiting_work = 3;</code>
@@ -617,7 +617,7 @@
     }
     /**
      * <pre>
-     * processor milliseconds of the tasks that wait at the sender
+     * work of the tasks that wait at the sender, in processor milliseconds
      * </pre>
      *
      * <code>uint64 waiting_work = 3;</code>
--- a/wire/src/main/java/org/chivetally/wire/v1/DemandOrBuilder.java
+++ b/wire/src/main/java/org/chivetally/wire/v1/DemandOrBuilder.java
@@ -24,7 +24,7 @@
 
   /**
    * <pre>
-   * processors in thousandths that the jobs coming to the sender keep busy
+   * processors, in thousandths, that the jobs arriving at the sender keep busy
    * </pre>
    *
    * <code>uint64 arriving_millis = 2;</code>
@@ -34,7 +34,7 @@
 
   /**
    * <pre>
-   * processor milliseconds of the tasks that wait at the sender
+   * work of the tasks that wait at the sender, in processor milliseconds
    * </pre>
    *
    * <code>uint64 waiting_work = 3;</code>
--- a/wire/src/main/java/org/chivetally/wire/v1/EndsKept.java
+++ b/wire/src/main/java/org/chivetally/wire/v1/EndsKept.java
@@ -7,7 +7,7 @@
 
 /**
  * <pre>
- * The sender has stored what these ends mean, or needs nothing of them.
+ * The sender has stored the consequences of these ends, or does not need them; the agent may discard them.
  * </pre>
  *
  * Protobuf type {@code org.chivetally.wire.v1.EndsKept}
@@ -313,7 +313,7 @@
   }
   /**
    * <pre>
-   * The sender has stored what these ends mean, or needs nothing of them.
+   * The sender has stored the consequences of these ends, or does not need them; the agent may discard them.
    * </pre>
    *
    * Protobuf type {@code org.chivetally.wire.v1.EndsKept}
--- a/wire/src/main/java/org/chivetally/wire/v1/EntryAddress.java
+++ b/wire/src/main/java/org/chivetally/wire/v1/EntryAddress.java
@@ -6,6 +6,10 @@
 package org.chivetally.wire.v1;
 
 /**
+ * <pre>
+ * Address of an entry.
+ * </pre>
+ *
  * Protobuf type {@code org.chivetally.wire.v1.EntryAddress}
  */
 @com.google.protobuf.Generated
@@ -344,6 +348,10 @@
     return builder;
   }
   /**
+   * <pre>
+   * Address of an entry.
+   * </pre>
+   *
    * Protobuf type {@code org.chivetally.wire.v1.EntryAddress}
    */
   public static final class Builder extends
--- a/wire/src/main/java/org/chivetally/wire/v1/EntryBeat.java
+++ b/wire/src/main/java/org/chivetally/wire/v1/EntryBeat.java
@@ -7,7 +7,7 @@
 
 /**
  * <pre>
- * Entry to every process. Sent in regular intervals and at once when its ownership changes.
+ * Heartbeat of an entry to all processes. Sent periodically, and immediately when its partitions change.
  * </pre>
  *
  * Protobuf type {@code org.chivetally.wire.v1.EntryBeat}
@@ -62,7 +62,7 @@
   private long stampNanos_ = 0L;
   /**
    * <pre>
-   * sender's steady clock
+   * monotonic clock of the sender
    * </pre>
    *
    * <code>uint64 stamp_nanos = 1;</code>
@@ -77,7 +77,7 @@
   private long echoNanos_ = 0L;
   /**
    * <pre>
-   * newest stamp that the sender got from the receiver
+   * latest stamp that the sender received from the receiver
    * </pre>
    *
    * <code>uint64 echo_nanos = 2;</code>
@@ -227,7 +227,7 @@
   private java.util.List<org.chivetally.wire.v1.Demand> demand_;
   /**
    * <pre>
-   * to entries only
+   * only to entries
    * </pre>
    *
    * <code>repeated .org.chivetally.wire.v1.Demand demand = 7;</code>
@@ -238,7 +238,7 @@
   }
   /**
    * <pre>
-   * to entries only
+   * only to entries
    * </pre>
    *
    * <code>repeated .org.chivetally.wire.v1.Demand demand = 7;</code>
@@ -250,7 +250,7 @@
   }
   /**
    * <pre>
-   * to entries only
+   * only to entries
    * </pre>
    *
    * <code>repeated .org.chivetally.wire.v1.Demand demand = 7;</code>
@@ -261,7 +261,7 @@
   }
   /**
    * <pre>
-   * to entries only
+   * only to entries
    * </pre>
    *
    * <code>repeated .org.chivetally.wire.v1.Demand demand = 7;</code>
@@ -272,7 +272,7 @@
   }
   /**
    * <pre>
-   * to entries only
+   * only to entries
    * </pre>
    *
    * <code>repeated .org.chivetally.wire.v1.Demand demand = 7;</code>
@@ -287,7 +287,7 @@
   private int agents_ = 0;
   /**
    * <pre>
-   * agents that the sender is linked to
+   * number of agents that the sender is connected to
    * </pre>
    *
    * <code>uint32 agents = 8;</code>
@@ -302,7 +302,7 @@
   private org.chivetally.wire.v1.Evacuations evacuations_;
   /**
    * <pre>
-   * to agents only
+   * only to agents
    * </pre>
    *
    * <code>.org.chivetally.wire.v1.Evacuations evacuations = 9;</code>
@@ -314,7 +314,7 @@
   }
   /**
    * <pre>
-   * to agents only
+   * only to agents
    * </pre>
    *
    * <code>.org.chivetally.wire.v1.Evacuations evacuations = 9;</code>
@@ -326,7 +326,7 @@
   }
   /**
    * <pre>
-   * to agents only
+   * only to agents
    * </pre>
    *
    * <code>.org.chivetally.wire.v1.Evacuations evacuations = 9;</code>
@@ -341,7 +341,7 @@
   private java.util.List<org.chivetally.wire.v1.QueueDemand> queueDemand_;
   /**
    * <pre>
-   * to entries only, while queues share room by weight
+   * only to entries, while queues share capacity by weight
    * </pre>
    *
    * <code>repeated .org.chivetally.wire.v1.QueueDemand queue_demand = 10;</code>
@@ -352,7 +352,7 @@
   }
   /**
    * <pre>
-   * to entries only, while queues share room by weight
+   * only to entries, while queues share capacity by weight
    * </pre>
    *
    * <code>repeated .org.chivetally.wire.v1.QueueDemand queue_demand = 10;</code>
@@ -364,7 +364,7 @@
   }
   /**
    * <pre>
-   * to entries only, while queues share room by weight
+   * only to entries, while queues share capacity by weight
    * </pre>
    *
    * <code>repeated .org.chivetally.wire.v1.QueueDemand queue_demand = 10;</code>
@@ -375,7 +375,7 @@
   }
   /**
    * <pre>
-   * to entries only, while queues share room by weight
+   * only to entries, while queues share capacity by weight
    * </pre>
    *
    * <code>repeated .org.chivetally.wire.v1.QueueDemand queue_demand = 10;</code>
@@ -386,7 +386,7 @@
   }
   /**
    * <pre>
-   * to entries only, while queues share room by weight
+   * only to entries, while queues share capacity by weight
    * </pre>
    *
    * <code>repeated .org.chivetally.wire.v1.QueueDemand queue_demand = 10;</code>
@@ -702,7 +702,7 @@
   }
   /**
    * <pre>
-   * Entry to every process. Sent in regular intervals and at once when its ownership changes.
+   * Heartbeat of an entry to all processes. Sent periodically, and immediately when its partitions change.
    * </pre>
    *
    * Protobuf type {@code org.chivetally.wire.v1.EntryBeat}
@@ -1190,7 +1190,7 @@
     private long stampNanos_ ;
     /**
      * <pre>
-     * sender's steady clock
+     * monotonic clock of the sender
      * </pre>
      *
      * <code>uint64 stamp_nanos = 1;</code>
@@ -1202,7 +1202,7 @@
     }
     /**
      * <pre>
-     * sender's steady clock
+     * monotonic clock of the sender
      * </pre>
      *
      * <code>uint64 stamp_nanos = 1;</code>
@@ -1218,7 +1218,7 @@
     }
     /**
      * <pre>
-     * sender's steady clock
+     * monotonic clock of the sender
      * </pre>
      *
      * <code>uint64 stamp_nanos = 1;</code>
@@ -1234,7 +1234,7 @@
     private long echoNanos_ ;
     /**
      * <pre>
-     * newest stamp that the sender got from the receiver
+     * latest stamp that the sender received from the receiver
      * </pre>
      *
      * <code>uint64 echo_nanos = 2;</code>
@@ -1246,7 +1246,7 @@
     }
     /**
      * <pre>
-     * newest stamp that the sender got from the receiver
+     * latest stamp that the sender received from the receiver
      * </pre>
      *
      * <code>uint64 echo_nanos = 2;</code>
@@ -1262,7 +1262,7 @@
     }
     /**
      * <pre>
-     * newest stamp that the sender got from the receiver
+     * latest stamp that the sender received from the receiver
      * </pre>
      *
      * <code>uint64 echo_nanos = 2;</code>
@@ -2023,7 +2023,7 @@
 
     /**
      * <pre>
-     * to entries only
+     * only to entries
      * </pre>
      *
      * <code>repeated .org.chivetally.wire.v1.Demand demand = 7;</code>
@@ -2037,7 +2037,7 @@
     }
     /**
      * <pre>
-     * to entries only
+     * only to entries
      * </pre>
      *
      * <code>repeated .org.chivetally.wire.v1.Demand demand = 7;</code>
@@ -2051,7 +2051,7 @@
     }
     /**
      * <pre>
-     * to entries only
+     * only to entries
      * </pre>
      *
      * <code>repeated .org.chivetally.wire.v1.Demand demand = 7;</code>
@@ -2065,7 +2065,7 @@
     }
     /**
      * <pre>
-     * to entries only
+     * only to entries
      * </pre>
      *
      * <code>repeated .org.chivetally.wire.v1.Demand demand = 7;</code>
@@ -2084,7 +2084,7 @@
     }
     /**
      * <pre>
-     * to entries only
+     * only to entries
      * </pre>
      *
      * <code>repeated .org.chivetally.wire.v1.Demand demand = 7;</code>
@@ -2102,7 +2102,7 @@
     }
     /**
      * <pre>
-     * to entries only
+     * only to entries
      * </pre>
      *
      * <code>repeated .org.chivetally.wire.v1.Demand demand = 7;</code>
@@ -2120,7 +2120,7 @@
     }
     /**
      * <pre>
-     * to entries only
+     * only to entries
      * </pre>
      *
      * <code>repeated .org.chivetally.wire.v1.Demand demand = 7;</code>
@@ -2139,7 +2139,7 @@
     }
     /**
      * <pre>
-     * to entries only
+     * only to entries
      * </pre>
      *
      * <code>repeated .org.chivetally.wire.v1.Demand demand = 7;</code>
@@ -2157,7 +2157,7 @@
     }
     /**
      * <pre>
-     * to entries only
+     * only to entries
      * </pre>
      *
      * <code>repeated .org.chivetally.wire.v1.Demand demand = 7;</code>
@@ -2175,7 +2175,7 @@
     }
     /**
      * <pre>
-     * to entries only
+     * only to entries
      * </pre>
      *
      * <code>repeated .org.chivetally.wire.v1.Demand demand = 7;</code>
@@ -2194,7 +2194,7 @@
     }
     /**
      * <pre>
-     * to entries only
+     * only to entries
      * </pre>
      *
      * <code>repeated .org.chivetally.wire.v1.Demand demand = 7;</code>
@@ -2211,7 +2211,7 @@
     }
     /**
      * <pre>
-     * to entries only
+     * only to entries
      * </pre>
      *
      * <code>repeated .org.chivetally.wire.v1.Demand demand = 7;</code>
@@ -2228,7 +2228,7 @@
     }
     /**
      * <pre>
-     * to entries only
+     * only to entries
      * </pre>
      *
      * <code>repeated .org.chivetally.wire.v1.Demand demand = 7;</code>
@@ -2239,7 +2239,7 @@
     }
     /**
      * <pre>
-     * to entries only
+     * only to entries
      * </pre>
      *
      * <code>repeated .org.chivetally.wire.v1.Demand demand = 7;</code>
@@ -2253,7 +2253,7 @@
     }
     /**
      * <pre>
-     * to entries only
+     * only to entries
      * </pre>
      *
      * <code>repeated .org.chivetally.wire.v1.Demand demand = 7;</code>
@@ -2268,7 +2268,7 @@
     }
     /**
      * <pre>
-     * to entries only
+     * only to entries
      * </pre>
      *
      * <code>repeated .org.chivetally.wire.v1.Demand demand = 7;</code>
@@ -2279,7 +2279,7 @@
     }
     /**
      * <pre>
-     * to entries only
+     * only to entries
      * </pre>
      *
      * <code>repeated .org.chivetally.wire.v1.Demand demand = 7;</code>
@@ -2291,7 +2291,7 @@
     }
     /**
      * <pre>
-     * to entries only
+     * only to entries
      * </pre>
      *
      * <code>repeated .org.chivetally.wire.v1.Demand demand = 7;</code>
@@ -2318,7 +2318,7 @@
     private int agents_ ;
     /**
      * <pre>
-     * agents that the sender is linked to
+     * number of agents that the sender is connected to
      * </pre>
      *
      * <code>uint32 agents = 8;</code>
@@ -2330,7 +2330,7 @@
     }
     /**
      * <pre>
-     * agents that the sender is linked to
+     * number of agents that the sender is connected to
      * </pre>
      *
      * <code>uint32 agents = 8;</code>
@@ -2346,7 +2346,7 @@
     }
     /**
      * <pre>
-     * agents that the sender is linked to
+     * number of agents that the sender is connected to
      * </pre>
      *
      * <code>uint32 agents = 8;</code>
@@ -2364,7 +2364,7 @@
         org.chivetally.wire.v1.Evacuations, org.chivetally.wire.v1.Evacuations.Builder, org.chivetally.wire.v1.EvacuationsOrBuilder> evacuationsBuilder_;
     /**
      * <pre>
-     * to agents only
+     * only to agents
      * </pre>
      *
      * <code>.org.chivetally.wire.v1.Evacuations evacuations = 9;</code>
@@ -2375,7 +2375,7 @@
     }
     /**
      * <pre>
-     * to agents only
+     * only to agents
      * </pre>
      *
      * <code>.org.chivetally.wire.v1.Evacuations evacuations = 9;</code>
@@ -2390,7 +2390,7 @@
     }
     /**
      * <pre>
-     * to agents only
+     * only to agents
      * </pre>
      *
      * <code>.org.chivetally.wire.v1.Evacuations evacuations = 9;</code>
@@ -2408,7 +2408,7 @@
     }
     /**
      * <pre>
-     * to agents only
+     * only to agents
      * </pre>
      *
      * <code>.org.chivetally.wire.v1.Evacuations evacuations = 9;</code>
@@ -2426,7 +2426,7 @@
     }
     /**
      * <pre>
-     * to agents only
+     * only to agents
      * </pre>
      *
      * <code>.org.chivetally.wire.v1.Evacuations evacuations = 9;</code>
@@ -2451,7 +2451,7 @@
     }
     /**
      * <pre>
-     * to agents only
+     * only to agents
      * </pre>
      *
      * <code>.org.chivetally.wire.v1.Evacuations evacuations = 9;</code>
@@ -2468,7 +2468,7 @@
     }
     /**
      * <pre>
-     * to agents only
+     * only to agents
      * </pre>
      *
      * <code>.org.chivetally.wire.v1.Evacuations evacuations = 9;</code>
@@ -2480,7 +2480,7 @@
     }
     /**
      * <pre>
-     * to agents only
+     * only to agents
      * </pre>
      *
      * <code>.org.chivetally.wire.v1.Evacuations evacuations = 9;</code>
@@ -2495,7 +2495,7 @@
     }
     /**
      * <pre>
-     * to agents only
+     * only to agents
      * </pre>
      *
      * <code>.org.chivetally.wire.v1.Evacuations evacuations = 9;</code>
@@ -2528,7 +2528,7 @@
 
     /**
      * <pre>
-     * to entries only, while queues share room by weight
+     * only to entries, while queues share capacity by weight
      * </pre>
      *
      * <code>repeated .org.chivetally.wire.v1.QueueDemand queue_demand = 10;</code>
@@ -2542,7 +2542,7 @@
     }
     /**
      * <pre>
-     * to entries only, while queues share room by weight
+     * only to entries, while queues share capacity by weight
      * </pre>
      *
      * <code>repeated .org.chivetally.wire.v1.QueueDemand queue_demand = 10;</code>
@@ -2556,7 +2556,7 @@
     }
     /**
      * <pre>
-     * to entries only, while queues share room by weight
+     * only to entries, while queues share capacity by weight
      * </pre>
      *
      * <code>repeated .org.chivetally.wire.v1.QueueDemand queue_demand = 10;</code>
@@ -2570,7 +2570,7 @@
     }
     /**
      * <pre>
-     * to entries only, while queues share room by weight
+     * only to entries, while queues share capacity by weight
      * </pre>
      *
      * <code>repeated .org.chivetally.wire.v1.QueueDemand queue_demand = 10;</code>
@@ -2589,7 +2589,7 @@
     }
     /**
      * <pre>
-     * to entries only, while queues share room by weight
+     * only to entries, while queues share capacity by weight
      * </pre>
      *
      * <code>repeated .org.chivetally.wire.v1.QueueDemand queue_demand = 10;</code>
@@ -2607,7 +2607,7 @@
     }
     /**
      * <pre>
-     * to entries only, while queues share room by weight
+     * only to entries, while queues share capacity by weight
      * </pre>
      *
      * <code>repeated .org.chivetally.wire.v1.QueueDemand queue_demand = 10;</code>
@@ -2625,7 +2625,7 @@
     }
     /**
      * <pre>
-     * to entries only, while queues share room by weight
+     * only to entries, while queues share capacity by weight
      * </pre>
      *
      * <code>repeated .org.chivetally.wire.v1.QueueDemand queue_demand = 10;</code>
@@ -2644,7 +2644,7 @@
     }
     /**
      * <pre>
-     * to entries only, while queues share room by weight
+     * only to entries, while queues share capacity by weight
      * </pre>
      *
      * <code>repeated .org.chivetally.wire.v1.QueueDemand queue_demand = 10;</code>
@@ -2662,7 +2662,7 @@
     }
     /**
      * <pre>
-     * to entries only, while queues share room by weight
+     * only to entries, while queues share capacity by weight
      * </pre>
      *
      * <code>repeated .org.chivetally.wire.v1.QueueDemand queue_demand = 10;</code>
@@ -2680,7 +2680,7 @@
     }
     /**
      * <pre>
-     * to entries only, while queues share room by weight
+     * only to entries, while queues share capacity by weight
      * </pre>
      *
      * <code>repeated .org.chivetally.wire.v1.QueueDemand queue_demand = 10;</code>
@@ -2699,7 +2699,7 @@
     }
     /**
      * <pre>
-     * to entries only, while queues share room by weight
+     * only to entries, while queues share capacity by weight
      * </pre>
      *
      * <code>repeated .org.chivetally.wire.v1.QueueDemand queue_demand = 10;</code>
@@ -2716,7 +2716,7 @@
     }
     /**
      * <pre>
-     * to entries only, while queues share room by weight
+     * only to entries, while queues share capacity by weight
      * </pre>
      *
      * <code>repeated .org.chivetally.wire.v1.QueueDemand queue_demand = 10;</code>
@@ -2733,7 +2733,7 @@
     }
     /**
      * <pre>
-     * to entries only, while queues share room by weight
+     * only to entries, while queues share capacity by weight
      * </pre>
      *
      * <code>repeated .org.chivetally.wire.v1.QueueDemand queue_demand = 10;</code>
@@ -2744,7 +2744,7 @@
     }
     /**
      * <pre>
-     * to entries only, while queues share room by weight
+     * only to entries, while queues share capacity by weight
      * </pre>
      *
      * <code>repeated .org.chivetally.wire.v1.QueueDemand queue_demand = 10;</code>
@@ -2758,7 +2758,7 @@
     }
     /**
      * <pre>
-     * to entries only, while queues share room by weight
+     * only to entries, while queues share capacity by weight
      * </pre>
      *
      * <code>repeated .org.chivetally.wire.v1.QueueDemand queue_demand = 10;</code>
@@ -2773,7 +2773,7 @@
     }
     /**
      * <pre>
-     * to entries only, while queues share room by weight
+     * only to entries, while queues share capacity by weight
      * </pre>
      *
      * <code>repeated .org.chivetally.wire.v1.QueueDemand queue_demand = 10;</code>
@@ -2784,7 +2784,7 @@
     }
     /**
      * <pre>
-     * to entries only, while queues share room by weight
+     * only to entries, while queues share capacity by weight
      * </pre>
      *
      * <code>repeated .org.chivetally.wire.v1.QueueDemand queue_demand = 10;</code>
@@ -2796,7 +2796,7 @@
     }
     /**
      * <pre>
-     * to entries only, while queues share room by weight
+     * only to entries, while queues share capacity by weight
      * </pre>
      *
      * <code>repeated .org.chivetally.wire.v1.QueueDemand queue_demand = 10;</code>
--- a/wire/src/main/java/org/chivetally/wire/v1/EntryBeatOrBuilder.java
+++ b/wire/src/main/java/org/chivetally/wire/v1/EntryBeatOrBuilder.java
@@ -12,7 +12,7 @@
 
   /**
    * <pre>
-   * sender's steady clock
+   * monotonic clock of the sender
    * </pre>
    *
    * <code>uint64 stamp_nanos = 1;</code>
@@ -22,7 +22,7 @@
 
   /**
    * <pre>
-   * newest stamp that the sender got from the receiver
+   * latest stamp that the sender received from the receiver
    * </pre>
    *
    * <code>uint64 echo_nanos = 2;</code>
@@ -110,7 +110,7 @@
 
   /**
    * <pre>
-   * to entries only
+   * only to entries
    * </pre>
    *
    * <code>repeated .org.chivetally.wire.v1.Demand demand = 7;</code>
@@ -119,7 +119,7 @@
       getDemandList();
   /**
    * <pre>
-   * to entries only
+   * only to entries
    * </pre>
    *
    * <code>repeated .org.chivetally.wire.v1.Demand demand = 7;</code>
@@ -127,7 +127,7 @@
   org.chivetally.wire.v1.Demand getDemand(int index);
   /**
    * <pre>
-   * to entries only
+   * only to entries
    * </pre>
    *
    * <code>repeated .org.chivetally.wire.v1.Demand demand = 7;</code>
@@ -135,7 +135,7 @@
   int getDemandCount();
   /**
    * <pre>
-   * to entries only
+   * only to entries
    * </pre>
    *
    * <code>repeated .org.chivetally.wire.v1.Demand demand = 7;</code>
@@ -144,7 +144,7 @@
       getDemandOrBuilderList();
   /**
    * <pre>
-   * to entries only
+   * only to entries
    * </pre>
    *
    * <code>repeated .org.chivetally.wire.v1.Demand demand = 7;</code>
@@ -154,7 +154,7 @@
 
   /**
    * <pre>
-   * agents that the sender is linked to
+   * number of agents that the sender is connected to
    * </pre>
    *
    * <code>uint32 agents = 8;</code>
@@ -164,7 +164,7 @@
 
   /**
    * <pre>
-   * to agents only
+   * only to agents
    * </pre>
    *
    * <code>.org.chivetally.wire.v1.Evacuations evacuations = 9;</code>
@@ -173,7 +173,7 @@
   boolean hasEvacuations();
   /**
    * <pre>
-   * to agents only
+   * only to agents
    * </pre>
    *
    * <code>.org.chivetally.wire.v1.Evacuations evacuations = 9;</code>
@@ -182,7 +182,7 @@
   org.chivetally.wire.v1.Evacuations getEvacuations();
   /**
    * <pre>
-   * to agents only
+   * only to agents
    * </pre>
    *
    * <code>.org.chivetally.wire.v1.Evacuations evacuations = 9;</code>
@@ -191,7 +191,7 @@
 
   /**
    * <pre>
-   * to entries only, while queues share room by weight
+   * only to entries, while queues share capacity by weight
    * </pre>
    *
    * <code>repeated .org.chivetally.wire.v1.QueueDemand queue_demand = 10;</code>
@@ -200,7 +200,7 @@
       getQueueDemandList();
   /**
    * <pre>
-   * to entries only, while queues share room by weight
+   * only to entries, while queues share capacity by weight
    * </pre>
    *
    * <code>repeated .org.chivetally.wire.v1.QueueDemand queue_demand = 10;</code>
@@ -208,7 +208,7 @@
   org.chivetally.wire.v1.QueueDemand getQueueDemand(int index);
   /**
    * <pre>
-   * to entries only, while queues share room by weight
+   * only to entries, while queues share capacity by weight
    * </pre>
    *
    * <code>repeated .org.chivetally.wire.v1.QueueDemand queue_demand = 10;</code>
@@ -216,7 +216,7 @@
   int getQueueDemandCount();
   /**
    * <pre>
-   * to entries only, while queues share room by weight
+   * only to entries, while queues share capacity by weight
    * </pre>
    *
    * <code>repeated .org.chivetally.wire.v1.QueueDemand queue_demand = 10;</code>
@@ -225,7 +225,7 @@
       getQueueDemandOrBuilderList();
   /**
    * <pre>
-   * to entries only, while queues share room by weight
+   * only to entries, while queues share capacity by weight
    * </pre>
    *
    * <code>repeated .org.chivetally.wire.v1.QueueDemand queue_demand = 10;</code>
--- a/wire/src/main/java/org/chivetally/wire/v1/Evacuations.java
+++ b/wire/src/main/java/org/chivetally/wire/v1/Evacuations.java
@@ -7,7 +7,7 @@
 
 /**
  * <pre>
- * Failure domains in which nothing may start, as the operators asked.
+ * Failure domains that operators have evacuated: no run may start in them.
  * </pre>
  *
  * Protobuf type {@code org.chivetally.wire.v1.Evacuations}
@@ -58,7 +58,7 @@
   private long version_ = 0L;
   /**
    * <pre>
-   * offset up to which the sender has read the operators' wishes; 0 while it has not
+   * offset up to which the sender has read the operators' commands; 0 before it has read them
    * </pre>
    *
    * <code>uint64 version = 1;</code>
@@ -287,7 +287,7 @@
   }
   /**
    * <pre>
-   * Failure domains in which nothing may start, as the operators asked.
+   * Failure domains that operators have evacuated: no run may start in them.
    * </pre>
    *
    * Protobuf type {@code org.chivetally.wire.v1.Evacuations}
@@ -447,7 +447,7 @@
     private long version_ ;
     /**
      * <pre>
-     * offset up to which the sender has read the operators' wishes; 0 while it has not
+     * offset up to which the sender has read the operators' commands; 0 before it has read them
      * </pre>
      *
      * <code>uint64 version = 1;</code>
@@ -459,7 +459,7 @@
     }
     /**
      * <pre>
-     * offset up to which the sender has read the operators' wishes; 0 while it has not
+     * offset up to which the sender has read the operators' commands; 0 before it has read them
      * </pre>
      *
      * <code>uint64 version = 1;</code>
@@ -475,7 +475,7 @@
     }
     /**
      * <pre>
-     * offset up to which the sender has read the operators' wishes; 0 while it has not
+     * offset up to which the sender has read the operators' commands; 0 before it has read them
      * </pre>
      *
      * <code>uint64 version = 1;</code>
--- a/wire/src/main/java/org/chivetally/wire/v1/EvacuationsOrBuilder.java
+++ b/wire/src/main/java/org/chivetally/wire/v1/EvacuationsOrBuilder.java
@@ -12,7 +12,7 @@
 
   /**
    * <pre>
-   * offset up to which the sender has read the operators' wishes; 0 while it has not
+   * offset up to which the sender has read the operators' commands; 0 before it has read them
    * </pre>
    *
    * <code>uint64 version = 1;</code>
--- a/wire/src/main/java/org/chivetally/wire/v1/Frame.java
+++ b/wire/src/main/java/org/chivetally/wire/v1/Frame.java
@@ -7,7 +7,7 @@
 
 /**
  * <pre>
- * One frame. `request_id` is unique per sender incarnation and never reused; an answer repeats it.
+ * `request_id` is unique per incarnation of the sender and never reused; an answer has the request_id of its request.
  * </pre>
  *
  * Protobuf type {@code org.chivetally.wire.v1.Frame}
@@ -1762,7 +1762,7 @@
   }
   /**
    * <pre>
-   * One frame. `request_id` is unique per sender incarnation and never reused; an answer repeats it.
+   * `request_id` is unique per incarnation of the sender and never reused; an answer has the request_id of its request.
    * </pre>
    *
    * Protobuf type {@code org.chivetally.wire.v1.Frame}
--- a/wire/src/main/java/org/chivetally/wire/v1/Heartbeat.java
+++ b/wire/src/main/java/org/chivetally/wire/v1/Heartbeat.java
@@ -53,7 +53,7 @@
   private boolean answer_ = false;
   /**
    * <pre>
-   * true: reply to a heartbeat with the same request_id
+   * true for the answer to a heartbeat with the same request_id
    * </pre>
    *
    * <code>bool answer = 1;</code>
@@ -469,7 +469,7 @@
     private boolean answer_ ;
     /**
      * <pre>
-     * true: reply to a heartbeat with the same request_id
+     * true for the answer to a heartbeat with the same request_id
      * </pre>
      *
      * <code>bool answer = 1;</code>
@@ -481,7 +481,7 @@
     }
     /**
      * <pre>
-     * true: reply to a heartbeat with the same request_id
+     * true for the answer to a heartbeat with the same request_id
      * </pre>
      *
      * <code>bool answer = 1;</code>
@@ -497,7 +497,7 @@
     }
     /**
      * <pre>
-     * true: reply to a heartbeat with the same request_id
+     * true for the answer to a heartbeat with the same request_id
      * </pre>
      *
      * <code>bool answer = 1;</code>
--- a/wire/src/main/java/org/chivetally/wire/v1/HeartbeatOrBuilder.java
+++ b/wire/src/main/java/org/chivetally/wire/v1/HeartbeatOrBuilder.java
@@ -12,7 +12,7 @@
 
   /**
    * <pre>
-   * true: reply to a heartbeat with the same request_id
+   * true for the answer to a heartbeat with the same request_id
    * </pre>
    *
    * <code>bool answer = 1;</code>
--- a/wire/src/main/java/org/chivetally/wire/v1/HeldRun.java
+++ b/wire/src/main/java/org/chivetally/wire/v1/HeldRun.java
@@ -6,6 +6,10 @@
 package org.chivetally.wire.v1;
 
 /**
+ * <pre>
+ * A run that an agent holds.
+ * </pre>
+ *
  * Protobuf type {@code org.chivetally.wire.v1.HeldRun}
  */
 @com.google.protobuf.Generated
@@ -103,7 +107,7 @@
   private boolean unkept_ = false;
   /**
    * <pre>
-   * of a job that only the receiver knows
+   * of an in-memory job, stored only by the receiver
    * </pre>
    *
    * <code>bool unkept = 3;</code>
@@ -299,6 +303,10 @@
     return builder;
   }
   /**
+   * <pre>
+   * A run that an agent holds.
+   * </pre>
+   *
    * Protobuf type {@code org.chivetally.wire.v1.HeldRun}
    */
   public static final class Builder extends
@@ -565,7 +573,7 @@
     private boolean unkept_ ;
     /**
      * <pre>
-     * of a job that only the receiver knows
+     * of an in-memory job, stored only by the receiver
      * </pre>
      *
      * <code>bool unkept = 3;</code>
@@ -577,7 +585,7 @@
     }
     /**
      * <pre>
-     * of a job that only the receiver knows
+     * of an in-memory job, stored only by the receiver
      * </pre>
      *
      * <code>bool unkept = 3;</code>
@@ -593,7 +601,7 @@
     }
     /**
      * <pre>
-     * of a job that only the receiver knows
+     * of an in-memory job, stored only by the receiver
      * </pre>
      *
      * <code>bool unkept = 3;</code>
--- a/wire/src/main/java/org/chivetally/wire/v1/HeldRunOrBuilder.java
+++ b/wire/src/main/java/org/chivetally/wire/v1/HeldRunOrBuilder.java
@@ -30,7 +30,7 @@
 
   /**
    * <pre>
-   * of a job that only the receiver knows
+   * of an in-memory job, stored only by the receiver
    * </pre>
    *
    * <code>bool unkept = 3;</code>
--- a/wire/src/main/java/org/chivetally/wire/v1/Hello.java
+++ b/wire/src/main/java/org/chivetally/wire/v1/Hello.java
@@ -7,7 +7,7 @@
 
 /**
  * <pre>
- * First frame each way on a connection.
+ * First frame in each direction of a connection.
  * </pre>
  *
  * Protobuf type {@code org.chivetally.wire.v1.Hello}
@@ -65,7 +65,7 @@
   private volatile java.lang.Object processId_ = "";
   /**
    * <pre>
-   * name from the settings, stable over restarts
+   * name from the settings, stable across restarts
    * </pre>
    *
    * <code>string process_id = 1;</code>
@@ -86,7 +86,7 @@
   }
   /**
    * <pre>
-   * name from the settings, stable over restarts
+   * name from the settings, stable across restarts
    * </pre>
    *
    * <code>string process_id = 1;</code>
@@ -112,7 +112,7 @@
   private volatile java.lang.Object incarnation_ = "";
   /**
    * <pre>
-   * new on every process start
+   * unique for each start of the process
    * </pre>
    *
    * <code>string incarnation = 2;</code>
@@ -133,7 +133,7 @@
   }
   /**
    * <pre>
-   * new on every process start
+   * unique for each start of the process
    * </pre>
    *
    * <code>string incarnation = 2;</code>
@@ -294,7 +294,7 @@
   private volatile java.lang.Object listenHost_ = "";
   /**
    * <pre>
-   * where others can reach this process
+   * address at which other processes can connect to this one
    * </pre>
    *
    * <code>string listen_host = 7;</code>
@@ -315,7 +315,7 @@
   }
   /**
    * <pre>
-   * where others can reach this process
+   * address at which other processes can connect to this one
    * </pre>
    *
    * <code>string listen_host = 7;</code>
@@ -352,7 +352,7 @@
   private volatile java.lang.Object service_ = "";
   /**
    * <pre>
-   * agents only: the service its minion runs
+   * agents only: service of its minion
    * </pre>
    *
    * <code>string service = 9;</code>
@@ -373,7 +373,7 @@
   }
   /**
    * <pre>
-   * agents only: the service its minion runs
+   * agents only: service of its minion
    * </pre>
    *
    * <code>string service = 9;</code>
@@ -399,7 +399,7 @@
   private volatile java.lang.Object backend_ = "";
   /**
    * <pre>
-   * agents only: name of the backend server instance
+   * agents only: name of its backend server instance
    * </pre>
    *
    * <code>string backend = 10;</code>
@@ -420,7 +420,7 @@
   }
   /**
    * <pre>
-   * agents only: name of the backend server instance
+   * agents only: name of its backend server instance
    * </pre>
    *
    * <code>string backend = 10;</code>
@@ -756,7 +756,7 @@
   }
   /**
    * <pre>
-   * First frame each way on a connection.
+   * First frame in each direction of a connection.
    * </pre>
    *
    * Protobuf type {@code org.chivetally.wire.v1.Hello}
@@ -1056,7 +1056,7 @@
     private java.lang.Object processId_ = "";
     /**
      * <pre>
-     * name from the settings, stable over restarts
+     * name from the settings, stable across restarts
      * </pre>
      *
      * <code>string process_id = 1;</code>
@@ -1076,7 +1076,7 @@
     }
     /**
      * <pre>
-     * name from the settings, stable over restarts
+     * name from the settings, stable across restarts
      * </pre>
      *
      * <code>string process_id = 1;</code>
@@ -1097,7 +1097,7 @@
     }
     /**
      * <pre>
-     * name from the settings, stable over restarts
+     * name from the settings, stable across restarts
      * </pre>
      *
      * <code>string process_id = 1;</code>
@@ -1114,7 +1114,7 @@
     }
     /**
      * <pre>
-     * name from the settings, stable over restarts
+     * name from the settings, stable across restarts
      * </pre>
      *
      * <code>string process_id = 1;</code>
@@ -1128,7 +1128,7 @@
     }
     /**
      * <pre>
-     * name from the settings, stable over restarts
+     * name from the settings, stable across restarts
      * </pre>
      *
      * <code>string process_id = 1;</code>
@@ -1148,7 +1148,7 @@
     private java.lang.Object incarnation_ = "";
     /**
      * <pre>
-     * new on every process start
+     * unique for each start of the process
      * </pre>
      *
      * <code>string incarnation = 2;</code>
@@ -1168,7 +1168,7 @@
     }
     /**
      * <pre>
-     * new on every process start
+     * unique for each start of the process
      * </pre>
      *
      * <code>string incarnation = 2;</code>
@@ -1189,7 +1189,7 @@
     }
     /**
      * <pre>
-     * new on every process start
+     * unique for each start of the process
      * </pre>
      *
      * <code>string incarnation = 2;</code>
@@ -1206,7 +1206,7 @@
     }
     /**
      * <pre>
-     * new on every process start
+     * unique for each start of the process
      * </pre>
      *
      * <code>string incarnation = 2;</code>
@@ -1220,7 +1220,7 @@
     }
     /**
      * <pre>
-     * new on every process start
+     * unique for each start of the process
      * </pre>
      *
      * <code>string incarnation = 2;</code>
@@ -1591,7 +1591,7 @@
     private java.lang.Object listenHost_ = "";
     /**
      * <pre>
-     * where others can reach this process
+     * address at which other processes can connect to this one
      * </pre>
      *
      * <code>string listen_host = 7;</code>
@@ -1611,7 +1611,7 @@
     }
     /**
      * <pre>
-     * where others can reach this process
+     * address at which other processes can connect to this one
      * </pre>
      *
      * <code>string listen_host = 7;</code>
@@ -1632,7 +1632,7 @@
     }
     /**
      * <pre>
-     * where others can reach this process
+     * address at which other processes can connect to this one
      * </pre>
      *
      * <code>string listen_host = 7;</code>
@@ -1649,7 +1649,7 @@
     }
     /**
      * <pre>
-     * where others can reach this process
+     * address at which other processes can connect to this one
      * </pre>
      *
      * <code>string listen_host = 7;</code>
@@ -1663,7 +1663,7 @@
     }
     /**
      * <pre>
-     * where others can reach this process
+     * address at which other processes can connect to this one
      * </pre>
      *
      * <code>string listen_host = 7;</code>
@@ -1715,7 +1715,7 @@
     private java.lang.Object service_ = "";
     /**
      * <pre>
-     * agents only: the service its minion runs
+     * agents only: service of its minion
      * </pre>
      *
      * <code>string service = 9;</code>
@@ -1735,7 +1735,7 @@
     }
     /**
      * <pre>
-     * agents only: the service its minion runs
+     * agents only: service of its minion
      * </pre>
      *
      * <code>string service = 9;</code>
@@ -1756,7 +1756,7 @@
     }
     /**
      * <pre>
-     * agents only: the service its minion runs
+     * agents only: service of its minion
      * </pre>
      *
      * <code>string service = 9;</code>
@@ -1773,7 +1773,7 @@
     }
     /**
      * <pre>
-     * agents only: the service its minion runs
+     * agents only: service of its minion
      * </pre>
      *
      * <code>string service = 9;</code>
@@ -1787,7 +1787,7 @@
     }
     /**
      * <pre>
-     * agents only: the service its minion runs
+     * agents only: service of its minion
      * </pre>
      *
      * <code>string service = 9;</code>
@@ -1807,7 +1807,7 @@
     private java.lang.Object backend_ = "";
     /**
      * <pre>
-     * agents only: name of the backend server instance
+     * agents only: name of its backend server instance
      * </pre>
      *
      * <code>string backend = 10;</code>
@@ -1827,7 +1827,7 @@
     }
     /**
      * <pre>
-     * agents only: name of the backend server instance
+     * agents only: name of its backend server instance
      * </pre>
      *
      * <code>string backend = 10;</code>
@@ -1848,7 +1848,7 @@
     }
     /**
      * <pre>
-     * agents only: name of the backend server instance
+     * agents only: name of its backend server instance
      * </pre>
      *
      * <code>string backend = 10;</code>
@@ -1865,7 +1865,7 @@
     }
     /**
      * <pre>
-     * agents only: name of the backend server instance
+     * agents only: name of its backend server instance
      * </pre>
      *
      * <code>string backend = 10;</code>
@@ -1879,7 +1879,7 @@
     }
     /**
      * <pre>
-     * agents only: name of the backend server instance
+     * agents only: name of its backend server instance
      * </pre>
      *
      * <code>string backend = 10;</code>
--- a/wire/src/main/java/org/chivetally/wire/v1/HelloOrBuilder.java
+++ b/wire/src/main/java/org/chivetally/wire/v1/HelloOrBuilder.java
@@ -12,7 +12,7 @@
 
   /**
    * <pre>
-   * name from the settings, stable over restarts
+   * name from the settings, stable across restarts
    * </pre>
    *
    * <code>string process_id = 1;</code>
@@ -21,7 +21,7 @@
   java.lang.String getProcessId();
   /**
    * <pre>
-   * name from the settings, stable over restarts
+   * name from the settings, stable across restarts
    * </pre>
    *
    * <code>string process_id = 1;</code>
@@ -32,7 +32,7 @@
 
   /**
    * <pre>
-   * new on every process start
+   * unique for each start of the process
    * </pre>
    *
    * <code>string incarnation = 2;</code>
@@ -41,7 +41,7 @@
   java.lang.String getIncarnation();
   /**
    * <pre>
-   * new on every process start
+   * unique for each start of the process
    * </pre>
    *
    * <code>string incarnation = 2;</code>
@@ -117,7 +117,7 @@
 
   /**
    * <pre>
-   * where others can reach this process
+   * address at which other processes can connect to this one
    * </pre>
    *
    * <code>string listen_host = 7;</code>
@@ -126,7 +126,7 @@
   java.lang.String getListenHost();
   /**
    * <pre>
-   * where others can reach this process
+   * address at which other processes can connect to this one
    * </pre>
    *
    * <code>string listen_host = 7;</code>
@@ -143,7 +143,7 @@
 
   /**
    * <pre>
-   * agents only: the service its minion runs
+   * agents only: service of its minion
    * </pre>
    *
    * <code>string service = 9;</code>
@@ -152,7 +152,7 @@
   java.lang.String getService();
   /**
    * <pre>
-   * agents only: the service its minion runs
+   * agents only: service of its minion
    * </pre>
    *
    * <code>string service = 9;</code>
@@ -163,7 +163,7 @@
 
   /**
    * <pre>
-   * agents only: name of the backend server instance
+   * agents only: name of its backend server instance
    * </pre>
    *
    * <code>string backend = 10;</code>
@@ -172,7 +172,7 @@
   java.lang.String getBackend();
   /**
    * <pre>
-   * agents only: name of the backend server instance
+   * agents only: name of its backend server instance
    * </pre>
    *
    * <code>string backend = 10;</code>
--- a/wire/src/main/java/org/chivetally/wire/v1/Inquiry.java
+++ b/wire/src/main/java/org/chivetally/wire/v1/Inquiry.java
@@ -7,7 +7,7 @@
 
 /**
  * <pre>
- * Asks what became of a job's tasks here and raises the agent's generation floor for the job.
+ * Queries the state of a job's tasks at the agent and raises the agent's minimum generation for the job.
  * </pre>
  *
  * Protobuf type {@code org.chivetally.wire.v1.Inquiry}
@@ -276,7 +276,7 @@
   }
   /**
    * <pre>
-   * Asks what became of a job's tasks here and raises the agent's generation floor for the job.
+   * Queries the state of a job's tasks at the agent and raises the agent's minimum generation for the job.
    * </pre>
    *
    * Protobuf type {@code org.chivetally.wire.v1.Inquiry}
--- a/wire/src/main/java/org/chivetally/wire/v1/JobAnswer.java
+++ b/wire/src/main/java/org/chivetally/wire/v1/JobAnswer.java
@@ -105,7 +105,7 @@
   private volatile java.lang.Object outcome_ = "";
   /**
    * <pre>
-   * JSON text of the job outcome, as the HTTP interface gives it
+   * JSON text of the job outcome, as returned by the HTTP interface
    * </pre>
    *
    * <code>string outcome = 3;</code>
@@ -126,7 +126,7 @@
   }
   /**
    * <pre>
-   * JSON text of the job outcome, as the HTTP interface gives it
+   * JSON text of the job outcome, as returned by the HTTP interface
    * </pre>
    *
    * <code>string outcome = 3;</code>
@@ -598,7 +598,7 @@
     private java.lang.Object outcome_ = "";
     /**
      * <pre>
-     * JSON text of the job outcome, as the HTTP interface gives it
+     * JSON text of the job outcome, as returned by the HTTP interface
      * </pre>
      *
      * <code>string outcome = 3;</code>
@@ -618,7 +618,7 @@
     }
     /**
      * <pre>
-     * JSON text of the job outcome, as the HTTP interface gives it
+     * JSON text of the job outcome, as returned by the HTTP interface
      * </pre>
      *
      * <code>string outcome = 3;</code>
@@ -639,7 +639,7 @@
     }
     /**
      * <pre>
-     * JSON text of the job outcome, as the HTTP interface gives it
+     * JSON text of the job outcome, as returned by the HTTP interface
      * </pre>
      *
      * <code>string outcome = 3;</code>
@@ -656,7 +656,7 @@
     }
     /**
      * <pre>
-     * JSON text of the job outcome, as the HTTP interface gives it
+     * JSON text of the job outcome, as returned by the HTTP interface
      * </pre>
      *
      * <code>string outcome = 3;</code>
@@ -670,7 +670,7 @@
     }
     /**
      * <pre>
-     * JSON text of the job outcome, as the HTTP interface gives it
+     * JSON text of the job outcome, as returned by the HTTP interface
      * </pre>
      *
      * <code>string outcome = 3;</code>
--- a/wire/src/main/java/org/chivetally/wire/v1/JobAnswerOrBuilder.java
+++ b/wire/src/main/java/org/chivetally/wire/v1/JobAnswerOrBuilder.java
@@ -30,7 +30,7 @@
 
   /**
    * <pre>
-   * JSON text of the job outcome, as the HTTP interface gives it
+   * JSON text of the job outcome, as returned by the HTTP interface
    * </pre>
    *
    * <code>string outcome = 3;</code>
@@ -39,7 +39,7 @@
   java.lang.String getOutcome();
   /**
    * <pre>
-   * JSON text of the job outcome, as the HTTP interface gives it
+   * JSON text of the job outcome, as returned by the HTTP interface
    * </pre>
    *
    * <code>string outcome = 3;</code>
--- a/wire/src/main/java/org/chivetally/wire/v1/JobReply.java
+++ b/wire/src/main/java/org/chivetally/wire/v1/JobReply.java
@@ -7,7 +7,7 @@
 
 /**
  * <pre>
- * Answer with the request_id of the question.
+ * Answer to a JobSubmission, JobQuery or JobCancellation, with its request_id.
  * </pre>
  *
  * Protobuf type {@code org.chivetally.wire.v1.JobReply}
@@ -334,7 +334,7 @@
   }
   /**
    * <pre>
-   * Answer with the request_id of the question.
+   * Answer to a JobSubmission, JobQuery or JobCancellation, with its request_id.
    * </pre>
    *
    * Protobuf type {@code org.chivetally.wire.v1.JobReply}
--- a/wire/src/main/java/org/chivetally/wire/v1/JobVerdict.java
+++ b/wire/src/main/java/org/chivetally/wire/v1/JobVerdict.java
@@ -21,7 +21,7 @@
   JOB_VERDICT_ACCEPTED(1),
   /**
    * <pre>
-   * not stored, and never will be
+   * not stored, and will never be
    * </pre>
    *
    * <code>JOB_VERDICT_REFUSED = 2;</code>
@@ -33,7 +33,7 @@
   JOB_VERDICT_UNKNOWN_JOB(3),
   /**
    * <pre>
-   * ask the owner
+   * the request must go to the partition owner
    * </pre>
    *
    * <code>JOB_VERDICT_NOT_OWNER = 4;</code>
@@ -69,7 +69,7 @@
   public static final int JOB_VERDICT_ACCEPTED_VALUE = 1;
   /**
    * <pre>
-   * not stored, and never will be
+   * not stored, and will never be
    * </pre>
    *
    * <code>JOB_VERDICT_REFUSED = 2;</code>
@@ -81,7 +81,7 @@
   public static final int JOB_VERDICT_UNKNOWN_JOB_VALUE = 3;
   /**
    * <pre>
-   * ask the owner
+   * the request must go to the partition owner
    * </pre>
    *
    * <code>JOB_VERDICT_NOT_OWNER = 4;</code>
--- a/wire/src/main/java/org/chivetally/wire/v1/Leaving.java
+++ b/wire/src/main/java/org/chivetally/wire/v1/Leaving.java
@@ -7,7 +7,7 @@
 
 /**
  * <pre>
- * The sender takes no new work from now on.
+ * The sender accepts no new work from now on.
  * </pre>
  *
  * Protobuf type {@code org.chivetally.wire.v1.Leaving}
@@ -254,7 +254,7 @@
   }
   /**
    * <pre>
-   * The sender takes no new work from now on.
+   * The sender accepts no new work from now on.
    * </pre>
    *
    * Protobuf type {@code org.chivetally.wire.v1.Leaving}
--- a/wire/src/main/java/org/chivetally/wire/v1/LinkHello.java
+++ b/wire/src/main/java/org/chivetally/wire/v1/LinkHello.java
@@ -7,7 +7,7 @@
 
 /**
  * <pre>
- * First frame each way on a link between two processes of the queue path.
+ * First frame in each direction of a link between two processes that serve durable queues.
  * </pre>
  *
  * Protobuf type {@code org.chivetally.wire.v1.LinkHello}
@@ -60,7 +60,7 @@
   private volatile java.lang.Object process_ = "";
   /**
    * <pre>
-   * name from the settings, stable over restarts
+   * name from the settings, stable across restarts
    * </pre>
    *
    * <code>string process = 1;</code>
@@ -81,7 +81,7 @@
   }
   /**
    * <pre>
-   * name from the settings, stable over restarts
+   * name from the settings, stable across restarts
    * </pre>
    *
    * <code>string process = 1;</code>
@@ -106,7 +106,7 @@
   private long incarnation_ = 0L;
   /**
    * <pre>
-   * grows with each start of the process
+   * increases with each start of the process
    * </pre>
    *
    * <code>uint64 incarnation = 2;</code>
@@ -172,7 +172,7 @@
   private volatile java.lang.Object host_ = "";
   /**
    * <pre>
-   * where other processes dial this one
+   * address at which other processes connect to this one
    * </pre>
    *
    * <code>string host = 5;</code>
@@ -193,7 +193,7 @@
   }
   /**
    * <pre>
-   * where other processes dial this one
+   * address at which other processes connect to this one
    * </pre>
    *
    * <code>string host = 5;</code>
@@ -442,7 +442,7 @@
   }
   /**
    * <pre>
-   * First frame each way on a link between two processes of the queue path.
+   * First frame in each direction of a link between two processes that serve durable queues.
    * </pre>
    *
    * Protobuf type {@code org.chivetally.wire.v1.LinkHello}
@@ -647,7 +647,7 @@
     private java.lang.Object process_ = "";
     /**
      * <pre>
-     * name from the settings, stable over restarts
+     * name from the settings, stable across restarts
      * </pre>
      *
      * <code>string process = 1;</code>
@@ -667,7 +667,7 @@
     }
     /**
      * <pre>
-     * name from the settings, stable over restarts
+     * name from the settings, stable across restarts
      * </pre>
      *
      * <code>string process = 1;</code>
@@ -688,7 +688,7 @@
     }
     /**
      * <pre>
-     * name from the settings, stable over restarts
+     * name from the settings, stable across restarts
      * </pre>
      *
      * <code>string process = 1;</code>
@@ -705,7 +705,7 @@
     }
     /**
      * <pre>
-     * name from the settings, stable over restarts
+     * name from the settings, stable across restarts
      * </pre>
      *
      * <code>string process = 1;</code>
@@ -719,7 +719,7 @@
     }
     /**
      * <pre>
-     * name from the settings, stable over restarts
+     * name from the settings, stable across restarts
      * </pre>
      *
      * <code>string process = 1;</code>
@@ -739,7 +739,7 @@
     private long incarnation_ ;
     /**
      * <pre>
-     * grows with each start of the process
+     * increases with each start of the process
      * </pre>
      *
      * <code>uint64 incarnation = 2;</code>
@@ -751,7 +751,7 @@
     }
     /**
      * <pre>
-     * grows with each start of the process
+     * increases with each start of the process
      * </pre>
      *
      * <code>uint64 incarnation = 2;</code>
@@ -767,7 +767,7 @@
     }
     /**
      * <pre>
-     * grows with each start of the process
+     * increases with each start of the process
      * </pre>
      *
      * <code>uint64 incarnation = 2;</code>
@@ -887,7 +887,7 @@
     private java.lang.Object host_ = "";
     /**
      * <pre>
-     * where other processes dial this one
+     * address at which other processes connect to this one
      * </pre>
      *
      * <code>string host = 5;</code>
@@ -907,7 +907,7 @@
     }
     /**
      * <pre>
-     * where other processes dial this one
+     * address at which other processes connect to this one
      * </pre>
      *
      * <code>string host = 5;</code>
@@ -928,7 +928,7 @@
     }
     /**
      * <pre>
-     * where other processes dial this one
+     * address at which other processes connect to this one
      * </pre>
      *
      * <code>string host = 5;</code>
@@ -945,7 +945,7 @@
     }
     /**
      * <pre>
-     * where other processes dial this one
+     * address at which other processes connect to this one
      * </pre>
      *
      * <code>string host = 5;</code>
@@ -959,7 +959,7 @@
     }
     /**
      * <pre>
-     * where other processes dial this one
+     * address at which other processes connect to this one
      * </pre>
      *
      * <code>string host = 5;</code>
--- a/wire/src/main/java/org/chivetally/wire/v1/LinkHelloOrBuilder.java
+++ b/wire/src/main/java/org/chivetally/wire/v1/LinkHelloOrBuilder.java
@@ -12,7 +12,7 @@
 
   /**
    * <pre>
-   * name from the settings, stable over restarts
+   * name from the settings, stable across restarts
    * </pre>
    *
    * <code>string process = 1;</code>
@@ -21,7 +21,7 @@
   java.lang.String getProcess();
   /**
    * <pre>
-   * name from the settings, stable over restarts
+   * name from the settings, stable across restarts
    * </pre>
    *
    * <code>string process = 1;</code>
@@ -32,7 +32,7 @@
 
   /**
    * <pre>
-   * grows with each start of the process
+   * increases with each start of the process
    * </pre>
    *
    * <code>uint64 incarnation = 2;</code>
@@ -60,7 +60,7 @@
 
   /**
    * <pre>
-   * where other processes dial this one
+   * address at which other processes connect to this one
    * </pre>
    *
    * <code>string host = 5;</code>
@@ -69,7 +69,7 @@
   java.lang.String getHost();
   /**
    * <pre>
-   * where other processes dial this one
+   * address at which other processes connect to this one
    * </pre>
    *
    * <code>string host = 5;</code>
--- a/wire/src/main/java/org/chivetally/wire/v1/MembersPull.java
+++ b/wire/src/main/java/org/chivetally/wire/v1/MembersPull.java
@@ -7,7 +7,7 @@
 
 /**
  * <pre>
- * Entry to entry, while the log can't be read: who are the members?
+ * Entry to entry: requests the list of members while the log cannot be read.
  * </pre>
  *
  * Protobuf type {@code org.chivetally.wire.v1.MembersPull}
@@ -199,7 +199,7 @@
   }
   /**
    * <pre>
-   * Entry to entry, while the log can't be read: who are the members?
+   * Entry to entry: requests the list of members while the log cannot be read.
    * </pre>
    *
    * Protobuf type {@code org.chivetally.wire.v1.MembersPull}
--- a/wire/src/main/java/org/chivetally/wire/v1/OwnedPartition.java
+++ b/wire/src/main/java/org/chivetally/wire/v1/OwnedPartition.java
@@ -7,7 +7,7 @@
 
 /**
  * <pre>
- * A partition that the sender owns.
+ * A partition with the epoch of its owner.
  * </pre>
  *
  * Protobuf type {@code org.chivetally.wire.v1.OwnedPartition}
@@ -67,7 +67,7 @@
   private long epoch_ = 0L;
   /**
    * <pre>
-   * producer epoch that fences earlier owners
+   * producer epoch, which fences earlier owners
    * </pre>
    *
    * <code>uint64 epoch = 2;</code>
@@ -82,7 +82,7 @@
   private boolean ready_ = false;
   /**
    * <pre>
-   * false while its jobs are still being read
+   * false while the owner is still reading its jobs
    * </pre>
    *
    * <code>bool ready = 3;</code>
@@ -280,7 +280,7 @@
   }
   /**
    * <pre>
-   * A partition that the sender owns.
+   * A partition with the epoch of its owner.
    * </pre>
    *
    * Protobuf type {@code org.chivetally.wire.v1.OwnedPartition}
@@ -475,7 +475,7 @@
     private long epoch_ ;
     /**
      * <pre>
-     * producer epoch that fences earlier owners
+     * producer epoch, which fences earlier owners
      * </pre>
      *
      * <code>uint64 epoch = 2;</code>
@@ -487,7 +487,7 @@
     }
     /**
      * <pre>
-     * producer epoch that fences earlier owners
+     * producer epoch, which fences earlier owners
      * </pre>
      *
      * <code>uint64 epoch = 2;</code>
@@ -503,7 +503,7 @@
     }
     /**
      * <pre>
-     * producer epoch that fences earlier owners
+     * producer epoch, which fences earlier owners
      * </pre>
      *
      * <code>uint64 epoch = 2;</code>
@@ -519,7 +519,7 @@
     private boolean ready_ ;
     /**
      * <pre>
-     * false while its jobs are still being read
+     * false while the owner is still reading its jobs
      * </pre>
      *
      * <code>bool ready = 3;</code>
@@ -531,7 +531,7 @@
     }
     /**
      * <pre>
-     * false while its jobs are still being read
+     * false while the owner is still reading its jobs
      * </pre>
      *
      * <code>bool ready = 3;</code>
@@ -547,7 +547,7 @@
     }
     /**
      * <pre>
-     * false while its jobs are still being read
+     * false while the owner is still reading its jobs
      * </pre>
      *
      * <code>bool ready = 3;</code>
--- a/wire/src/main/java/org/chivetally/wire/v1/OwnedPartitionOrBuilder.java
+++ b/wire/src/main/java/org/chivetally/wire/v1/OwnedPartitionOrBuilder.java
@@ -18,7 +18,7 @@
 
   /**
    * <pre>
-   * producer epoch that fences earlier owners
+   * producer epoch, which fences earlier owners
    * </pre>
    *
    * <code>uint64 epoch = 2;</code>
@@ -28,7 +28,7 @@
 
   /**
    * <pre>
-   * false while its jobs are still being read
+   * false while the owner is still reading its jobs
    * </pre>
    *
    * <code>bool ready = 3;</code>
--- a/wire/src/main/java/org/chivetally/wire/v1/QueueCount.java
+++ b/wire/src/main/java/org/chivetally/wire/v1/QueueCount.java
@@ -6,6 +6,10 @@
 package org.chivetally.wire.v1;
 
 /**
+ * <pre>
+ * Number of waiting jobs of a queue.
+ * </pre>
+ *
  * Protobuf type {@code org.chivetally.wire.v1.QueueCount}
  */
 @com.google.protobuf.Generated
@@ -92,7 +96,7 @@
   private long pending_ = 0L;
   /**
    * <pre>
-   * accepted jobs of the sender's partitions without a started task
+   * accepted jobs in the sender's partitions without a started task
    * </pre>
    *
    * <code>uint64 pending = 2;</code>
@@ -276,6 +280,10 @@
     return builder;
   }
   /**
+   * <pre>
+   * Number of waiting jobs of a queue.
+   * </pre>
+   *
    * Protobuf type {@code org.chivetally.wire.v1.QueueCount}
    */
   public static final class Builder extends
@@ -498,7 +506,7 @@
     private long pending_ ;
     /**
      * <pre>
-     * accepted jobs of the sender's partitions without a started task
+     * accepted jobs in the sender's partitions without a started task
      * </pre>
      *
      * <code>uint64 pending = 2;</code>
@@ -510,7 +518,7 @@
     }
     /**
      * <pre>
-     * accepted jobs of the sender's partitions without a started task
+     * accepted jobs in the sender's partitions without a started task
      * </pre>
      *
      * <code>uint64 pending = 2;</code>
@@ -526,7 +534,7 @@
     }
     /**
      * <pre>
-     * accepted jobs of the sender's partitions without a started task
+     * accepted jobs in the sender's partitions without a started task
      * </pre>
      *
      * <code>uint64 pending = 2;</code>
--- a/wire/src/main/java/org/chivetally/wire/v1/QueueCountOrBuilder.java
+++ b/wire/src/main/java/org/chivetally/wire/v1/QueueCountOrBuilder.java
@@ -24,7 +24,7 @@
 
   /**
    * <pre>
-   * accepted jobs of the sender's partitions without a started task
+   * accepted jobs in the sender's partitions without a started task
    * </pre>
    *
    * <code>uint64 pending = 2;</code>
--- a/wire/src/main/java/org/chivetally/wire/v1/QueueDemand.java
+++ b/wire/src/main/java/org/chivetally/wire/v1/QueueDemand.java
@@ -7,7 +7,7 @@
 
 /**
  * <pre>
- * What an entry asks of a service's workers for one queue.
+ * Demand of an entry on the workers of a service for one queue.
  * </pre>
  *
  * Protobuf type {@code org.chivetally.wire.v1.QueueDemand}
@@ -136,7 +136,7 @@
   private long runningMillis_ = 0L;
   /**
    * <pre>
-   * processors in thousandths that the sender's runs of the queue hold
+   * processors, in thousandths, that the sender's runs of the queue use
    * </pre>
    *
    * <code>uint64 running_millis = 3;</code>
@@ -151,7 +151,7 @@
   private long waitingMillis_ = 0L;
   /**
    * <pre>
-   * processors in thousandths that its waiting tasks need
+   * processors, in thousandths, that its waiting tasks need
    * </pre>
    *
    * <code>uint64 waiting_millis = 4;</code>
@@ -358,7 +358,7 @@
   }
   /**
    * <pre>
-   * What an entry asks of a service's workers for one queue.
+   * Demand of an entry on the workers of a service for one queue.
    * </pre>
    *
    * Protobuf type {@code org.chivetally.wire.v1.QueueDemand}
@@ -681,7 +681,7 @@
     private long runningMillis_ ;
     /**
      * <pre>
-     * processors in thousandths that the sender's runs of the queue hold
+     * processors, in thousandths, that the sender's runs of the queue use
      * </pre>
      *
      * <code>uint64 running_millis = 3;</code>
@@ -693,7 +693,7 @@
     }
     /**
      * <pre>
-     * processors in thousandths that the sender's runs of the queue hold
+     * processors, in thousandths, that the sender's runs of the queue use
      * </pre>
      *
      * <code>uint64 running_millis = 3;</code>
@@ -709,7 +709,7 @@
     }
     /**
      * <pre>
-     * processors in thousandths that the sender's runs of the queue hold
+     * processors, in thousandths, that the sender's runs of the queue use
      * </pre>
      *
      * <code>uint64 running_millis = 3;</code>
@@ -725,7 +725,7 @@
     private long waitingMillis_ ;
     /**
      * <pre>
-     * processors in thousandths that its waiting tasks need
+     * processors, in thousandths, that its waiting tasks need
      * </pre>
      *
      * <code>uint64 waiting_millis = 4;</code>
@@ -737,7 +737,7 @@
     }
     /**
      * <pre>
-     * processors in thousandths that its waiting tasks need
+     * processors, in thousandths, that its waiting tasks need
      * </pre>
      *
      * <code>uint64 waiting_millis = 4;</code>
@@ -753,7 +753,7 @@
     }
     /**
      * <pre>
-     * processors in thousandths that its waiting tasks need
+     * processors, in thousandths, that its waiting tasks need
      * </pre>
      *
      * <code>uint64 waiting_millis = 4;</code>
--- a/wire/src/main/java/org/chivetally/wire/v1/QueueDemandOrBuilder.java
+++ b/wire/src/main/java/org/chivetally/wire/v1/QueueDemandOrBuilder.java
@@ -36,7 +36,7 @@
 
   /**
    * <pre>
-   * processors in thousandths that the sender's runs of the queue hold
+   * processors, in thousandths, that the sender's runs of the queue use
    * </pre>
    *
    * <code>uint64 running_millis = 3;</code>
@@ -46,7 +46,7 @@
 
   /**
    * <pre>
-   * processors in thousandths that its waiting tasks need
+   * processors, in thousandths, that its waiting tasks need
    * </pre>
    *
    * <code>uint64 waiting_millis = 4;</code>
--- a/wire/src/main/java/org/chivetally/wire/v1/Refusal.java
+++ b/wire/src/main/java/org/chivetally/wire/v1/Refusal.java
@@ -7,7 +7,7 @@
 
 /**
  * <pre>
- * The attempt was not started and never will be at this agent.
+ * The attempt was not started, and will never be at this agent.
  * </pre>
  *
  * Protobuf type {@code org.chivetally.wire.v1.Refusal}
@@ -326,7 +326,7 @@
   }
   /**
    * <pre>
-   * The attempt was not started and never will be at this agent.
+   * The attempt was not started, and will never be at this agent.
    * </pre>
    *
    * Protobuf type {@code org.chivetally.wire.v1.Refusal}
--- a/wire/src/main/java/org/chivetally/wire/v1/Report.java
+++ b/wire/src/main/java/org/chivetally/wire/v1/Report.java
@@ -7,7 +7,7 @@
 
 /**
  * <pre>
- * Load of one agent; rides on every frame an agent sends to a coordinator.
+ * Load of an agent; part of every frame that an agent sends to a coordinator.
  * </pre>
  *
  * Protobuf type {@code org.chivetally.wire.v1.Report}
@@ -56,7 +56,7 @@
   private long ticket_ = 0L;
   /**
    * <pre>
-   * start permit by the agent's own clock; see Start.ticket
+   * start permit: a reading of the agent's clock; see Start.ticket
    * </pre>
    *
    * <code>uint64 ticket = 1;</code>
@@ -126,7 +126,7 @@
   private long sequence_ = 0L;
   /**
    * <pre>
-   * grows with every report of this incarnation
+   * increases with each report of this incarnation
    * </pre>
    *
    * <code>uint64 sequence = 7;</code>
@@ -370,7 +370,7 @@
   }
   /**
    * <pre>
-   * Load of one agent; rides on every frame an agent sends to a coordinator.
+   * Load of an agent; part of every frame that an agent sends to a coordinator.
    * </pre>
    *
    * Protobuf type {@code org.chivetally.wire.v1.Report}
@@ -581,7 +581,7 @@
     private long ticket_ ;
     /**
      * <pre>
-     * start permit by the agent's own clock; see Start.ticket
+     * start permit: a reading of the agent's clock; see Start.ticket
      * </pre>
      *
      * <code>uint64 ticket = 1;</code>
@@ -593,7 +593,7 @@
     }
     /**
      * <pre>
-     * start permit by the agent's own clock; see Start.ticket
+     * start permit: a reading of the agent's clock; see Start.ticket
      * </pre>
      *
      * <code>uint64 ticket = 1;</code>
@@ -609,7 +609,7 @@
     }
     /**
      * <pre>
-     * start permit by the agent's own clock; see Start.ticket
+     * start permit: a reading of the agent's clock; see Start.ticket
      * </pre>
      *
      * <code>uint64 ticket = 1;</code>
@@ -785,7 +785,7 @@
     private long sequence_ ;
     /**
      * <pre>
-     * grows with every report of this incarnation
+     * increases with each report of this incarnation
      * </pre>
      *
      * <code>uint64 sequence = 7;</code>
@@ -797,7 +797,7 @@
     }
     /**
      * <pre>
-     * grows with every report of this incarnation
+     * increases with each report of this incarnation
      * </pre>
      *
      * <code>uint64 sequence = 7;</code>
@@ -813,7 +813,7 @@
     }
     /**
      * <pre>
-     * grows with every report of this incarnation
+     * increases with each report of this incarnation
      * </pre>
      *
      * <code>uint64 sequence = 7;</code>
--- a/wire/src/main/java/org/chivetally/wire/v1/ReportOrBuilder.java
+++ b/wire/src/main/java/org/chivetally/wire/v1/ReportOrBuilder.java
@@ -12,7 +12,7 @@
 
   /**
    * <pre>
-   * start permit by the agent's own clock; see Start.ticket
+   * start permit: a reading of the agent's clock; see Start.ticket
    * </pre>
    *
    * <code>uint64 ticket = 1;</code>
@@ -52,7 +52,7 @@
 
   /**
    * <pre>
-   * grows with every report of this incarnation
+   * increases with each report of this incarnation
    * </pre>
    *
    * <code>uint64 sequence = 7;</code>
--- a/wire/src/main/java/org/chivetally/wire/v1/Result.java
+++ b/wire/src/main/java/org/chivetally/wire/v1/Result.java
@@ -115,7 +115,7 @@
   private volatile java.lang.Object body_ = "";
   /**
    * <pre>
-   * JSON text of the minion's answer
+   * JSON text of the minion's response
    * </pre>
    *
    * <code>string body = 3;</code>
@@ -136,7 +136,7 @@
   }
   /**
    * <pre>
-   * JSON text of the minion's answer
+   * JSON text of the minion's response
    * </pre>
    *
    * <code>string body = 3;</code>
@@ -830,7 +830,7 @@
     private java.lang.Object body_ = "";
     /**
      * <pre>
-     * JSON text of the minion's answer
+     * JSON text of the minion's response
      * </pre>
      *
      * <code>string body = 3;</code>
@@ -850,7 +850,7 @@
     }
     /**
      * <pre>
-     * JSON text of the minion's answer
+     * JSON text of the minion's response
      * </pre>
      *
      * <code>string body = 3;</code>
@@ -871,7 +871,7 @@
     }
     /**
      * <pre>
-     * JSON text of the minion's answer
+     * JSON text of the minion's response
      * </pre>
      *
      * <code>string body = 3;</code>
@@ -888,7 +888,7 @@
     }
     /**
      * <pre>
-     * JSON text of the minion's answer
+     * JSON text of the minion's response
      * </pre>
      *
      * <code>string body = 3;</code>
@@ -902,7 +902,7 @@
     }
     /**
      * <pre>
-     * JSON text of the minion's answer
+     * JSON text of the minion's response
      * </pre>
      *
      * <code>string body = 3;</code>
--- a/wire/src/main/java/org/chivetally/wire/v1/ResultOrBuilder.java
+++ b/wire/src/main/java/org/chivetally/wire/v1/ResultOrBuilder.java
@@ -35,7 +35,7 @@
 
   /**
    * <pre>
-   * JSON text of the minion's answer
+   * JSON text of the minion's response
    * </pre>
    *
    * <code>string body = 3;</code>
@@ -44,7 +44,7 @@
   java.lang.String getBody();
   /**
    * <pre>
-   * JSON text of the minion's answer
+   * JSON text of the minion's response
    * </pre>
    *
    * <code>string body = 3;</code>
--- a/wire/src/main/java/org/chivetally/wire/v1/Room.java
+++ b/wire/src/main/java/org/chivetally/wire/v1/Room.java
@@ -6,6 +6,10 @@
 package org.chivetally.wire.v1;
 
 /**
+ * <pre>
+ * Resources that a task needs or a minion provides.
+ * </pre>
+ *
  * Protobuf type {@code org.chivetally.wire.v1.Room}
  */
 @com.google.protobuf.Generated
@@ -268,6 +272,10 @@
     return builder;
   }
   /**
+   * <pre>
+   * Resources that a task needs or a minion provides.
+   * </pre>
+   *
    * Protobuf type {@code org.chivetally.wire.v1.Room}
    */
   public static final class Builder extends
--- a/wire/src/main/java/org/chivetally/wire/v1/RunEnd.java
+++ b/wire/src/main/java/org/chivetally/wire/v1/RunEnd.java
@@ -95,7 +95,7 @@
   private long sequence_ = 0L;
   /**
    * <pre>
-   * of the end in its minion's list; 0 where the minion lists none
+   * number of the end in the minion's list; 0 if it is not in the list
    * </pre>
    *
    * <code>uint64 sequence = 2;</code>
@@ -702,7 +702,7 @@
     private long sequence_ ;
     /**
      * <pre>
-     * of the end in its minion's list; 0 where the minion lists none
+     * number of the end in the minion's list; 0 if it is not in the list
      * </pre>
      *
      * <code>uint64 sequence = 2;</code>
@@ -714,7 +714,7 @@
     }
     /**
      * <pre>
-     * of the end in its minion's list; 0 where the minion lists none
+     * number of the end in the minion's list; 0 if it is not in the list
      * </pre>
      *
      * <code>uint64 sequence = 2;</code>
@@ -730,7 +730,7 @@
     }
     /**
      * <pre>
-     * of the end in its minion's list; 0 where the minion lists none
+     * number of the end in the minion's list; 0 if it is not in the list
      * </pre>
      *
      * <code>uint64 sequence = 2;</code>
--- a/wire/src/main/java/org/chivetally/wire/v1/RunEndOrBuilder.java
+++ b/wire/src/main/java/org/chivetally/wire/v1/RunEndOrBuilder.java
@@ -24,7 +24,7 @@
 
   /**
    * <pre>
-   * of the end in its minion's list; 0 where the minion lists none
+   * number of the end in the minion's list; 0 if it is not in the list
    * </pre>
    *
    * <code>uint64 sequence = 2;</code>
--- a/wire/src/main/java/org/chivetally/wire/v1/RunInventory.java
+++ b/wire/src/main/java/org/chivetally/wire/v1/RunInventory.java
@@ -7,7 +7,8 @@
 
 /**
  * <pre>
- * Everything an agent holds; sent after each hello and after an owner's epoch was raised.
+ * All runs and run ends that an agent holds. Sent after each LinkHello, and when a partition gets an owner of a higher
+ * epoch.
  * </pre>
  *
  * Protobuf type {@code org.chivetally.wire.v1.RunInventory}
@@ -180,7 +181,7 @@
   private java.util.List<org.chivetally.wire.v1.OwnedPartition> fenced_;
   /**
    * <pre>
-   * highest epoch seen of each partition
+   * highest epoch seen for each partition
    * </pre>
    *
    * <code>repeated .org.chivetally.wire.v1.OwnedPartition fenced = 5;</code>
@@ -191,7 +192,7 @@
   }
   /**
    * <pre>
-   * highest epoch seen of each partition
+   * highest epoch seen for each partition
    * </pre>
    *
    * <code>repeated .org.chivetally.wire.v1.OwnedPartition fenced = 5;</code>
@@ -203,7 +204,7 @@
   }
   /**
    * <pre>
-   * highest epoch seen of each partition
+   * highest epoch seen for each partition
    * </pre>
    *
    * <code>repeated .org.chivetally.wire.v1.OwnedPartition fenced = 5;</code>
@@ -214,7 +215,7 @@
   }
   /**
    * <pre>
-   * highest epoch seen of each partition
+   * highest epoch seen for each partition
    * </pre>
    *
    * <code>repeated .org.chivetally.wire.v1.OwnedPartition fenced = 5;</code>
@@ -225,7 +226,7 @@
   }
   /**
    * <pre>
-   * highest epoch seen of each partition
+   * highest epoch seen for each partition
    * </pre>
    *
    * <code>repeated .org.chivetally.wire.v1.OwnedPartition fenced = 5;</code>
@@ -470,7 +471,8 @@
   }
   /**
    * <pre>
-   * Everything an agent holds; sent after each hello and after an owner's epoch was raised.
+   * All runs and run ends that an agent holds. Sent after each LinkHello, and when a partition gets an owner of a higher
+   * epoch.
    * </pre>
    *
    * Protobuf type {@code org.chivetally.wire.v1.RunInventory}
@@ -1440,7 +1442,7 @@
 
     /**
      * <pre>
-     * highest epoch seen of each partition
+     * highest epoch seen for each partition
      * </pre>
      *
      * <code>repeated .org.chivetally.wire.v1.OwnedPartition fenced = 5;</code>
@@ -1454,7 +1456,7 @@
     }
     /**
      * <pre>
-     * highest epoch seen of each partition
+     * highest epoch seen for each partition
      * </pre>
      *
      * <code>repeated .org.chivetally.wire.v1.OwnedPartition fenced = 5;</code>
@@ -1468,7 +1470,7 @@
     }
     /**
      * <pre>
-     * highest epoch seen of each partition
+     * highest epoch seen for each partition
      * </pre>
      *
      * <code>repeated .org.chivetally.wire.v1.OwnedPartition fenced = 5;</code>
@@ -1482,7 +1484,7 @@
     }
     /**
      * <pre>
-     * highest epoch seen of each partition
+     * highest epoch seen for each partition
      * </pre>
      *
      * <code>repeated .org.chivetally.wire.v1.OwnedPartition fenced = 5;</code>
@@ -1501,7 +1503,7 @@
     }
     /**
      * <pre>
-     * highest epoch seen of each partition
+     * highest epoch seen for each partition
      * </pre>
      *
      * <code>repeated .org.chivetally.wire.v1.OwnedPartition fenced = 5;</code>
@@ -1519,7 +1521,7 @@
     }
     /**
      * <pre>
-     * highest epoch seen of each partition
+     * highest epoch seen for each partition
      * </pre>
      *
      * <code>repeated .org.chivetally.wire.v1.OwnedPartition fenced = 5;</code>
@@ -1537,7 +1539,7 @@
     }
     /**
      * <pre>
-     * highest epoch seen of each partition
+     * highest epoch seen for each partition
      * </pre>
      *
      * <code>repeated .org.chivetally.wire.v1.OwnedPartition fenced = 5;</code>
@@ -1556,7 +1558,7 @@
     }
     /**
      * <pre>
-     * highest epoch seen of each partition
+     * highest epoch seen for each partition
      * </pre>
      *
      * <code>repeated .org.chivetally.wire.v1.OwnedPartition fenced = 5;</code>
@@ -1574,7 +1576,7 @@
     }
     /**
      * <pre>
-     * highest epoch seen of each partition
+     * highest epoch seen for each partition
      * </pre>
      *
      * <code>repeated .org.chivetally.wire.v1.OwnedPartition fenced = 5;</code>
@@ -1592,7 +1594,7 @@
     }
     /**
      * <pre>
-     * highest epoch seen of each partition
+     * highest epoch seen for each partition
      * </pre>
      *
      * <code>repeated .org.chivetally.wire.v1.OwnedPartition fenced = 5;</code>
@@ -1611,7 +1613,7 @@
     }
     /**
      * <pre>
-     * highest epoch seen of each partition
+     * highest epoch seen for each partition
      * </pre>
      *
      * <code>repeated .org.chivetally.wire.v1.OwnedPartition fenced = 5;</code>
@@ -1628,7 +1630,7 @@
     }
     /**
      * <pre>
-     * highest epoch seen of each partition
+     * highest epoch seen for each partition
      * </pre>
      *
      * <code>repeated .org.chivetally.wire.v1.OwnedPartition fenced = 5;</code>
@@ -1645,7 +1647,7 @@
     }
     /**
      * <pre>
-     * highest epoch seen of each partition
+     * highest epoch seen for each partition
      * </pre>
      *
      * <code>repeated .org.chivetally.wire.v1.OwnedPartition fenced = 5;</code>
@@ -1656,7 +1658,7 @@
     }
     /**
      * <pre>
-     * highest epoch seen of each partition
+     * highest epoch seen for each partition
      * </pre>
      *
      * <code>repeated .org.chivetally.wire.v1.OwnedPartition fenced = 5;</code>
@@ -1670,7 +1672,7 @@
     }
     /**
      * <pre>
-     * highest epoch seen of each partition
+     * highest epoch seen for each partition
      * </pre>
      *
      * <code>repeated .org.chivetally.wire.v1.OwnedPartition fenced = 5;</code>
@@ -1685,7 +1687,7 @@
     }
     /**
      * <pre>
-     * highest epoch seen of each partition
+     * highest epoch seen for each partition
      * </pre>
      *
      * <code>repeated .org.chivetally.wire.v1.OwnedPartition fenced = 5;</code>
@@ -1696,7 +1698,7 @@
     }
     /**
      * <pre>
-     * highest epoch seen of each partition
+     * highest epoch seen for each partition
      * </pre>
      *
      * <code>repeated .org.chivetally.wire.v1.OwnedPartition fenced = 5;</code>
@@ -1708,7 +1710,7 @@
     }
     /**
      * <pre>
-     * highest epoch seen of each partition
+     * highest epoch seen for each partition
      * </pre>
      *
      * <code>repeated .org.chivetally.wire.v1.OwnedPartition fenced = 5;</code>
--- a/wire/src/main/java/org/chivetally/wire/v1/RunInventoryOrBuilder.java
+++ b/wire/src/main/java/org/chivetally/wire/v1/RunInventoryOrBuilder.java
@@ -81,7 +81,7 @@
 
   /**
    * <pre>
-   * highest epoch seen of each partition
+   * highest epoch seen for each partition
    * </pre>
    *
    * <code>repeated .org.chivetally.wire.v1.OwnedPartition fenced = 5;</code>
@@ -90,7 +90,7 @@
       getFencedList();
   /**
    * <pre>
-   * highest epoch seen of each partition
+   * highest epoch seen for each partition
    * </pre>
    *
    * <code>repeated .org.chivetally.wire.v1.OwnedPartition fenced = 5;</code>
@@ -98,7 +98,7 @@
   org.chivetally.wire.v1.OwnedPartition getFenced(int index);
   /**
    * <pre>
-   * highest epoch seen of each partition
+   * highest epoch seen for each partition
    * </pre>
    *
    * <code>repeated .org.chivetally.wire.v1.OwnedPartition fenced = 5;</code>
@@ -106,7 +106,7 @@
   int getFencedCount();
   /**
    * <pre>
-   * highest epoch seen of each partition
+   * highest epoch seen for each partition
    * </pre>
    *
    * <code>repeated .org.chivetally.wire.v1.OwnedPartition fenced = 5;</code>
@@ -115,7 +115,7 @@
       getFencedOrBuilderList();
   /**
    * <pre>
-   * highest epoch seen of each partition
+   * highest epoch seen for each partition
    * </pre>
    *
    * <code>repeated .org.chivetally.wire.v1.OwnedPartition fenced = 5;</code>
--- a/wire/src/main/java/org/chivetally/wire/v1/RunOutcome.java
+++ b/wire/src/main/java/org/chivetally/wire/v1/RunOutcome.java
@@ -21,7 +21,7 @@
   RUN_OUTCOME_DONE(1),
   /**
    * <pre>
-   * counts as an attempt
+   * counts towards the maximum number of attempts
    * </pre>
    *
    * <code>RUN_OUTCOME_FAILED = 2;</code>
@@ -49,7 +49,7 @@
   RUN_OUTCOME_BROKEN(5),
   /**
    * <pre>
-   * the other members of its gang did not come
+   * the other members of its gang did not start in time
    * </pre>
    *
    * <code>RUN_OUTCOME_ALONE = 6;</code>
@@ -57,7 +57,7 @@
   RUN_OUTCOME_ALONE(6),
   /**
    * <pre>
-   * its minion is gone
+   * its minion no longer exists
    * </pre>
    *
    * <code>RUN_OUTCOME_LOST = 7;</code>
@@ -65,7 +65,7 @@
   RUN_OUTCOME_LOST(7),
   /**
    * <pre>
-   * the start is known not to have been carried out, and never will be
+   * the run was certainly not started, and will never be
    * </pre>
    *
    * <code>RUN_OUTCOME_NEVER_STARTED = 8;</code>
@@ -73,7 +73,7 @@
   RUN_OUTCOME_NEVER_STARTED(8),
   /**
    * <pre>
-   * its minion ended without notice while it ran there
+   * its minion ended without notice during the run
    * </pre>
    *
    * <code>RUN_OUTCOME_CRASHED = 9;</code>
@@ -101,7 +101,7 @@
   public static final int RUN_OUTCOME_DONE_VALUE = 1;
   /**
    * <pre>
-   * counts as an attempt
+   * counts towards the maximum number of attempts
    * </pre>
    *
    * <code>RUN_OUTCOME_FAILED = 2;</code>
@@ -129,7 +129,7 @@
   public static final int RUN_OUTCOME_BROKEN_VALUE = 5;
   /**
    * <pre>
-   * the other members of its gang did not come
+   * the other members of its gang did not start in time
    * </pre>
    *
    * <code>RUN_OUTCOME_ALONE = 6;</code>
@@ -137,7 +137,7 @@
   public static final int RUN_OUTCOME_ALONE_VALUE = 6;
   /**
    * <pre>
-   * its minion is gone
+   * its minion no longer exists
    * </pre>
    *
    * <code>RUN_OUTCOME_LOST = 7;</code>
@@ -145,7 +145,7 @@
   public static final int RUN_OUTCOME_LOST_VALUE = 7;
   /**
    * <pre>
-   * the start is known not to have been carried out, and never will be
+   * the run was certainly not started, and will never be
    * </pre>
    *
    * <code>RUN_OUTCOME_NEVER_STARTED = 8;</code>
@@ -153,7 +153,7 @@
   public static final int RUN_OUTCOME_NEVER_STARTED_VALUE = 8;
   /**
    * <pre>
-   * its minion ended without notice while it ran there
+   * its minion ended without notice during the run
    * </pre>
    *
    * <code>RUN_OUTCOME_CRASHED = 9;</code>
--- a/wire/src/main/java/org/chivetally/wire/v1/RunRefused.java
+++ b/wire/src/main/java/org/chivetally/wire/v1/RunRefused.java
@@ -6,6 +6,10 @@
 package org.chivetally.wire.v1;
 
 /**
+ * <pre>
+ * Refusal of a RunStart.
+ * </pre>
+ *
  * Protobuf type {@code org.chivetally.wire.v1.RunRefused}
  */
 @com.google.protobuf.Generated
@@ -170,7 +174,7 @@
   private long fencedBy_ = 0L;
   /**
    * <pre>
-   * epoch of the owner that replaced the sender; 0 when the refusal has another reason
+   * epoch of the owner that replaced the sender; 0 if the refusal has another reason
    * </pre>
    *
    * <code>uint64 fenced_by = 5;</code>
@@ -392,6 +396,10 @@
     return builder;
   }
   /**
+   * <pre>
+   * Refusal of a RunStart.
+   * </pre>
+   *
    * Protobuf type {@code org.chivetally.wire.v1.RunRefused}
    */
   public static final class Builder extends
@@ -892,7 +900,7 @@
     private long fencedBy_ ;
     /**
      * <pre>
-     * epoch of the owner that replaced the sender; 0 when the refusal has another reason
+     * epoch of the owner that replaced the sender; 0 if the refusal has another reason
      * </pre>
      *
      * <code>uint64 fenced_by = 5;</code>
@@ -904,7 +912,7 @@
     }
     /**
      * <pre>
-     * epoch of the owner that replaced the sender; 0 when the refusal has another reason
+     * epoch of the owner that replaced the sender; 0 if the refusal has another reason
      * </pre>
      *
      * <code>uint64 fenced_by = 5;</code>
@@ -920,7 +928,7 @@
     }
     /**
      * <pre>
-     * epoch of the owner that replaced the sender; 0 when the refusal has another reason
+     * epoch of the owner that replaced the sender; 0 if the refusal has another reason
      * </pre>
      *
      * <code>uint64 fenced_by = 5;</code>
--- a/wire/src/main/java/org/chivetally/wire/v1/RunRefusedOrBuilder.java
+++ b/wire/src/main/java/org/chivetally/wire/v1/RunRefusedOrBuilder.java
@@ -57,7 +57,7 @@
 
   /**
    * <pre>
-   * epoch of the owner that replaced the sender; 0 when the refusal has another reason
+   * epoch of the owner that replaced the sender; 0 if the refusal has another reason
    * </pre>
    *
    * <code>uint64 fenced_by = 5;</code>
--- a/wire/src/main/java/org/chivetally/wire/v1/RunStart.java
+++ b/wire/src/main/java/org/chivetally/wire/v1/RunStart.java
@@ -7,7 +7,7 @@
 
 /**
  * <pre>
- * Starts one run of a task. Refused when an owner of a higher epoch is known or `echo_nanos` is old.
+ * Starts one run of a task. Refused if the agent has seen an owner of a higher epoch, or if `echo_nanos` is too old.
  * </pre>
  *
  * Protobuf type {@code org.chivetally.wire.v1.RunStart}
@@ -60,7 +60,7 @@
   private long number_ = 0L;
   /**
    * <pre>
-   * counts the starts on this link
+   * sequence number of the start on this link
    * </pre>
    *
    * <code>uint64 number = 1;</code>
@@ -147,7 +147,7 @@
   private long echoNanos_ = 0L;
   /**
    * <pre>
-   * newest stamp of the agent that the sender has got
+   * latest stamp that the sender received from the agent
    * </pre>
    *
    * <code>uint64 echo_nanos = 6;</code>
@@ -266,7 +266,7 @@
   private boolean unkept_ = false;
   /**
    * <pre>
-   * of a job that only its entry knows: partition and epoch mean nothing
+   * of an in-memory job, stored only by its entry; partition and epoch are ignored
    * </pre>
    *
    * <code>bool unkept = 10;</code>
@@ -281,7 +281,7 @@
   private int estimatedMillis_ = 0;
   /**
    * <pre>
-   * duration to expect, by the caller's estimate as its entry corrects it; 0 when none was given
+   * expected duration: the caller's estimate, corrected by the entry; 0 if none was given
    * </pre>
    *
    * <code>uint32 estimated_millis = 11;</code>
@@ -296,7 +296,7 @@
   private boolean suspected_ = false;
   /**
    * <pre>
-   * the task was on a minion that crashed
+   * the task was running on a minion when that crashed
    * </pre>
    *
    * <code>bool suspected = 12;</code>
@@ -311,7 +311,7 @@
   private long stampAgeNanos_ = 0L;
   /**
    * <pre>
-   * least time by which the agent's clock went on between that stamp and this start
+   * lower bound of the time on the agent's clock from that stamp to this start
    * </pre>
    *
    * <code>uint64 stamp_age_nanos = 13;</code>
@@ -626,7 +626,7 @@
   }
   /**
    * <pre>
-   * Starts one run of a task. Refused when an owner of a higher epoch is known or `echo_nanos` is old.
+   * Starts one run of a task. Refused if the agent has seen an owner of a higher epoch, or if `echo_nanos` is too old.
    * </pre>
    *
    * Protobuf type {@code org.chivetally.wire.v1.RunStart}
@@ -932,7 +932,7 @@
     private long number_ ;
     /**
      * <pre>
-     * counts the starts on this link
+     * sequence number of the start on this link
      * </pre>
      *
      * <code>uint64 number = 1;</code>
@@ -944,7 +944,7 @@
     }
     /**
      * <pre>
-     * counts the starts on this link
+     * sequence number of the start on this link
      * </pre>
      *
      * <code>uint64 number = 1;</code>
@@ -960,7 +960,7 @@
     }
     /**
      * <pre>
-     * counts the starts on this link
+     * sequence number of the start on this link
      * </pre>
      *
      * <code>uint64 number = 1;</code>
@@ -1144,7 +1144,7 @@
     private long echoNanos_ ;
     /**
      * <pre>
-     * newest stamp of the agent that the sender has got
+     * latest stamp that the sender received from the agent
      * </pre>
      *
      * <code>uint64 echo_nanos = 6;</code>
@@ -1156,7 +1156,7 @@
     }
     /**
      * <pre>
-     * newest stamp of the agent that the sender has got
+     * latest stamp that the sender received from the agent
      * </pre>
      *
      * <code>uint64 echo_nanos = 6;</code>
@@ -1172,7 +1172,7 @@
     }
     /**
      * <pre>
-     * newest stamp of the agent that the sender has got
+     * latest stamp that the sender received from the agent
      * </pre>
      *
      * <code>uint64 echo_nanos = 6;</code>
@@ -1451,7 +1451,7 @@
     private boolean unkept_ ;
     /**
      * <pre>
-     * of a job that only its entry knows: partition and epoch mean nothing
+     * of an in-memory job, stored only by its entry; partition and epoch are ignored
      * </pre>
      *
      * <code>bool unkept = 10;</code>
@@ -1463,7 +1463,7 @@
     }
     /**
      * <pre>
-     * of a job that only its entry knows: partition and epoch mean nothing
+     * of an in-memory job, stored only by its entry; partition and epoch are ignored
      * </pre>
      *
      * <code>bool unkept = 10;</code>
@@ -1479,7 +1479,7 @@
     }
     /**
      * <pre>
-     * of a job that only its entry knows: partition and epoch mean nothing
+     * of an in-memory job, stored only by its entry; partition and epoch are ignored
      * </pre>
      *
      * <code>bool unkept = 10;</code>
@@ -1495,7 +1495,7 @@
     private int estimatedMillis_ ;
     /**
      * <pre>
-     * duration to expect, by the caller's estimate as its entry corrects it; 0 when none was given
+     * expected duration: the caller's estimate, corrected by the entry; 0 if none was given
      * </pre>
      *
      * <code>uint32 estimated_millis = 11;</code>
@@ -1507,7 +1507,7 @@
     }
     /**
      * <pre>
-     * duration to expect, by the caller's estimate as its entry corrects it; 0 when none was given
+     * expected duration: the caller's estimate, corrected by the entry; 0 if none was given
      * </pre>
      *
      * <code>uint32 estimated_millis = 11;</code>
@@ -1523,7 +1523,7 @@
     }
     /**
      * <pre>
-     * duration to expect, by the caller's estimate as its entry corrects it; 0 when none was given
+     * expected duration: the caller's estimate, corrected by the entry; 0 if none was given
      * </pre>
      *
      * <code>uint32 estimated_millis = 11;</code>
@@ -1539,7 +1539,7 @@
     private boolean suspected_ ;
     /**
      * <pre>
-     * the task was on a minion that crashed
+     * the task was running on a minion when that crashed
      * </pre>
      *
      * <code>bool suspected = 12;</code>
@@ -1551,7 +1551,7 @@
     }
     /**
      * <pre>
-     * the task was on a minion that crashed
+     * the task was running on a minion when that crashed
      * </pre>
      *
      * <code>bool suspected = 12;</code>
@@ -1567,7 +1567,7 @@
     }
     /**
      * <pre>
-     * the task was on a minion that crashed
+     * the task was running on a minion when that crashed
      * </pre>
      *
      * <code>bool suspected = 12;</code>
@@ -1583,7 +1583,7 @@
     private long stampAgeNanos_ ;
     /**
      * <pre>
-     * least time by which the agent's clock went on between that stamp and this start
+     * lower bound of the time on the agent's clock from that stamp to this start
      * </pre>
      *
      * <code>uint64 stamp_age_nanos = 13;</code>
@@ -1595,7 +1595,7 @@
     }
     /**
      * <pre>
-     * least time by which the agent's clock went on between that stamp and this start
+     * lower bound of the time on the agent's clock from that stamp to this start
      * </pre>
      *
      * <code>uint64 stamp_age_nanos = 13;</code>
@@ -1611,7 +1611,7 @@
     }
     /**
      * <pre>
-     * least time by which the agent's clock went on between that stamp and this start
+     * lower bound of the time on the agent's clock from that stamp to this start
      * </pre>
      *
      * <code>uint64 stamp_age_nanos = 13;</code>
--- a/wire/src/main/java/org/chivetally/wire/v1/RunStartOrBuilder.java
+++ b/wire/src/main/java/org/chivetally/wire/v1/RunStartOrBuilder.java
@@ -12,7 +12,7 @@
 
   /**
    * <pre>
-   * counts the starts on this link
+   * sequence number of the start on this link
    * </pre>
    *
    * <code>uint64 number = 1;</code>
@@ -52,7 +52,7 @@
 
   /**
    * <pre>
-   * newest stamp of the agent that the sender has got
+   * latest stamp that the sender received from the agent
    * </pre>
    *
    * <code>uint64 echo_nanos = 6;</code>
@@ -101,7 +101,7 @@
 
   /**
    * <pre>
-   * of a job that only its entry knows: partition and epoch mean nothing
+   * of an in-memory job, stored only by its entry; partition and epoch are ignored
    * </pre>
    *
    * <code>bool unkept = 10;</code>
@@ -111,7 +111,7 @@
 
   /**
    * <pre>
-   * duration to expect, by the caller's estimate as its entry corrects it; 0 when none was given
+   * expected duration: the caller's estimate, corrected by the entry; 0 if none was given
    * </pre>
    *
    * <code>uint32 estimated_millis = 11;</code>
@@ -121,7 +121,7 @@
 
   /**
    * <pre>
-   * the task was on a minion that crashed
+   * the task was running on a minion when that crashed
    * </pre>
    *
    * <code>bool suspected = 12;</code>
@@ -131,7 +131,7 @@
 
   /**
    * <pre>
-   * least time by which the agent's clock went on between that stamp and this start
+   * lower bound of the time on the agent's clock from that stamp to this start
    * </pre>
    *
    * <code>uint64 stamp_age_nanos = 13;</code>
--- a/wire/src/main/java/org/chivetally/wire/v1/RunStop.java
+++ b/wire/src/main/java/org/chivetally/wire/v1/RunStop.java
@@ -6,6 +6,10 @@
 package org.chivetally.wire.v1;
 
 /**
+ * <pre>
+ * Stops a run.
+ * </pre>
+ *
  * Protobuf type {@code org.chivetally.wire.v1.RunStop}
  */
 @com.google.protobuf.Generated
@@ -340,6 +344,10 @@
     return builder;
   }
   /**
+   * <pre>
+   * Stops a run.
+   * </pre>
+   *
    * Protobuf type {@code org.chivetally.wire.v1.RunStop}
    */
   public static final class Builder extends
--- a/wire/src/main/java/org/chivetally/wire/v1/Start.java
+++ b/wire/src/main/java/org/chivetally/wire/v1/Start.java
@@ -7,7 +7,7 @@
 
 /**
  * <pre>
- * Asks an agent to run one task once. Refused unless `ticket` was issued lately by this agent.
+ * Requests one run of a task from an agent. Refused unless the agent issued `ticket` recently.
  * </pre>
  *
  * Protobuf type {@code org.chivetally.wire.v1.Start}
@@ -150,7 +150,7 @@
   private int generation_ = 0;
   /**
    * <pre>
-   * of the job's claim; lower than the agent's floor for the job: refused
+   * generation of the job's claim; refused if lower than the agent's minimum for the job
    * </pre>
    *
    * <code>uint32 generation = 4;</code>
@@ -216,7 +216,7 @@
   private volatile java.lang.Object payload_ = "";
   /**
    * <pre>
-   * JSON text handed to the minion
+   * JSON text for the minion
    * </pre>
    *
    * <code>string payload = 7;</code>
@@ -237,7 +237,7 @@
   }
   /**
    * <pre>
-   * JSON text handed to the minion
+   * JSON text for the minion
    * </pre>
    *
    * <code>string payload = 7;</code>
@@ -262,7 +262,7 @@
   private long leaseMillis_ = 0L;
   /**
    * <pre>
-   * from receipt; the agent ends the attempt after it
+   * counted from receipt; the agent ends the attempt when it expires
    * </pre>
    *
    * <code>uint64 lease_millis = 8;</code>
@@ -277,7 +277,7 @@
   private long queueMillis_ = 0L;
   /**
    * <pre>
-   * longest wait for a slot before refusing as not run
+   * maximum wait for a slot, after which the agent refuses the start as not run
    * </pre>
    *
    * <code>uint64 queue_millis = 9;</code>
@@ -678,7 +678,7 @@
   }
   /**
    * <pre>
-   * Asks an agent to run one task once. Refused unless `ticket` was issued lately by this agent.
+   * Requests one run of a task from an agent. Refused unless the agent issued `ticket` recently.
    * </pre>
    *
    * Protobuf type {@code org.chivetally.wire.v1.Start}
@@ -1159,7 +1159,7 @@
     private int generation_ ;
     /**
      * <pre>
-     * of the job's claim; lower than the agent's floor for the job: refused
+     * generation of the job's claim; refused if lower than the agent's minimum for the job
      * </pre>
      *
      * <code>uint32 generation = 4;</code>
@@ -1171,7 +1171,7 @@
     }
     /**
      * <pre>
-     * of the job's claim; lower than the agent's floor for the job: refused
+     * generation of the job's claim; refused if lower than the agent's minimum for the job
      * </pre>
      *
      * <code>uint32 generation = 4;</code>
@@ -1187,7 +1187,7 @@
     }
     /**
      * <pre>
-     * of the job's claim; lower than the agent's floor for the job: refused
+     * generation of the job's claim; refused if lower than the agent's minimum for the job
      * </pre>
      *
      * <code>uint32 generation = 4;</code>
@@ -1307,7 +1307,7 @@
     private java.lang.Object payload_ = "";
     /**
      * <pre>
-     * JSON text handed to the minion
+     * JSON text for the minion
      * </pre>
      *
      * <code>string payload = 7;</code>
@@ -1327,7 +1327,7 @@
     }
     /**
      * <pre>
-     * JSON text handed to the minion
+     * JSON text for the minion
      * </pre>
      *
      * <code>string payload = 7;</code>
@@ -1348,7 +1348,7 @@
     }
     /**
      * <pre>
-     * JSON text handed to the minion
+     * JSON text for the minion
      * </pre>
      *
      * <code>string payload = 7;</code>
@@ -1365,7 +1365,7 @@
     }
     /**
      * <pre>
-     * JSON text handed to the minion
+     * JSON text for the minion
      * </pre>
      *
      * <code>string payload = 7;</code>
@@ -1379,7 +1379,7 @@
     }
     /**
      * <pre>
-     * JSON text handed to the minion
+     * JSON text for the minion
      * </pre>
      *
      * <code>string payload = 7;</code>
@@ -1399,7 +1399,7 @@
     private long leaseMillis_ ;
     /**
      * <pre>
-     * from receipt; the agent ends the attempt after it
+     * counted from receipt; the agent ends the attempt when it expires
      * </pre>
      *
      * <code>uint64 lease_millis = 8;</code>
@@ -1411,7 +1411,7 @@
     }
     /**
      * <pre>
-     * from receipt; the agent ends the attempt after it
+     * counted from receipt; the agent ends the attempt when it expires
      * </pre>
      *
      * <code>uint64 lease_millis = 8;</code>
@@ -1427,7 +1427,7 @@
     }
     /**
      * <pre>
-     * from receipt; the agent ends the attempt after it
+     * counted from receipt; the agent ends the attempt when it expires
      * </pre>
      *
      * <code>uint64 lease_millis = 8;</code>
@@ -1443,7 +1443,7 @@
     private long queueMillis_ ;
     /**
      * <pre>
-     * longest wait for a slot before refusing as not run
+     * maximum wait for a slot, after which the agent refuses the start as not run
      * </pre>
      *
      * <code>uint64 queue_millis = 9;</code>
@@ -1455,7 +1455,7 @@
     }
     /**
      * <pre>
-     * longest wait for a slot before refusing as not run
+     * maximum wait for a slot, after which the agent refuses the start as not run
      * </pre>
      *
      * <code>uint64 queue_millis = 9;</code>
@@ -1471,7 +1471,7 @@
     }
     /**
      * <pre>
-     * longest wait for a slot before refusing as not run
+     * maximum wait for a slot, after which the agent refuses the start as not run
      * </pre>
      *
      * <code>uint64 queue_millis = 9;</code>
--- a/wire/src/main/java/org/chivetally/wire/v1/StartOrBuilder.java
+++ b/wire/src/main/java/org/chivetally/wire/v1/StartOrBuilder.java
@@ -42,7 +42,7 @@
 
   /**
    * <pre>
-   * of the job's claim; lower than the agent's floor for the job: refused
+   * generation of the job's claim; refused if lower than the agent's minimum for the job
    * </pre>
    *
    * <code>uint32 generation = 4;</code>
@@ -70,7 +70,7 @@
 
   /**
    * <pre>
-   * JSON text handed to the minion
+   * JSON text for the minion
    * </pre>
    *
    * <code>string payload = 7;</code>
@@ -79,7 +79,7 @@
   java.lang.String getPayload();
   /**
    * <pre>
-   * JSON text handed to the minion
+   * JSON text for the minion
    * </pre>
    *
    * <code>string payload = 7;</code>
@@ -90,7 +90,7 @@
 
   /**
    * <pre>
-   * from receipt; the agent ends the attempt after it
+   * counted from receipt; the agent ends the attempt when it expires
    * </pre>
    *
    * <code>uint64 lease_millis = 8;</code>
@@ -100,7 +100,7 @@
 
   /**
    * <pre>
-   * longest wait for a slot before refusing as not run
+   * maximum wait for a slot, after which the agent refuses the start as not run
    * </pre>
    *
    * <code>uint64 queue_millis = 9;</code>
--- a/wire/src/main/java/org/chivetally/wire/v1/StoredJob.java
+++ b/wire/src/main/java/org/chivetally/wire/v1/StoredJob.java
@@ -7,7 +7,7 @@
 
 /**
  * <pre>
- * An accepted job with everything that its owner decides by. Key: "j" + id.
+ * An accepted job with all data that its owner needs for scheduling. Key: "j" + id.
  * </pre>
  *
  * Protobuf type {@code org.chivetally.wire.v1.StoredJob}
@@ -217,7 +217,7 @@
   private int maximumAttempts_ = 0;
   /**
    * <pre>
-   * runs of one task that may end failed
+   * number of failed runs of a task after which the job fails
    * </pre>
    *
    * <code>uint32 maximum_attempts = 5;</code>
@@ -232,7 +232,7 @@
   private int priority_ = 0;
   /**
    * <pre>
-   * 0 comes first
+   * 0 is the highest
    * </pre>
    *
    * <code>uint32 priority = 6;</code>
@@ -247,7 +247,7 @@
   private double slackFactor_ = 0D;
   /**
    * <pre>
-   * objective = slack factor x longest chain of work + target latency
+   * latency objective = slack factor x critical path + target latency
    * </pre>
    *
    * <code>double slack_factor = 7;</code>
@@ -273,7 +273,7 @@
   private long acceptedAtMillis_ = 0L;
   /**
    * <pre>
-   * since 1970
+   * time in milliseconds since 1970
    * </pre>
    *
    * <code>uint64 accepted_at_millis = 9;</code>
@@ -593,7 +593,7 @@
   }
   /**
    * <pre>
-   * An accepted job with everything that its owner decides by. Key: "j" + id.
+   * An accepted job with all data that its owner needs for scheduling. Key: "j" + id.
    * </pre>
    *
    * Protobuf type {@code org.chivetally.wire.v1.StoredJob}
@@ -1183,7 +1183,7 @@
     private int maximumAttempts_ ;
     /**
      * <pre>
-     * runs of one task that may end failed
+     * number of failed runs of a task after which the job fails
      * </pre>
      *
      * <code>uint32 maximum_attempts = 5;</code>
@@ -1195,7 +1195,7 @@
     }
     /**
      * <pre>
-     * runs of one task that may end failed
+     * number of failed runs of a task after which the job fails
      * </pre>
      *
      * <code>uint32 maximum_attempts = 5;</code>
@@ -1211,7 +1211,7 @@
     }
     /**
      * <pre>
-     * runs of one task that may end failed
+     * number of failed runs of a task after which the job fails
      * </pre>
      *
      * <code>uint32 maximum_attempts = 5;</code>
@@ -1227,7 +1227,7 @@
     private int priority_ ;
     /**
      * <pre>
-     * 0 comes first
+     * 0 is the highest
      * </pre>
      *
      * <code>uint32 priority = 6;</code>
@@ -1239,7 +1239,7 @@
     }
     /**
      * <pre>
-     * 0 comes first
+     * 0 is the highest
      * </pre>
      *
      * <code>uint32 priority = 6;</code>
@@ -1255,7 +1255,7 @@
     }
     /**
      * <pre>
-     * 0 comes first
+     * 0 is the highest
      * </pre>
      *
      * <code>uint32 priority = 6;</code>
@@ -1271,7 +1271,7 @@
     private double slackFactor_ ;
     /**
      * <pre>
-     * objective = slack factor x longest chain of work + target latency
+     * latency objective = slack factor x critical path + target latency
      * </pre>
      *
      * <code>double slack_factor = 7;</code>
@@ -1283,7 +1283,7 @@
     }
     /**
      * <pre>
-     * objective = slack factor x longest chain of work + target latency
+     * latency objective = slack factor x critical path + target latency
      * </pre>
      *
      * <code>double slack_factor = 7;</code>
@@ -1299,7 +1299,7 @@
     }
     /**
      * <pre>
-     * objective = slack factor x longest chain of work + target latency
+     * latency objective = slack factor x critical path + target latency
      * </pre>
      *
      * <code>double slack_factor = 7;</code>
@@ -1347,7 +1347,7 @@
     private long acceptedAtMillis_ ;
     /**
      * <pre>
-     * since 1970
+     * time in milliseconds since 1970
      * </pre>
      *
      * <code>uint64 accepted_at_millis = 9;</code>
@@ -1359,7 +1359,7 @@
     }
     /**
      * <pre>
-     * since 1970
+     * time in milliseconds since 1970
      * </pre>
      *
      * <code>uint64 accepted_at_millis = 9;</code>
@@ -1375,7 +1375,7 @@
     }
     /**
      * <pre>
-     * since 1970
+     * time in milliseconds since 1970
      * </pre>
      *
      * <code>uint64 accepted_at_millis = 9;</code>
--- a/wire/src/main/java/org/chivetally/wire/v1/StoredJobOrBuilder.java
+++ b/wire/src/main/java/org/chivetally/wire/v1/StoredJobOrBuilder.java
@@ -60,7 +60,7 @@
 
   /**
    * <pre>
-   * runs of one task that may end failed
+   * number of failed runs of a task after which the job fails
    * </pre>
    *
    * <code>uint32 maximum_attempts = 5;</code>
@@ -70,7 +70,7 @@
 
   /**
    * <pre>
-   * 0 comes first
+   * 0 is the highest
    * </pre>
    *
    * <code>uint32 priority = 6;</code>
@@ -80,7 +80,7 @@
 
   /**
    * <pre>
-   * objective = slack factor x longest chain of work + target latency
+   * latency objective = slack factor x critical path + target latency
    * </pre>
    *
    * <code>double slack_factor = 7;</code>
@@ -96,7 +96,7 @@
 
   /**
    * <pre>
-   * since 1970
+   * time in milliseconds since 1970
    * </pre>
    *
    * <code>uint64 accepted_at_millis = 9;</code>
--- a/wire/src/main/java/org/chivetally/wire/v1/StoredMember.java
+++ b/wire/src/main/java/org/chivetally/wire/v1/StoredMember.java
@@ -7,7 +7,7 @@
 
 /**
  * <pre>
- * A process that other processes can dial. Key: its name.
+ * A process to which other processes can connect. Key: its name.
  * </pre>
  *
  * Protobuf type {@code org.chivetally.wire.v1.StoredMember}
@@ -170,7 +170,7 @@
   private org.chivetally.wire.v1.StoredMinion minion_;
   /**
    * <pre>
-   * The minion of an agent, for the agent's next start; absent while it has none.
+   * Minion of an agent, restored at the agent's next start; absent if unknown.
    * </pre>
    *
    * <code>.org.chivetally.wire.v1.StoredMinion minion = 6;</code>
@@ -182,7 +182,7 @@
   }
   /**
    * <pre>
-   * The minion of an agent, for the agent's next start; absent while it has none.
+   * Minion of an agent, restored at the agent's next start; absent if unknown.
    * </pre>
    *
    * <code>.org.chivetally.wire.v1.StoredMinion minion = 6;</code>
@@ -194,7 +194,7 @@
   }
   /**
    * <pre>
-   * The minion of an agent, for the agent's next start; absent while it has none.
+   * Minion of an agent, restored at the agent's next start; absent if unknown.
    * </pre>
    *
    * <code>.org.chivetally.wire.v1.StoredMinion minion = 6;</code>
@@ -427,7 +427,7 @@
   }
   /**
    * <pre>
-   * A process that other processes can dial. Key: its name.
+   * A process to which other processes can connect. Key: its name.
    * </pre>
    *
    * Protobuf type {@code org.chivetally.wire.v1.StoredMember}
@@ -889,7 +889,7 @@
         org.chivetally.wire.v1.StoredMinion, org.chivetally.wire.v1.StoredMinion.Builder, org.chivetally.wire.v1.StoredMinionOrBuilder> minionBuilder_;
     /**
      * <pre>
-     * The minion of an agent, for the agent's next start; absent while it has none.
+     * Minion of an agent, restored at the agent's next start; absent if unknown.
      * </pre>
      *
      * <code>.org.chivetally.wire.v1.StoredMinion minion = 6;</code>
@@ -900,7 +900,7 @@
     }
     /**
      * <pre>
-     * The minion of an agent, for the agent's next start; absent while it has none.
+     * Minion of an agent, restored at the agent's next start; absent if unknown.
      * </pre>
      *
      * <code>.org.chivetally.wire.v1.StoredMinion minion = 6;</code>
@@ -915,7 +915,7 @@
     }
     /**
      * <pre>
-     * The minion of an agent, for the agent's next start; absent while it has none.
+     * Minion of an agent, restored at the agent's next start; absent if unknown.
      * </pre>
      *
      * <code>.org.chivetally.wire.v1.StoredMinion minion = 6;</code>
@@ -933,7 +933,7 @@
     }
     /**
      * <pre>
-     * The minion of an agent, for the agent's next start; absent while it has none.
+     * Minion of an agent, restored at the agent's next start; absent if unknown.
      * </pre>
      *
      * <code>.org.chivetally.wire.v1.StoredMinion minion = 6;</code>
@@ -951,7 +951,7 @@
     }
     /**
      * <pre>
-     * The minion of an agent, for the agent's next start; absent while it has none.
+     * Minion of an agent, restored at the agent's next start; absent if unknown.
      * </pre>
      *
      * <code>.org.chivetally.wire.v1.StoredMinion minion = 6;</code>
@@ -976,7 +976,7 @@
     }
     /**
      * <pre>
-     * The minion of an agent, for the agent's next start; absent while it has none.
+     * Minion of an agent, restored at the agent's next start; absent if unknown.
      * </pre>
      *
      * <code>.org.chivetally.wire.v1.StoredMinion minion = 6;</code>
@@ -993,7 +993,7 @@
     }
     /**
      * <pre>
-     * The minion of an agent, for the agent's next start; absent while it has none.
+     * Minion of an agent, restored at the agent's next start; absent if unknown.
      * </pre>
      *
      * <code>.org.chivetally.wire.v1.StoredMinion minion = 6;</code>
@@ -1005,7 +1005,7 @@
     }
     /**
      * <pre>
-     * The minion of an agent, for the agent's next start; absent while it has none.
+     * Minion of an agent, restored at the agent's next start; absent if unknown.
      * </pre>
      *
      * <code>.org.chivetally.wire.v1.StoredMinion minion = 6;</code>
@@ -1020,7 +1020,7 @@
     }
     /**
      * <pre>
-     * The minion of an agent, for the agent's next start; absent while it has none.
+     * Minion of an agent, restored at the agent's next start; absent if unknown.
      * </pre>
      *
      * <code>.org.chivetally.wire.v1.StoredMinion minion = 6;</code>
--- a/wire/src/main/java/org/chivetally/wire/v1/StoredMemberOrBuilder.java
+++ b/wire/src/main/java/org/chivetally/wire/v1/StoredMemberOrBuilder.java
@@ -54,7 +54,7 @@
 
   /**
    * <pre>
-   * The minion of an agent, for the agent's next start; absent while it has none.
+   * Minion of an agent, restored at the agent's next start; absent if unknown.
    * </pre>
    *
    * <code>.org.chivetally.wire.v1.StoredMinion minion = 6;</code>
@@ -63,7 +63,7 @@
   boolean hasMinion();
   /**
    * <pre>
-   * The minion of an agent, for the agent's next start; absent while it has none.
+   * Minion of an agent, restored at the agent's next start; absent if unknown.
    * </pre>
    *
    * <code>.org.chivetally.wire.v1.StoredMinion minion = 6;</code>
@@ -72,7 +72,7 @@
   org.chivetally.wire.v1.StoredMinion getMinion();
   /**
    * <pre>
-   * The minion of an agent, for the agent's next start; absent while it has none.
+   * Minion of an agent, restored at the agent's next start; absent if unknown.
    * </pre>
    *
    * <code>.org.chivetally.wire.v1.StoredMinion minion = 6;</code>
--- a/wire/src/main/java/org/chivetally/wire/v1/StoredMinion.java
+++ b/wire/src/main/java/org/chivetally/wire/v1/StoredMinion.java
@@ -7,7 +7,7 @@
 
 /**
  * <pre>
- * What a minion last told about itself.
+ * Latest announcement of a minion.
  * </pre>
  *
  * Protobuf type {@code org.chivetally.wire.v1.StoredMinion}
@@ -213,7 +213,7 @@
   private long clockMillis_ = 0L;
   /**
    * <pre>
-   * Its clock when it told, in milliseconds.
+   * Minion's clock at the announcement, in milliseconds.
    * </pre>
    *
    * <code>uint64 clock_millis = 6;</code>
@@ -228,7 +228,7 @@
   private long bornAtMillis_ = 0L;
   /**
    * <pre>
-   * Start of its life, in milliseconds since 1970; 0 when it told none.
+   * Start time of the minion, in milliseconds since 1970; 0 if it was not announced.
    * </pre>
    *
    * <code>uint64 born_at_millis = 7;</code>
@@ -480,7 +480,7 @@
   }
   /**
    * <pre>
-   * What a minion last told about itself.
+   * Latest announcement of a minion.
    * </pre>
    *
    * Protobuf type {@code org.chivetally.wire.v1.StoredMinion}
@@ -1127,7 +1127,7 @@
     private long clockMillis_ ;
     /**
      * <pre>
-     * Its clock when it told, in milliseconds.
+     * Minion's clock at the announcement, in milliseconds.
      * </pre>
      *
      * <code>uint64 clock_millis = 6;</code>
@@ -1139,7 +1139,7 @@
     }
     /**
      * <pre>
-     * Its clock when it told, in milliseconds.
+     * Minion's clock at the announcement, in milliseconds.
      * </pre>
      *
      * <code>uint64 clock_millis = 6;</code>
@@ -1155,7 +1155,7 @@
     }
     /**
      * <pre>
-     * Its clock when it told, in milliseconds.
+     * Minion's clock at the announcement, in milliseconds.
      * </pre>
      *
      * <code>uint64 clock_millis = 6;</code>
@@ -1171,7 +1171,7 @@
     private long bornAtMillis_ ;
     /**
      * <pre>
-     * Start of its life, in milliseconds since 1970; 0 when it told none.
+     * Start time of the minion, in milliseconds since 1970; 0 if it was not announced.
      * </pre>
      *
      * <code>uint64 born_at_millis = 7;</code>
@@ -1183,7 +1183,7 @@
     }
     /**
      * <pre>
-     * Start of its life, in milliseconds since 1970; 0 when it told none.
+     * Start time of the minion, in milliseconds since 1970; 0 if it was not announced.
      * </pre>
      *
      * <code>uint64 born_at_millis = 7;</code>
@@ -1199,7 +1199,7 @@
     }
     /**
      * <pre>
-     * Start of its life, in milliseconds since 1970; 0 when it told none.
+     * Start time of the minion, in milliseconds since 1970; 0 if it was not announced.
      * </pre>
      *
      * <code>uint64 born_at_millis = 7;</code>
--- a/wire/src/main/java/org/chivetally/wire/v1/StoredMinionOrBuilder.java
+++ b/wire/src/main/java/org/chivetally/wire/v1/StoredMinionOrBuilder.java
@@ -82,7 +82,7 @@
 
   /**
    * <pre>
-   * Its clock when it told, in milliseconds.
+   * Minion's clock at the announcement, in milliseconds.
    * </pre>
    *
    * <code>uint64 clock_millis = 6;</code>
@@ -92,7 +92,7 @@
 
   /**
    * <pre>
-   * Start of its life, in milliseconds since 1970; 0 when it told none.
+   * Start time of the minion, in milliseconds since 1970; 0 if it was not announced.
    * </pre>
    *
    * <code>uint64 born_at_millis = 7;</code>
--- a/wire/src/main/java/org/chivetally/wire/v1/StoredProgress.java
+++ b/wire/src/main/java/org/chivetally/wire/v1/StoredProgress.java
@@ -7,7 +7,7 @@
 
 /**
  * <pre>
- * What has become of a job. Key: "p" + id.
+ * Progress of a job. Key: "p" + id.
  * </pre>
  *
  * Protobuf type {@code org.chivetally.wire.v1.StoredProgress}
@@ -94,7 +94,7 @@
   private com.google.protobuf.ByteString done_ = com.google.protobuf.ByteString.EMPTY;
   /**
    * <pre>
-   * one bit for each task, in the order of steps and indexes
+   * one bit per task, ordered by step and index
    * </pre>
    *
    * <code>bytes done = 2;</code>
@@ -133,7 +133,7 @@
   }
   /**
    * <pre>
-   * failed runs by place of the task in that order
+   * number of failed runs, by position of the task in that order
    * </pre>
    *
    * <code>map&lt;uint32, uint32&gt; failures = 3;</code>
@@ -154,7 +154,7 @@
   }
   /**
    * <pre>
-   * failed runs by place of the task in that order
+   * number of failed runs, by position of the task in that order
    * </pre>
    *
    * <code>map&lt;uint32, uint32&gt; failures = 3;</code>
@@ -165,7 +165,7 @@
   }
   /**
    * <pre>
-   * failed runs by place of the task in that order
+   * number of failed runs, by position of the task in that order
    * </pre>
    *
    * <code>map&lt;uint32, uint32&gt; failures = 3;</code>
@@ -181,7 +181,7 @@
   }
   /**
    * <pre>
-   * failed runs by place of the task in that order
+   * number of failed runs, by position of the task in that order
    * </pre>
    *
    * <code>map&lt;uint32, uint32&gt; failures = 3;</code>
@@ -237,7 +237,7 @@
   }
   /**
    * <pre>
-   * minions that crashed under a task, by place of the task
+   * number of minion crashes during runs of a task, by position of the task
    * </pre>
    *
    * <code>map&lt;uint32, uint32&gt; crashes = 5;</code>
@@ -258,7 +258,7 @@
   }
   /**
    * <pre>
-   * minions that crashed under a task, by place of the task
+   * number of minion crashes during runs of a task, by position of the task
    * </pre>
    *
    * <code>map&lt;uint32, uint32&gt; crashes = 5;</code>
@@ -269,7 +269,7 @@
   }
   /**
    * <pre>
-   * minions that crashed under a task, by place of the task
+   * number of minion crashes during runs of a task, by position of the task
    * </pre>
    *
    * <code>map&lt;uint32, uint32&gt; crashes = 5;</code>
@@ -285,7 +285,7 @@
   }
   /**
    * <pre>
-   * minions that crashed under a task, by place of the task
+   * number of minion crashes during runs of a task, by position of the task
    * </pre>
    *
    * <code>map&lt;uint32, uint32&gt; crashes = 5;</code>
@@ -330,7 +330,7 @@
   }
   /**
    * <pre>
-   * newest run that is counted in it, by place of the task
+   * latest run counted in `crashes`, by position of the task
    * </pre>
    *
    * <code>map&lt;uint32, uint64&gt; crashed_runs = 6;</code>
@@ -351,7 +351,7 @@
   }
   /**
    * <pre>
-   * newest run that is counted in it, by place of the task
+   * latest run counted in `crashes`, by position of the task
    * </pre>
    *
    * <code>map&lt;uint32, uint64&gt; crashed_runs = 6;</code>
@@ -362,7 +362,7 @@
   }
   /**
    * <pre>
-   * newest run that is counted in it, by place of the task
+   * latest run counted in `crashes`, by position of the task
    * </pre>
    *
    * <code>map&lt;uint32, uint64&gt; crashed_runs = 6;</code>
@@ -378,7 +378,7 @@
   }
   /**
    * <pre>
-   * newest run that is counted in it, by place of the task
+   * latest run counted in `crashes`, by position of the task
    * </pre>
    *
    * <code>map&lt;uint32, uint64&gt; crashed_runs = 6;</code>
@@ -423,7 +423,7 @@
   }
   /**
    * <pre>
-   * starts that were charged after the third crash, by place of the task
+   * starts counted after the third crash, by position of the task
    * </pre>
    *
    * <code>map&lt;uint32, uint32&gt; bounded_starts = 7;</code>
@@ -444,7 +444,7 @@
   }
   /**
    * <pre>
-   * starts that were charged after the third crash, by place of the task
+   * starts counted after the third crash, by position of the task
    * </pre>
    *
    * <code>map&lt;uint32, uint32&gt; bounded_starts = 7;</code>
@@ -455,7 +455,7 @@
   }
   /**
    * <pre>
-   * starts that were charged after the third crash, by place of the task
+   * starts counted after the third crash, by position of the task
    * </pre>
    *
    * <code>map&lt;uint32, uint32&gt; bounded_starts = 7;</code>
@@ -471,7 +471,7 @@
   }
   /**
    * <pre>
-   * starts that were charged after the third crash, by place of the task
+   * starts counted after the third crash, by position of the task
    * </pre>
    *
    * <code>map&lt;uint32, uint32&gt; bounded_starts = 7;</code>
@@ -761,7 +761,7 @@
   }
   /**
    * <pre>
-   * What has become of a job. Key: "p" + id.
+   * Progress of a job. Key: "p" + id.
    * </pre>
    *
    * Protobuf type {@code org.chivetally.wire.v1.StoredProgress}
@@ -1078,7 +1078,7 @@
     private com.google.protobuf.ByteString done_ = com.google.protobuf.ByteString.EMPTY;
     /**
      * <pre>
-     * one bit for each task, in the order of steps and indexes
+     * one bit per task, ordered by step and index
      * </pre>
      *
      * <code>bytes done = 2;</code>
@@ -1090,7 +1090,7 @@
     }
     /**
      * <pre>
-     * one bit for each task, in the order of steps and indexes
+     * one bit per task, ordered by step and index
      * </pre>
      *
      * <code>bytes done = 2;</code>
@@ -1106,7 +1106,7 @@
     }
     /**
      * <pre>
-     * one bit for each task, in the order of steps and indexes
+     * one bit per task, ordered by step and index
      * </pre>
      *
      * <code>bytes done = 2;</code>
@@ -1147,7 +1147,7 @@
     }
     /**
      * <pre>
-     * failed runs by place of the task in that order
+     * number of failed runs, by position of the task in that order
      * </pre>
      *
      * <code>map&lt;uint32, uint32&gt; failures = 3;</code>
@@ -1168,7 +1168,7 @@
     }
     /**
      * <pre>
-     * failed runs by place of the task in that order
+     * number of failed runs, by position of the task in that order
      * </pre>
      *
      * <code>map&lt;uint32, uint32&gt; failures = 3;</code>
@@ -1179,7 +1179,7 @@
     }
     /**
      * <pre>
-     * failed runs by place of the task in that order
+     * number of failed runs, by position of the task in that order
      * </pre>
      *
      * <code>map&lt;uint32, uint32&gt; failures = 3;</code>
@@ -1195,7 +1195,7 @@
     }
     /**
      * <pre>
-     * failed runs by place of the task in that order
+     * number of failed runs, by position of the task in that order
      * </pre>
      *
      * <code>map&lt;uint32, uint32&gt; failures = 3;</code>
@@ -1219,7 +1219,7 @@
     }
     /**
      * <pre>
-     * failed runs by place of the task in that order
+     * number of failed runs, by position of the task in that order
      * </pre>
      *
      * <code>map&lt;uint32, uint32&gt; failures = 3;</code>
@@ -1242,7 +1242,7 @@
     }
     /**
      * <pre>
-     * failed runs by place of the task in that order
+     * number of failed runs, by position of the task in that order
      * </pre>
      *
      * <code>map&lt;uint32, uint32&gt; failures = 3;</code>
@@ -1259,7 +1259,7 @@
     }
     /**
      * <pre>
-     * failed runs by place of the task in that order
+     * number of failed runs, by position of the task in that order
      * </pre>
      *
      * <code>map&lt;uint32, uint32&gt; failures = 3;</code>
@@ -1332,7 +1332,7 @@
     }
     /**
      * <pre>
-     * minions that crashed under a task, by place of the task
+     * number of minion crashes during runs of a task, by position of the task
      * </pre>
      *
      * <code>map&lt;uint32, uint32&gt; crashes = 5;</code>
@@ -1353,7 +1353,7 @@
     }
     /**
      * <pre>
-     * minions that crashed under a task, by place of the task
+     * number of minion crashes during runs of a task, by position of the task
      * </pre>
      *
      * <code>map&lt;uint32, uint32&gt; crashes = 5;</code>
@@ -1364,7 +1364,7 @@
     }
     /**
      * <pre>
-     * minions that crashed under a task, by place of the task
+     * number of minion crashes during runs of a task, by position of the task
      * </pre>
      *
      * <code>map&lt;uint32, uint32&gt; crashes = 5;</code>
@@ -1380,7 +1380,7 @@
     }
     /**
      * <pre>
-     * minions that crashed under a task, by place of the task
+     * number of minion crashes during runs of a task, by position of the task
      * </pre>
      *
      * <code>map&lt;uint32, uint32&gt; crashes = 5;</code>
@@ -1404,7 +1404,7 @@
     }
     /**
      * <pre>
-     * minions that crashed under a task, by place of the task
+     * number of minion crashes during runs of a task, by position of the task
      * </pre>
      *
      * <code>map&lt;uint32, uint32&gt; crashes = 5;</code>
@@ -1427,7 +1427,7 @@
     }
     /**
      * <pre>
-     * minions that crashed under a task, by place of the task
+     * number of minion crashes during runs of a task, by position of the task
      * </pre>
      *
      * <code>map&lt;uint32, uint32&gt; crashes = 5;</code>
@@ -1444,7 +1444,7 @@
     }
     /**
      * <pre>
-     * minions that crashed under a task, by place of the task
+     * number of minion crashes during runs of a task, by position of the task
      * </pre>
      *
      * <code>map&lt;uint32, uint32&gt; crashes = 5;</code>
@@ -1485,7 +1485,7 @@
     }
     /**
      * <pre>
-     * newest run that is counted in it, by place of the task
+     * latest run counted in `crashes`, by position of the task
      * </pre>
      *
      * <code>map&lt;uint32, uint64&gt; crashed_runs = 6;</code>
@@ -1506,7 +1506,7 @@
     }
     /**
      * <pre>
-     * newest run that is counted in it, by place of the task
+     * latest run counted in `crashes`, by position of the task
      * </pre>
      *
      * <code>map&lt;uint32, uint64&gt; crashed_runs = 6;</code>
@@ -1517,7 +1517,7 @@
     }
     /**
      * <pre>
-     * newest run that is counted in it, by place of the task
+     * latest run counted in `crashes`, by position of the task
      * </pre>
      *
      * <code>map&lt;uint32, uint64&gt; crashed_runs = 6;</code>
@@ -1533,7 +1533,7 @@
     }
     /**
      * <pre>
-     * newest run that is counted in it, by place of the task
+     * latest run counted in `crashes`, by position of the task
      * </pre>
      *
      * <code>map&lt;uint32, uint64&gt; crashed_runs = 6;</code>
@@ -1557,7 +1557,7 @@
     }
     /**
      * <pre>
-     * newest run that is counted in it, by place of the task
+     * latest run counted in `crashes`, by position of the task
      * </pre>
      *
      * <code>map&lt;uint32, uint64&gt; crashed_runs = 6;</code>
@@ -1580,7 +1580,7 @@
     }
     /**
      * <pre>
-     * newest run that is counted in it, by place of the task
+     * latest run counted in `crashes`, by position of the task
      * </pre>
      *
      * <code>map&lt;uint32, uint64&gt; crashed_runs = 6;</code>
@@ -1597,7 +1597,7 @@
     }
     /**
      * <pre>
-     * newest run that is counted in it, by place of the task
+     * latest run counted in `crashes`, by position of the task
      * </pre>
      *
      * <code>map&lt;uint32, uint64&gt; crashed_runs = 6;</code>
@@ -1638,7 +1638,7 @@
     }
     /**
      * <pre>
-     * starts that were charged after the third crash, by place of the task
+     * starts counted after the third crash, by position of the task
      * </pre>
      *
      * <code>map&lt;uint32, uint32&gt; bounded_starts = 7;</code>
@@ -1659,7 +1659,7 @@
     }
     /**
      * <pre>
-     * starts that were charged after the third crash, by place of the task
+     * starts counted after the third crash, by position of the task
      * </pre>
      *
      * <code>map&lt;uint32, uint32&gt; bounded_starts = 7;</code>
@@ -1670,7 +1670,7 @@
     }
     /**
      * <pre>
-     * starts that were charged after the third crash, by place of the task
+     * starts counted after the third crash, by position of the task
      * </pre>
      *
      * <code>map&lt;uint32, uint32&gt; bounded_starts = 7;</code>
@@ -1686,7 +1686,7 @@
     }
     /**
      * <pre>
-     * starts that were charged after the third crash, by place of the task
+     * starts counted after the third crash, by position of the task
      * </pre>
      *
      * <code>map&lt;uint32, uint32&gt; bounded_starts = 7;</code>
@@ -1710,7 +1710,7 @@
     }
     /**
      * <pre>
-     * starts that were charged after the third crash, by place of the task
+     * starts counted after the third crash, by position of the task
      * </pre>
      *
      * <code>map&lt;uint32, uint32&gt; bounded_starts = 7;</code>
@@ -1733,7 +1733,7 @@
     }
     /**
      * <pre>
-     * starts that were charged after the third crash, by place of the task
+     * starts counted after the third crash, by position of the task
      * </pre>
      *
      * <code>map&lt;uint32, uint32&gt; bounded_starts = 7;</code>
@@ -1750,7 +1750,7 @@
     }
     /**
      * <pre>
-     * starts that were charged after the third crash, by place of the task
+     * starts counted after the third crash, by position of the task
      * </pre>
      *
      * <code>map&lt;uint32, uint32&gt; bounded_starts = 7;</code>
--- a/wire/src/main/java/org/chivetally/wire/v1/StoredProgressOrBuilder.java
+++ b/wire/src/main/java/org/chivetally/wire/v1/StoredProgressOrBuilder.java
@@ -23,7 +23,7 @@
 
   /**
    * <pre>
-   * one bit for each task, in the order of steps and indexes
+   * one bit per task, ordered by step and index
    * </pre>
    *
    * <code>bytes done = 2;</code>
@@ -33,7 +33,7 @@
 
   /**
    * <pre>
-   * failed runs by place of the task in that order
+   * number of failed runs, by position of the task in that order
    * </pre>
    *
    * <code>map&lt;uint32, uint32&gt; failures = 3;</code>
@@ -41,7 +41,7 @@
   int getFailuresCount();
   /**
    * <pre>
-   * failed runs by place of the task in that order
+   * number of failed runs, by position of the task in that order
    * </pre>
    *
    * <code>map&lt;uint32, uint32&gt; failures = 3;</code>
@@ -56,7 +56,7 @@
   getFailures();
   /**
    * <pre>
-   * failed runs by place of the task in that order
+   * number of failed runs, by position of the task in that order
    * </pre>
    *
    * <code>map&lt;uint32, uint32&gt; failures = 3;</code>
@@ -65,7 +65,7 @@
   getFailuresMap();
   /**
    * <pre>
-   * failed runs by place of the task in that order
+   * number of failed runs, by position of the task in that order
    * </pre>
    *
    * <code>map&lt;uint32, uint32&gt; failures = 3;</code>
@@ -75,7 +75,7 @@
       int defaultValue);
   /**
    * <pre>
-   * failed runs by place of the task in that order
+   * number of failed runs, by position of the task in that order
    * </pre>
    *
    * <code>map&lt;uint32, uint32&gt; failures = 3;</code>
@@ -91,7 +91,7 @@
 
   /**
    * <pre>
-   * minions that crashed under a task, by place of the task
+   * number of minion crashes during runs of a task, by position of the task
    * </pre>
    *
    * <code>map&lt;uint32, uint32&gt; crashes = 5;</code>
@@ -99,7 +99,7 @@
   int getCrashesCount();
   /**
    * <pre>
-   * minions that crashed under a task, by place of the task
+   * number of minion crashes during runs of a task, by position of the task
    * </pre>
    *
    * <code>map&lt;uint32, uint32&gt; crashes = 5;</code>
@@ -114,7 +114,7 @@
   getCrashes();
   /**
    * <pre>
-   * minions that crashed under a task, by place of the task
+   * number of minion crashes during runs of a task, by position of the task
    * </pre>
    *
    * <code>map&lt;uint32, uint32&gt; crashes = 5;</code>
@@ -123,7 +123,7 @@
   getCrashesMap();
   /**
    * <pre>
-   * minions that crashed under a task, by place of the task
+   * number of minion crashes during runs of a task, by position of the task
    * </pre>
    *
    * <code>map&lt;uint32, uint32&gt; crashes = 5;</code>
@@ -133,7 +133,7 @@
       int defaultValue);
   /**
    * <pre>
-   * minions that crashed under a task, by place of the task
+   * number of minion crashes during runs of a task, by position of the task
    * </pre>
    *
    * <code>map&lt;uint32, uint32&gt; crashes = 5;</code>
@@ -143,7 +143,7 @@
 
   /**
    * <pre>
-   * newest run that is counted in it, by place of the task
+   * latest run counted in `crashes`, by position of the task
    * </pre>
    *
    * <code>map&lt;uint32, uint64&gt; crashed_runs = 6;</code>
@@ -151,7 +151,7 @@
   int getCrashedRunsCount();
   /**
    * <pre>
-   * newest run that is counted in it, by place of the task
+   * latest run counted in `crashes`, by position of the task
    * </pre>
    *
    * <code>map&lt;uint32, uint64&gt; crashed_runs = 6;</code>
@@ -166,7 +166,7 @@
   getCrashedRuns();
   /**
    * <pre>
-   * newest run that is counted in it, by place of the task
+   * latest run counted in `crashes`, by position of the task
    * </pre>
    *
    * <code>map&lt;uint32, uint64&gt; crashed_runs = 6;</code>
@@ -175,7 +175,7 @@
   getCrashedRunsMap();
   /**
    * <pre>
-   * newest run that is counted in it, by place of the task
+   * latest run counted in `crashes`, by position of the task
    * </pre>
    *
    * <code>map&lt;uint32, uint64&gt; crashed_runs = 6;</code>
@@ -185,7 +185,7 @@
       long defaultValue);
   /**
    * <pre>
-   * newest run that is counted in it, by place of the task
+   * latest run counted in `crashes`, by position of the task
    * </pre>
    *
    * <code>map&lt;uint32, uint64&gt; crashed_runs = 6;</code>
@@ -195,7 +195,7 @@
 
   /**
    * <pre>
-   * starts that were charged after the third crash, by place of the task
+   * starts counted after the third crash, by position of the task
    * </pre>
    *
    * <code>map&lt;uint32, uint32&gt; bounded_starts = 7;</code>
@@ -203,7 +203,7 @@
   int getBoundedStartsCount();
   /**
    * <pre>
-   * starts that were charged after the third crash, by place of the task
+   * starts counted after the third crash, by position of the task
    * </pre>
    *
    * <code>map&lt;uint32, uint32&gt; bounded_starts = 7;</code>
@@ -218,7 +218,7 @@
   getBoundedStarts();
   /**
    * <pre>
-   * starts that were charged after the third crash, by place of the task
+   * starts counted after the third crash, by position of the task
    * </pre>
    *
    * <code>map&lt;uint32, uint32&gt; bounded_starts = 7;</code>
@@ -227,7 +227,7 @@
   getBoundedStartsMap();
   /**
    * <pre>
-   * starts that were charged after the third crash, by place of the task
+   * starts counted after the third crash, by position of the task
    * </pre>
    *
    * <code>map&lt;uint32, uint32&gt; bounded_starts = 7;</code>
@@ -237,7 +237,7 @@
       int defaultValue);
   /**
    * <pre>
-   * starts that were charged after the third crash, by place of the task
+   * starts counted after the third crash, by position of the task
    * </pre>
    *
    * <code>map&lt;uint32, uint32&gt; bounded_starts = 7;</code>
--- a/wire/src/main/java/org/chivetally/wire/v1/SuspicionAnswer.java
+++ b/wire/src/main/java/org/chivetally/wire/v1/SuspicionAnswer.java
@@ -7,8 +7,8 @@
 
 /**
  * <pre>
- * Answer to a SuspicionQuery. Sent to the process itself with alive = false, it says that the process was declared gone
- * and has to announce itself anew.
+ * Answer to a SuspicionQuery. Also sent to the process itself, with alive = false, if it was declared gone and has to
+ * announce itself again.
  * </pre>
  *
  * Protobuf type {@code org.chivetally.wire.v1.SuspicionAnswer}
@@ -328,8 +328,8 @@
   }
   /**
    * <pre>
-   * Answer to a SuspicionQuery. Sent to the process itself with alive = false, it says that the process was declared gone
-   * and has to announce itself anew.
+   * Answer to a SuspicionQuery. Also sent to the process itself, with alive = false, if it was declared gone and has to
+   * announce itself again.
    * </pre>
    *
    * Protobuf type {@code org.chivetally.wire.v1.SuspicionAnswer}
--- a/wire/src/main/java/org/chivetally/wire/v1/SuspicionQuery.java
+++ b/wire/src/main/java/org/chivetally/wire/v1/SuspicionQuery.java
@@ -7,7 +7,7 @@
 
 /**
  * <pre>
- * Entry to entry: can you reach this incarnation? The asked one probes it before it answers.
+ * Entry to entry: asks whether the receiver can reach this incarnation. The receiver probes it before it answers.
  * </pre>
  *
  * Protobuf type {@code org.chivetally.wire.v1.SuspicionQuery}
@@ -304,7 +304,7 @@
   }
   /**
    * <pre>
-   * Entry to entry: can you reach this incarnation? The asked one probes it before it answers.
+   * Entry to entry: asks whether the receiver can reach this incarnation. The receiver probes it before it answers.
    * </pre>
    *
    * Protobuf type {@code org.chivetally.wire.v1.SuspicionQuery}
--- a/wire/src/main/java/org/chivetally/wire/v1/TaskStatus.java
+++ b/wire/src/main/java/org/chivetally/wire/v1/TaskStatus.java
@@ -17,7 +17,7 @@
   TASK_STATUS_UNSPECIFIED(0),
   /**
    * <pre>
-   * the minion answered with success
+   * the minion reported success
    * </pre>
    *
    * <code>TASK_STATUS_DONE = 1;</code>
@@ -25,7 +25,7 @@
   TASK_STATUS_DONE(1),
   /**
    * <pre>
-   * ran, and the minion answered with an error
+   * the task ran, and the minion reported an error
    * </pre>
    *
    * <code>TASK_STATUS_FAILED = 2;</code>
@@ -33,7 +33,7 @@
   TASK_STATUS_FAILED(2),
   /**
    * <pre>
-   * never started and never will be
+   * not started, and will never be
    * </pre>
    *
    * <code>TASK_STATUS_NOT_RUN = 3;</code>
@@ -41,7 +41,7 @@
   TASK_STATUS_NOT_RUN(3),
   /**
    * <pre>
-   * started, and the outcome can't be known
+   * started; the outcome cannot be determined
    * </pre>
    *
    * <code>TASK_STATUS_UNKNOWN = 4;</code>
@@ -49,7 +49,7 @@
   TASK_STATUS_UNKNOWN(4),
   /**
    * <pre>
-   * in an InquiryAnswer only
+   * only in an InquiryAnswer
    * </pre>
    *
    * <code>TASK_STATUS_RUNNING = 5;</code>
@@ -73,7 +73,7 @@
   public static final int TASK_STATUS_UNSPECIFIED_VALUE = 0;
   /**
    * <pre>
-   * the minion answered with success
+   * the minion reported success
    * </pre>
    *
    * <code>TASK_STATUS_DONE = 1;</code>
@@ -81,7 +81,7 @@
   public static final int TASK_STATUS_DONE_VALUE = 1;
   /**
    * <pre>
-   * ran, and the minion answered with an error
+   * the task ran, and the minion reported an error
    * </pre>
    *
    * <code>TASK_STATUS_FAILED = 2;</code>
@@ -89,7 +89,7 @@
   public static final int TASK_STATUS_FAILED_VALUE = 2;
   /**
    * <pre>
-   * never started and never will be
+   * not started, and will never be
    * </pre>
    *
    * <code>TASK_STATUS_NOT_RUN = 3;</code>
@@ -97,7 +97,7 @@
   public static final int TASK_STATUS_NOT_RUN_VALUE = 3;
   /**
    * <pre>
-   * started, and the outcome can't be known
+   * started; the outcome cannot be determined
    * </pre>
    *
    * <code>TASK_STATUS_UNKNOWN = 4;</code>
@@ -105,7 +105,7 @@
   public static final int TASK_STATUS_UNKNOWN_VALUE = 4;
   /**
    * <pre>
-   * in an InquiryAnswer only
+   * only in an InquiryAnswer
    * </pre>
    *
    * <code>TASK_STATUS_RUNNING = 5;</code>
--- a/wire/src/main/java/org/chivetally/wire/v1/WorkerReport.java
+++ b/wire/src/main/java/org/chivetally/wire/v1/WorkerReport.java
@@ -7,7 +7,7 @@
 
 /**
  * <pre>
- * What an agent tells about its worker.
+ * State of an agent and its worker.
  * </pre>
  *
  * Protobuf type {@code org.chivetally.wire.v1.WorkerReport}
@@ -63,7 +63,7 @@
   private volatile java.lang.Object minion_ = "";
   /**
    * <pre>
-   * boot of the minion; empty while none is known
+   * boot id of the minion; empty while unknown
    * </pre>
    *
    * <code>string minion = 1;</code>
@@ -84,7 +84,7 @@
   }
   /**
    * <pre>
-   * boot of the minion; empty while none is known
+   * boot id of the minion; empty while unknown
    * </pre>
    *
    * <code>string minion = 1;</code>
@@ -174,7 +174,7 @@
   private org.chivetally.wire.v1.Room free_;
   /**
    * <pre>
-   * capacity less everything that runs, starts, stops or may still start
+   * capacity minus the runs that are active, starting or stopping, or may still start
    * </pre>
    *
    * <code>.org.chivetally.wire.v1.Room free = 4;</code>
@@ -186,7 +186,7 @@
   }
   /**
    * <pre>
-   * capacity less everything that runs, starts, stops or may still start
+   * capacity minus the runs that are active, starting or stopping, or may still start
    * </pre>
    *
    * <code>.org.chivetally.wire.v1.Room free = 4;</code>
@@ -198,7 +198,7 @@
   }
   /**
    * <pre>
-   * capacity less everything that runs, starts, stops or may still start
+   * capacity minus the runs that are active, starting or stopping, or may still start
    * </pre>
    *
    * <code>.org.chivetally.wire.v1.Room free = 4;</code>
@@ -212,7 +212,7 @@
   private boolean accepting_ = false;
   /**
    * <pre>
-   * false while the minion or the agent is leaving
+   * false while the minion or the agent is draining
    * </pre>
    *
    * <code>bool accepting = 5;</code>
@@ -303,7 +303,7 @@
   private long startsSeen_ = 0L;
   /**
    * <pre>
-   * number of the newest RunStart of the receiver that `free` reflects
+   * number of the latest RunStart from the receiver that `free` accounts for
    * </pre>
    *
    * <code>uint64 starts_seen = 8;</code>
@@ -318,7 +318,7 @@
   private int stretchPermille_ = 0;
   /**
    * <pre>
-   * duration of its runs over their estimates, geometric mean; 0 while unknown
+   * geometric mean of actual to estimated duration of its runs, times 1000; 0 if unknown
    * </pre>
    *
    * <code>uint32 stretch_permille = 9;</code>
@@ -348,7 +348,7 @@
   private int suspectedRuns_ = 0;
   /**
    * <pre>
-   * held runs whose task was on a minion that crashed
+   * runs it holds whose task was running on a minion when that crashed
    * </pre>
    *
    * <code>uint32 suspected_runs = 11;</code>
@@ -647,7 +647,7 @@
   }
   /**
    * <pre>
-   * What an agent tells about its worker.
+   * State of an agent and its worker.
    * </pre>
    *
    * Protobuf type {@code org.chivetally.wire.v1.WorkerReport}
@@ -948,7 +948,7 @@
     private java.lang.Object minion_ = "";
     /**
      * <pre>
-     * boot of the minion; empty while none is known
+     * boot id of the minion; empty while unknown
      * </pre>
      *
      * <code>string minion = 1;</code>
@@ -968,7 +968,7 @@
     }
     /**
      * <pre>
-     * boot of the minion; empty while none is known
+     * boot id of the minion; empty while unknown
      * </pre>
      *
      * <code>string minion = 1;</code>
@@ -989,7 +989,7 @@
     }
     /**
      * <pre>
-     * boot of the minion; empty while none is known
+     * boot id of the minion; empty while unknown
      * </pre>
      *
      * <code>string minion = 1;</code>
@@ -1006,7 +1006,7 @@
     }
     /**
      * <pre>
-     * boot of the minion; empty while none is known
+     * boot id of the minion; empty while unknown
      * </pre>
      *
      * <code>string minion = 1;</code>
@@ -1020,7 +1020,7 @@
     }
     /**
      * <pre>
-     * boot of the minion; empty while none is known
+     * boot id of the minion; empty while unknown
      * </pre>
      *
      * <code>string minion = 1;</code>
@@ -1233,7 +1233,7 @@
         org.chivetally.wire.v1.Room, org.chivetally.wire.v1.Room.Builder, org.chivetally.wire.v1.RoomOrBuilder> freeBuilder_;
     /**
      * <pre>
-     * capacity less everything that runs, starts, stops or may still start
+     * capacity minus the runs that are active, starting or stopping, or may still start
      * </pre>
      *
      * <code>.org.chivetally.wire.v1.Room free = 4;</code>
@@ -1244,7 +1244,7 @@
     }
     /**
      * <pre>
-     * capacity less everything that runs, starts, stops or may still start
+     * capacity minus the runs that are active, starting or stopping, or may still start
      * </pre>
      *
      * <code>.org.chivetally.wire.v1.Room free = 4;</code>
@@ -1259,7 +1259,7 @@
     }
     /**
      * <pre>
-     * capacity less everything that runs, starts, stops or may still start
+     * capacity minus the runs that are active, starting or stopping, or may still start
      * </pre>
      *
      * <code>.org.chivetally.wire.v1.Room free = 4;</code>
@@ -1277,7 +1277,7 @@
     }
     /**
      * <pre>
-     * capacity less everything that runs, starts, stops or may still start
+     * capacity minus the runs that are active, starting or stopping, or may still start
      * </pre>
      *
      * <code>.org.chivetally.wire.v1.Room free = 4;</code>
@@ -1295,7 +1295,7 @@
     }
     /**
      * <pre>
-     * capacity less everything that runs, starts, stops or may still start
+     * capacity minus the runs that are active, starting or stopping, or may still start
      * </pre>
      *
      * <code>.org.chivetally.wire.v1.Room free = 4;</code>
@@ -1320,7 +1320,7 @@
     }
     /**
      * <pre>
-     * capacity less everything that runs, starts, stops or may still start
+     * capacity minus the runs that are active, starting or stopping, or may still start
      * </pre>
      *
      * <code>.org.chivetally.wire.v1.Room free = 4;</code>
@@ -1337,7 +1337,7 @@
     }
     /**
      * <pre>
-     * capacity less everything that runs, starts, stops or may still start
+     * capacity minus the runs that are active, starting or stopping, or may still start
      * </pre>
      *
      * <code>.org.chivetally.wire.v1.Room free = 4;</code>
@@ -1349,7 +1349,7 @@
     }
     /**
      * <pre>
-     * capacity less everything that runs, starts, stops or may still start
+     * capacity minus the runs that are active, starting or stopping, or may still start
      * </pre>
      *
      * <code>.org.chivetally.wire.v1.Room free = 4;</code>
@@ -1364,7 +1364,7 @@
     }
     /**
      * <pre>
-     * capacity less everything that runs, starts, stops or may still start
+     * capacity minus the runs that are active, starting or stopping, or may still start
      * </pre>
      *
      * <code>.org.chivetally.wire.v1.Room free = 4;</code>
@@ -1386,7 +1386,7 @@
     private boolean accepting_ ;
     /**
      * <pre>
-     * false while the minion or the agent is leaving
+     * false while the minion or the agent is draining
      * </pre>
      *
      * <code>bool accepting = 5;</code>
@@ -1398,7 +1398,7 @@
     }
     /**
      * <pre>
-     * false while the minion or the agent is leaving
+     * false while the minion or the agent is draining
      * </pre>
      *
      * <code>bool accepting = 5;</code>
@@ -1414,7 +1414,7 @@
     }
     /**
      * <pre>
-     * false while the minion or the agent is leaving
+     * false while the minion or the agent is draining
      * </pre>
      *
      * <code>bool accepting = 5;</code>
@@ -1613,7 +1613,7 @@
     private long startsSeen_ ;
     /**
      * <pre>
-     * number of the newest RunStart of the receiver that `free` reflects
+     * number of the latest RunStart from the receiver that `free` accounts for
      * </pre>
      *
      * <code>uint64 starts_seen = 8;</code>
@@ -1625,7 +1625,7 @@
     }
     /**
      * <pre>
-     * number of the newest RunStart of the receiver that `free` reflects
+     * number of the latest RunStart from the receiver that `free` accounts for
      * </pre>
      *
      * <code>uint64 starts_seen = 8;</code>
@@ -1641,7 +1641,7 @@
     }
     /**
      * <pre>
-     * number of the newest RunStart of the receiver that `free` reflects
+     * number of the latest RunStart from the receiver that `free` accounts for
      * </pre>
      *
      * <code>uint64 starts_seen = 8;</code>
@@ -1657,7 +1657,7 @@
     private int stretchPermille_ ;
     /**
      * <pre>
-     * duration of its runs over their estimates, geometric mean; 0 while unknown
+     * geometric mean of actual to estimated duration of its runs, times 1000; 0 if unknown
      * </pre>
      *
      * <code>uint32 stretch_permille = 9;</code>
@@ -1669,7 +1669,7 @@
     }
     /**
      * <pre>
-     * duration of its runs over their estimates, geometric mean; 0 while unknown
+     * geometric mean of actual to estimated duration of its runs, times 1000; 0 if unknown
      * </pre>
      *
      * <code>uint32 stretch_permille = 9;</code>
@@ -1685,7 +1685,7 @@
     }
     /**
      * <pre>
-     * duration of its runs over their estimates, geometric mean; 0 while unknown
+     * geometric mean of actual to estimated duration of its runs, times 1000; 0 if unknown
      * </pre>
      *
      * <code>uint32 stretch_permille = 9;</code>
@@ -1745,7 +1745,7 @@
     private int suspectedRuns_ ;
     /**
      * <pre>
-     * held runs whose task was on a minion that crashed
+     * runs it holds whose task was running on a minion when that crashed
      * </pre>
      *
      * <code>uint32 suspected_runs = 11;</code>
@@ -1757,7 +1757,7 @@
     }
     /**
      * <pre>
-     * held runs whose task was on a minion that crashed
+     * runs it holds whose task was running on a minion when that crashed
      * </pre>
      *
      * <code>uint32 suspected_runs = 11;</code>
@@ -1773,7 +1773,7 @@
     }
     /**
      * <pre>
-     * held runs whose task was on a minion that crashed
+     * runs it holds whose task was running on a minion when that crashed
      * </pre>
      *
      * <code>uint32 suspected_runs = 11;</code>
--- a/wire/src/main/java/org/chivetally/wire/v1/WorkerReportOrBuilder.java
+++ b/wire/src/main/java/org/chivetally/wire/v1/WorkerReportOrBuilder.java
@@ -12,7 +12,7 @@
 
   /**
    * <pre>
-   * boot of the minion; empty while none is known
+   * boot id of the minion; empty while unknown
    * </pre>
    *
    * <code>string minion = 1;</code>
@@ -21,7 +21,7 @@
   java.lang.String getMinion();
   /**
    * <pre>
-   * boot of the minion; empty while none is known
+   * boot id of the minion; empty while unknown
    * </pre>
    *
    * <code>string minion = 1;</code>
@@ -59,7 +59,7 @@
 
   /**
    * <pre>
-   * capacity less everything that runs, starts, stops or may still start
+   * capacity minus the runs that are active, starting or stopping, or may still start
    * </pre>
    *
    * <code>.org.chivetally.wire.v1.Room free = 4;</code>
@@ -68,7 +68,7 @@
   boolean hasFree();
   /**
    * <pre>
-   * capacity less everything that runs, starts, stops or may still start
+   * capacity minus the runs that are active, starting or stopping, or may still start
    * </pre>
    *
    * <code>.org.chivetally.wire.v1.Room free = 4;</code>
@@ -77,7 +77,7 @@
   org.chivetally.wire.v1.Room getFree();
   /**
    * <pre>
-   * capacity less everything that runs, starts, stops or may still start
+   * capacity minus the runs that are active, starting or stopping, or may still start
    * </pre>
    *
    * <code>.org.chivetally.wire.v1.Room free = 4;</code>
@@ -86,7 +86,7 @@
 
   /**
    * <pre>
-   * false while the minion or the agent is leaving
+   * false while the minion or the agent is draining
    * </pre>
    *
    * <code>bool accepting = 5;</code>
@@ -133,7 +133,7 @@
 
   /**
    * <pre>
-   * number of the newest RunStart of the receiver that `free` reflects
+   * number of the latest RunStart from the receiver that `free` accounts for
    * </pre>
    *
    * <code>uint64 starts_seen = 8;</code>
@@ -143,7 +143,7 @@
 
   /**
    * <pre>
-   * duration of its runs over their estimates, geometric mean; 0 while unknown
+   * geometric mean of actual to estimated duration of its runs, times 1000; 0 if unknown
    * </pre>
    *
    * <code>uint32 stretch_permille = 9;</code>
@@ -163,7 +163,7 @@
 
   /**
    * <pre>
-   * held runs whose task was on a minion that crashed
+   * runs it holds whose task was running on a minion when that crashed
    * </pre>
    *
    * <code>uint32 suspected_runs = 11;</code>
