--- a/library/src/main/java/org/chivetally/queue/RefusalReason.java
+++ b/library/src/main/java/org/chivetally/queue/RefusalReason.java
@@ -7,13 +7,13 @@
     /** The queued work takes longer than the caller's timeout. */
     BACKLOG("backlog", true),
     /** All capacity goes to jobs that can still meet their objective. */
-    DEPRIORITIZED("overtaken", true),
+    OVERTAKEN("overtaken", true),
     /** No capacity became available before the latest useful start. */
     NOT_STARTED_IN_TIME("not started in time", true),
     /** The process is stopping and would end before the job. */
     STOPPING("stopping", false),
     /** The process was stalled, and the caller may have submitted the job to another entry in the meantime. */
-    STALLED("stood still", false),
+    STOOD_STILL("stood still", false),
     /** All failure domains with workers for the job are evacuated. */
     EVACUATED("evacuated", false),
     /** The log accepts no writes, so the job can't be stored. */
--- a/library/src/main/java/org/chivetally/queue/entry/InMemoryJobs.java
+++ b/library/src/main/java/org/chivetally/queue/entry/InMemoryJobs.java
@@ -105,7 +105,7 @@
 
     private Optional<JobAnswer.Refused> refusal(Job job) {
         if (scheduler.mayReadStaleRequests()) {
-            return Optional.of(new JobAnswer.Refused(RefusalReason.STALLED, RETRY_AFTER));
+            return Optional.of(new JobAnswer.Refused(RefusalReason.STOOD_STILL, RETRY_AFTER));
         }
         if (stopsAtNanos.isPresent() && endsAfter(job, stopsAtNanos.getAsLong())) {
             return Optional.of(new JobAnswer.Refused(RefusalReason.STOPPING, RETRY_AFTER));
@@ -164,7 +164,7 @@
     void refuseDeprioritized(Job job) {
         OpenJob candidate = openJobs.get(job.specification().id());
         if (candidate != null && candidate.job == job) {
-            refuse(candidate, RefusalReason.DEPRIORITIZED);
+            refuse(candidate, RefusalReason.OVERTAKEN);
         }
     }
 
