--- a/library/src/main/java/org/chivetally/agent/AgentActor.java
+++ b/library/src/main/java/org/chivetally/agent/AgentActor.java
@@ -26,14 +26,20 @@
 import org.chivetally.wire.v1.Hello;
 import org.chivetally.wire.v1.SuspicionAnswer;
 
-/** Shell around {@link AgentState}: connections, the minion, and time. */
+/**
+ * Actor that runs an {@link AgentState}: turns frames, answers of the minion and timers into its events, and executes
+ * the effects that it returns.
+ */
 final class AgentActor extends AbstractBehavior<AgentActor.Command> {
     private static final FluentLogger LOGGER = FluentLogger.forEnclosingClass();
     private static final Duration BUSY_TICK = Duration.ofMillis(20);
     private static final Duration IDLE_TICK = Duration.ofMillis(250);
-    private static final Duration LONELY = Duration.ofSeconds(2);
-    private static final Duration LONELY_LIMIT = Duration.ofSeconds(30);
-    private static final int LONGEST_STASH = 1_000;
+    /** Time without any connected entry after which the process is announced again; doubled each time. */
+    private static final Duration FIRST_REANNOUNCE_DELAY = Duration.ofSeconds(2);
+    /** The delay is not doubled any further once it has reached this value. */
+    private static final Duration REANNOUNCE_DELAY_LIMIT = Duration.ofSeconds(30);
+
+    private static final int STASH_CAPACITY = 1_000;
 
     private final AgentSettings settings;
     private final NanoClock clock;
@@ -41,44 +47,47 @@
     private final MinionClient minion;
     private final CompletableFuture<Void> stopped;
     private final String incarnation;
-    private final AgentSurroundings surroundings;
+    private final AgentCallbacks callbacks;
     private final TimerScheduler<Command> timers;
     private final AgentState state;
     private final Map<FrameConnection, Peer> peers = new IdentityHashMap<>();
     private final Map<PeerId, FrameConnection> connections = new HashMap<>();
-    private final Map<String, MinionExchange> runs = new HashMap<>();
-    private MinionExchange stateReading;
-    private long peersSeen;
-    private long aloneSince;
-    private Duration lonelyWait = LONELY;
+    private final Map<String, MinionExchange> exchanges = new HashMap<>();
+    private MinionExchange stateExchange;
+    private long lastPeerNumber;
+    private long disconnectedSinceNanos;
+    private Duration reannounceDelay = FIRST_REANNOUNCE_DELAY;
     private boolean tickIsBusy;
-    private boolean stopReady;
+    private boolean readyToStop;
 
     private AgentActor(
-            ActorContext<Command> context, TimerScheduler<Command> timers, Parts parts, InetSocketAddress bound) {
+            ActorContext<Command> context,
+            TimerScheduler<Command> timers,
+            Dependencies dependencies,
+            InetSocketAddress bound) {
         super(context);
-        this.settings = parts.settings();
-        this.clock = parts.clock();
-        this.meters = parts.meters();
-        this.minion = parts.minion();
-        this.stopped = parts.stopped();
-        this.incarnation = parts.incarnation();
-        this.surroundings = parts.surroundings();
-        this.aloneSince = clock.nanos();
+        this.settings = dependencies.settings();
+        this.clock = dependencies.clock();
+        this.meters = dependencies.meters();
+        this.minion = dependencies.minion();
+        this.stopped = dependencies.stopped();
+        this.incarnation = dependencies.incarnation();
+        this.callbacks = dependencies.callbacks();
+        this.disconnectedSinceNanos = clock.nanos();
         this.timers = timers;
-        Hello hello = settings.hello(parts.incarnation(), bound.getPort());
+        Hello hello = settings.hello(dependencies.incarnation(), bound.getPort());
         this.state = new AgentState(settings, hello, new SecureRandom().nextLong(), clock.nanos());
         timers.startSingleTimer(new Tick(), IDLE_TICK);
         timers.startTimerWithFixedDelay(
                 new ReadState(), Duration.ZERO, settings.limits().statePoll());
     }
 
-    /** Returns the behavior of an agent; it begins its work once it knows its bound address. */
-    static Behavior<Command> create(Parts parts) {
+    /** Returns the behavior of an agent; it stashes all messages until it receives its bound address. */
+    static Behavior<Command> create(Dependencies dependencies) {
         return Behaviors.withStash(
-                LONGEST_STASH,
+                STASH_CAPACITY,
                 stash -> Behaviors.receive(Command.class)
-                        .onMessage(Bound.class, bound -> stash.unstashAll(running(parts, bound.address())))
+                        .onMessage(Bound.class, bound -> stash.unstashAll(running(dependencies, bound.address())))
                         .onAnyMessage(command -> {
                             stash.stash(command);
                             return Behaviors.same();
@@ -86,9 +95,9 @@
                         .build());
     }
 
-    private static Behavior<Command> running(Parts parts, InetSocketAddress bound) {
+    private static Behavior<Command> running(Dependencies dependencies, InetSocketAddress bound) {
         return Behaviors.setup(
-                context -> Behaviors.withTimers(timers -> new AgentActor(context, timers, parts, bound)));
+                context -> Behaviors.withTimers(timers -> new AgentActor(context, timers, dependencies, bound)));
     }
 
     @Override
@@ -109,10 +118,10 @@
             case Tick tick -> tick();
             case ReadState read -> readState();
             case StateRead read -> stateRead(read);
-            case Bound bound -> throw new IllegalStateException("bound twice");
+            case Bound bound -> throw new IllegalStateException("the agent received a second bound address");
         }
-        meters.load(state.runningTasks(), state.waitingTasks());
-        if (stopReady && peers.isEmpty()) {
+        meters.updateLoad(state.runningTasks(), state.waitingTasks());
+        if (readyToStop && peers.isEmpty()) {
             stopped.complete(null);
             return Behaviors.stopped();
         }
@@ -120,11 +129,12 @@
     }
 
     private Behavior<Command> cleanUp() {
-        stopped.completeExceptionally(new ChivetallyException(ErrorCode.INTERNAL, "the agent's actor ended early"));
+        stopped.completeExceptionally(
+                new ChivetallyException(ErrorCode.INTERNAL, "the agent's actor stopped before the drain was complete"));
         for (FrameConnection connection : peers.keySet()) {
             connection.close();
         }
-        for (MinionExchange run : runs.values()) {
+        for (MinionExchange run : exchanges.values()) {
             run.cancel();
         }
         minion.close();
@@ -132,12 +142,12 @@
     }
 
     private void connect(FrameConnection connection) {
-        if (stopReady) {
+        if (readyToStop) {
             connection.close();
             return;
         }
-        peersSeen++;
-        Peer peer = new Peer(new PeerId(peersSeen), clock.nanos());
+        lastPeerNumber++;
+        Peer peer = new Peer(new PeerId(lastPeerNumber), clock.nanos());
         peers.put(connection, peer);
         connections.put(peer.id, connection);
         apply(new AgentEvent.PeerConnected(peer.id));
@@ -157,9 +167,11 @@
         if (peer == null) {
             return;
         }
-        peer.lastHeardNanos = clock.nanos();
+        peer.lastFrameNanos = clock.nanos();
         if (!peer.identified && !frame.hasHello()) {
-            // Results find their way back by the process that Hello names; without it they would be lost.
+            // Results are routed by the process that Hello identifies; without a Hello they could not be delivered
+            // after
+            // a reconnect.
             LOGGER.atWarning().log(
                     "%s",
                     EventLine.of("agent-peer-without-hello")
@@ -186,7 +198,7 @@
             case INQUIRY -> apply(new AgentEvent.InquiryRequested(peer.id, requestId, frame.getInquiry()));
             case HELLO -> identify(peer, frame.getHello());
             case CONFIGURATION_PUSH -> configure(frame.getConfigurationPush());
-            case SUSPICION_ANSWER -> toldGone(frame.getSuspicionAnswer());
+            case SUSPICION_ANSWER -> handleSuspicionAnswer(frame.getSuspicionAnswer());
             case LEAVING ->
                 LOGGER.atFine().log("%s", EventLine.of("agent-peer-leaving").with("peer", connection.peer()));
             default ->
@@ -199,18 +211,18 @@
     }
 
     private void configure(ConfigurationPush push) {
-        AgentConfiguration configuration =
-                surroundings.offer(push.getVersion(), push.getSnapshot().toByteArray());
+        AgentConfiguration configuration = callbacks.offerConfiguration(
+                push.getVersion(), push.getSnapshot().toByteArray());
         apply(new AgentEvent.Configured(configuration));
     }
 
-    // A process that was paused or cut off resumes unaware that the entries have dropped it, and would wait for work
-    // that nobody sends. The first entry that reaches it says so.
-    private void toldGone(SuspicionAnswer declared) {
-        boolean self = declared.getProcessId().equals(settings.processId())
-                && declared.getIncarnation().equals(incarnation);
-        if (self && !declared.getAlive()) {
-            surroundings.announceAnew("declared gone");
+    // A process that was paused or disconnected may have been declared gone meanwhile, and would then receive no tasks.
+    // The first entry that reaches it sends this answer, and the process announces itself again.
+    private void handleSuspicionAnswer(SuspicionAnswer answer) {
+        boolean self = answer.getProcessId().equals(settings.processId())
+                && answer.getIncarnation().equals(incarnation);
+        if (self && !answer.getAlive()) {
+            callbacks.reannounce("declared gone");
         }
     }
 
@@ -220,7 +232,7 @@
     }
 
     private void runEnded(RunEnded ended) {
-        if (runs.remove(ended.attemptId()) == null) {
+        if (exchanges.remove(ended.attemptId()) == null) {
             return;
         }
         apply(new AgentEvent.MinionAnswered(ended.attemptId(), ended.answer()));
@@ -228,7 +240,7 @@
 
     private void tick() {
         closeSilentPeers();
-        noticeLoneliness();
+        reannounceWhenDisconnected();
         apply(new AgentEvent.Ticked());
         tickIsBusy = isBusy();
         timers.startSingleTimer(new Tick(), tickIsBusy ? BUSY_TICK : IDLE_TICK);
@@ -239,52 +251,54 @@
     }
 
     private void closeSilentPeers() {
-        // A process that died without a word leaves its connection open for hours; entries send something every two
-        // minutes, so a longer silence means that nobody is there.
-        long longest = settings.limits().peerSilence().toNanos();
+        // The connection of a process that ended without closing it can stay open for hours. Entries send a frame at
+        // least every two minutes, so a much longer silence means that the process is gone.
+        long maximumSilenceNanos = settings.limits().peerSilence().toNanos();
         long now = clock.nanos();
         for (Map.Entry<FrameConnection, Peer> entry : List.copyOf(peers.entrySet())) {
-            if (now - entry.getValue().lastHeardNanos > longest) {
+            if (now - entry.getValue().lastFrameNanos > maximumSilenceNanos) {
                 entry.getKey().close();
                 disconnect(entry.getKey());
             }
         }
     }
 
-    // Entries that all started anew, or dropped this agent, learn of it from its announcements only; the next regular
-    // one may be minutes away.
-    private void noticeLoneliness() {
+    // Entries that have restarted or have removed this agent discover it only by its announcements, and the next
+    // regular one may be minutes away.
+    private void reannounceWhenDisconnected() {
         long now = clock.nanos();
         if (!peers.isEmpty()) {
-            aloneSince = now;
-            lonelyWait = LONELY;
+            disconnectedSinceNanos = now;
+            reannounceDelay = FIRST_REANNOUNCE_DELAY;
             return;
         }
-        if (now - aloneSince >= lonelyWait.toNanos()) {
-            aloneSince = now;
-            lonelyWait = lonelyWait.compareTo(LONELY_LIMIT) < 0 ? lonelyWait.multipliedBy(2) : lonelyWait;
-            surroundings.announceAnew("no entry is connected");
+        if (now - disconnectedSinceNanos >= reannounceDelay.toNanos()) {
+            disconnectedSinceNanos = now;
+            reannounceDelay = reannounceDelay.compareTo(REANNOUNCE_DELAY_LIMIT) < 0
+                    ? reannounceDelay.multipliedBy(2)
+                    : reannounceDelay;
+            callbacks.reannounce("no entry is connected");
         }
     }
 
     private void readState() {
-        if (stateReading != null) {
-            stateReading.cancel();
+        if (stateExchange != null) {
+            stateExchange.cancel();
             return;
         }
-        long asked = clock.nanos();
-        stateReading = minion.get(statePath());
-        stateReading.answer().thenAccept(answer -> getContext().getSelf().tell(new StateRead(answer, asked)));
+        long requested = clock.nanos();
+        stateExchange = minion.get(statePath());
+        stateExchange.answer().thenAccept(answer -> getContext().getSelf().tell(new StateRead(answer, requested)));
     }
 
     private void stateRead(StateRead read) {
-        stateReading = null;
-        apply(new AgentEvent.MinionReported(stateOf(read.answer()), read.askedNanos()));
+        stateExchange = null;
+        apply(new AgentEvent.MinionReported(stateOf(read.answer()), read.requestedNanos()));
     }
 
     private String statePath() {
         return switch (settings.stateSource()) {
-            case MinionStateSource.Native own -> "/state";
+            case MinionStateSource.Native nativeSource -> "/state";
             case MinionStateSource.Adapted adapted -> adapted.path();
         };
     }
@@ -294,14 +308,14 @@
             return new MinionState.Unreachable(answer.toString());
         }
         return switch (settings.stateSource()) {
-            case MinionStateSource.Native own -> new NativeStateReader().read(success.body());
+            case MinionStateSource.Native nativeSource -> new NativeStateReader().read(success.body());
             case MinionStateSource.Adapted adapted -> adapted.reader().read(success.body());
         };
     }
 
     private void apply(AgentEvent event) {
         for (AgentEffect effect : state.apply(event, clock.nanos())) {
-            carryOut(effect);
+            execute(effect);
         }
         if (!tickIsBusy && isBusy()) {
             tickIsBusy = true;
@@ -309,20 +323,20 @@
         }
     }
 
-    private void carryOut(AgentEffect effect) {
+    private void execute(AgentEffect effect) {
         switch (effect) {
             case AgentEffect.RunOnMinion run -> run(run);
             case AgentEffect.SendTo send -> send(send);
             case AgentEffect.WriteLine line -> LOGGER.atInfo().log("%s", line.line());
             case AgentEffect.AbandonRun abandon -> abandon(abandon.attemptId());
             case AgentEffect.CountWaste waste -> meters.wasted(waste.kind());
-            case AgentEffect.StopReady ready -> closeConnections();
+            case AgentEffect.ReadyToStop ready -> closeConnections();
         }
     }
 
-    /** Closes all connections; the agent stops once each has flushed what was sent. */
+    /** Closes all connections; the agent stops once each has flushed its sent frames and is closed. */
     private void closeConnections() {
-        stopReady = true;
+        readyToStop = true;
         for (FrameConnection connection : peers.keySet()) {
             connection.close();
         }
@@ -331,7 +345,7 @@
     private void run(AgentEffect.RunOnMinion run) {
         meters.started();
         MinionExchange exchange = minion.run(run);
-        runs.put(run.attemptId(), exchange);
+        exchanges.put(run.attemptId(), exchange);
         exchange.answer().thenAccept(answer -> getContext().getSelf().tell(new RunEnded(run.attemptId(), answer)));
     }
 
@@ -345,23 +359,23 @@
     }
 
     private void abandon(String attemptId) {
-        MinionExchange exchange = runs.remove(attemptId);
+        MinionExchange exchange = exchanges.remove(attemptId);
         if (exchange != null) {
             exchange.cancel();
         }
     }
 
-    /** What the shell is made of. */
-    record Parts(
+    /** Collaborators of the actor. */
+    record Dependencies(
             AgentSettings settings,
             String incarnation,
             MinionClient minion,
             AgentMeters meters,
             NanoClock clock,
-            AgentSurroundings surroundings,
+            AgentCallbacks callbacks,
             CompletableFuture<Void> stopped) {}
 
-    /** Messages of the shell. */
+    /** Messages that the actor accepts. */
     sealed interface Command {}
 
     record Bound(InetSocketAddress address) implements Command {}
@@ -376,21 +390,21 @@
 
     record ReadState() implements Command {}
 
-    record StateRead(MinionAnswer answer, long askedNanos) implements Command {}
+    record StateRead(MinionAnswer answer, long requestedNanos) implements Command {}
 
     record Drain(String reason) implements Command {}
 
     record Tick() implements Command {}
 
-    /** One connection as the shell sees it. */
+    /** An open connection of an entry. */
     private static final class Peer {
         private final PeerId id;
-        private long lastHeardNanos;
+        private long lastFrameNanos;
         private boolean identified;
 
-        Peer(PeerId id, long lastHeardNanos) {
+        Peer(PeerId id, long lastFrameNanos) {
             this.id = id;
-            this.lastHeardNanos = lastHeardNanos;
+            this.lastFrameNanos = lastFrameNanos;
         }
     }
 }
--- a/library/src/main/java/org/chivetally/agent/MemberAnnouncer.java
+++ b/library/src/main/java/org/chivetally/agent/MemberAnnouncer.java
@@ -18,40 +18,44 @@
 import org.chivetally.log.PlatformLog;
 
 /**
- * Announces a process on the log's stream of members: on start, then regularly, and its leave at the end.
+ * Announces a process on the log's stream of members: at its start, then periodically, and when it leaves.
  *
- * <p>The log keeps records for a limited time only, so a process that stays is announced again and again. At most one
- * append is in flight. A failed one is repeated under the same record id, so that a lost answer leaves no second
- * record.
+ * <p>The announcement is repeated because the log retains records for a limited time only. At most one append is in
+ * flight. A failed append is retried with the same record id, so that readers can drop the duplicate when only the
+ * answer was lost.
  */
 public final class MemberAnnouncer {
     /**
-     * Time between announcements when nothing fails; under half of what the log keeps. All entries read each, so a
-     * shorter one would be most of their control cost at 650 agents.
+     * Time between announcements; under half the retention of the log. Every entry reads each announcement, so with a
+     * shorter interval they would be most of the control traffic at 650 agents.
      */
     public static final Duration DEFAULT_INTERVAL = Duration.ofMinutes(10);
 
     private final ActorRef<Command> actor;
 
-    /** Starts announcing a process. */
+    /**
+     * Starts announcing a process.
+     *
+     * @param interval time between announcements, such as {@link #DEFAULT_INTERVAL}
+     */
     public MemberAnnouncer(ActorSystem<?> system, PlatformLog log, Member member, Duration interval) {
         actor = system.systemActorOf(
                 Behaviors.setup(context ->
-                        Behaviors.withTimers(timers -> new Announcing(context, timers, log, member, interval))),
+                        Behaviors.withTimers(timers -> new AnnouncerBehavior(context, timers, log, member, interval))),
                 "announcer-" + member.incarnation(),
                 Props.empty());
     }
 
-    /** Announces the process now, or once more when the announcement under way is written. */
+    /** Announces the process now, or again after the announcement in flight has been written. */
     public void announceNow() {
         actor.tell(new AnnounceNow());
     }
 
-    /** Stops announcing and appends the leave; completes when that is written, or after five seconds. */
+    /** Stops announcing and appends the leave; completes when it is written, or after five seconds at the latest. */
     public CompletionStage<Void> leave() {
-        CompletableFuture<Void> left = new CompletableFuture<>();
-        actor.tell(new Leave(left));
-        return left;
+        CompletableFuture<Void> completion = new CompletableFuture<>();
+        actor.tell(new Leave(completion));
+        return completion;
     }
 
     private sealed interface Command {}
@@ -62,16 +66,19 @@
 
     private record AnnounceNow() implements Command {}
 
-    private record Leave(CompletableFuture<Void> left) implements Command {}
+    private record Leave(CompletableFuture<Void> completion) implements Command {}
 
-    private record GiveUp() implements Command {}
+    private record LeaveTimedOut() implements Command {}
 
-    private static final class Announcing extends AbstractBehavior<Command> {
+    private static final class AnnouncerBehavior extends AbstractBehavior<Command> {
         private static final Duration FIRST_BACKOFF = Duration.ofMillis(500);
-        /** In an outage each failed try introduces the process to all seeds, so the tries get rare. */
-        private static final int BACKOFFS_IN_INTERVAL = 4;
+        /**
+         * The backoff grows up to the interval divided by this. During an outage of the log each failed attempt makes
+         * the process introduce itself to all seeds, so the attempts must become rare.
+         */
+        private static final int BACKOFFS_PER_INTERVAL = 4;
 
-        private static final Duration LEAVE_LIMIT = Duration.ofSeconds(5);
+        private static final Duration LEAVE_TIMEOUT = Duration.ofSeconds(5);
 
         private final TimerScheduler<Command> timers;
         private final PlatformLog log;
@@ -79,13 +86,13 @@
         private final Duration interval;
         private NewRecord record;
         private Duration backoff = FIRST_BACKOFF;
-        private long records;
+        private long lastRecordNumber;
         private boolean inFlight;
-        private boolean again;
+        private boolean announceAgain;
         private boolean leaveSent;
-        private CompletableFuture<Void> left;
+        private CompletableFuture<Void> leaveCompletion;
 
-        Announcing(
+        AnnouncerBehavior(
                 ActorContext<Command> context,
                 TimerScheduler<Command> timers,
                 PlatformLog log,
@@ -110,8 +117,8 @@
                 case Append due -> append();
                 case AnnounceNow now -> announceNow();
                 case Appended appended -> appended(appended.outcome());
-                case Leave leave -> leave(leave.left());
-                case GiveUp giveUp -> stop();
+                case Leave leave -> leave(leave.completion());
+                case LeaveTimedOut giveUp -> stop();
             };
         }
 
@@ -123,21 +130,22 @@
             return this;
         }
 
-        // The announcement under way may come to stand before the record that makes another one necessary.
+        // The append in flight may be ordered before the record that made this announcement necessary, so it doesn't
+        // replace it.
         private Behavior<Command> announceNow() {
-            again = inFlight;
-            return inFlight || left != null ? this : append();
+            announceAgain = inFlight;
+            return inFlight || leaveCompletion != null ? this : append();
         }
 
-        private Behavior<Command> leave(CompletableFuture<Void> whenLeft) {
-            if (left != null) {
-                left.thenAccept(whenLeft::complete);
+        private Behavior<Command> leave(CompletableFuture<Void> completion) {
+            if (leaveCompletion != null) {
+                leaveCompletion.thenAccept(completion::complete);
                 return this;
             }
-            left = whenLeft;
+            leaveCompletion = completion;
             timers.cancelAll();
-            timers.startSingleTimer(new GiveUp(), LEAVE_LIMIT);
-            // An announce in flight is waited for, so that the leave stands after it.
+            timers.startSingleTimer(new LeaveTimedOut(), LEAVE_TIMEOUT);
+            // The leave must follow an announcement in flight in the log, so it is appended after that has ended.
             return inFlight ? this : appendLeave();
         }
 
@@ -150,23 +158,23 @@
         private Behavior<Command> appended(AppendOutcome outcome) {
             inFlight = false;
             boolean written = outcome instanceof AppendOutcome.Appended;
-            if (left != null) {
-                return leaving(written);
+            if (leaveCompletion != null) {
+                return continueLeave(written);
             }
             if (!written) {
                 return appendAfterBackoff();
             }
             backoff = FIRST_BACKOFF;
             record = nextRecord(new MemberRecord.Announced(member));
-            if (again) {
-                again = false;
+            if (announceAgain) {
+                announceAgain = false;
                 return append();
             }
             timers.startSingleTimer(new Append(), interval);
             return this;
         }
 
-        private Behavior<Command> leaving(boolean written) {
+        private Behavior<Command> continueLeave(boolean written) {
             if (!leaveSent) {
                 return appendLeave();
             }
@@ -174,21 +182,21 @@
         }
 
         private Behavior<Command> stop() {
-            left.complete(null);
+            leaveCompletion.complete(null);
             return Behaviors.stopped();
         }
 
         private Behavior<Command> appendAfterBackoff() {
             timers.startSingleTimer(new Append(), backoff);
             Duration doubled = backoff.multipliedBy(2);
-            Duration longest = interval.dividedBy(BACKOFFS_IN_INTERVAL);
-            backoff = doubled.compareTo(longest) < 0 ? doubled : longest;
+            Duration maximumBackoff = interval.dividedBy(BACKOFFS_PER_INTERVAL);
+            backoff = doubled.compareTo(maximumBackoff) < 0 ? doubled : maximumBackoff;
             return this;
         }
 
         private NewRecord nextRecord(MemberRecord content) {
-            records++;
-            String id = member.processId() + "/" + member.incarnation() + "/" + records;
+            lastRecordNumber++;
+            String id = member.processId() + "/" + member.incarnation() + "/" + lastRecordNumber;
             return new NewRecord(id, content.toJson());
         }
     }
--- a/library/src/main/java/org/chivetally/agent/MinionConnection.java
+++ b/library/src/main/java/org/chivetally/agent/MinionConnection.java
@@ -17,12 +17,12 @@
 import org.apache.pekko.stream.javadsl.Sink;
 import org.apache.pekko.stream.javadsl.Source;
 
-/** One HTTP connection to the minion, for one request at a time. */
+/** An HTTP connection to the minion that carries one request at a time. */
 final class MinionConnection {
     private final SharedKillSwitch killSwitch = KillSwitches.shared("minion-connection");
     private final BoundedSourceQueue<HttpRequest> requests;
     private final CompletionStage<OutgoingConnection> connected;
-    private volatile CompletableFuture<HttpResponse> awaited = new CompletableFuture<>();
+    private volatile CompletableFuture<HttpResponse> pendingResponse = new CompletableFuture<>();
     private volatile boolean ended;
     private long idleSinceNanos;
 
@@ -40,7 +40,7 @@
         stream.second().whenComplete((done, failure) -> end(failure));
     }
 
-    /** Completes when the connection is open; nothing is sent before. */
+    /** Completes when the connection is open, and exceptionally when nothing can have been sent. */
     CompletionStage<OutgoingConnection> connected() {
         return connected;
     }
@@ -48,16 +48,16 @@
     /**
      * Sends a request.
      *
-     * @return the answer, or null when the connection has ended and nothing was sent
+     * @return the response, or null when the connection has ended and nothing was sent
      */
     CompletionStage<HttpResponse> send(HttpRequest request) {
         CompletableFuture<HttpResponse> answer = new CompletableFuture<>();
-        awaited = answer;
+        pendingResponse = answer;
         if (ended) {
             return null;
         }
         if (requests.offer(request) != QueueOfferResult.enqueued()) {
-            abort("connection takes no request");
+            abort("the connection accepts no request");
             return null;
         }
         return answer;
@@ -75,20 +75,20 @@
         idleSinceNanos = nanos;
     }
 
-    /** Closes the connection at once, also below a request in flight. */
+    /** Closes the connection immediately, even with a request in flight. */
     void abort(String reason) {
         killSwitch.abort(new IllegalStateException(reason));
     }
 
     private void answered(HttpResponse response) {
-        awaited.complete(response);
+        pendingResponse.complete(response);
     }
 
     private void end(Throwable failure) {
-        // Set before the look at the awaited answer; a sender does it the other way round, so one of them sees the
-        // other.
+        // This sets the flag and then reads the pending response; send() sets the pending response and then reads the
+        // flag. So at least one of two concurrent calls sees the write of the other, and no response stays pending.
         ended = true;
-        awaited.completeExceptionally(lost(failure));
+        pendingResponse.completeExceptionally(lost(failure));
     }
 
     private static IllegalStateException lost(Throwable cause) {
--- a/library/src/main/java/org/chivetally/claim/ClaimMeters.java
+++ b/library/src/main/java/org/chivetally/claim/ClaimMeters.java
@@ -9,9 +9,9 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import org.chivetally.time.NanoClock;
 
-/** Meters of one process's claims. */
+/** Metrics of the claims of one process. */
 final class ClaimMeters {
-    private static final double NANOS_IN_A_SECOND = TimeUnit.SECONDS.toNanos(1);
+    private static final double NANOS_PER_SECOND = TimeUnit.SECONDS.toNanos(1);
 
     private final Counter appends;
     private final DistributionSummary recordsPerAppend;
@@ -19,7 +19,11 @@
     private final Counter skipped;
     private final AtomicInteger tableSize = new AtomicInteger();
 
-    /** Registers the meters. */
+    /**
+     * Registers the meters.
+     *
+     * @param lease this process's lease, whose remaining time is published as a gauge
+     */
     ClaimMeters(MeterRegistry meters, OwnLease lease, NanoClock clock) {
         this.appends = Counter.builder("chivetally.claims.appends")
                 .description("appends to the claims stream")
@@ -45,28 +49,28 @@
                 .register(meters);
     }
 
-    /** Counts an append. */
-    void appending(int records) {
+    /** Counts an append and the number of its records. */
+    void recordAppend(int records) {
         appends.increment();
         recordsPerAppend.record(records);
     }
 
-    /** Counts a decision. */
-    void decided(long waitedNanos) {
+    /** Records the time from a claim to its decision, in nanoseconds. */
+    void recordDecision(long waitedNanos) {
         latency.record(waitedNanos, TimeUnit.NANOSECONDS);
     }
 
-    /** Counts a record that could not be read. */
-    void skipped() {
+    /** Counts a record that could not be decoded. */
+    void recordSkipped() {
         skipped.increment();
     }
 
-    /** Notes how many claims are in force. */
-    void tableSize(int claims) {
+    /** Sets the number of claims in force. */
+    void setTableSize(int claims) {
         tableSize.set(claims);
     }
 
     private static double secondsLeft(OwnLease lease, NanoClock clock) {
-        return lease.remainingNanos(clock.nanos()) / NANOS_IN_A_SECOND;
+        return lease.remainingNanos(clock.nanos()) / NANOS_PER_SECOND;
     }
 }
--- a/library/src/main/java/org/chivetally/claim/ClaimRecordCodec.java
+++ b/library/src/main/java/org/chivetally/claim/ClaimRecordCodec.java
@@ -13,51 +13,56 @@
 import tools.jackson.core.ObjectWriteContext;
 import tools.jackson.core.json.JsonFactory;
 
-/** Writes records of the claims stream as flat JSON objects, and reads them. */
+/** Encodes and decodes records of the claims stream as flat JSON objects. */
 final class ClaimRecordCodec {
-    /** Format version of all records but those of {@link #NAMING_FORMAT}. */
+    /** Format version of all records except those of {@link #TAKEOVER_FORMAT}. */
     static final int FORMAT = 1;
 
-    /** Format version of takeovers that name the last renewal read; they had the first version before. */
-    static final int NAMING_FORMAT = 2;
+    /** Format version of takeovers that carry the last renewal read; older takeovers have version 1. */
+    static final int TAKEOVER_FORMAT = 2;
 
     private static final JsonFactory JSON = new JsonFactory();
-    private static final int USUAL_SIZE = 400;
+    private static final int INITIAL_BUFFER_BYTES = 400;
     private static final String TAKEOVER = "takeover";
 
     private ClaimRecordCodec() {}
 
     /**
-     * Returns the bytes of a record.
+     * Encodes a record.
      *
+     * @param timestamped the record and its stream time
      * @param written wall-clock time of writing, for operators only
      */
-    static byte[] encode(ClaimEntry entry, Instant written) {
-        ByteArrayOutputStream bytes = new ByteArrayOutputStream(USUAL_SIZE);
+    static byte[] encode(TimestampedRecord timestamped, Instant written) {
+        ByteArrayOutputStream bytes = new ByteArrayOutputStream(INITIAL_BUFFER_BYTES);
         try (JsonGenerator json = JSON.createGenerator(ObjectWriteContext.empty(), bytes)) {
             json.writeStartObject();
-            json.writeNumberProperty("format", formatOf(entry.content()));
-            json.writeStringProperty("type", typeOf(entry.content()));
-            json.writeNumberProperty("time", entry.streamMillis());
+            json.writeNumberProperty("format", formatOf(timestamped.content()));
+            json.writeStringProperty("type", typeOf(timestamped.content()));
+            json.writeNumberProperty("time", timestamped.streamMillis());
             json.writeStringProperty("written", written.toString());
-            writeContent(json, entry.content());
+            writeContent(json, timestamped.content());
             json.writeEndObject();
         }
         return bytes.toByteArray();
     }
 
-    /** Reads a record; whatever can't be understood is a value, so that one bad record stops no reader. */
-    static DecodedEntry decode(byte[] payload) {
+    /**
+     * Decodes a record. A record that can't be decoded is returned as {@link DecodedRecord.Skipped} instead of an
+     * exception, so that one malformed record doesn't stop all readers.
+     */
+    static DecodedRecord decode(byte[] payload) {
         try {
             return decodeFields(readFields(payload));
         } catch (JacksonException | IllegalArgumentException | NullPointerException exception) {
-            return new DecodedEntry.Skipped("malformed: " + exception.getClass().getSimpleName());
+            return new DecodedRecord.Skipped(
+                    "malformed: " + exception.getClass().getSimpleName());
         }
     }
 
     private static int formatOf(ClaimRecord content) {
-        boolean naming = content instanceof ClaimRecord.TakenOver taken && taken.namesRenewal();
-        return naming ? NAMING_FORMAT : FORMAT;
+        boolean hasRenewal = content instanceof ClaimRecord.TakenOver taken && taken.specifiesRenewal();
+        return hasRenewal ? TAKEOVER_FORMAT : FORMAT;
     }
 
     private static String typeOf(ClaimRecord content) {
@@ -82,7 +87,7 @@
             case ClaimRecord.TakenOver taken -> {
                 writeJob(json, taken.key(), taken.job());
                 json.writeNumberProperty("generation", taken.generation());
-                if (taken.namesRenewal()) {
+                if (taken.specifiesRenewal()) {
                     json.writeNumberProperty("lastRenewal", taken.lastRenewal());
                 }
                 writeCoordinator(json, taken.coordinator());
@@ -118,7 +123,7 @@
         try (JsonParser json = JSON.createParser(ObjectReadContext.empty(), payload)) {
             Fields fields = new Fields();
             if (json.nextToken() != JsonToken.START_OBJECT) {
-                throw new IllegalArgumentException("not an object");
+                throw new IllegalArgumentException("record is not a JSON object");
             }
             while (json.nextToken() == JsonToken.PROPERTY_NAME) {
                 String name = json.currentName();
@@ -129,41 +134,41 @@
         }
     }
 
-    private static DecodedEntry decodeFields(Fields fields) {
+    private static DecodedRecord decodeFields(Fields fields) {
         if (fields.type == null) {
-            return new DecodedEntry.Skipped("no type");
+            return new DecodedRecord.Skipped("missing type");
         }
-        boolean naming = fields.type.equals(TAKEOVER) && fields.format == NAMING_FORMAT;
-        if (fields.format != FORMAT && !naming) {
-            return new DecodedEntry.Skipped("format " + fields.format);
+        boolean hasRenewal = fields.type.equals(TAKEOVER) && fields.format == TAKEOVER_FORMAT;
+        if (fields.format != FORMAT && !hasRenewal) {
+            return new DecodedRecord.Skipped("unsupported format " + fields.format);
         }
         return switch (fields.type) {
             case "claim" ->
-                fields.known(new ClaimRecord.Claimed(
+                fields.valid(new ClaimRecord.Claimed(
                         fields.submissionKey(),
                         fields.digest,
                         fields.jobId(),
                         fields.coordinator(),
                         Duration.ofMillis(fields.window)));
             case TAKEOVER ->
-                fields.known(new ClaimRecord.TakenOver(
+                fields.valid(new ClaimRecord.TakenOver(
                         fields.submissionKey(),
                         fields.jobId(),
                         fields.coordinator(),
                         fields.generation,
-                        naming ? fields.lastRenewal() : ClaimRecord.TakenOver.UNNAMED));
+                        hasRenewal ? fields.lastRenewal() : ClaimRecord.TakenOver.UNSPECIFIED));
             case "renewal" ->
-                fields.known(new ClaimRecord.Renewed(fields.coordinator(), Duration.ofMillis(fields.lease)));
-            case "departed" -> fields.known(new ClaimRecord.Departed(fields.coordinator()));
-            case "finished" -> fields.known(new ClaimRecord.Finished(fields.submissionKey(), fields.jobId()));
+                fields.valid(new ClaimRecord.Renewed(fields.coordinator(), Duration.ofMillis(fields.lease)));
+            case "departed" -> fields.valid(new ClaimRecord.Departed(fields.coordinator()));
+            case "finished" -> fields.valid(new ClaimRecord.Finished(fields.submissionKey(), fields.jobId()));
             case "released" ->
-                fields.known(new ClaimRecord.Released(
+                fields.valid(new ClaimRecord.Released(
                         fields.submissionKey(), fields.jobId(), fields.coordinator(), fields.generation));
-            default -> new DecodedEntry.Skipped("type " + fields.type);
+            default -> new DecodedRecord.Skipped("unknown type " + fields.type);
         };
     }
 
-    /** The fields of one record while it is read; names that this version doesn't know are passed over. */
+    /** Collects the fields of one record while it is parsed; unknown fields are ignored. */
     private static final class Fields {
         private int format;
         private String type;
@@ -218,8 +223,8 @@
             return new Coordinator(process, incarnation, host, port);
         }
 
-        private DecodedEntry known(ClaimRecord content) {
-            return new DecodedEntry.Known(new ClaimEntry(content, time));
+        private DecodedRecord valid(ClaimRecord content) {
+            return new DecodedRecord.Valid(new TimestampedRecord(content, time));
         }
     }
 }
--- a/library/src/main/java/org/chivetally/claim/ClaimTable.java
+++ b/library/src/main/java/org/chivetally/claim/ClaimTable.java
@@ -15,141 +15,154 @@
 /**
  * The claims in force after a prefix of the claims stream; a pure function of that prefix.
  *
- * <p>Several 100,000 claims stand in it, so one claim is kept as one {@link HeldClaim} that both indexes share.
+ * <p>The table may hold several 100,000 claims, so each is stored as one {@link CompactClaim} that both indexes share.
  */
 final class ClaimTable {
-    /** How long a silent writer's count is kept, in the stream's time; far longer than any late repeat takes. */
-    private static final long WRITER_MILLIS = TimeUnit.HOURS.toMillis(24);
+    /**
+     * How long the sequence number of an inactive writer is kept, in stream time; far longer than any append is
+     * delayed.
+     */
+    private static final long WRITER_RETENTION_MILLIS = TimeUnit.HOURS.toMillis(24);
 
-    private final Map<SubmissionKey, HeldClaim> byKey = new LinkedHashMap<>();
-    private final Map<JobId, HeldClaim> byJob = new HashMap<>();
+    private final Map<SubmissionKey, CompactClaim> byKey = new LinkedHashMap<>();
+    private final Map<JobId, CompactClaim> byJob = new HashMap<>();
     private final Map<String, TableImage.Writer> writers = new HashMap<>();
     private final Interner<Coordinator> coordinators = new Interner<>();
     private final Interner<String> teams = new Interner<>();
     private long nextOffset;
     private long streamMillis;
 
-    /** Returns a table with the content of an image. */
+    /** Returns a table with the content of a snapshot. */
     static ClaimTable of(TableImage image) {
         ClaimTable table = new ClaimTable();
         table.nextOffset = image.nextOffset();
         table.streamMillis = image.streamMillis();
         image.writers().forEach(writer -> table.writers.put(writer.name(), writer));
-        for (HeldClaim held : image.held()) {
-            table.put(table.lean(held));
+        for (CompactClaim stored : image.claims()) {
+            table.put(table.intern(stored));
         }
         return table;
     }
 
-    /** Returns what is in force now, in an order that is the same for all readers. */
+    /** Returns the current content, in the same order for all readers. */
     TableImage image() {
         List<TableImage.Writer> sortedWriters = new ArrayList<>(writers.values());
         sortedWriters.sort(Comparator.comparing(TableImage.Writer::name));
-        List<HeldClaim> held = byKey.values().stream().filter(this::isInForce).toList();
-        return new TableImage(nextOffset, streamMillis, sortedWriters, held);
+        List<CompactClaim> claims =
+                byKey.values().stream().filter(this::isInForce).toList();
+        return new TableImage(nextOffset, streamMillis, sortedWriters, claims);
     }
 
-    /** Takes the stream's next record in; one before {@link #nextOffset} was taken in already and changes nothing. */
-    Folded fold(long offset, RecordId id, ClaimEntry entry) {
+    /**
+     * Applies the stream's next record. Records before {@link #nextOffset} have been applied already and change
+     * nothing.
+     *
+     * @param offset offset of the record in the stream
+     */
+    FoldResult fold(long offset, RecordId id, TimestampedRecord timestamped) {
         if (offset < nextOffset) {
-            return new Folded.Unchanged();
+            return new FoldResult.Unchanged();
         }
         nextOffset = offset + 1;
-        if (!isFirst(id)) {
-            return new Folded.Unchanged();
+        if (!isNew(id)) {
+            return new FoldResult.Unchanged();
         }
-        streamMillis = Math.max(streamMillis, entry.streamMillis());
-        noteWriter(id, offset, entry.content());
-        forgetEnded();
-        return switch (entry.content()) {
+        streamMillis = Math.max(streamMillis, timestamped.streamMillis());
+        updateWriter(id, offset, timestamped.content());
+        removeEnded();
+        return switch (timestamped.content()) {
             case ClaimRecord.Claimed claimed -> foldClaimed(claimed, offset);
             case ClaimRecord.TakenOver taken -> foldTakenOver(taken);
             case ClaimRecord.Renewed renewed ->
-                new Folded.Renewed(renewed.coordinator(), renewed.lease(), id.sequence());
-            case ClaimRecord.Departed departed -> new Folded.Departed(departed.coordinator());
+                new FoldResult.Renewed(renewed.coordinator(), renewed.lease(), id.sequence());
+            case ClaimRecord.Departed departed -> new FoldResult.Departed(departed.coordinator());
             case ClaimRecord.Finished finished -> foldFinished(finished, id.writer());
             case ClaimRecord.Released released -> foldReleased(released);
         };
     }
 
-    /** Passes over records up to an offset: unreadable ones, or ones that have expired in the log. */
+    /**
+     * Advances to an offset without applying the records before it, because they can't be decoded or have expired in
+     * the log.
+     */
     void skipTo(long offset) {
         nextOffset = Math.max(nextOffset, offset);
     }
 
     /** Returns the claim in force for a key. */
     Optional<Claim> find(SubmissionKey key) {
-        return Optional.ofNullable(inForce(key)).map(HeldClaim::claim);
+        return Optional.ofNullable(inForce(key)).map(CompactClaim::toClaim);
     }
 
     /** Returns the claim in force for a job. */
     Optional<Claim> find(JobId job) {
-        return Optional.ofNullable(byJob.get(job)).filter(this::isInForce).map(HeldClaim::claim);
+        return Optional.ofNullable(byJob.get(job)).filter(this::isInForce).map(CompactClaim::toClaim);
     }
 
-    /** Returns the offset of the record that claimed a job's key; empty when no claim of the job is in force. */
+    /** Returns the offset of the record that claimed a job's key; empty if no claim of the job is in force. */
     OptionalLong offsetOf(JobId job) {
-        HeldClaim held = byJob.get(job);
-        return held == null || !isInForce(held) ? OptionalLong.empty() : OptionalLong.of(held.offset());
+        CompactClaim stored = byJob.get(job);
+        return stored == null || !isInForce(stored) ? OptionalLong.empty() : OptionalLong.of(stored.offset());
     }
 
-    /** Returns the offset of the first record not taken in. */
+    /** Returns the offset of the next record to apply. */
     long nextOffset() {
         return nextOffset;
     }
 
-    /** Returns the stream's time in milliseconds. */
+    /** Returns the stream time in milliseconds. */
     long streamMillis() {
         return streamMillis;
     }
 
-    /** Returns the count of the newest record taken in of a writer, zero when there is none. */
+    /** Returns the sequence number of a writer's last applied record, 0 if there is none. */
     long sequenceOf(String writer) {
-        TableImage.Writer known = writers.get(writer);
-        return known == null ? 0 : known.sequence();
+        TableImage.Writer state = writers.get(writer);
+        return state == null ? 0 : state.sequence();
     }
 
     /**
-     * Returns the offset of a coordinator's newest renewal that was taken in, {@link ClaimRecord.TakenOver#NO_RENEWAL}
-     * when there is none.
+     * Returns the offset of a coordinator's last applied renewal, {@link ClaimRecord.TakenOver#NO_RENEWAL} if there is
+     * none.
      */
     long lastRenewalOf(Coordinator coordinator) {
         return lastRenewalOf(RecordId.writerOf(coordinator));
     }
 
-    /** Returns how many claims stand in the table. */
+    /** Returns the number of claims in the table. */
     int size() {
         return byKey.size();
     }
 
     /**
-     * Tells whether a record is the first of its id.
+     * Returns whether a record is not a duplicate; at the first record of a writer, removes inactive writers.
      *
-     * <p>An append whose answer was lost is repeated, and the first may land late: the record stands twice. Folded
-     * twice it could claim a key again that was released in between, and nobody would work on it.
+     * <p>An append whose answer was lost is repeated, and the original may still be written later, so a record may
+     * appear twice. Applied twice, it could claim a key again that was released in between, for a job that no process
+     * works on.
      */
-    private boolean isFirst(RecordId id) {
-        TableImage.Writer known = writers.get(id.writer());
-        if (known == null) {
-            writers.values().removeIf(writer -> writer.lastMillis() + WRITER_MILLIS < streamMillis);
+    private boolean isNew(RecordId id) {
+        TableImage.Writer state = writers.get(id.writer());
+        if (state == null) {
+            writers.values().removeIf(writer -> writer.lastMillis() + WRITER_RETENTION_MILLIS < streamMillis);
             return true;
         }
-        return id.sequence() > known.sequence();
+        return id.sequence() > state.sequence();
     }
 
-    private void noteWriter(RecordId id, long offset, ClaimRecord content) {
+    private void updateWriter(RecordId id, long offset, ClaimRecord content) {
         long renewal = content instanceof ClaimRecord.Renewed ? offset : lastRenewalOf(id.writer());
         writers.put(id.writer(), new TableImage.Writer(id.writer(), id.sequence(), streamMillis, renewal));
     }
 
     private long lastRenewalOf(String writer) {
-        TableImage.Writer known = writers.get(writer);
-        return known == null ? ClaimRecord.TakenOver.NO_RENEWAL : known.lastRenewal();
+        TableImage.Writer state = writers.get(writer);
+        return state == null ? ClaimRecord.TakenOver.NO_RENEWAL : state.lastRenewal();
     }
 
-    private Folded foldClaimed(ClaimRecord.Claimed claimed, long offset) {
+    private FoldResult foldClaimed(ClaimRecord.Claimed claimed, long offset) {
         if (inForce(claimed.key()) != null) {
-            return new Folded.Unchanged();
+            return new FoldResult.Unchanged();
         }
         Claim claim = new Claim(
                 claimed.key(),
@@ -159,89 +172,91 @@
                 Claim.FIRST_GENERATION,
                 false);
         remove(byKey.get(claimed.key()));
-        put(lean(HeldClaim.of(claim, streamMillis + claimed.window().toMillis(), offset)));
-        return new Folded.Won(claim);
+        put(intern(CompactClaim.of(claim, streamMillis + claimed.window().toMillis(), offset)));
+        return new FoldResult.Won(claim);
     }
 
-    private Folded foldTakenOver(ClaimRecord.TakenOver taken) {
-        HeldClaim held = inForce(taken.key());
-        if (held == null || !held.job().equals(taken.job()) || held.generation() + 1 != taken.generation()) {
-            return new Folded.Unchanged();
+    private FoldResult foldTakenOver(ClaimRecord.TakenOver taken) {
+        CompactClaim stored = inForce(taken.key());
+        if (stored == null || !stored.job().equals(taken.job()) || stored.generation() + 1 != taken.generation()) {
+            return new FoldResult.Unchanged();
         }
-        if (lastRenewalOf(held.coordinator()) > taken.lastRenewal()) {
-            return new Folded.Unchanged();
+        if (lastRenewalOf(stored.coordinator()) > taken.lastRenewal()) {
+            return new FoldResult.Unchanged();
         }
-        HeldClaim successor = held.withCoordinator(coordinators.shared(taken.coordinator()), taken.generation());
+        CompactClaim successor = stored.withCoordinator(coordinators.intern(taken.coordinator()), taken.generation());
         put(successor);
-        return new Folded.TakenOver(successor.claim(), held.coordinator());
+        return new FoldResult.TakenOver(successor.toClaim(), stored.coordinator());
     }
 
-    /** A coordinator that lost its job has an outcome of its own for it; the job's is that of its successor. */
-    private Folded foldFinished(ClaimRecord.Finished finished, String writer) {
-        HeldClaim held = inForce(finished.key());
-        if (held == null
-                || !held.job().equals(finished.job())
-                || !RecordId.writerOf(held.coordinator()).equals(writer)
-                || held.finished()) {
-            return new Folded.Unchanged();
+    /**
+     * A coordinator that was replaced may record an outcome of its own; only that of the coordinator in force counts.
+     */
+    private FoldResult foldFinished(ClaimRecord.Finished finished, String writer) {
+        CompactClaim stored = inForce(finished.key());
+        if (stored == null
+                || !stored.job().equals(finished.job())
+                || !RecordId.writerOf(stored.coordinator()).equals(writer)
+                || stored.finished()) {
+            return new FoldResult.Unchanged();
         }
-        HeldClaim marked = held.asFinished();
+        CompactClaim marked = stored.asFinished();
         put(marked);
-        return new Folded.Finished(marked.claim());
+        return new FoldResult.Finished(marked.toClaim());
     }
 
-    private Folded foldReleased(ClaimRecord.Released released) {
-        HeldClaim held = inForce(released.key());
-        if (held == null
-                || !held.job().equals(released.job())
-                || !held.coordinator().equals(released.coordinator())
-                || held.generation() != released.generation()) {
-            return new Folded.Unchanged();
+    private FoldResult foldReleased(ClaimRecord.Released released) {
+        CompactClaim stored = inForce(released.key());
+        if (stored == null
+                || !stored.job().equals(released.job())
+                || !stored.coordinator().equals(released.coordinator())
+                || stored.generation() != released.generation()) {
+            return new FoldResult.Unchanged();
         }
-        if (held.generation() == Claim.FIRST_GENERATION) {
-            remove(held);
+        if (stored.generation() == Claim.FIRST_GENERATION) {
+            remove(stored);
         } else {
-            put(held.withCoordinator(Coordinator.NOBODY, held.generation()));
+            put(stored.withCoordinator(Coordinator.NONE, stored.generation()));
         }
-        return new Folded.Released(held.claim());
+        return new FoldResult.Released(stored.toClaim());
     }
 
-    private HeldClaim inForce(SubmissionKey key) {
-        HeldClaim held = byKey.get(key);
-        return held != null && isInForce(held) ? held : null;
+    private CompactClaim inForce(SubmissionKey key) {
+        CompactClaim stored = byKey.get(key);
+        return stored != null && isInForce(stored) ? stored : null;
     }
 
-    private boolean isInForce(HeldClaim held) {
-        return held.endMillis() > streamMillis;
+    private boolean isInForce(CompactClaim stored) {
+        return stored.endMillis() > streamMillis;
     }
 
-    private void put(HeldClaim held) {
-        byKey.put(held.key(), held);
-        byJob.put(held.job(), held);
+    private void put(CompactClaim stored) {
+        byKey.put(stored.key(), stored);
+        byJob.put(stored.job(), stored);
     }
 
-    private HeldClaim lean(HeldClaim held) {
-        return held.sharing(teams.shared(held.key().team()), coordinators.shared(held.coordinator()));
+    private CompactClaim intern(CompactClaim stored) {
+        return stored.withShared(teams.intern(stored.key().team()), coordinators.intern(stored.coordinator()));
     }
 
-    private void remove(HeldClaim held) {
-        if (held == null) {
+    private void remove(CompactClaim stored) {
+        if (stored == null) {
             return;
         }
-        byKey.remove(held.key());
-        byJob.remove(held.job(), held);
+        byKey.remove(stored.key());
+        byJob.remove(stored.job(), stored);
     }
 
-    /** Frees the memory of ended claims; oldest first, so that each is looked at once. */
-    private void forgetEnded() {
-        Iterator<HeldClaim> oldest = byKey.values().iterator();
+    /** Removes claims whose window has ended; stops at the first one in force, as claims are ordered by age. */
+    private void removeEnded() {
+        Iterator<CompactClaim> oldest = byKey.values().iterator();
         while (oldest.hasNext()) {
-            HeldClaim held = oldest.next();
-            if (isInForce(held)) {
+            CompactClaim stored = oldest.next();
+            if (isInForce(stored)) {
                 return;
             }
             oldest.remove();
-            byJob.remove(held.job(), held);
+            byJob.remove(stored.job(), stored);
         }
     }
 }
--- a/library/src/main/java/org/chivetally/claim/HeldClaim.java
+++ b/library/src/main/java/org/chivetally/claim/CompactClaim.java
@@ -4,12 +4,12 @@
 import org.chivetally.job.JobId;
 
 /**
- * A claim in the form in which a table keeps it; the digest as four numbers takes a third of the memory of its text.
+ * Memory-saving form of a {@link Claim}: the digest as four longs takes a third of the memory of its text.
  *
- * @param endMillis the stream's time at which its window ends
+ * @param endMillis stream time at which the window ends, in milliseconds
  * @param offset offset of the record that claimed the key
  */
-record HeldClaim(
+record CompactClaim(
         SubmissionKey key,
         long digest1,
         long digest2,
@@ -21,16 +21,16 @@
         boolean finished,
         long endMillis,
         long offset) {
-    private static final int DIGITS = 16;
+    private static final int DIGITS_PER_PART = 16;
 
-    /** Packs a claim. */
-    static HeldClaim of(Claim claim, long endMillis, long offset) {
-        return new HeldClaim(
+    /** Returns the compact form of a claim. */
+    static CompactClaim of(Claim claim, long endMillis, long offset) {
+        return new CompactClaim(
                 claim.key(),
-                part(claim.bodyDigest(), 0),
-                part(claim.bodyDigest(), 1),
-                part(claim.bodyDigest(), 2),
-                part(claim.bodyDigest(), 3),
+                digestPart(claim.bodyDigest(), 0),
+                digestPart(claim.bodyDigest(), 1),
+                digestPart(claim.bodyDigest(), 2),
+                digestPart(claim.bodyDigest(), 3),
                 claim.job(),
                 claim.coordinator(),
                 claim.generation(),
@@ -39,21 +39,21 @@
                 offset);
     }
 
-    /** Returns the claim unpacked. */
-    Claim claim() {
+    /** Converts this claim to a {@link Claim}. */
+    Claim toClaim() {
         return new Claim(key, bodyDigest(), job, coordinator, generation, finished);
     }
 
-    /** Returns the same claim of another coordinator. */
-    HeldClaim withCoordinator(Coordinator successor, int newGeneration) {
-        return new HeldClaim(
+    /** Returns this claim with another coordinator and generation. */
+    CompactClaim withCoordinator(Coordinator successor, int newGeneration) {
+        return new CompactClaim(
                 key, digest1, digest2, digest3, digest4, job, successor, newGeneration, finished, endMillis, offset);
     }
 
-    /** Returns the same claim with shared instances of its parts. */
-    HeldClaim sharing(String team, Coordinator sharedCoordinator) {
+    /** Returns this claim with shared instances of its team name and coordinator. */
+    CompactClaim withShared(String team, Coordinator sharedCoordinator) {
         SubmissionKey sharedKey = new SubmissionKey(team, key.key());
-        return new HeldClaim(
+        return new CompactClaim(
                 sharedKey,
                 digest1,
                 digest2,
@@ -67,17 +67,17 @@
                 offset);
     }
 
-    /** Returns the same claim, marked as finished. */
-    HeldClaim asFinished() {
-        return new HeldClaim(
+    /** Returns this claim, marked as finished. */
+    CompactClaim asFinished() {
+        return new CompactClaim(
                 key, digest1, digest2, digest3, digest4, job, coordinator, generation, true, endMillis, offset);
     }
 
-    private static long part(String digest, int number) {
-        return HexFormat.fromHexDigitsToLong(digest, number * DIGITS, (number + 1) * DIGITS);
+    private static long digestPart(String digest, int number) {
+        return HexFormat.fromHexDigitsToLong(digest, number * DIGITS_PER_PART, (number + 1) * DIGITS_PER_PART);
     }
 
-    /** Returns the digest as text. */
+    /** Returns the digest as 64 hexadecimal digits. */
     String bodyDigest() {
         HexFormat format = HexFormat.of();
         return format.toHexDigits(digest1)
--- a/library/src/main/java/org/chivetally/claim/GroupCommit.java
+++ b/library/src/main/java/org/chivetally/claim/GroupCommit.java
@@ -12,11 +12,13 @@
 import org.chivetally.log.AppendOutcome;
 
 /**
- * Gathers this process's records into appends: one in flight, within a budget, repeated when their fate is in doubt.
+ * Batches this process's records into appends. At most one append is in flight, appends stay within a rate limit, and
+ * those whose outcome is unknown are repeated.
  *
- * <p>Records get their count when they are first sent. Those of an append in doubt go before newer ones, with the same
- * counts, so that counts first stand in the stream in order; see {@link RecordId}. A given-up record is not sent again:
- * the next count that is read makes it void for good if it did not stand before.
+ * <p>Records get their sequence numbers when they are first sent. The records of an append with unknown outcome are
+ * sent again before newer ones, with the same sequence numbers, so that the first occurrences of all records are in the
+ * order of their sequence numbers; see {@link RecordId}. An abandoned record is not sent again: unless it is already in
+ * the stream, the next record of this writer that is read makes it void.
  */
 final class GroupCommit {
     private final GroupCommitSettings settings;
@@ -25,21 +27,25 @@
     private final SequencedSet<ClaimRecord> normal = new LinkedHashSet<>();
     private final SequencedSet<ClaimRecord> lazy = new LinkedHashSet<>();
     private final Set<ClaimRecord> withdrawnInFlight = new HashSet<>();
-    private List<Outgoing> unsettled = List.of();
+    private List<Outgoing> unconfirmed = List.of();
     private boolean inFlight;
-    private long notBeforeNanos;
+    private long earliestSendNanos;
     private long appendNumber;
     private long lastSequence;
     private long readSequence;
 
-    /** Creates an empty queue. */
+    /**
+     * Creates an empty queue.
+     *
+     * @param nanos monotonic clock reading in nanoseconds
+     */
     GroupCommit(GroupCommitSettings settings, long nanos) {
         this.settings = settings;
         this.budget = new TokenBucket(settings.appendsPerSecond(), settings.burst(), nanos);
-        this.notBeforeNanos = nanos;
+        this.earliestSendNanos = nanos;
     }
 
-    /** Queues a record whose sender is told at once when there is no room; returns whether there was. */
+    /** Queues a record unless the queue is full; returns whether it was queued. */
     boolean offer(ClaimRecord content) {
         if (normal.size() >= settings.maximumQueued()) {
             return false;
@@ -48,126 +54,140 @@
         return true;
     }
 
-    /** Queues a record of the process itself, which is never refused, after claims that wait already. */
+    /** Queues a record even if the queue is full, after the claims that are queued already. */
     void add(ClaimRecord content) {
         normal.add(content);
     }
 
-    /** Queues a record that goes before all others; an equal one that waits already is enough. */
+    /** Queues a record to be sent before all others, unless an equal one is queued already. */
     void addUrgent(ClaimRecord content) {
         urgent.add(content);
     }
 
-    /** Queues a record that may wait until there is room in an append that is sent for others. */
+    /**
+     * Queues a record that needs no append of its own: it is sent with other records, or once such records fill an
+     * append.
+     */
     void addLazy(ClaimRecord content) {
         lazy.add(content);
     }
 
-    /** Drops a record that waits, or that would be repeated; one in flight may still stand in the stream. */
+    /**
+     * Removes a record that waits in the normal queue or would be sent again; one that is in flight may still be
+     * written.
+     */
     void withdraw(ClaimRecord content) {
         normal.remove(content);
         if (inFlight) {
             withdrawnInFlight.add(content);
         } else {
-            dropUnsettled(Set.of(content));
+            removeUnconfirmed(Set.of(content));
         }
     }
 
     /**
-     * Returns the next append, if one may be sent now; it counts as in flight from then on.
+     * Returns the next append if one may be sent now; from then on it is in flight.
      *
-     * @param streamMillis the stream's time, for records that are sent for the first time
+     * @param nanos monotonic clock reading in nanoseconds
+     * @param streamMillis the stream time in milliseconds, for records that are sent for the first time
      */
     Optional<Batch> poll(long nanos, long streamMillis) {
-        if (inFlight || nanos - notBeforeNanos < 0 || !hasWork()) {
+        if (inFlight || nanos - earliestSendNanos < 0 || !hasWork()) {
             return Optional.empty();
         }
-        if (!budget.take(nanos)) {
+        if (!budget.tryAcquire(nanos)) {
             return Optional.empty();
         }
-        List<Outgoing> batch = new ArrayList<>(unsettled);
+        List<Outgoing> batch = new ArrayList<>(unconfirmed);
         int room = settings.maximumBatch();
         room -= drain(urgent, room, batch, streamMillis);
         room -= drain(normal, room, batch, streamMillis);
         drain(lazy, room, batch, streamMillis);
-        unsettled = List.copyOf(batch);
+        unconfirmed = List.copyOf(batch);
         inFlight = true;
         appendNumber++;
-        return Optional.of(new Batch(appendNumber, unsettled));
+        return Optional.of(new Batch(appendNumber, unconfirmed));
     }
 
     /**
-     * Learns the outcome of an append.
+     * Handles the outcome of an append.
      *
-     * @return whether it was waited for; that of one which was settled by reading is passed over
+     * @return whether the append was in flight; false if its records had already been read back
      */
-    boolean answered(long number, AppendOutcome outcome, long nanos) {
+    boolean appendCompleted(long number, AppendOutcome outcome, long nanos) {
         if (!inFlight || number != appendNumber) {
             return false;
         }
         inFlight = false;
-        dropUnsettled(withdrawnInFlight);
+        removeUnconfirmed(withdrawnInFlight);
         withdrawnInFlight.clear();
         switch (outcome) {
-            case AppendOutcome.Appended ignored -> unsettled = List.of();
+            case AppendOutcome.Appended ignored -> unconfirmed = List.of();
             case AppendOutcome.Refused ignored -> pause(settings.retryInterval(), nanos);
             case AppendOutcome.Unknown ignored -> pause(settings.settleTime(), nanos);
         }
         return true;
     }
 
-    /** Learns the count of this process's newest record that was read. */
-    void readBack(long sequence, long nanos) {
+    /** Handles the sequence number of this process's last record that was read from the stream. */
+    void recordRead(long sequence, long nanos) {
         readSequence = Math.max(readSequence, sequence);
-        if (unsettled.isEmpty() || unsettled.getLast().sequence() > readSequence) {
+        if (unconfirmed.isEmpty() || unconfirmed.getLast().sequence() > readSequence) {
             return;
         }
-        // Read back is better than answered: a lost answer costs no waiting, and a late one no second append.
-        unsettled = List.of();
+        // Reading the records confirms the append: a lost answer causes no delay, and a late one no second append.
+        unconfirmed = List.of();
         inFlight = false;
         withdrawnInFlight.clear();
-        notBeforeNanos = nanos;
+        earliestSendNanos = nanos;
     }
 
-    /** Returns how many records wait to be sent for the first time. */
+    /** Returns the number of records that are queued to be sent for the first time. */
     int queued() {
         return urgent.size() + normal.size() + lazy.size();
     }
 
     private boolean hasWork() {
-        return !unsettled.isEmpty() || !urgent.isEmpty() || !normal.isEmpty() || lazy.size() >= settings.maximumBatch();
+        return !unconfirmed.isEmpty()
+                || !urgent.isEmpty()
+                || !normal.isEmpty()
+                || lazy.size() >= settings.maximumBatch();
     }
 
-    private void dropUnsettled(Set<ClaimRecord> contents) {
-        unsettled = unsettled.stream()
+    private void removeUnconfirmed(Set<ClaimRecord> contents) {
+        unconfirmed = unconfirmed.stream()
                 .filter(outgoing -> !contents.contains(outgoing.content()))
                 .toList();
     }
 
     private void pause(Duration pause, long nanos) {
-        notBeforeNanos = nanos + pause.toNanos();
+        earliestSendNanos = nanos + pause.toNanos();
     }
 
-    private int drain(SequencedSet<ClaimRecord> lane, int room, List<Outgoing> batch, long streamMillis) {
+    private int drain(SequencedSet<ClaimRecord> queue, int room, List<Outgoing> batch, long streamMillis) {
         int taken = 0;
-        Iterator<ClaimRecord> waiting = lane.iterator();
-        while (taken < room && waiting.hasNext()) {
+        Iterator<ClaimRecord> queued = queue.iterator();
+        while (taken < room && queued.hasNext()) {
             lastSequence++;
-            batch.add(new Outgoing(lastSequence, new ClaimEntry(waiting.next(), streamMillis)));
-            waiting.remove();
+            batch.add(new Outgoing(lastSequence, new TimestampedRecord(queued.next(), streamMillis)));
+            queued.remove();
             taken++;
         }
         return taken;
     }
 
-    /** One append. */
+    /**
+     * One append.
+     *
+     * @param number number of the append, counted from 1
+     */
     record Batch(long number, List<Outgoing> records) {}
 
-    /** A record with the count that it was given. */
-    record Outgoing(long sequence, ClaimEntry entry) {
+    /** A record with its sequence number. */
+    record Outgoing(long sequence, TimestampedRecord timestamped) {
         /** Returns the record itself. */
         ClaimRecord content() {
-            return entry.content();
+            return timestamped.content();
         }
     }
 }
--- a/library/src/main/java/org/chivetally/claim/Interner.java
+++ b/library/src/main/java/org/chivetally/claim/Interner.java
@@ -3,20 +3,23 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** Lets equal values share one instance, for values of which there are few; beyond a bound it returns what it gets. */
+/**
+ * Replaces equal values by one shared instance, to save memory. Up to {@value #MAXIMUM_VALUES} distinct values are
+ * shared; further ones are returned unchanged.
+ */
 final class Interner<T> {
-    private static final int MAXIMUM = 10_000;
+    private static final int MAXIMUM_VALUES = 10_000;
 
-    private final Map<T, T> known = new HashMap<>();
+    private final Map<T, T> instances = new HashMap<>();
 
-    /** Returns the first instance that was equal to this one. */
-    T shared(T value) {
-        T first = known.get(value);
-        if (first != null) {
-            return first;
+    /** Returns the shared instance that equals a value. */
+    T intern(T value) {
+        T existing = instances.get(value);
+        if (existing != null) {
+            return existing;
         }
-        if (known.size() < MAXIMUM) {
-            known.put(value, value);
+        if (instances.size() < MAXIMUM_VALUES) {
+            instances.put(value, value);
         }
         return value;
     }
--- a/library/src/main/java/org/chivetally/claim/LogClaims.java
+++ b/library/src/main/java/org/chivetally/claim/LogClaims.java
@@ -19,16 +19,16 @@
 import org.chivetally.time.NanoClock;
 
 /**
- * Claims that the platform's log decides.
+ * Claims that are decided by the order of records in the platform log.
  *
- * <p>An actor follows the stream {@value #STREAM} and appends this process's records to it. Safe from any thread;
- * stages complete on the actor's thread, so what hangs on them must not block.
+ * <p>An actor reads the stream {@value #STREAM} and appends this process's records to it. Thread-safe. Stages complete
+ * on the actor's thread, so dependent actions must not block.
  */
 public final class LogClaims implements Claims {
-    /** The stream of claims. */
+    /** Name of the stream of claim records. */
     public static final String STREAM = "claims";
 
-    /** The stream of snapshots of the claims. */
+    /** Name of the stream of snapshots of the claim table. */
     public static final String SNAPSHOT_STREAM = "claim-snapshots";
 
     private final ActorRef<ClaimsCommand> actor;
@@ -57,7 +57,7 @@
     }
 
     /**
-     * Starts to follow the stream and to hold a lease.
+     * Starts reading the stream and acquiring the lease.
      *
      * @param self this process; its incarnation must never have been used before
      */
@@ -72,10 +72,10 @@
         LeaseTable leases = new LeaseTable(settings.lease(), settings.longestTicketAge());
         OwnLease lease = new OwnLease(settings.lease());
         AtomicBoolean caughtUp = new AtomicBoolean();
-        Claimant claimant = new Claimant(settings, self, leases, lease, clock);
+        ClaimStateMachine stateMachine = new ClaimStateMachine(settings, self, leases, lease, clock);
         ClaimMeters claimMeters = new ClaimMeters(meters, lease, clock);
         ActorRef<ClaimsCommand> actor = system.systemActorOf(
-                ClaimsActor.create(claimant, log, settings, self, clock, claimMeters, caughtUp),
+                ClaimsActor.create(stateMachine, log, settings, self, clock, claimMeters, caughtUp),
                 "claims-" + UUID.randomUUID(),
                 Props.empty());
         return new LogClaims(actor, settings, self, clock, leases, lease, caughtUp);
@@ -88,7 +88,7 @@
 
     @Override
     public CompletionStage<ClaimDecision> claim(SubmissionKey key, String bodyDigest, JobId job, ClaimMode mode) {
-        ClaimRecord.Claimed claimed = new ClaimRecord.Claimed(key, bodyDigest, job, self, settings.writtenWindow());
+        ClaimRecord.Claimed claimed = new ClaimRecord.Claimed(key, bodyDigest, job, self, settings.recordedWindow());
         CompletableFuture<ClaimDecision> reply = new CompletableFuture<>();
         actor.tell(new ClaimsCommand.MakeClaim(claimed, mode, reply));
         return reply;
@@ -116,7 +116,7 @@
     }
 
     @Override
-    public void finished(Claim claim) {
+    public void markFinished(Claim claim) {
         actor.tell(new ClaimsCommand.Finish(claim));
     }
 
@@ -154,7 +154,7 @@
 
     @Override
     public CompletionStage<Void> depart() {
-        lease.end();
+        lease.relinquish();
         CompletableFuture<Void> reply = new CompletableFuture<>();
         actor.tell(new ClaimsCommand.Depart(reply));
         return reply;
@@ -162,22 +162,25 @@
 
     @Override
     public void onLeaseChange(Consumer<Boolean> listener) {
-        actor.tell(new ClaimsCommand.ListenToLease(listener));
+        actor.tell(new ClaimsCommand.AddLeaseListener(listener));
     }
 
     @Override
     public void onReplaced(Consumer<Claim> listener) {
-        actor.tell(new ClaimsCommand.ListenToReplaced(listener));
+        actor.tell(new ClaimsCommand.AddReplacedListener(listener));
     }
 
     @Override
     public void onLeaseExtended(LongConsumer listener) {
-        actor.tell(new ClaimsCommand.ListenToLeaseExtended(listener));
+        actor.tell(new ClaimsCommand.AddLeaseExtendedListener(listener));
     }
 
-    /** Ends the work on the log; what waits is refused as not run, and the lease is given up without a record. */
+    /**
+     * Stops reading and appending. Pending claims are refused as not run, and the lease ends without a record in the
+     * log.
+     */
     public void stop() {
-        lease.end();
+        lease.relinquish();
         actor.tell(new ClaimsCommand.Stop());
     }
 }
--- a/library/src/main/java/org/chivetally/claim/MemoryClaims.java
+++ b/library/src/main/java/org/chivetally/claim/MemoryClaims.java
@@ -15,21 +15,27 @@
 import org.chivetally.time.NanoClock;
 
 /**
- * Claims in the memory of one process: the same rules of repeats and reuse, but no other process knows of them.
+ * Claims in the memory of one process. Attaching and key reuse follow the same rules as in the log, but claims are not
+ * visible to other processes.
  *
- * <p>For tests, and for services that go on in memory while the log is down. Safe from any thread.
+ * <p>Used in tests, and for services that accept claims in memory while the log is unavailable. Thread-safe.
  */
 public final class MemoryClaims implements Claims {
-    private static final long FOR_EVER_NANOS = Long.MAX_VALUE / 2;
+    private static final long UNBOUNDED_LEASE_NANOS = Long.MAX_VALUE / 2;
 
     private final Coordinator self;
     private final long windowNanos;
     private final NanoClock clock;
-    private final Map<SubmissionKey, Held> byKey = new LinkedHashMap<>();
-    private final Map<JobId, SubmissionKey> keys = new HashMap<>();
+    private final Map<SubmissionKey, StoredClaim> byKey = new LinkedHashMap<>();
+    private final Map<JobId, SubmissionKey> keysByJob = new HashMap<>();
     private boolean departed;
 
-    /** Creates an empty set of claims of one process; a key stays taken for the window. */
+    /**
+     * Creates an empty set of claims.
+     *
+     * @param self the coordinator of all claims
+     * @param window how long a key stays claimed, by the monotonic clock
+     */
     public MemoryClaims(Coordinator self, Duration window, NanoClock clock) {
         this.self = Objects.requireNonNull(self, "self");
         this.windowNanos = window.toNanos();
@@ -43,16 +49,16 @@
 
     @Override
     public synchronized CompletionStage<ClaimDecision> takeOver(Claim current) {
-        Held held = inForce(current.key());
-        if (held == null || !held.claim().equals(current)) {
-            ClaimDecision decision = held == null
+        StoredClaim stored = inForce(current.key());
+        if (stored == null || !stored.claim().equals(current)) {
+            ClaimDecision decision = stored == null
                     ? new ClaimDecision.LogUnavailable("the claim is no longer in force")
-                    : new ClaimDecision.Attached(held.claim());
+                    : new ClaimDecision.Attached(stored.claim());
             return CompletableFuture.completedFuture(decision);
         }
         Claim successor =
                 new Claim(current.key(), current.bodyDigest(), current.job(), self, current.generation() + 1, false);
-        byKey.put(current.key(), new Held(successor, held.endNanos()));
+        byKey.put(current.key(), new StoredClaim(successor, stored.endNanos()));
         return CompletableFuture.completedFuture(new ClaimDecision.Won(successor));
     }
 
@@ -67,20 +73,20 @@
     }
 
     @Override
-    public synchronized void finished(Claim claim) {
-        Held held = inForce(claim.key());
-        if (held == null || !held.claim().job().equals(claim.job())) {
+    public synchronized void markFinished(Claim claim) {
+        StoredClaim stored = inForce(claim.key());
+        if (stored == null || !stored.claim().job().equals(claim.job())) {
             return;
         }
-        Claim known = held.claim();
-        Claim marked =
-                new Claim(known.key(), known.bodyDigest(), known.job(), known.coordinator(), known.generation(), true);
-        byKey.put(claim.key(), new Held(marked, held.endNanos()));
+        Claim current = stored.claim();
+        Claim marked = new Claim(
+                current.key(), current.bodyDigest(), current.job(), current.coordinator(), current.generation(), true);
+        byKey.put(claim.key(), new StoredClaim(marked, stored.endNanos()));
     }
 
     @Override
     public synchronized void release(Claim claim) {
-        forget(claim.job());
+        remove(claim.job());
     }
 
     @Override
@@ -90,12 +96,12 @@
 
     @Override
     public void onLeaseExtended(LongConsumer listener) {
-        listener.accept(clock.nanos() + FOR_EVER_NANOS);
+        listener.accept(clock.nanos() + UNBOUNDED_LEASE_NANOS);
     }
 
     @Override
     public boolean hasLapsed(Coordinator coordinator) {
-        return coordinator.equals(Coordinator.NOBODY);
+        return coordinator.equals(Coordinator.NONE);
     }
 
     @Override
@@ -114,59 +120,63 @@
         return CompletableFuture.completedFuture(null);
     }
 
-    /** Decides a claim at once. */
+    /** Decides a claim. */
     synchronized ClaimDecision decide(SubmissionKey key, String bodyDigest, JobId job) {
         if (departed) {
             return new ClaimDecision.LogUnavailable("this process departs");
         }
-        forgetEnded();
-        Held held = inForce(key);
-        if (held == null) {
+        removeEnded();
+        StoredClaim stored = inForce(key);
+        if (stored == null) {
             Claim claim = new Claim(key, bodyDigest, job, self, Claim.FIRST_GENERATION, false);
-            byKey.put(key, new Held(claim, clock.nanos() + windowNanos));
-            keys.put(job, key);
+            byKey.put(key, new StoredClaim(claim, clock.nanos() + windowNanos));
+            keysByJob.put(job, key);
             return new ClaimDecision.Won(claim);
         }
-        return held.claim().bodyDigest().equals(bodyDigest)
-                ? new ClaimDecision.Attached(held.claim())
-                : new ClaimDecision.KeyReused(held.claim());
+        return stored.claim().bodyDigest().equals(bodyDigest)
+                ? new ClaimDecision.Attached(stored.claim())
+                : new ClaimDecision.KeyReused(stored.claim());
     }
 
     /** Returns the claim in force for a key. */
     synchronized Optional<Claim> lookUp(SubmissionKey key) {
-        return Optional.ofNullable(inForce(key)).map(Held::claim);
+        return Optional.ofNullable(inForce(key)).map(StoredClaim::claim);
     }
 
     /** Returns the claim in force for a job. */
     synchronized Optional<Claim> lookUp(JobId job) {
-        return Optional.ofNullable(keys.get(job)).flatMap(this::lookUp);
+        return Optional.ofNullable(keysByJob.get(job)).flatMap(this::lookUp);
     }
 
-    /** Drops a job's claim, as another place holds it now. */
-    synchronized void forget(JobId job) {
-        SubmissionKey key = keys.remove(job);
+    /** Removes a job's claim, because it was released or is now recorded in the log. */
+    synchronized void remove(JobId job) {
+        SubmissionKey key = keysByJob.remove(job);
         if (key != null) {
             byKey.remove(key);
         }
     }
 
-    private Held inForce(SubmissionKey key) {
-        Held held = byKey.get(key);
-        return held != null && held.endNanos() - clock.nanos() > 0 ? held : null;
+    private StoredClaim inForce(SubmissionKey key) {
+        StoredClaim stored = byKey.get(key);
+        return stored != null && stored.endNanos() - clock.nanos() > 0 ? stored : null;
     }
 
-    private void forgetEnded() {
-        Iterator<Held> oldest = byKey.values().iterator();
+    private void removeEnded() {
+        Iterator<StoredClaim> oldest = byKey.values().iterator();
         while (oldest.hasNext()) {
-            Held held = oldest.next();
-            if (held.endNanos() - clock.nanos() > 0) {
+            StoredClaim stored = oldest.next();
+            if (stored.endNanos() - clock.nanos() > 0) {
                 return;
             }
             oldest.remove();
-            keys.remove(held.claim().job());
+            keysByJob.remove(stored.claim().job());
         }
     }
 
-    /** A claim and the reading of the clock at which its window ends. */
-    private record Held(Claim claim, long endNanos) {}
+    /**
+     * A claim and the end of its window.
+     *
+     * @param endNanos monotonic clock reading at which the window ends, in nanoseconds
+     */
+    private record StoredClaim(Claim claim, long endNanos) {}
 }
--- a/library/src/main/java/org/chivetally/claim/SnapshotCodec.java
+++ b/library/src/main/java/org/chivetally/claim/SnapshotCodec.java
@@ -18,9 +18,10 @@
 import tools.jackson.core.json.JsonFactory;
 
 /**
- * Cuts the content of a table into chunks, and puts it together again.
+ * Splits the content of a table into chunks, and restores it from them.
  *
- * <p>Rows are JSON arrays that begin with their kind. Coordinators come before the claims that name them by number.
+ * <p>Rows are JSON arrays whose first element is their kind. A coordinator's row precedes the claims that refer to it
+ * by index.
  */
 final class SnapshotCodec {
     private static final JsonFactory JSON = new JsonFactory();
@@ -33,13 +34,14 @@
     private SnapshotCodec() {}
 
     /**
-     * Returns the records of a snapshot, in the order of their parts.
+     * Returns the records of a snapshot, in the order of its chunks.
      *
-     * @param writer name under which this process writes
-     * @param chunkBytes most bytes of one record
+     * @param image content of the table
+     * @param writer writer name of this process
+     * @param chunkBytes maximum size of one record in bytes
      */
     static List<NewRecord> encode(TableImage image, String writer, int chunkBytes) {
-        List<byte[]> bodies = new Bodies(chunkBytes - HEADER_BYTES).write(image);
+        List<byte[]> bodies = new BodyWriter(chunkBytes - HEADER_BYTES).write(image);
         String snapshot = writer + '@' + image.nextOffset();
         List<NewRecord> records = new ArrayList<>(bodies.size());
         for (int part = 0; part < bodies.size(); part++) {
@@ -51,46 +53,46 @@
         return records;
     }
 
-    /** Returns the content of a whole snapshot, or nothing when its rows can't be understood. */
+    /** Returns the content of a complete snapshot; empty if its rows can't be decoded. */
     static Optional<TableImage> decode(SnapshotHeader header, List<byte[]> bodies) {
         try {
-            Rows rows = new Rows(header.streamMillis());
+            RowReader rows = new RowReader(header.streamMillis());
             bodies.forEach(rows::read);
-            return Optional.of(new TableImage(header.covers(), header.streamMillis(), rows.writers, rows.held));
+            return Optional.of(new TableImage(header.covers(), header.streamMillis(), rows.writers, rows.claims));
         } catch (JacksonException | IllegalArgumentException | IndexOutOfBoundsException | NullPointerException e) {
             return Optional.empty();
         }
     }
 
     /** Writes rows into bodies of bounded size. */
-    private static final class Bodies {
+    private static final class BodyWriter {
         private final int limit;
         private final List<byte[]> full = new ArrayList<>();
         private final ByteArrayOutputStream open = new ByteArrayOutputStream();
-        private final Map<Coordinator, Integer> numbers = new LinkedHashMap<>();
+        private final Map<Coordinator, Integer> indexes = new LinkedHashMap<>();
 
-        private Bodies(int limit) {
+        private BodyWriter(int limit) {
             this.limit = limit;
         }
 
         private List<byte[]> write(TableImage image) {
             image.writers().forEach(writer -> add(json -> writeWriter(json, writer)));
-            for (HeldClaim held : image.held()) {
-                int number = numberOf(held.coordinator());
-                add(json -> writeClaim(json, held, number, held.endMillis() - image.streamMillis()));
+            for (CompactClaim claim : image.claims()) {
+                int index = indexOf(claim.coordinator());
+                add(json -> writeClaim(json, claim, index, claim.endMillis() - image.streamMillis()));
             }
             full.add(open.toByteArray());
             return full;
         }
 
-        private int numberOf(Coordinator coordinator) {
-            Integer known = numbers.get(coordinator);
-            if (known != null) {
-                return known;
+        private int indexOf(Coordinator coordinator) {
+            Integer existing = indexes.get(coordinator);
+            if (existing != null) {
+                return existing;
             }
             add(json -> writeCoordinator(json, coordinator));
-            numbers.put(coordinator, numbers.size());
-            return numbers.size() - 1;
+            indexes.put(coordinator, indexes.size());
+            return indexes.size() - 1;
         }
 
         private void add(Consumer<JsonGenerator> content) {
@@ -124,28 +126,28 @@
             json.writeNumber(coordinator.port());
         }
 
-        private static void writeClaim(JsonGenerator json, HeldClaim held, int coordinator, long millisLeft) {
+        private static void writeClaim(JsonGenerator json, CompactClaim claim, int coordinator, long millisLeft) {
             json.writeString(CLAIM);
-            json.writeString(held.key().team());
-            json.writeString(held.key().key());
-            json.writeString(held.bodyDigest());
-            json.writeString(held.job().text());
+            json.writeString(claim.key().team());
+            json.writeString(claim.key().key());
+            json.writeString(claim.bodyDigest());
+            json.writeString(claim.job().text());
             json.writeNumber(coordinator);
-            json.writeNumber(held.generation());
-            json.writeBoolean(held.finished());
+            json.writeNumber(claim.generation());
+            json.writeBoolean(claim.finished());
             json.writeNumber(millisLeft);
-            json.writeNumber(held.offset());
+            json.writeNumber(claim.offset());
         }
     }
 
     /** Reads rows. */
-    private static final class Rows {
+    private static final class RowReader {
         private final long streamMillis;
         private final List<TableImage.Writer> writers = new ArrayList<>();
         private final List<Coordinator> coordinators = new ArrayList<>();
-        private final List<HeldClaim> held = new ArrayList<>();
+        private final List<CompactClaim> claims = new ArrayList<>();
 
-        private Rows(long streamMillis) {
+        private RowReader(long streamMillis) {
             this.streamMillis = streamMillis;
         }
 
@@ -162,11 +164,11 @@
                 case WRITER -> writers.add(readWriter(json));
                 case COORDINATOR ->
                     coordinators.add(new Coordinator(text(json), text(json), text(json), (int) number(json)));
-                case CLAIM -> held.add(readClaim(json));
+                case CLAIM -> claims.add(readClaim(json));
                 default -> throw new IllegalArgumentException("unknown kind of row");
             }
             if (json.nextToken() != JsonToken.END_ARRAY) {
-                throw new IllegalArgumentException("row too long");
+                throw new IllegalArgumentException("row has too many elements");
             }
         }
 
@@ -174,7 +176,7 @@
             return new TableImage.Writer(text(json), number(json), number(json), number(json));
         }
 
-        private HeldClaim readClaim(JsonParser json) {
+        private CompactClaim readClaim(JsonParser json) {
             SubmissionKey key = new SubmissionKey(text(json), text(json));
             String digest = text(json);
             JobId job = new JobId(text(json));
@@ -183,7 +185,7 @@
             json.nextToken();
             boolean finished = json.getBooleanValue();
             Claim claim = new Claim(key, digest, job, coordinator, generation, finished);
-            return HeldClaim.of(claim, streamMillis + number(json), number(json));
+            return CompactClaim.of(claim, streamMillis + number(json), number(json));
         }
 
         private static String text(JsonParser json) {
--- a/library/src/main/java/org/chivetally/claim/SnapshotDuty.java
+++ b/library/src/main/java/org/chivetally/claim/SnapshotManager.java
@@ -9,10 +9,12 @@
 import org.apache.pekko.actor.typed.javadsl.ActorContext;
 import org.chivetally.log.PlatformLog;
 
-/** What an actor of claims does about snapshots: reads the newest one when it has to, and writes one when it is due. */
-final class SnapshotDuty {
-    private static final Duration LOAD_LIMIT = Duration.ofSeconds(60);
-    private static final int LOOKS_IN_INTERVAL = 8;
+/**
+ * Loads the newest snapshot on request, and writes a snapshot when one is due, on behalf of the {@link ClaimsActor}.
+ */
+final class SnapshotManager {
+    private static final Duration LOAD_TIMEOUT = Duration.ofSeconds(60);
+    private static final int CHECKS_PER_INTERVAL = 8;
 
     private final ActorContext<ClaimsCommand> context;
     private final PlatformLog log;
@@ -24,11 +26,11 @@
     private boolean loading;
     private long loadNumber;
     private long loadSentNanos;
-    private boolean busy;
-    private long notBeforeNanos;
+    private boolean inProgress;
+    private long nextCheckNanos;
 
-    /** Creates the duty of a process; chunks are made and read on the blocking dispatcher. */
-    SnapshotDuty(
+    /** Creates the manager of a process; chunks are encoded and decoded on the blocking dispatcher. */
+    SnapshotManager(
             ActorContext<ClaimsCommand> context,
             PlatformLog log,
             ClaimSettings settings,
@@ -41,33 +43,33 @@
         this.executor = context.getSystem().dispatchers().lookup(DispatcherSelector.blocking());
         this.reader = new SnapshotReader(log, executor);
         this.schedule = new SnapshotSchedule(settings.snapshots(), self.processId());
-        this.notBeforeNanos = nanos;
+        this.nextCheckNanos = nanos;
     }
 
-    /** Looks for the newest snapshot; the actor gets {@link ClaimsCommand.SnapshotLoaded}. */
+    /** Searches for the newest snapshot; the actor receives {@link ClaimsCommand.SnapshotLoaded}. */
     void load(long nanos) {
         loading = true;
         loadNumber++;
         loadSentNanos = nanos;
         long number = loadNumber;
-        CompletionStage<SnapshotLoad> load = reader.load();
+        CompletionStage<SnapshotLoadResult> load = reader.load();
         context.pipeToSelf(
                 load,
                 (found, failure) -> new ClaimsCommand.SnapshotLoaded(
-                        number, failure == null ? found : new SnapshotLoad.Unavailable(failure.toString())));
+                        number, failure == null ? found : new SnapshotLoadResult.Unavailable(failure.toString())));
     }
 
-    /** Tells whether a snapshot is looked for. */
+    /** Returns whether a search is in progress. */
     boolean isLoading() {
         return loading;
     }
 
-    /** Tells whether the search takes longer than it may. */
+    /** Returns whether the search has timed out. */
     boolean isLoadOverdue(long nanos) {
-        return loading && nanos - loadSentNanos > LOAD_LIMIT.toNanos();
+        return loading && nanos - loadSentNanos > LOAD_TIMEOUT.toNanos();
     }
 
-    /** Ends a search; the answer to an earlier one is passed over. */
+    /** Ends a search; returns false for the result of an earlier search, which is ignored. */
     boolean endLoading(long number) {
         if (!loading || number != loadNumber) {
             return false;
@@ -76,61 +78,66 @@
         return true;
     }
 
-    /** Stops waiting for a search. */
+    /** Cancels the search; its result will be ignored. */
     void cancelLoading() {
         loading = false;
     }
 
-    /** Learns of a whole snapshot. */
-    void covered(long offset, long streamMillis) {
-        schedule.covered(offset, streamMillis);
+    /** Records that a complete snapshot covers the claims stream up to an offset. */
+    void recordSnapshot(long offset, long streamMillis) {
+        schedule.recordSnapshot(offset, streamMillis);
     }
 
-    /** Looks at the snapshot stream when one is due; the actor gets {@link ClaimsCommand.SnapshotTailRead}. */
-    void tick(Claimant claimant, long nanos) {
-        if (busy || loading || !claimant.caughtUp() || nanos - notBeforeNanos < 0) {
+    /**
+     * Reads the end of the snapshot stream if a snapshot is due; the actor receives
+     * {@link ClaimsCommand.SnapshotTailRead}.
+     */
+    void tick(ClaimStateMachine stateMachine, long nanos) {
+        if (inProgress || loading || !stateMachine.caughtUp() || nanos - nextCheckNanos < 0) {
             return;
         }
-        if (!schedule.isDue(claimant.nextOffset(), claimant.streamMillis())) {
+        if (!schedule.isDue(stateMachine.nextOffset(), stateMachine.streamMillis())) {
             return;
         }
-        busy = true;
+        inProgress = true;
         context.pipeToSelf(
                 reader.tail(),
                 (tail, failure) -> new ClaimsCommand.SnapshotTailRead(failure == null ? tail : Optional.empty()));
     }
 
-    /** Writes a snapshot unless another process does; the actor gets {@link ClaimsCommand.SnapshotDone}. */
-    void write(Optional<SnapshotTail> tail, Claimant claimant, long nanos) {
-        boolean write =
-                tail.isPresent() && schedule.shallWrite(tail.get(), claimant.nextOffset(), claimant.streamMillis());
+    /**
+     * Writes a snapshot unless another process is writing one; the actor receives {@link ClaimsCommand.SnapshotDone}.
+     */
+    void write(Optional<SnapshotTail> tail, ClaimStateMachine stateMachine, long nanos) {
+        boolean write = tail.isPresent()
+                && schedule.shouldWrite(tail.get(), stateMachine.nextOffset(), stateMachine.streamMillis());
         if (!write) {
             pause(nanos);
             return;
         }
-        TableImage image = claimant.image();
+        TableImage image = stateMachine.image();
         Behavior<SnapshotWriter.Command> behavior = SnapshotWriter.create(
                 log,
                 settings,
                 image,
                 writer,
                 executor,
-                whole -> context.getSelf()
-                        .tell(new ClaimsCommand.SnapshotDone(image.nextOffset(), image.streamMillis(), whole)));
+                complete -> context.getSelf()
+                        .tell(new ClaimsCommand.SnapshotDone(image.nextOffset(), image.streamMillis(), complete)));
         context.spawnAnonymous(behavior);
     }
 
-    /** Learns that the writer ended. */
-    void done(ClaimsCommand.SnapshotDone done, long nanos) {
-        if (done.whole()) {
-            schedule.covered(done.covers(), done.streamMillis());
+    /** Handles the end of the snapshot writer. */
+    void snapshotDone(ClaimsCommand.SnapshotDone done, long nanos) {
+        if (done.complete()) {
+            schedule.recordSnapshot(done.covers(), done.streamMillis());
         }
         pause(nanos);
     }
 
     private void pause(long nanos) {
-        busy = false;
-        Duration pause = settings.snapshots().interval().dividedBy(LOOKS_IN_INTERVAL);
-        notBeforeNanos = nanos + pause.toNanos();
+        inProgress = false;
+        Duration pause = settings.snapshots().interval().dividedBy(CHECKS_PER_INTERVAL);
+        nextCheckNanos = nanos + pause.toNanos();
     }
 }
--- a/library/src/main/java/org/chivetally/claim/SnapshotReader.java
+++ b/library/src/main/java/org/chivetally/claim/SnapshotReader.java
@@ -10,31 +10,31 @@
 import org.chivetally.log.ReadOutcome;
 import org.chivetally.logging.EventLine;
 
-/** Reads the snapshot stream from its end backwards, as far as is needed for one whole snapshot. */
+/** Reads the snapshot stream backwards from its end until it finds a complete snapshot. */
 final class SnapshotReader {
     private static final FluentLogger logger = FluentLogger.forEnclosingClass();
-    private static final int RECORDS_OF_A_READ = 16;
-    private static final long FIRST_STRETCH = 32;
-    private static final int GROWTH = 4;
+    private static final int RECORDS_PER_READ = 16;
+    private static final long INITIAL_RECORD_COUNT = 32;
+    private static final int GROWTH_FACTOR = 4;
 
     private final PlatformLog log;
     private final Executor executor;
 
-    /** Creates a reader; chunks are put together on the executor. */
+    /** Creates a reader; chunks are assembled on the executor. */
     SnapshotReader(PlatformLog log, Executor executor) {
         this.log = log;
         this.executor = executor;
     }
 
-    /** Returns the newest whole, valid snapshot. */
-    CompletionStage<SnapshotLoad> load() {
+    /** Returns the newest complete, valid snapshot. */
+    CompletionStage<SnapshotLoadResult> load() {
         return bounds().thenCompose(bounds -> switch (bounds) {
-            case Bounds.Known known -> load(known, FIRST_STRETCH);
-            case Bounds.Unknown unknown -> completed(new SnapshotLoad.Unavailable(unknown.reason()));
+            case Bounds.Known known -> load(known, INITIAL_RECORD_COUNT);
+            case Bounds.Unknown unknown -> completed(new SnapshotLoadResult.Unavailable(unknown.reason()));
         });
     }
 
-    /** Returns the end of the stream, or nothing when the log can't be reached. */
+    /** Returns the end of the stream; empty if the log is unavailable. */
     CompletionStage<Optional<SnapshotTail>> tail() {
         return bounds().thenCompose(bounds -> switch (bounds) {
             case Bounds.Known known -> tail(known);
@@ -58,28 +58,28 @@
         if (found.records().isEmpty()) {
             return Optional.empty();
         }
-        return SnapshotChunk.decode(found.records().getLast().payload()) instanceof DecodedChunk.Known known
-                ? Optional.of(known.chunk().header())
+        return SnapshotChunk.decode(found.records().getLast().payload()) instanceof DecodedChunk.Valid valid
+                ? Optional.of(valid.chunk().header())
                 : Optional.empty();
     }
 
-    private CompletionStage<SnapshotLoad> load(Bounds.Known bounds, long stretch) {
-        long from = Math.max(bounds.earliest(), bounds.end() - stretch);
+    private CompletionStage<SnapshotLoadResult> load(Bounds.Known bounds, long recordCount) {
+        long from = Math.max(bounds.earliest(), bounds.end() - recordCount);
         return collect(from, bounds.end(), new SnapshotAssembler()).thenCompose(load -> {
-            boolean goesOn = load instanceof SnapshotLoad.None && from > bounds.earliest();
-            return goesOn ? load(bounds, stretch * GROWTH) : completed(load);
+            boolean readFurther = load instanceof SnapshotLoadResult.None && from > bounds.earliest();
+            return readFurther ? load(bounds, recordCount * GROWTH_FACTOR) : completed(load);
         });
     }
 
-    private CompletionStage<SnapshotLoad> collect(long from, long end, SnapshotAssembler assembler) {
+    private CompletionStage<SnapshotLoadResult> collect(long from, long end, SnapshotAssembler assembler) {
         if (from >= end) {
-            tellRefused(assembler);
+            logRefused(assembler);
             return completed(assembler
                     .newest()
-                    .<SnapshotLoad>map(SnapshotLoad.Found::new)
-                    .orElseGet(SnapshotLoad.None::new));
+                    .<SnapshotLoadResult>map(SnapshotLoadResult.Found::new)
+                    .orElseGet(SnapshotLoadResult.None::new));
         }
-        return log.read(LogClaims.SNAPSHOT_STREAM, from, RECORDS_OF_A_READ, Duration.ZERO)
+        return log.read(LogClaims.SNAPSHOT_STREAM, from, RECORDS_PER_READ, Duration.ZERO)
                 .thenComposeAsync(
                         outcome -> switch (outcome) {
                             case ReadOutcome.Records found -> {
@@ -91,17 +91,17 @@
                             }
                             case ReadOutcome.Expired expired -> collect(expired.earliestOffset(), end, assembler);
                             case ReadOutcome.Unavailable unavailable ->
-                                completed(new SnapshotLoad.Unavailable(unavailable.reason()));
+                                completed(new SnapshotLoadResult.Unavailable(unavailable.reason()));
                         },
                         executor);
     }
 
-    private static void tellRefused(SnapshotAssembler assembler) {
-        if (!assembler.otherFormats().isEmpty()) {
+    private static void logRefused(SnapshotAssembler assembler) {
+        if (!assembler.unsupportedFormats().isEmpty()) {
             logger.atWarning().log(
                     "%s",
                     EventLine.of("claim-snapshot-refused")
-                            .with("formats", assembler.otherFormats())
+                            .with("formats", assembler.unsupportedFormats())
                             .with("readable", SnapshotChunk.FORMAT));
         }
     }
@@ -122,12 +122,12 @@
         return CompletableFuture.completedFuture(value);
     }
 
-    /** Where the stream begins and ends. */
+    /** The retained range of the stream. */
     private sealed interface Bounds {
-        /** The oldest kept offset, and the one that the next record will get. */
+        /** The earliest retained offset, and the offset of the next record that will be written. */
         record Known(long earliest, long end) implements Bounds {}
 
-        /** The log can't be reached. */
+        /** The log is unavailable. */
         record Unknown(String reason) implements Bounds {}
     }
 }
--- a/library/src/main/java/org/chivetally/daemon/ObservedState.java
+++ b/library/src/main/java/org/chivetally/daemon/ObservedState.java
@@ -7,7 +7,7 @@
 import java.util.concurrent.atomic.AtomicReference;
 import java.util.function.Supplier;
 import org.chivetally.entry.link.HeartbeatSettings;
-import org.chivetally.entry.link.IdlePace;
+import org.chivetally.entry.link.IdleHeartbeats;
 import org.chivetally.entry.link.ObservedProcess;
 import org.chivetally.entry.member.Member;
 import org.chivetally.resource.BackendServerReport;
@@ -16,14 +16,17 @@
 import org.chivetally.wire.v1.Hello;
 import org.chivetally.wire.v1.Report;
 
-/** Status of backend servers and versions of processes, from what an entry last heard of each process. */
+/**
+ * Status of backend servers and configuration versions of processes, from the last report that an entry received from
+ * each process.
+ */
 final class ObservedState implements StatusSource, ProcessVersions {
     private static final int MISSED_HEARTBEATS = 3;
 
     private final AtomicReference<Supplier<List<ObservedProcess>>> processes = new AtomicReference<>(List::of);
 
-    /** Takes the entry's observations from now on; nothing is known before. */
-    void observe(Supplier<List<ObservedProcess>> source) {
+    /** Sets the source of the observed processes; without one, the state is empty. */
+    void setSource(Supplier<List<ObservedProcess>> source) {
         processes.set(source);
     }
 
@@ -52,7 +55,7 @@
                 .count();
         int entries = all.size() - agents + 1;
         Duration shortest = HeartbeatSettings.standard().idleInterval();
-        return IdlePace.interval(false, agents, entries, shortest).multipliedBy(MISSED_HEARTBEATS);
+        return IdleHeartbeats.interval(false, agents, entries, shortest).multipliedBy(MISSED_HEARTBEATS);
     }
 
     private static BackendServerReport report(ObservedProcess process) {
--- a/library/src/main/java/org/chivetally/entry/http/OperationRoutes.java
+++ b/library/src/main/java/org/chivetally/entry/http/OperationRoutes.java
@@ -14,19 +14,20 @@
 import org.chivetally.entry.submission.Failures;
 import org.chivetally.job.JobOutcome.Certainty;
 
-/** Metrics, liveness and readiness. */
+/** Routes for metrics, liveness and readiness. */
 public final class OperationRoutes extends AllDirectives {
     private final MeterRegistry meters;
-    private final Supplier<List<String>> missing;
+    private final Supplier<List<String>> unmetConditions;
 
     /**
      * Creates the routes.
      *
-     * @param missing what keeps this process from taking requests now; empty when it is ready
+     * @param meters Prometheus registry, or a composite that contains one; without one {@code /metrics} is not found
+     * @param unmetConditions supplies the reasons why this process is not ready for requests; empty when it is ready
      */
-    public OperationRoutes(MeterRegistry meters, Supplier<List<String>> missing) {
+    public OperationRoutes(MeterRegistry meters, Supplier<List<String>> unmetConditions) {
         this.meters = meters;
-        this.missing = missing;
+        this.unmetConditions = unmetConditions;
     }
 
     /** Returns the route of {@code /metrics}, {@code /healthz} and {@code /readyz}. */
@@ -49,14 +50,14 @@
             case PrometheusMeterRegistry found -> Optional.of(found);
             case CompositeMeterRegistry composite ->
                 composite.getRegistries().stream()
-                        .flatMap(part -> prometheus(part).stream())
+                        .flatMap(child -> prometheus(child).stream())
                         .findFirst();
             default -> Optional.empty();
         };
     }
 
     private HttpResponse readiness() {
-        List<String> reasons = missing.get();
+        List<String> reasons = unmetConditions.get();
         if (reasons.isEmpty()) {
             return Responses.json(Responses.OK, "{\"status\":\"ready\"}");
         }
--- a/library/src/main/java/org/chivetally/entry/link/LinkSignal.java
+++ b/library/src/main/java/org/chivetally/entry/link/LinkSignal.java
@@ -3,17 +3,17 @@
 import org.chivetally.transport.FrameConnection;
 import org.chivetally.wire.v1.Frame;
 
-/** What the transport reports about one dial; dials are numbered and never reused. */
+/** Event that the transport reports about one connection. Each dial gets a new connection id; ids are never reused. */
 public sealed interface LinkSignal {
-    /** Returns the number of the dial. */
-    long dial();
+    /** Returns the id of the connection. */
+    long connectionId();
 
     /** The connection is open. */
-    record Opened(long dial, FrameConnection connection) implements LinkSignal {}
+    record Opened(long connectionId, FrameConnection connection) implements LinkSignal {}
 
     /** A frame arrived. */
-    record Received(long dial, Frame frame) implements LinkSignal {}
+    record Received(long connectionId, Frame frame) implements LinkSignal {}
 
-    /** The connection is closed, or was never opened. */
-    record Closed(long dial, String reason) implements LinkSignal {}
+    /** The connection is closed, or the dial failed. */
+    record Closed(long connectionId, String reason) implements LinkSignal {}
 }
--- a/library/src/main/java/org/chivetally/entry/link/Observers.java
+++ b/library/src/main/java/org/chivetally/entry/link/Observers.java
@@ -8,39 +8,39 @@
 import org.chivetally.wire.v1.Frame;
 import org.chivetally.wire.v1.Hello;
 
-/** Tells several observers; one that fails is logged and does not keep the others or the links from their work. */
+/** Forwards events to several observers. An exception of one is logged and affects neither the others nor the links. */
 public final class Observers implements LinkObserver {
     private static final FluentLogger LOGGER = FluentLogger.forEnclosingClass();
 
-    private final List<LinkObserver> all = new CopyOnWriteArrayList<>();
+    private final List<LinkObserver> observers = new CopyOnWriteArrayList<>();
 
-    /** Adds an observer; it is called on the links' threads and must not block. */
+    /** Adds an observer, which is called on the threads that drive the links and must not block. */
     public void add(LinkObserver observer) {
-        all.add(observer);
+        observers.add(observer);
     }
 
     @Override
     public void up(Hello hello) {
-        tell(observer -> observer.up(hello));
+        notifyObservers(observer -> observer.up(hello));
     }
 
     @Override
     public void down(Hello hello, String reason) {
-        tell(observer -> observer.down(hello, reason));
+        notifyObservers(observer -> observer.down(hello, reason));
     }
 
     @Override
-    public void stranger(Hello hello) {
-        tell(observer -> observer.stranger(hello));
+    public void unexpectedProcess(Hello hello) {
+        notifyObservers(observer -> observer.unexpectedProcess(hello));
     }
 
     @Override
     public void received(Hello sender, Frame frame) {
-        tell(observer -> observer.received(sender, frame));
+        notifyObservers(observer -> observer.received(sender, frame));
     }
 
-    private void tell(Consumer<LinkObserver> call) {
-        for (LinkObserver observer : all) {
+    private void notifyObservers(Consumer<LinkObserver> call) {
+        for (LinkObserver observer : observers) {
             try {
                 call.accept(observer);
             } catch (RuntimeException failure) {
--- a/library/src/main/java/org/chivetally/entry/member/MemberActor.java
+++ b/library/src/main/java/org/chivetally/entry/member/MemberActor.java
@@ -21,12 +21,12 @@
 import org.chivetally.logging.EventLine;
 import org.chivetally.time.NanoClock;
 
-/** Shell of {@link MembershipView}: reads and writes the stream {@code members}, and passes on what the view wants. */
+/** Drives a {@link MembershipView}: reads and writes the stream {@code members}, and executes effects. */
 public final class MemberActor extends AbstractBehavior<MemberActor.Command> {
     private static final FluentLogger LOGGER = FluentLogger.forEnclosingClass();
     private static final int RECORDS_PER_READ = 1_000;
-    private static final Duration LONGEST_READ = Duration.ofSeconds(5);
-    private static final Duration RETRY = Duration.ofMillis(500);
+    private static final Duration LONG_POLL_WAIT = Duration.ofSeconds(5);
+    private static final Duration READ_RETRY_DELAY = Duration.ofMillis(500);
     private static final Duration TICK_INTERVAL = Duration.ofMillis(100);
     private static final Duration INTRODUCE_INTERVAL = Duration.ofSeconds(5);
 
@@ -35,9 +35,9 @@
     private final MembershipView view;
     private long nextOffset;
     private boolean changed;
-    private boolean atEnd;
-    private boolean current;
-    private boolean reachable;
+    private boolean caughtUpOnce;
+    private boolean upToDate;
+    private boolean logReachable;
 
     private MemberActor(ActorContext<Command> context, TimerScheduler<Command> timers, Parts parts) {
         super(context);
@@ -72,59 +72,61 @@
 
     private void handle(Command command) {
         switch (command) {
-            case Event event -> apply(event.event());
+            case Event event -> applyAndPublish(event.event());
             case ReadDone done -> onRead(done.outcome());
-            case ReadAgain again -> read();
+            case RetryRead retry -> read();
             case CatchUpRead read -> onCatchUpRead(read);
             case CatchUp catchUp -> catchUp(catchUp);
-            case MembersOf asked -> asked.reply().accept(view.list().members());
+            case ListMembers listMembers ->
+                listMembers.reply().accept(view.list().members());
             case Announce announce -> announce();
-            case Introduce introduce -> introduceUnlessReachable();
-            case Tick tick -> apply(new MembershipEvent.Ticked());
+            case Introduce introduce -> introduceUnlessLogReachable();
+            case Tick tick -> applyAndPublish(new MembershipEvent.Ticked());
             case Written written -> onWritten(written);
-            case Leave leave -> throw new IllegalStateException("handled before");
+            case Leave leave -> throw new IllegalStateException("Leave is handled by onLeave");
         }
     }
 
     private void onRead(ReadOutcome outcome) {
         switch (outcome) {
-            case ReadOutcome.Records records -> foldAll(records);
+            case ReadOutcome.Records records -> applyRecords(records);
             case ReadOutcome.Expired expired -> nextOffset = Math.max(nextOffset, expired.earliestOffset());
             case ReadOutcome.Unavailable unavailable -> {
                 LOGGER.atWarning().atMostEvery(10, TimeUnit.SECONDS).log(
                         "%s", EventLine.of("members-read-failed").with("reason", unavailable.reason()));
-                current = false;
-                setReachable(false);
-                timers.startSingleTimer(new ReadAgain(), RETRY);
+                upToDate = false;
+                setLogReachable(false);
+                timers.startSingleTimer(new RetryRead(), READ_RETRY_DELAY);
                 return;
             }
         }
         read();
     }
 
-    private void foldAll(ReadOutcome.Records records) {
-        setReachable(true);
+    private void applyRecords(ReadOutcome.Records records) {
+        setLogReachable(true);
         for (LogRecord record : records.records()) {
-            // Two reads may be under way; the later answer repeats records of the earlier one.
+            // Two reads may run concurrently; the later answer repeats records of the earlier one.
             if (record.offset() >= nextOffset) {
                 nextOffset = record.offset() + 1;
-                MemberRecords.read(record.payload()).ifPresent(known -> take(new MembershipEvent.Recorded(known)));
+                MemberRecords.read(record.payload())
+                        .ifPresent(memberRecord -> applyEvent(new MembershipEvent.RecordRead(memberRecord)));
             }
         }
         publishIfChanged();
-        current = nextOffset >= records.endOffset();
-        if (!atEnd && current) {
-            atEnd = true;
+        upToDate = nextOffset >= records.endOffset();
+        if (!caughtUpOnce && upToDate) {
+            caughtUpOnce = true;
             parts.caughtUp().run();
         }
     }
 
-    private void setReachable(boolean isReachable) {
-        reachable = isReachable;
+    private void setLogReachable(boolean isReachable) {
+        logReachable = isReachable;
         parts.logReachable().accept(isReachable);
     }
 
-    // A long read under way may have begun before what is asked for was written, so this is a read of its own.
+    // A pending long-poll read may have started before the requested records were written, so this reads separately.
     private void catchUp(CatchUp catchUp) {
         getContext()
                 .pipeToSelf(
@@ -137,7 +139,7 @@
             read.catchUp().done().complete(false);
             return;
         }
-        foldAll(records);
+        applyRecords(records);
         if (nextOffset < records.endOffset()) {
             catchUp(read.catchUp());
             return;
@@ -145,10 +147,10 @@
         read.catchUp().done().complete(true);
     }
 
-    // While the log is down nobody reads an announcement, and a process that starts then would stay unknown. It says so
-    // to the processes of its settings instead, and asks them whom they know.
-    private void introduceUnlessReachable() {
-        if (!reachable) {
+    // While the log is down, announcements are not read, and a process that starts then would stay unknown. Instead it
+    // introduces itself to the processes in its settings, and requests their members.
+    private void introduceUnlessLogReachable() {
+        if (!logReachable) {
             parts.introduce().run();
         }
     }
@@ -166,14 +168,14 @@
     }
 
     private void onWritten(Written written) {
-        boolean lost = !(written.outcome() instanceof AppendOutcome.Appended);
-        if (lost) {
+        boolean failed = !(written.outcome() instanceof AppendOutcome.Appended);
+        if (failed) {
             LOGGER.atWarning().atMostEvery(10, TimeUnit.SECONDS).log(
                     "%s", EventLine.of("member-record-not-written").with("record", written.record()));
         }
-        boolean own = written.record() instanceof MemberRecord.Announce;
-        if (lost && own && !timers.isTimerActive(Announce.AGAIN)) {
-            timers.startSingleTimer(Announce.AGAIN, new Announce(), INTRODUCE_INTERVAL);
+        boolean isAnnouncement = written.record() instanceof MemberRecord.Announce;
+        if (failed && isAnnouncement && !timers.isTimerActive(Announce.RETRY_TIMER_KEY)) {
+            timers.startSingleTimer(Announce.RETRY_TIMER_KEY, new Announce(), INTRODUCE_INTERVAL);
         }
     }
 
@@ -190,7 +192,7 @@
     private void read() {
         getContext()
                 .pipeToSelf(
-                        parts.log().read(MemberRecords.STREAM, nextOffset, RECORDS_PER_READ, LONGEST_READ),
+                        parts.log().read(MemberRecords.STREAM, nextOffset, RECORDS_PER_READ, LONG_POLL_WAIT),
                         (outcome, failure) -> new ReadDone(orUnavailable(outcome, failure)));
     }
 
@@ -198,14 +200,14 @@
         return failure == null ? outcome : new ReadOutcome.Unavailable(failure.toString());
     }
 
-    private void apply(MembershipEvent event) {
-        take(event);
+    private void applyAndPublish(MembershipEvent event) {
+        applyEvent(event);
         publishIfChanged();
     }
 
-    private void take(MembershipEvent event) {
+    private void applyEvent(MembershipEvent event) {
         for (MembershipEffect effect : view.handle(event, parts.clock().nanos())) {
-            carryOut(effect);
+            execute(effect);
         }
     }
 
@@ -216,12 +218,12 @@
         }
     }
 
-    private void carryOut(MembershipEffect effect) {
+    private void execute(MembershipEffect effect) {
         switch (effect) {
-            case MembershipEffect.Changed another -> changed = true;
-            case MembershipEffect.Append append when !current -> {
-                // Most of what could be written stands in records not read yet; in an outage nothing can be written at
-                // all. What is still wanted after the next read comes again.
+            case MembershipEffect.Changed changedView -> changed = true;
+            case MembershipEffect.Append append when !upToDate -> {
+                // Unread records most likely contain this record already, and nothing can be written during an outage.
+                // The view requests the append again if it is still needed after the next read.
             }
             case MembershipEffect.Append append -> {
                 LOGGER.atInfo().log("%s", EventLine.of("member-record").with("record", append.record()));
@@ -229,36 +231,39 @@
             }
             default -> {
                 LOGGER.atInfo().log("%s", EventLine.of("member").with("effect", effect));
-                parts.outward().accept(effect);
+                parts.connectionEffects().accept(effect);
             }
         }
     }
 
-    /** Messages of the actor. */
+    /** Messages to the actor. */
     public sealed interface Command {}
 
-    /** Something happened to a member. */
+    /** Applies an event to the view. */
     public record Event(MembershipEvent event) implements Command {}
 
-    /** Reads the stream to its present end; true once all that it holds was published. */
+    /**
+     * Reads the stream to its current end; completes with true once its records are published, with false if a read
+     * fails.
+     */
     public record CatchUp(CompletableFuture<Boolean> done) implements Command {}
 
-    /** Give the members to a peer that can't read them. */
-    public record MembersOf(Consumer<List<Member>> reply) implements Command {}
+    /** Returns the members, for a peer that cannot read the log. */
+    public record ListMembers(Consumer<List<Member>> reply) implements Command {}
 
-    /** Says in the log that this process stops, and ends the actor. */
+    /** Writes the leave record of this process, and stops the actor. */
     public record Leave(CompletableFuture<Void> done) implements Command {}
 
     private record ReadDone(ReadOutcome outcome) implements Command {}
 
-    private record ReadAgain() implements Command {}
+    private record RetryRead() implements Command {}
 
     private record CatchUpRead(CatchUp catchUp, ReadOutcome outcome) implements Command {}
 
     private record Written(MemberRecord record, AppendOutcome outcome) implements Command {}
 
     private record Announce() implements Command {
-        private static final String AGAIN = "announce-again";
+        private static final String RETRY_TIMER_KEY = "announce-again";
     }
 
     private record Introduce() implements Command {}
@@ -266,15 +271,15 @@
     private record Tick() implements Command {}
 
     /**
-     * What the actor works with.
+     * Dependencies of the actor.
      *
      * @param self this process as a member
-     * @param announceInterval time between announcements; well under what the log keeps
-     * @param publish takes each new list, on the actor's thread
-     * @param outward takes effects that concern connections, on the actor's thread
-     * @param caughtUp run once, when the stream was read to its end for the first time
-     * @param logReachable told after each read whether it succeeded
-     * @param introduce tells the processes of the settings of this one, and asks them whom they know
+     * @param announceInterval time between announcements; well below the retention of the log
+     * @param publish receives each new list, on the actor's thread
+     * @param connectionEffects receives all effects except appends and changes, on the actor's thread
+     * @param caughtUp runs once, when the stream was read to its end for the first time
+     * @param logReachable receives after each read whether it succeeded
+     * @param introduce introduces this process to the processes in its settings, and requests their members
      */
     public record Parts(
             PlatformLog log,
@@ -283,7 +288,7 @@
             MembershipSettings settings,
             Duration announceInterval,
             Consumer<MemberList> publish,
-            Consumer<MembershipEffect> outward,
+            Consumer<MembershipEffect> connectionEffects,
             Runnable caughtUp,
             Consumer<Boolean> logReachable,
             Runnable introduce) {}
--- a/library/src/main/java/org/chivetally/entry/member/MembershipView.java
+++ b/library/src/main/java/org/chivetally/entry/member/MembershipView.java
@@ -12,57 +12,57 @@
 import org.chivetally.membership.RendezvousOrder;
 
 /**
- * The members as one entry sees them, from the stream {@code members}, from introductions, and from its own
- * connections.
+ * Membership view of one entry, built from the stream {@code members}, from introductions and from its own connections.
  *
  * <p>Pure and single-threaded: it takes events with the time in nanoseconds of a monotonic clock, and returns effects.
- * A hint for routing only; what rests on it for safety is that an incarnation that was ever a member is named, among
- * the members or the ended ones, for the retention.
+ * Routing uses the view as a hint only. Safety depends on one property: every incarnation that was ever a member stays
+ * listed, as a member or as ended, for the retention time.
  *
- * <p>A member that this entry loses is suspected: this entry uses it no more, and nobody else is concerned. Only when
- * an entry of another failure domain does not reach it either, and none that was asked does, is it declared gone for
- * all. A fault of one entry, one connection or one failure domain therefore takes a member out of one view at most.
+ * <p>A member whose connection to this entry is lost becomes suspect: this entry stops using it, and other entries are
+ * not affected. It is declared gone for all entries only when an entry in another failure domain cannot reach it
+ * either, and no queried entry can. A fault of one entry, one connection or one failure domain therefore removes a
+ * member at most from the views of the entries that it affects, never for all.
  */
 public final class MembershipView {
-    private static final int MOST_ASKED = 3;
+    private static final int MAXIMUM_QUERIED_ENTRIES = 3;
 
     private final Member self;
     private final MembershipSettings settings;
-    private final Map<String, KnownMember> present = new HashMap<>();
-    private final Map<Incarnation, KnownMember> ended = new LinkedHashMap<>();
-    /** Incarnations that are over and not named any more; never to be members again. */
-    private final Set<Incarnation> closed = new HashSet<>();
+    private final Map<String, TrackedMember> activeMembers = new HashMap<>();
+    private final Map<Incarnation, TrackedMember> endedMembers = new LinkedHashMap<>();
+    /** Ended incarnations whose retention is over, and departed ones never seen; they cannot become members again. */
+    private final Set<Incarnation> retiredIncarnations = new HashSet<>();
 
-    /** Incarnations of which the records told nothing but that they left, and when that was read. */
-    private final Map<Incarnation, Long> leftUnseen = new LinkedHashMap<>();
+    /** Incarnations of which only the leave record was read, with the time of that read in nanoseconds. */
+    private final Map<Incarnation, Long> unknownDepartures = new LinkedHashMap<>();
 
-    private final Map<String, Flaps> flaps = new HashMap<>();
+    private final Map<String, FlapHistory> flapHistories = new HashMap<>();
     private List<MembershipEffect> effects = new ArrayList<>();
     private boolean changed;
     private long now;
 
-    /** Creates the view of an entry that knows itself only. */
+    /** Creates a view that contains only this entry. */
     public MembershipView(Member self, MembershipSettings settings, long now) {
         this.self = self;
         this.settings = settings;
-        KnownMember own = new KnownMember(self, true, now);
-        own.enter(MemberState.ALIVE, now);
-        present.put(self.processId(), own);
+        TrackedMember own = new TrackedMember(self, true, now);
+        own.transitionTo(MemberState.ALIVE, now);
+        activeMembers.put(self.processId(), own);
     }
 
-    /** Takes an event in and returns what to do, in order. */
+    /** Applies an event and returns the resulting effects, in order. */
     public List<MembershipEffect> handle(MembershipEvent event, long nowNanos) {
         now = nowNanos;
         effects = new ArrayList<>();
         changed = false;
         switch (event) {
-            case MembershipEvent.Recorded recorded -> record(recorded.record());
-            case MembershipEvent.Introduced introduced -> announce(introduced.member(), false);
-            case MembershipEvent.Reached reached -> reach(reached.member());
-            case MembershipEvent.Lost lost -> lose(lost.member());
-            case MembershipEvent.Connected connected -> hear(connected.processIds());
-            case MembershipEvent.Answered answered -> answer(answered);
-            case MembershipEvent.Ticked ticked -> tick();
+            case MembershipEvent.RecordRead recordRead -> applyRecord(recordRead.record());
+            case MembershipEvent.Introduced introduced -> applyAnnouncement(introduced.member(), false);
+            case MembershipEvent.ConnectionOpened opened -> applyConnectionOpened(opened.member());
+            case MembershipEvent.ConnectionLost lost -> applyConnectionLost(lost.member());
+            case MembershipEvent.ConnectedProcesses connected -> refreshContact(connected.processIds());
+            case MembershipEvent.SuspicionAnswered answered -> applyAnswer(answered);
+            case MembershipEvent.Ticked ticked -> applyTick();
         }
         if (changed) {
             effects.add(new MembershipEffect.Changed());
@@ -70,120 +70,122 @@
         return effects;
     }
 
-    /** Returns all members and those that ended lately. */
+    /** Returns a snapshot of the members and of recently ended incarnations. */
     public MemberList list() {
         List<Member> members = new ArrayList<>();
         Set<Incarnation> unannounced = new HashSet<>();
-        for (KnownMember one : present.values()) {
-            members.add(one.member);
-            if (!one.announced) {
-                unannounced.add(one.id());
+        for (TrackedMember tracked : activeMembers.values()) {
+            members.add(tracked.member);
+            if (!tracked.announced) {
+                unannounced.add(tracked.id());
             }
         }
         members.sort(Comparator.comparing(Member::processId));
-        List<EndedMember> over = new ArrayList<>();
-        ended.values().forEach(one -> over.add(EndedMember.of(one.member, one.ended)));
-        leftUnseen.keySet().forEach(id -> over.add(new EndedMember(id, "", "", EndedMember.Reason.LEFT)));
-        return new MemberList(members, unannounced, over);
+        List<EndedMember> recentlyEnded = new ArrayList<>();
+        endedMembers.values().forEach(tracked -> recentlyEnded.add(EndedMember.of(tracked.member, tracked.endReason)));
+        unknownDepartures
+                .keySet()
+                .forEach(id -> recentlyEnded.add(new EndedMember(id, "", "", EndedMember.Reason.LEFT)));
+        return new MemberList(members, unannounced, recentlyEnded);
     }
 
-    /** Returns the state of an incarnation; empty when it is not known. */
+    /** Returns the state of an incarnation; empty when it is unknown. */
     public Optional<MemberState> state(Incarnation id) {
-        return Optional.ofNullable(find(id)).map(one -> one.state);
+        return Optional.ofNullable(find(id)).map(tracked -> tracked.state);
     }
 
-    private void record(MemberRecord record) {
+    private void applyRecord(MemberRecord record) {
         switch (record) {
-            case MemberRecord.Announce announce -> announce(announce.member(), true);
-            case MemberRecord.Leave leave -> leave(new Incarnation(leave.processId(), leave.incarnation()));
-            case MemberRecord.Gone gone -> gone(new Incarnation(gone.processId(), gone.incarnation()));
+            case MemberRecord.Announce announce -> applyAnnouncement(announce.member(), true);
+            case MemberRecord.Leave leave -> applyLeave(new Incarnation(leave.processId(), leave.incarnation()));
+            case MemberRecord.Gone gone -> applyGone(new Incarnation(gone.processId(), gone.incarnation()));
         }
     }
 
-    // An append that was delayed for long can bring the announcement of an incarnation after its successor's or after
-    // its own end. Agents would be dialled at old addresses and counted as ended, in turns. Incarnations are never
-    // reused, so one that has ended stays ended; only one that was presumed gone may come back.
-    private void announce(Member member, boolean inLog) {
-        if (closed.contains(member.id())) {
+    // A long-delayed append can place the announcement of an incarnation after that of its successor or after its own
+    // end. If it were applied, the view would alternate between incarnations: agents would be dialled at old addresses
+    // and listed as ended. Incarnations are never reused, so only one that was presumed gone may rejoin.
+    private void applyAnnouncement(Member member, boolean inLog) {
+        if (retiredIncarnations.contains(member.id())) {
             return;
         }
-        KnownMember known = find(member.id());
-        if (known != null && known.ended != null) {
-            comeBack(known, inLog);
+        TrackedMember known = find(member.id());
+        if (known != null && known.endReason != null) {
+            rejoin(known, inLog);
             return;
         }
         if (known != null) {
             update(known, member, inLog);
             return;
         }
-        enter(new KnownMember(member, inLog, now));
+        addMember(new TrackedMember(member, inLog, now));
     }
 
-    private void comeBack(KnownMember known, boolean inLog) {
-        if (known.ended != EndedMember.Reason.PRESUMED_GONE) {
+    private void rejoin(TrackedMember known, boolean inLog) {
+        if (known.endReason != EndedMember.Reason.PRESUMED_GONE) {
             return;
         }
-        ended.remove(known.id());
-        known.ended = null;
+        endedMembers.remove(known.id());
+        known.endReason = null;
         known.announced |= inLog;
-        known.heardAt = now;
-        known.enter(known.reached ? MemberState.ALIVE : MemberState.JOINING, now);
-        enter(known);
+        known.lastContactNanos = now;
+        known.transitionTo(known.connected ? MemberState.ALIVE : MemberState.JOINING, now);
+        addMember(known);
     }
 
-    private void update(KnownMember known, Member member, boolean inLog) {
+    private void update(TrackedMember known, Member member, boolean inLog) {
         changed |= !known.member.equals(member) || inLog && !known.announced;
         known.member = member;
         known.announced |= inLog;
-        known.heardAt = now;
+        known.lastContactNanos = now;
     }
 
-    private void enter(KnownMember entering) {
-        String processId = entering.member.processId();
-        if (processId.equals(self.processId()) && !entering.id().equals(self.id())) {
-            // An earlier run of this very process.
-            end(entering, EndedMember.Reason.SUPERSEDED);
+    private void addMember(TrackedMember added) {
+        String processId = added.member.processId();
+        if (processId.equals(self.processId()) && !added.id().equals(self.id())) {
+            // An earlier run of this process.
+            endMember(added, EndedMember.Reason.SUPERSEDED);
             return;
         }
-        KnownMember before = present.put(processId, entering);
-        if (before != null) {
-            end(before, EndedMember.Reason.SUPERSEDED);
+        TrackedMember predecessor = activeMembers.put(processId, added);
+        if (predecessor != null) {
+            endMember(predecessor, EndedMember.Reason.SUPERSEDED);
         }
         changed = true;
     }
 
-    private void end(KnownMember ending, EndedMember.Reason reason) {
-        present.remove(ending.member.processId(), ending);
-        ending.end(reason, now);
-        ended.put(ending.id(), ending);
+    private void endMember(TrackedMember tracked, EndedMember.Reason reason) {
+        activeMembers.remove(tracked.member.processId(), tracked);
+        tracked.end(reason, now);
+        endedMembers.put(tracked.id(), tracked);
         changed = true;
     }
 
-    private void leave(Incarnation id) {
-        KnownMember known = find(id);
+    private void applyLeave(Incarnation id) {
+        TrackedMember known = find(id);
         if (known == null) {
-            leaveUnseen(id);
+            applyUnknownLeave(id);
             return;
         }
-        if (id.equals(self.id()) || known.ended == EndedMember.Reason.LEFT) {
+        if (id.equals(self.id()) || known.endReason == EndedMember.Reason.LEFT) {
             return;
         }
-        flaps.remove(id.processId());
-        end(known, EndedMember.Reason.LEFT);
+        flapHistories.remove(id.processId());
+        endMember(known, EndedMember.Reason.LEFT);
     }
 
-    private void leaveUnseen(Incarnation id) {
-        if (closed.add(id)) {
-            leftUnseen.put(id, now);
+    private void applyUnknownLeave(Incarnation id) {
+        if (retiredIncarnations.add(id)) {
+            unknownDepartures.put(id, now);
             changed = true;
         }
     }
 
-    // Several entries may write the record, and a lost answer may write it twice. Counted once per incarnation, a late
-    // one can't take a member out again that has announced itself since.
-    private void gone(Incarnation id) {
-        KnownMember known = find(id);
-        if (known == null || known.ended != null || known.declaredGone) {
+    // Several entries may write the record, and a retry after a lost answer may write it twice. It is applied once per
+    // incarnation, so that a late copy cannot remove a member that has announced itself again since.
+    private void applyGone(Incarnation id) {
+        TrackedMember known = find(id);
+        if (known == null || known.endReason != null || known.declaredGone) {
             return;
         }
         known.declaredGone = true;
@@ -191,181 +193,188 @@
             effects.add(new MembershipEffect.Append(new MemberRecord.Announce(self)));
             return;
         }
-        end(known, EndedMember.Reason.PRESUMED_GONE);
-        if (known.reached) {
+        endMember(known, EndedMember.Reason.PRESUMED_GONE);
+        if (known.connected) {
             effects.add(new MembershipEffect.TellGone(known.member));
         }
     }
 
-    private void reach(Member member) {
-        if (member.processId().equals(self.processId()) || closed.contains(member.id())) {
+    private void applyConnectionOpened(Member member) {
+        if (member.processId().equals(self.processId()) || retiredIncarnations.contains(member.id())) {
             return;
         }
-        KnownMember known = find(member.id());
+        TrackedMember known = find(member.id());
         if (known == null) {
-            known = new KnownMember(member, false, now);
-            enter(known);
+            known = new TrackedMember(member, false, now);
+            addMember(known);
         }
-        known.reached = true;
-        known.heardAt = now;
-        if (known.ended == null) {
-            alive(known);
+        known.connected = true;
+        known.lastContactNanos = now;
+        if (known.endReason == null) {
+            markAlive(known);
         } else {
-            reachEnded(known);
+            applyConnectionToEnded(known);
         }
     }
 
-    private void reachEnded(KnownMember known) {
-        switch (known.ended) {
+    private void applyConnectionToEnded(TrackedMember known) {
+        switch (known.endReason) {
             case LEFT -> {
-                // It finishes what it has.
+                // It only finishes its running work.
             }
             case PRESUMED_GONE -> effects.add(new MembershipEffect.TellGone(known.member));
             case SUPERSEDED -> {
-                // The records came in another order than the incarnations ran; an open connection knows better.
-                ended.remove(known.id());
-                known.ended = null;
-                enter(known);
-                alive(known);
+                // The records are out of order; the open connection shows that this incarnation runs.
+                endedMembers.remove(known.id());
+                known.endReason = null;
+                addMember(known);
+                markAlive(known);
             }
         }
     }
 
-    private void alive(KnownMember known) {
-        known.enter(MemberState.ALIVE, now);
-        Flaps history = flaps.get(known.member.processId());
-        if (known.member.isAgent() && history != null && history.cameBack(settings, now)) {
+    private void markAlive(TrackedMember known) {
+        known.transitionTo(MemberState.ALIVE, now);
+        FlapHistory history = flapHistories.get(known.member.processId());
+        if (known.member.isAgent() && history != null && history.beginHoldDownIfFlapping(settings, now)) {
             effects.add(new MembershipEffect.HoldDown(known.id(), true));
         }
     }
 
-    private void lose(Incarnation id) {
-        KnownMember known = find(id);
-        if (known == null || !known.reached) {
+    private void applyConnectionLost(Incarnation id) {
+        TrackedMember known = find(id);
+        if (known == null || !known.connected) {
             return;
         }
-        known.reached = false;
-        known.heardAt = now;
-        if (known.ended == null) {
-            flaps.computeIfAbsent(id.processId(), unknown -> new Flaps()).failed(settings, now);
-            known.enter(MemberState.SUSPECT, now);
+        known.connected = false;
+        known.lastContactNanos = now;
+        if (known.endReason == null) {
+            flapHistories
+                    .computeIfAbsent(id.processId(), unknown -> new FlapHistory())
+                    .recordFailure(settings, now);
+            known.transitionTo(MemberState.SUSPECT, now);
         }
     }
 
-    private void hear(Set<String> processIds) {
+    private void refreshContact(Set<String> processIds) {
         for (String processId : processIds) {
-            KnownMember one = present.get(processId);
-            if (one != null) {
-                one.heardAt = now;
+            TrackedMember tracked = activeMembers.get(processId);
+            if (tracked != null) {
+                tracked.lastContactNanos = now;
             }
         }
     }
 
-    private void answer(MembershipEvent.Answered answered) {
-        KnownMember suspect = find(answered.suspect());
-        KnownMember entry = find(answered.entry());
+    private void applyAnswer(MembershipEvent.SuspicionAnswered answered) {
+        TrackedMember suspect = find(answered.suspect());
+        TrackedMember entry = find(answered.entry());
         if (suspect == null || suspect.suspicion == null || entry == null) {
             return;
         }
-        boolean elsewhere = !entry.member.failureDomain().equals(self.failureDomain());
-        suspect.suspicion.answered(answered.alive(), elsewhere);
+        boolean otherFailureDomain = !entry.member.failureDomain().equals(self.failureDomain());
+        suspect.suspicion.recordAnswer(answered.alive(), otherFailureDomain);
     }
 
-    private void tick() {
-        present.get(self.processId()).heardAt = now;
-        for (KnownMember one : List.copyOf(present.values())) {
-            tend(one);
-        }
-        flaps.forEach(this::release);
-        flaps.values().removeIf(history -> history.isOver(settings, now));
-        long retention = settings.endedRetention().toNanos();
-        changed |= leftUnseen.values().removeIf(at -> now - at >= retention);
-        changed |= ended.values().removeIf(one -> !one.reached && now - one.since >= retention && forget(one));
+    private void applyTick() {
+        activeMembers.get(self.processId()).lastContactNanos = now;
+        for (TrackedMember tracked : List.copyOf(activeMembers.values())) {
+            checkMember(tracked);
+        }
+        flapHistories.forEach(this::endHoldDown);
+        flapHistories.values().removeIf(history -> history.isExpired(settings, now));
+        long retentionNanos = settings.endedRetention().toNanos();
+        changed |= unknownDepartures.values().removeIf(departureNanos -> now - departureNanos >= retentionNanos);
+        changed |= endedMembers
+                .values()
+                .removeIf(tracked ->
+                        !tracked.connected && now - tracked.stateSinceNanos >= retentionNanos && retire(tracked));
     }
 
-    private boolean forget(KnownMember one) {
-        if (one.ended != EndedMember.Reason.PRESUMED_GONE) {
-            closed.add(one.id());
+    private boolean retire(TrackedMember tracked) {
+        if (tracked.endReason != EndedMember.Reason.PRESUMED_GONE) {
+            retiredIncarnations.add(tracked.id());
         }
         return true;
     }
 
-    private void tend(KnownMember one) {
-        boolean waited = now - one.since >= settings.joinPatience().toNanos();
-        if (one.state == MemberState.JOINING && waited) {
-            one.enter(MemberState.SUSPECT, now);
+    private void checkMember(TrackedMember tracked) {
+        boolean joinTimedOut =
+                now - tracked.stateSinceNanos >= settings.joinTimeout().toNanos();
+        if (tracked.state == MemberState.JOINING && joinTimedOut) {
+            tracked.transitionTo(MemberState.SUSPECT, now);
         }
-        if (one.suspicion != null) {
-            question(one);
+        if (tracked.suspicion != null) {
+            checkSuspicion(tracked);
         }
-        if (!one.announced && one.member.isAgent()) {
-            announceFor(one);
+        if (!tracked.announced && tracked.member.isAgent()) {
+            announceOnBehalf(tracked);
         }
-        boolean unheard = now - one.heardAt >= settings.unheardLimit().toNanos();
-        if (unheard && !one.reached && !one.id().equals(self.id())) {
-            end(one, EndedMember.Reason.PRESUMED_GONE);
+        boolean contactTimedOut =
+                now - tracked.lastContactNanos >= settings.contactTimeout().toNanos();
+        if (contactTimedOut && !tracked.connected && !tracked.id().equals(self.id())) {
+            endMember(tracked, EndedMember.Reason.PRESUMED_GONE);
         }
     }
 
-    // An entry that takes a job over has to ask all agents that may have run its tasks, and knows of them by the log.
-    // An agent that the log does not know yet is therefore announced from here as well as by its own next attempt.
-    private void announceFor(KnownMember agent) {
-        if (now - agent.announceAt >= settings.announceForAfter().toNanos()) {
-            agent.announceAt = now;
+    // An entry that takes over a job has to query all agents that may have run its tasks, and finds them through the
+    // log. An agent missing from the log is therefore announced by this entry, in addition to the agent's own retries.
+    private void announceOnBehalf(TrackedMember agent) {
+        if (now - agent.lastAnnouncedNanos >= settings.announceOnBehalfAfter().toNanos()) {
+            agent.lastAnnouncedNanos = now;
             effects.add(new MembershipEffect.Append(new MemberRecord.Announce(agent.member)));
         }
     }
 
-    private void question(KnownMember suspect) {
-        long turn = settings.turn().toNanos() * rank(suspect);
-        boolean settled = suspect.suspicion.isSettled(settings, turn, now);
-        if (settled && !suspect.declaredGone && suspect.suspicion.declare(settings, now)) {
+    private void checkSuspicion(TrackedMember suspect) {
+        long staggerNanos = settings.declarationStagger().toNanos() * declarationRank(suspect);
+        boolean confirmed = suspect.suspicion.mayDeclareGone(settings, staggerNanos, now);
+        if (confirmed && !suspect.declaredGone && suspect.suspicion.beginDeclaration(settings, now)) {
             effects.add(new MembershipEffect.Append(
                     new MemberRecord.Gone(suspect.member.processId(), suspect.member.incarnation(), self.processId())));
         }
-        if (suspect.suspicion.isQuestionDue(settings, now)) {
-            suspect.suspicion.asked(now);
-            witnesses(suspect).forEach(entry -> effects.add(new MembershipEffect.Ask(entry.id(), suspect.id())));
+        if (suspect.suspicion.isQueryDue(settings, now)) {
+            suspect.suspicion.recordQuery(now);
+            entriesToQuery(suspect).forEach(entry -> effects.add(new MembershipEffect.Ask(entry.id(), suspect.id())));
         }
     }
 
-    private int rank(KnownMember suspect) {
+    private int declarationRank(TrackedMember suspect) {
         List<String> entries = new ArrayList<>();
-        for (KnownMember one : present.values()) {
-            if (!one.member.isAgent() && one.state == MemberState.ALIVE) {
-                entries.add(one.member.processId());
+        for (TrackedMember tracked : activeMembers.values()) {
+            if (!tracked.member.isAgent() && tracked.state == MemberState.ALIVE) {
+                entries.add(tracked.member.processId());
             }
         }
         return RendezvousOrder.rank(self.processId(), entries, suspect.member.processId());
     }
 
-    /** Returns the entries to ask: one of each other failure domain, of three at most. */
-    private List<KnownMember> witnesses(KnownMember suspect) {
-        Map<String, KnownMember> byDomain = new LinkedHashMap<>();
-        List<KnownMember> entries = new ArrayList<>(present.values());
-        entries.sort(Comparator.comparing(one -> one.member.processId()));
-        for (KnownMember entry : entries) {
+    /** Returns the entries to query: one in each other failure domain, in three domains at most. */
+    private List<TrackedMember> entriesToQuery(TrackedMember suspect) {
+        Map<String, TrackedMember> byDomain = new LinkedHashMap<>();
+        List<TrackedMember> entries = new ArrayList<>(activeMembers.values());
+        entries.sort(Comparator.comparing(tracked -> tracked.member.processId()));
+        for (TrackedMember entry : entries) {
             String domain = entry.member.failureDomain();
-            boolean usable = !entry.member.isAgent() && entry.reached && entry != suspect;
-            if (usable && !domain.equals(self.failureDomain()) && byDomain.size() < MOST_ASKED) {
+            boolean usable = !entry.member.isAgent() && entry.connected && entry != suspect;
+            if (usable && !domain.equals(self.failureDomain()) && byDomain.size() < MAXIMUM_QUERIED_ENTRIES) {
                 byDomain.putIfAbsent(domain, entry);
             }
         }
         return List.copyOf(byDomain.values());
     }
 
-    private void release(String processId, Flaps history) {
-        if (!history.release(now)) {
+    private void endHoldDown(String processId, FlapHistory history) {
+        if (!history.endHoldDownIfExpired(now)) {
             return;
         }
-        KnownMember one = present.get(processId);
-        if (one != null) {
-            effects.add(new MembershipEffect.HoldDown(one.id(), false));
+        TrackedMember tracked = activeMembers.get(processId);
+        if (tracked != null) {
+            effects.add(new MembershipEffect.HoldDown(tracked.id(), false));
         }
     }
 
-    private KnownMember find(Incarnation id) {
-        KnownMember one = present.get(id.processId());
-        return one != null && one.id().equals(id) ? one : ended.get(id);
+    private TrackedMember find(Incarnation id) {
+        TrackedMember tracked = activeMembers.get(id.processId());
+        return tracked != null && tracked.id().equals(id) ? tracked : endedMembers.get(id);
     }
 }
--- a/library/src/main/java/org/chivetally/entry/member/Probes.java
+++ b/library/src/main/java/org/chivetally/entry/member/Probes.java
@@ -7,40 +7,40 @@
 import java.util.function.Consumer;
 import java.util.function.Predicate;
 
-/** Members that another entry suspects and that were asked for a sign of life. Owned by one actor. */
+/** Pending liveness probes of members that another entry suspects. Owned by one actor. Times are nanoseconds. */
 public final class Probes {
-    private static final long PATIENCE_NANOS = Duration.ofMillis(500).toNanos();
+    private static final long PROBE_TIMEOUT_NANOS = Duration.ofMillis(500).toNanos();
 
-    private final List<Probe> open = new ArrayList<>();
+    private final List<Probe> pending = new ArrayList<>();
 
-    /** Notes that a member was asked; the reply is true if anything comes from it in time. */
+    /** Adds a probe of a member; the reply is true if any frame arrives from it before the timeout. */
     public void begin(Incarnation member, Consumer<Boolean> alive, long now) {
-        open.add(new Probe(member, alive, now + PATIENCE_NANOS));
+        pending.add(new Probe(member, alive, now + PROBE_TIMEOUT_NANOS));
     }
 
-    /** Notes that a frame of a member arrived. */
+    /** Completes the probes of a member that sent a frame. */
     public void received(Incarnation member) {
-        if (open.isEmpty()) {
+        if (pending.isEmpty()) {
             return;
         }
         answer(probe -> probe.member.equals(member), true);
     }
 
-    /** Ends probes that nothing came back for. */
+    /** Completes the probes that timed out. */
     public void expire(long now) {
-        answer(probe -> now - probe.until >= 0, false);
+        answer(probe -> now - probe.deadlineNanos >= 0, false);
     }
 
-    private void answer(Predicate<Probe> which, boolean alive) {
-        Iterator<Probe> all = open.iterator();
-        while (all.hasNext()) {
-            Probe probe = all.next();
-            if (which.test(probe)) {
-                all.remove();
+    private void answer(Predicate<Probe> matches, boolean alive) {
+        Iterator<Probe> iterator = pending.iterator();
+        while (iterator.hasNext()) {
+            Probe probe = iterator.next();
+            if (matches.test(probe)) {
+                iterator.remove();
                 probe.alive.accept(alive);
             }
         }
     }
 
-    private record Probe(Incarnation member, Consumer<Boolean> alive, long until) {}
+    private record Probe(Incarnation member, Consumer<Boolean> alive, long deadlineNanos) {}
 }
--- a/library/src/main/java/org/chivetally/entry/member/Suspicion.java
+++ b/library/src/main/java/org/chivetally/entry/member/Suspicion.java
@@ -1,66 +1,74 @@
 package org.chivetally.entry.member;
 
 /**
- * The questions about one suspected member and what other entries answered. Times are nanoseconds.
+ * Queries to other entries about one suspected member, and their answers. Times are nanoseconds.
  *
- * <p>Only answers to the newest question count, and one entry that reaches the member outweighs all that don't: a
- * member cut off from some still serves the others.
+ * <p>Only answers to the latest query count. One entry that reaches the member refutes the suspicion, whatever the
+ * others answer: a member that some entries cannot reach still serves the rest.
  */
 final class Suspicion {
-    private final long begunAt;
-    private long questions;
-    private long askedAt;
+    private final long startedNanos;
+    private long queryCount;
+    private long lastQueryNanos;
     private boolean confirmed;
     private boolean refuted;
-    private long declaredAt;
+    private long declaredNanos;
     private boolean declared;
 
     Suspicion(long now) {
-        this.begunAt = now;
+        this.startedNanos = now;
     }
 
-    /** Tells whether the next question is due. */
-    boolean isQuestionDue(MembershipSettings settings, long now) {
-        if (questions == 0) {
-            return now - begunAt >= settings.firstQuestion().toNanos();
+    /** Returns whether the next query is due. */
+    boolean isQueryDue(MembershipSettings settings, long now) {
+        if (queryCount == 0) {
+            return now - startedNanos >= settings.firstQueryDelay().toNanos();
         }
-        long longest = settings.questionLimit().toNanos();
-        int shift = (int) Math.min(questions - 1, 16);
-        return now - askedAt >= Math.min(longest, settings.questionInterval().toNanos() << shift);
+        long longestNanos = settings.longestQueryInterval().toNanos();
+        int shift = (int) Math.min(queryCount - 1, 16);
+        return now - lastQueryNanos
+                >= Math.min(longestNanos, settings.queryInterval().toNanos() << shift);
     }
 
-    void asked(long now) {
-        questions++;
-        askedAt = now;
+    void recordQuery(long now) {
+        queryCount++;
+        lastQueryNanos = now;
         confirmed = false;
         refuted = false;
     }
 
     /**
-     * Notes an answer.
+     * Records an answer to the latest query.
      *
-     * @param elsewhere whether the entry that answers is in another failure domain than this one
+     * @param alive whether the answering entry reaches the member
+     * @param otherFailureDomain whether the answering entry is in another failure domain than this one
      */
-    void answered(boolean alive, boolean elsewhere) {
+    void recordAnswer(boolean alive, boolean otherFailureDomain) {
         refuted |= alive;
-        confirmed |= !alive && elsewhere;
+        confirmed |= !alive && otherFailureDomain;
     }
 
-    /** Tells whether the member may be declared gone by the entry whose turn comes after the given time. */
-    boolean isSettled(MembershipSettings settings, long turnNanos, long now) {
-        boolean waited = now - begunAt >= settings.goneAfter().toNanos() + turnNanos;
-        boolean heard =
-                questions > 0 && now - askedAt >= settings.answerPatience().toNanos();
-        return waited && heard && confirmed && !refuted;
+    /**
+     * Returns whether this entry may declare the member gone: it has been suspected for long enough, and the answers to
+     * the latest query confirm it from another failure domain without any that refutes it.
+     *
+     * @param staggerNanos additional delay of this entry, in nanoseconds
+     */
+    boolean mayDeclareGone(MembershipSettings settings, long staggerNanos, long now) {
+        boolean suspectedLongEnough =
+                now - startedNanos >= settings.minimumSuspicion().toNanos() + staggerNanos;
+        boolean answerTimeoutPassed = queryCount > 0
+                && now - lastQueryNanos >= settings.answerTimeout().toNanos();
+        return suspectedLongEnough && answerTimeoutPassed && confirmed && !refuted;
     }
 
-    /** Tells whether the record is to be written now: once, and again only when it does not come back from the log. */
-    boolean declare(MembershipSettings settings, long now) {
-        if (declared && now - declaredAt < settings.questionLimit().toNanos()) {
+    /** Returns whether to write the gone record now: once, and again when it was not read back from the log in time. */
+    boolean beginDeclaration(MembershipSettings settings, long now) {
+        if (declared && now - declaredNanos < settings.longestQueryInterval().toNanos()) {
             return false;
         }
         declared = true;
-        declaredAt = now;
+        declaredNanos = now;
         return true;
     }
 }
--- a/library/src/main/java/org/chivetally/entry/peer/InboundFrames.java
+++ b/library/src/main/java/org/chivetally/entry/peer/InboundFrames.java
@@ -31,10 +31,10 @@
 import org.chivetally.wire.v1.SuspicionAnswer;
 import org.chivetally.wire.v1.SuspicionQuery;
 
-/** Answers other processes that dial this entry. */
+/** Answers frames on the connections that other processes open to this entry. */
 public final class InboundFrames implements FrameListener {
-    /** Longest outcome that one frame carries, in bytes. */
-    private static final int LONGEST_OUTCOME = 3 * 1024 * 1024;
+    /** Maximum size of an outcome document in one frame. */
+    private static final int MAXIMUM_OUTCOME_BYTES = 3 * 1024 * 1024;
 
     private final Parts parts;
 
@@ -54,25 +54,25 @@
     @Override
     public void received(FrameConnection connection, Frame frame) {
         switch (frame.getBodyCase()) {
-            case HELLO -> parts.introduced().accept(frame.getHello());
-            case HEARTBEAT -> beat(connection, frame);
+            case HELLO -> parts.introductions().accept(frame.getHello());
+            case HEARTBEAT -> answerHeartbeat(connection, frame);
             case ATTACH -> attach(connection, frame.getRequestId(), frame.getAttach());
             case CANCEL -> frame.getCancel().getJobIdsList().forEach(this::cancel);
-            case SUSPICION_QUERY -> suspicion(connection, frame.getRequestId(), frame.getSuspicionQuery());
-            case CONFIGURATION_PULL -> pull(connection, frame);
-            case MEMBERS_PULL -> members(connection, frame.getRequestId());
+            case SUSPICION_QUERY -> answerSuspicionQuery(connection, frame.getRequestId(), frame.getSuspicionQuery());
+            case CONFIGURATION_PULL -> answerConfigurationPull(connection, frame);
+            case MEMBERS_PULL -> answerMembersPull(connection, frame.getRequestId());
             default -> {
-                // An answer to a question of this entry goes over its own connections.
+                // Answers to requests of this entry arrive on the connections that it opened.
             }
         }
     }
 
     @Override
     public void disconnected(FrameConnection connection, String reason) {
-        // Whatever is still awaited over it is asked for again over another.
+        // The other process repeats its pending requests on a new connection.
     }
 
-    private void beat(FrameConnection connection, Frame frame) {
+    private void answerHeartbeat(FrameConnection connection, Frame frame) {
         if (frame.getHeartbeat().getAnswer()) {
             return;
         }
@@ -88,7 +88,7 @@
         if (attach.getJobId().isEmpty()) {
             parts.submissions()
                     .accept(new SubmissionCommand.AskKey(
-                            KeyQuestions.key(attach), known -> answerKey(connection, requestId, known)));
+                            KeyQueries.key(attach), known -> answerKey(connection, requestId, known)));
             return;
         }
         parts.submissions()
@@ -106,7 +106,7 @@
                 .setJobId(answer.job().text())
                 .setKnown(answer.outcome().isPresent())
                 .setOutcome(answer.outcome()
-                        .map(outcome -> fitting(answer.job(), outcome))
+                        .map(outcome -> limitedDocument(answer.job(), outcome))
                         .orElse(""));
         send(connection, requestId, body);
     }
@@ -116,11 +116,11 @@
                 Frame.newBuilder().setRequestId(requestId).setJobAnswer(body).build());
     }
 
-    // A frame over the transport's limit would close the connection, and the asking entry would dial and ask again for
-    // ever. It is told instead that the answer has to be fetched from this entry.
-    private static String fitting(JobId job, JobOutcome outcome) {
+    // A frame above the size limit of the transport would close the connection, and the requesting entry would
+    // reconnect and repeat its request forever. It receives a failure instead that refers the caller to this entry.
+    private static String limitedDocument(JobId job, JobOutcome outcome) {
         String document = OutcomeDocument.write(job, outcome);
-        if (document.getBytes(StandardCharsets.UTF_8).length <= LONGEST_OUTCOME) {
+        if (document.getBytes(StandardCharsets.UTF_8).length <= MAXIMUM_OUTCOME_BYTES) {
             return document;
         }
         String detail = "the whole answer is too large to pass between entries; ask the entry that coordinates the job";
@@ -134,7 +134,7 @@
         }
     }
 
-    private void suspicion(FrameConnection connection, long requestId, SuspicionQuery query) {
+    private void answerSuspicionQuery(FrameConnection connection, long requestId, SuspicionQuery query) {
         Incarnation suspect = new Incarnation(query.getProcessId(), query.getIncarnation());
         parts.probe()
                 .accept(
@@ -148,7 +148,7 @@
                                 .build()));
     }
 
-    private void pull(FrameConnection connection, Frame frame) {
+    private void answerConfigurationPull(FrameConnection connection, Frame frame) {
         long have = frame.getConfigurationPull().getHaveVersion();
         parts.executor()
                 .execute(() -> parts.configuration()
@@ -161,7 +161,7 @@
                                 .build())));
     }
 
-    private void members(FrameConnection connection, long requestId) {
+    private void answerMembersPull(FrameConnection connection, long requestId) {
         parts.members().accept(known -> {
             MembersPush.Builder push = MembersPush.newBuilder();
             known.forEach(member -> push.addMembers(MemberRecords.toHello(member)));
@@ -173,20 +173,21 @@
     }
 
     /**
-     * What the listener works with; all parts are safe from any thread.
+     * Dependencies of the listener; all are thread-safe.
      *
-     * @param hello introduction of this process
-     * @param introduced takes introductions of processes that dialled
-     * @param submissions takes questions about jobs
-     * @param probe asks a member for a sign of life, and tells whether it came
-     * @param members gives the members known here
-     * @param configuration what other entries may ask for
-     * @param executor writes answers, which may be large
+     * @param hello creates the Hello of this process
+     * @param requestIds request ids of this process, never repeated
+     * @param introductions receives the Hello of each process that connects
+     * @param submissions receives requests about jobs
+     * @param probe sends a heartbeat to a member and reports whether it answered
+     * @param members passes the members known to this entry to a receiver
+     * @param configuration configuration that other entries may pull
+     * @param executor writes answers that may be large
      */
     public record Parts(
             Supplier<Hello> hello,
             LongSupplier requestIds,
-            Consumer<Hello> introduced,
+            Consumer<Hello> introductions,
             Consumer<SubmissionCommand> submissions,
             BiConsumer<Incarnation, Consumer<Boolean>> probe,
             Consumer<Consumer<List<Member>>> members,
--- a/library/src/main/java/org/chivetally/log/HttpPlatformLog.java
+++ b/library/src/main/java/org/chivetally/log/HttpPlatformLog.java
@@ -46,6 +46,7 @@
     /**
      * Creates a client.
      *
+     * @param system actor system that runs the HTTP client and its timers
      * @param base base URL of the log, such as {@code http://10.0.0.5:8600}
      * @param timeout maximum time until a response, in addition to the wait of a read
      */
@@ -86,8 +87,8 @@
             BiFunction<HttpResponse, byte[], T> onResponse,
             Function<Throwable, T> onFailure) {
         CompletableFuture<T> outcome = new CompletableFuture<>();
-        // A request on a connection that has gone silent would never complete. The timer fails the request in any
-        // case, and the pool's idle timeout closes the connection.
+        // A request would never complete if its connection stopped responding. The timer fails the request in any case,
+        // and the pool's idle timeout closes the connection.
         Cancellable timer = system.scheduler()
                 .scheduleOnce(
                         responseTimeout,
@@ -188,7 +189,7 @@
         private static final long serialVersionUID = 1L;
 
         ResponseTimeout(Duration timeout) {
-            super("no response within " + timeout.toMillis() + " ms", null, false, false);
+            super("no answer within " + timeout.toMillis() + " ms", null, false, false);
         }
     }
 }
--- a/library/src/main/java/org/chivetally/placement/AgentView.java
+++ b/library/src/main/java/org/chivetally/placement/AgentView.java
@@ -8,36 +8,37 @@
 import org.chivetally.wire.v1.Report;
 
 /**
- * One incarnation of an agent as one coordinator sees it: its own attempts there exactly, the rest as of the last
- * report. Changed only by its {@link Fleet}, which keeps the indexes in step.
+ * State of one incarnation of an agent, as known to one coordinator. The coordinator's own attempts are counted
+ * exactly; everything else is as of the agent's last report. Only {@link Fleet} modifies a view, so that its indexes
+ * stay consistent.
  */
 public final class AgentView {
-    private static final int UNLIMITED = Integer.MAX_VALUE;
-    private static final long REFRESH_PATIENCE_NANOS = 500_000_000L;
+    private static final int NO_LIMIT = Integer.MAX_VALUE;
+    private static final long REFRESH_TIMEOUT_NANOS = 500_000_000L;
 
     private final AgentId id;
     private String service = "";
     private String failureDomain = "";
     private int slots;
-    private Resources size = Resources.NONE;
-    private boolean introduced;
+    private Resources workerCapacity = Resources.NONE;
+    private boolean helloReceived;
     private boolean reachable;
     private boolean draining;
     private boolean leaving;
     private boolean minionDown;
     private boolean gone;
     private long ticket;
-    private long ticketReceivedAt;
+    private long ticketReceivedAtNanos;
     private long sequence;
     private boolean reported;
     private boolean refreshPending;
-    private long refreshSentAt;
-    private int others;
+    private long refreshSentAtNanos;
+    private int externalTasks;
     private int inFlight;
     private long processorMillisInFlight;
     private long memoryBytesInFlight;
     private int acceleratorsInFlight;
-    private int allowed = UNLIMITED;
+    private int attemptLimit = NO_LIMIT;
     private boolean heldDown;
 
     AgentView(AgentId id) {
@@ -49,77 +50,80 @@
         return id;
     }
 
-    /** Returns the service its minion runs; empty while neither a Hello of it nor the members' records named it. */
+    /** Returns the service that its minion runs; empty until a Hello or a membership record names it. */
     public String service() {
         return service;
     }
 
-    /** Returns the failure domain it said it is in. */
+    /** Returns the failure domain that the agent announced in its Hello. */
     public String failureDomain() {
         return failureDomain;
     }
 
-    /** Returns the slots of its minion. */
+    /** Returns the number of slots of its minion. */
     public int slots() {
         return slots;
     }
 
-    /** Returns what its worker gives to the minion. */
-    public Resources size() {
-        return size;
+    /** Returns the resources that its worker provides to the minion. */
+    public Resources workerCapacity() {
+        return workerCapacity;
     }
 
-    /** Tells whether a Hello of it was ever seen, so that service and capacity are known. */
-    public boolean introduced() {
-        return introduced;
+    /** Returns whether a Hello was received, so that service and capacity are known. */
+    public boolean helloReceived() {
+        return helloReceived;
     }
 
-    /** Tells whether a connection to it can be used. */
+    /** Returns whether there is a usable connection to the agent. */
     public boolean reachable() {
         return reachable;
     }
 
-    /** Tells whether the incarnation is dead beyond doubt. */
+    /** Returns whether the incarnation has certainly ended. */
     public boolean gone() {
         return gone;
     }
 
-    /** Returns this coordinator's attempts in flight there. */
+    /** Returns the number of this coordinator's attempts in flight on the agent. */
     public int inFlight() {
         return inFlight;
     }
 
-    /** Returns what other coordinators had running or queued there at the last report. */
-    public int others() {
-        return others;
+    /** Returns the number of tasks that other coordinators had running or queued on the agent at its last report. */
+    public int externalTasks() {
+        return externalTasks;
     }
 
-    /** Returns the newest ticket, to be sent back as it is. */
+    /** Returns the latest ticket, an opaque value that is sent back unchanged with each start. */
     public long ticket() {
         return ticket;
     }
 
-    /** Returns when the newest ticket arrived, in nanoseconds of this coordinator's clock. */
-    public long ticketReceivedAt() {
-        return ticketReceivedAt;
+    /** Returns when the latest ticket arrived, in nanoseconds of this coordinator's monotonic clock. */
+    public long ticketReceivedAtNanos() {
+        return ticketReceivedAtNanos;
     }
 
-    /** Tells whether a heartbeat was sent lately to refresh the ticket and nothing has come since. */
-    public boolean refreshPending(long now) {
-        return refreshPending && now - refreshSentAt < REFRESH_PATIENCE_NANOS;
+    /**
+     * Returns whether a heartbeat that asks for a new ticket was sent within the refresh timeout and no report has
+     * arrived since.
+     */
+    public boolean refreshPending(long nowNanos) {
+        return refreshPending && nowNanos - refreshSentAtNanos < REFRESH_TIMEOUT_NANOS;
     }
 
-    /** Returns the most attempts in flight that quarantine and hold-down allow. */
-    public int allowed() {
-        return heldDown ? Math.min(1, allowed) : allowed;
+    /** Returns the maximum number of attempts in flight under quarantine and hold-down. */
+    public int attemptLimit() {
+        return heldDown ? Math.min(1, attemptLimit) : attemptLimit;
     }
 
-    /** Tells whether a ticket arrived within the last {@code freshness} nanoseconds. */
-    public boolean hasFreshTicket(long now, long freshness) {
-        return reported && now - ticketReceivedAt <= freshness;
+    /** Returns whether a ticket arrived within the last {@code maximumAgeNanos} nanoseconds. */
+    public boolean hasFreshTicket(long nowNanos, long maximumAgeNanos) {
+        return reported && nowNanos - ticketReceivedAtNanos <= maximumAgeNanos;
     }
 
-    /** Returns what the agent can be used for. */
+    /** Returns whether tasks can be placed on the agent, and if not, why. */
     public AgentState state() {
         if (gone) {
             return AgentState.GONE;
@@ -133,86 +137,94 @@
         if (minionDown) {
             return AgentState.MINION_DOWN;
         }
-        return allowed() <= 0 ? AgentState.QUARANTINED : AgentState.USABLE;
+        return attemptLimit() <= 0 ? AgentState.QUARANTINED : AgentState.USABLE;
     }
 
-    /** Returns the slots thought to be free, with some of the agent's queue counted as slots; never negative. */
+    /**
+     * Returns the estimated number of free slots.
+     *
+     * @param overcommit number of places in the agent's own queue that count as slots
+     * @return the estimate, never negative
+     */
     public int estimatedFree(int overcommit) {
-        if (!acceptsMore()) {
+        if (!acceptsAttempt()) {
             return 0;
         }
-        int bySlots = slots + overcommit - inFlight - others;
-        return Math.max(0, Math.min(bySlots, allowed() - inFlight));
+        int bySlots = slots + overcommit - inFlight - externalTasks;
+        return Math.max(0, Math.min(bySlots, attemptLimit() - inFlight));
     }
 
-    /** Returns the share of slots thought to be taken; above 1 when tasks queue. */
+    /** Returns the estimated share of slots in use; above 1 when tasks are queued. */
     public double loadRatio() {
-        return slots == 0 ? 1.0 : (double) (inFlight + others) / slots;
+        return slots == 0 ? 1.0 : (double) (inFlight + externalTasks) / slots;
     }
 
-    /** Tells whether the agent takes new work and quarantine allows one attempt more. */
-    boolean acceptsMore() {
-        return state() == AgentState.USABLE && inFlight < allowed();
+    /** Returns whether the agent accepts new tasks and its attempt limit allows one more. */
+    boolean acceptsAttempt() {
+        return state() == AgentState.USABLE && inFlight < attemptLimit();
     }
 
-    /** Tells whether a task fits beside this coordinator's own attempts there. */
-    boolean hasRoomFor(Resources need) {
-        return processorMillisInFlight + need.processorMillis() <= size.processorMillis()
-                && memoryBytesInFlight + need.memoryBytes() <= size.memoryBytes()
-                && acceleratorsInFlight + need.accelerators() <= size.accelerators();
+    /** Returns whether a task fits into the worker's capacity next to this coordinator's own attempts. */
+    boolean hasRoomFor(Resources required) {
+        return processorMillisInFlight + required.processorMillis() <= workerCapacity.processorMillis()
+                && memoryBytesInFlight + required.memoryBytes() <= workerCapacity.memoryBytes()
+                && acceleratorsInFlight + required.accelerators() <= workerCapacity.accelerators();
     }
 
-    void introduce(Hello hello) {
+    void applyHello(Hello hello) {
         Capacity capacity = hello.getCapacity();
         service = hello.getService();
         failureDomain = hello.getFailureDomain();
         slots = capacity.getSlots();
-        size = new Resources(capacity.getProcessorMillis(), capacity.getMemoryBytes(), capacity.getAccelerators());
-        introduced = true;
+        workerCapacity =
+                new Resources(capacity.getProcessorMillis(), capacity.getMemoryBytes(), capacity.getAccelerators());
+        helloReceived = true;
     }
 
-    void name(String knownService) {
-        service = knownService;
+    void setService(String serviceName) {
+        service = serviceName;
     }
 
-    void holdDown(boolean held) {
+    void setHeldDown(boolean held) {
         heldDown = held;
     }
 
-    void connect() {
+    void markConnected() {
         gone = false;
         reachable = true;
         refreshPending = false;
     }
 
-    void disconnect() {
+    void markDisconnected() {
         reachable = false;
         refreshPending = false;
     }
 
-    void bury() {
+    void markGone() {
         gone = true;
         reachable = false;
     }
 
-    void drain() {
+    void markLeaving() {
         leaving = true;
     }
 
-    void refreshSent(long now) {
+    void refreshSent(long nowNanos) {
         refreshPending = true;
-        refreshSentAt = now;
+        refreshSentAtNanos = nowNanos;
     }
 
-    void allow(int concurrency) {
-        allowed = concurrency;
+    void limitAttempts(int limit) {
+        attemptLimit = limit;
     }
 
     /**
-     * Takes a report in unless a newer one was seen: frames of an old connection may arrive after those of a new one,
-     * and an old ticket or load would look like the newest.
+     * Applies a report unless a newer one was already applied. Frames of an old connection may arrive after those of a
+     * new one, and would otherwise replace the latest ticket and load by outdated ones.
+     *
+     * @return whether the report was applied
      */
-    boolean report(Report report, long now) {
+    boolean applyReport(Report report, long nowNanos) {
         if (reported && Long.compareUnsigned(report.getSequence(), sequence) < 0) {
             return false;
         }
@@ -220,31 +232,31 @@
         refreshPending = false;
         sequence = report.getSequence();
         ticket = report.getTicket();
-        ticketReceivedAt = now;
+        ticketReceivedAtNanos = nowNanos;
         draining = report.getDraining();
         minionDown = report.getMinionUnhealthy();
-        int taken = Math.max(slots - report.getFreeSlots(), report.getRunning()) + report.getQueued();
-        others = Math.max(0, taken - inFlight);
+        int occupied = Math.max(slots - report.getFreeSlots(), report.getRunning()) + report.getQueued();
+        externalTasks = Math.max(0, occupied - inFlight);
         return true;
     }
 
-    /** Counts the agent as full until its next report, whatever its last one said. */
-    void presumeFull() {
-        others = Math.max(others, slots - inFlight);
+    /** Counts all slots of the agent as occupied until its next report. */
+    void assumeFull() {
+        externalTasks = Math.max(externalTasks, slots - inFlight);
     }
 
-    void start(Resources need) {
+    void startAttempt(Resources required) {
         inFlight++;
-        processorMillisInFlight += need.processorMillis();
-        memoryBytesInFlight += need.memoryBytes();
-        acceleratorsInFlight += need.accelerators();
+        processorMillisInFlight += required.processorMillis();
+        memoryBytesInFlight += required.memoryBytes();
+        acceleratorsInFlight += required.accelerators();
     }
 
-    void end(Resources need) {
+    void endAttempt(Resources required) {
         inFlight--;
-        processorMillisInFlight -= need.processorMillis();
-        memoryBytesInFlight -= need.memoryBytes();
-        acceleratorsInFlight -= need.accelerators();
+        processorMillisInFlight -= required.processorMillis();
+        memoryBytesInFlight -= required.memoryBytes();
+        acceleratorsInFlight -= required.accelerators();
     }
 
     @Override
--- a/library/src/test/java/org/chivetally/agent/MemberAnnouncerTest.java
+++ b/library/src/test/java/org/chivetally/agent/MemberAnnouncerTest.java
@@ -24,6 +24,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
+/** Runs an announcer against a log whose answers the test controls, on a manual clock. */
 @Timeout(60)
 class MemberAnnouncerTest {
     private static final Duration INTERVAL = Duration.ofSeconds(30);
@@ -33,7 +34,7 @@
 
     private final ActorTestKit kit = ActorTestKit.create(ManualTime.config());
     private final ManualTime time = ManualTime.get(kit.system());
-    private final HeldLog log = new HeldLog();
+    private final ManualLog log = new ManualLog();
     private final MemberAnnouncer announcer = new MemberAnnouncer(kit.system(), log, MEMBER, INTERVAL);
 
     @AfterEach
@@ -41,63 +42,69 @@
         kit.shutdownTestKit();
     }
 
+    /** Guards against a member that disappears when the log's retention removes its only announcement. */
     @Test
     void announcesOnStartAndEveryInterval() throws InterruptedException {
-        Held first = log.next();
+        PendingAppend first = log.next();
         assertThat(first.content(), is(Optional.of(new MemberRecord.Announced(MEMBER))));
         first.answer(WRITTEN);
-        Held second = advanceUntilNext(INTERVAL);
+        PendingAppend second = advanceUntilNext(INTERVAL);
         assertThat(second.content(), is(first.content()));
         assertThat(second.record().id(), is(not(first.record().id())));
     }
 
     /**
-     * What operators see: one announcement, although the log lost its answers. An append takes effect and its answer is
-     * lost; the announcer tries again after half a second, then one second. Each try carries the same record id, by
-     * which readers drop the repeats.
+     * Guards against duplicate announcements when the answer to an append is lost although the record was written. The
+     * announcer retries after half a second, then one second, with the same record id, by which readers drop
+     * duplicates.
      */
     @Test
     void repeatsALostAppendUnderTheSameId() throws InterruptedException {
-        Held first = log.next();
+        PendingAppend first = log.next();
         first.answer(LOST);
-        Held second = advanceUntilNext(Duration.ofMillis(500));
+        PendingAppend second = advanceUntilNext(Duration.ofMillis(500));
         second.answer(new AppendOutcome.Refused("log is down"));
-        Held third = advanceUntilNext(Duration.ofSeconds(1));
+        PendingAppend third = advanceUntilNext(Duration.ofSeconds(1));
         assertThat(
                 List.of(second.record().id(), third.record().id()),
                 is(List.of(first.record().id(), first.record().id())));
     }
 
+    /**
+     * Guards against a leave that precedes an announcement still in flight, after which the member would seem alive.
+     */
     @Test
     void appendsTheLeaveAfterTheAnnounceInFlight() throws InterruptedException {
-        Held announce = log.next();
+        PendingAppend announce = log.next();
         CompletionStage<Void> left = announcer.leave();
-        assertThat(log.waiting, empty());
+        assertThat(log.pending, empty());
         announce.answer(WRITTEN);
-        Held leave = log.next();
+        PendingAppend leave = log.next();
         assertThat(leave.content(), is(Optional.of(new MemberRecord.Left("agent-1", "incarnation-1"))));
         leave.answer(WRITTEN);
         left.toCompletableFuture().join();
     }
 
     /**
-     * What operators see: an agent that was declared gone is back. It hears of that while its regular announcement is
-     * under way, which may come to stand before the record that declared it gone; so it announces itself once more.
+     * Guards against a running agent that stays declared gone. It receives that declaration while a regular
+     * announcement is in flight, which may be ordered before the declaration in the log; so it must announce itself
+     * again.
      */
     @Test
-    void announcesOnceMoreWhenAskedToDuringAnAppend() throws InterruptedException {
-        Held first = log.next();
+    void announcesAgainWhenRequestedDuringAnAppend() throws InterruptedException {
+        PendingAppend first = log.next();
         announcer.announceNow();
         first.answer(WRITTEN);
-        Held second = log.next();
+        PendingAppend second = log.next();
         assertThat(second.record().id(), is(not(first.record().id())));
         second.answer(WRITTEN);
         announcer.announceNow();
         assertThat(log.next().content(), is(first.content()));
     }
 
+    /** Guards against a process that can't stop while the log is unavailable. */
     @Test
-    void givesTheLeaveUpWhenTheLogStaysDown() throws InterruptedException {
+    void leaveTimesOutWhileTheLogIsDown() throws InterruptedException {
         log.next();
         CompletableFuture<Void> left = announcer.leave().toCompletableFuture();
         while (!left.isDone()) {
@@ -107,8 +114,11 @@
         left.join();
     }
 
+    /**
+     * Guards against fields lost in JSON, and against records of newer releases or malformed ones that fail a reader.
+     */
     @Test
-    void membersSurviveTheirJson() {
+    void readsMembersBackFromJson() {
         Member entry = Member.entry("entry-1", "2", "10.0.0.1", 7_000, "south");
         MemberRecord announced = new MemberRecord.Announced(entry);
         assertThat(MemberRecord.fromJson(announced.toJson()), is(Optional.of(announced)));
@@ -117,25 +127,28 @@
         assertThat(MemberRecord.fromJson(new byte[] {1, 2}), is(Optional.empty()));
     }
 
-    /** The answer reaches the announcer on another thread, so the timer may be set after the first advance. */
-    private Held advanceUntilNext(Duration step) throws InterruptedException {
-        Held next = null;
+    /**
+     * Advances the clock until the next append. The announcer receives answers on another thread, so its timer may be
+     * set only after the first advance.
+     */
+    private PendingAppend advanceUntilNext(Duration step) throws InterruptedException {
+        PendingAppend next = null;
         while (next == null) {
             time.timePasses(step);
-            next = log.waiting.poll(50, TimeUnit.MILLISECONDS);
+            next = log.pending.poll(50, TimeUnit.MILLISECONDS);
         }
         return next;
     }
 
-    /** A log whose answers the test gives. */
-    private static final class HeldLog implements PlatformLog {
-        private final BlockingQueue<Held> waiting = new LinkedBlockingQueue<>();
+    /** A log whose answers are given by the test. */
+    private static final class ManualLog implements PlatformLog {
+        private final BlockingQueue<PendingAppend> pending = new LinkedBlockingQueue<>();
 
         @Override
         public CompletionStage<AppendOutcome> append(String stream, List<NewRecord> records) {
-            Held held = new Held(stream, records.getFirst(), new CompletableFuture<>());
-            waiting.add(held);
-            return held.outcome();
+            PendingAppend pendingAppend = new PendingAppend(stream, records.getFirst(), new CompletableFuture<>());
+            pending.add(pendingAppend);
+            return pendingAppend.outcome();
         }
 
         @Override
@@ -143,12 +156,12 @@
             throw new UnsupportedOperationException("announcers don't read");
         }
 
-        Held next() throws InterruptedException {
-            return waiting.take();
+        PendingAppend next() throws InterruptedException {
+            return pending.take();
         }
     }
 
-    private record Held(String stream, NewRecord record, CompletableFuture<AppendOutcome> outcome) {
+    private record PendingAppend(String stream, NewRecord record, CompletableFuture<AppendOutcome> outcome) {
         Optional<MemberRecord> content() {
             return MemberRecord.fromJson(record.payload());
         }
--- a/library/src/test/java/org/chivetally/claim/ClaimantTest.java
+++ b/library/src/test/java/org/chivetally/claim/ClaimStateMachineTest.java
@@ -11,13 +11,14 @@
 import org.chivetally.log.NewRecord;
 import org.junit.jupiter.api.Test;
 
-class ClaimantTest {
+/** Checks orders of events that are rare in a running installation. */
+class ClaimStateMachineTest {
     private static final Duration LAPSE = Duration.ofSeconds(1);
-    private static final ClaimSettings SETTINGS = patient();
+    private static final ClaimSettings SETTINGS = settingsWithLongClaimTimeout();
 
     private final ManualClock clock = new ManualClock();
     private final List<LogRecord> stream = new ArrayList<>();
-    private final Claimant claimant = new Claimant(
+    private final ClaimStateMachine stateMachine = new ClaimStateMachine(
             SETTINGS,
             ClaimSamples.process("b"),
             new LeaseTable(SETTINGS.lease(), SETTINGS.longestTicketAge()),
@@ -25,8 +26,9 @@
             clock);
 
     /*
-     * A takeover waits for the log for so long that the lease is renewed and lapses again, and is then asked for anew.
-     * The two name different renewals; written both, the second would be told the first one's victory as its own.
+     * A takeover waits for the log for so long that the lease is renewed and lapses again, and is then requested a
+     * second time. The two requests specify different renewals; if both were written, the second one would be reported
+     * as won although the first one had won.
      */
     @Test
     void takeoversToOneGenerationShareARecord() {
@@ -36,7 +38,7 @@
         write(2, new ClaimRecord.Renewed(ClaimSamples.process("a"), SETTINGS.lease()));
         takeOver(claim);
         List<GroupCommit.Outgoing> sent =
-                claimant.nextAppend(clock.nanos()).orElseThrow().records();
+                stateMachine.nextAppend(clock.nanos()).orElseThrow().records();
         List<ClaimRecord> takeovers = sent.stream()
                 .map(GroupCommit.Outgoing::content)
                 .filter(ClaimRecord.TakenOver.class::isInstance)
@@ -45,28 +47,28 @@
     }
 
     private void takeOver(Claim claim) {
-        claimant.read(List.of(), stream.size(), clock.nanos(), clock.nanos());
-        claimant.takeOver(claim, new CompletableFuture<>(), clock.nanos());
+        stateMachine.recordsRead(List.of(), stream.size(), clock.nanos(), clock.nanos());
+        stateMachine.takeOver(claim, new CompletableFuture<>(), clock.nanos());
     }
 
     private void write(long sequence, ClaimRecord content) {
-        NewRecord record = ClaimSamples.written("a", sequence, content, 0);
+        NewRecord record = ClaimSamples.newRecord("a", sequence, content, 0);
         stream.add(new LogRecord(stream.size(), record.id(), record.payload()));
-        claimant.read(List.of(stream.getLast()), stream.size(), clock.nanos(), clock.nanos());
+        stateMachine.recordsRead(List.of(stream.getLast()), stream.size(), clock.nanos(), clock.nanos());
         clock.advance(LAPSE);
     }
 
-    private static ClaimSettings patient() {
-        ClaimSettings usual = ClaimSettings.defaults(Duration.ofMinutes(10), Duration.ofHours(1));
+    private static ClaimSettings settingsWithLongClaimTimeout() {
+        ClaimSettings defaults = ClaimSettings.defaults(Duration.ofMinutes(10), Duration.ofHours(1));
         return new ClaimSettings(
-                usual.window(),
-                usual.logRetention(),
+                defaults.window(),
+                defaults.logRetention(),
                 Duration.ofMillis(600),
                 Duration.ofMillis(200),
                 Duration.ofMillis(300),
                 LAPSE.multipliedBy(5),
-                usual.commit(),
-                usual.tail(),
-                usual.snapshots());
+                defaults.commit(),
+                defaults.tail(),
+                defaults.snapshots());
     }
 }
