--- a/library/src/test/java/org/chivetally/claim/LogClaimsTest.java
+++ b/library/src/test/java/org/chivetally/claim/LogClaimsTest.java
@@ -29,12 +29,13 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
+/** Checks claims, leases, takeovers and recovery of several processes on one log with faults. */
 class LogClaimsTest {
     private static final SubmissionKey KEY = ClaimSamples.KEY;
     private static final String BODY = ClaimSamples.BODY;
     private static final Duration STEP = Duration.ofMillis(500);
-    private static final Duration NOTICED = STEP;
-    private static final Duration RECOVERED = Duration.ofSeconds(2);
+    private static final Duration DETECTION_TIME = STEP;
+    private static final Duration RECOVERY_TIME = Duration.ofSeconds(2);
     private static final Duration SNAPSHOT_INTERVAL = Duration.ofSeconds(20);
     private static final ClaimSettings SETTINGS = settings();
     private static final Duration LAPSE = SETTINGS.lease().plus(SETTINGS.longestTicketAge());
@@ -50,6 +51,7 @@
         kit.shutdownTestKit();
     }
 
+    /** A repeated submission must attach to the first job, and one with a different body must be refused. */
     @Test
     void claimOfFreeKeyIsWonAndLaterOnesAttach() {
         LogClaims claims = start("a", log);
@@ -61,59 +63,59 @@
     }
 
     /*
-     * Two callers submit one key at two entries at once, and each gets a decision: one wins, one attaches.
-     * Both entries append before either reads the other's record; the log's order decides, the same for both.
+     * Two callers submit one key at two entries at once: one wins, the other attaches. Both entries append before
+     * either reads the other's record; the order in the log decides, in the same way for both.
      */
     @Test
     void twoEntriesRaceOnOneKey() {
         ScriptedLog viewOfB = log.view();
         LogClaims a = start("a", log);
         LogClaims b = start("b", viewOfB);
-        log.holdAppends(true);
-        viewOfB.holdAppends(true);
+        log.setHoldAppends(true);
+        viewOfB.setHoldAppends(true);
         CompletionStage<ClaimDecision> first = a.claim(KEY, BODY, new JobId("job-a"));
         CompletionStage<ClaimDecision> second = b.claim(KEY, BODY, new JobId("job-b"));
-        settle();
-        viewOfB.land(viewOfB.heldAppends().getFirst());
-        log.land(log.heldAppends().getFirst());
+        processMessages();
+        viewOfB.deliver(viewOfB.heldAppends().getFirst());
+        log.deliver(log.heldAppends().getFirst());
         Claim winner = ClaimSamples.claim("job-b", "b", 1);
         assertThat(join(second), is(new ClaimDecision.Won(winner)));
         assertThat(join(first), is(new ClaimDecision.Attached(winner)));
     }
 
     /*
-     * The caller's job is accepted as usual though the log's answer to the append was lost after the write.
-     * The entry reads its own record back, so the answer isn't needed, and nothing is appended a second time.
+     * The log's answer to an append is lost after the write. The entry reads its own record back and accepts the job as
+     * usual, without a second append.
      */
     @Test
-    void answerLostAfterTheWrite() {
+    void claimIsWonWhenAppendAnswerIsLost() {
         LogClaims claims = start("a", log);
         int before = log.appends();
         log.loseAnswers(1);
         assertThat(claim(claims, "job-1"), is(new ClaimDecision.Won(ClaimSamples.claim("job-1", "a", 1))));
-        pass(Duration.ofSeconds(1));
+        advance(Duration.ofSeconds(1));
         assertThat(log.appends(), is(before + 1));
     }
 
     /*
-     * The caller's job is accepted once, though its claim stands three times in the log.
-     * The append is not answered and doesn't land; it is sent again with the same record ids and lands; then the first
-     * sending lands late, twice. All readers drop records whose ids they have folded.
+     * A claim is written three times but accepted once. The append is neither answered nor written; it is sent again
+     * with the same record ids and written; then the first one is written late, twice. All readers drop records whose
+     * ids they have already applied.
      */
     @Test
-    void retriedAppendLandsLateAndTwice() {
+    void retriedAppendIsWrittenLateAndTwice() {
         LogClaims a = start("a", log);
-        log.holdAppends(true);
+        log.setHoldAppends(true);
         CompletionStage<ClaimDecision> decision = a.claim(KEY, BODY, new JobId("job-1"));
-        settle();
+        processMessages();
         ScriptedLog.HeldAppend original = log.heldAppends().getFirst();
         original.answer().complete(new AppendOutcome.Unknown("lost"));
-        log.holdAppends(false);
-        pass(SETTINGS.commit().settleTime().plus(STEP));
+        log.setHoldAppends(false);
+        advance(SETTINGS.commit().settleTime().plus(STEP));
         Claim claim = ClaimSamples.claim("job-1", "a", 1);
         assertThat(join(decision), is(new ClaimDecision.Won(claim)));
-        log.land(original);
-        log.land(original);
+        log.deliver(original);
+        log.deliver(original);
         assertThat(recordsOf(original.records().getFirst().id()), hasSize(3));
         LogClaims b = start("b", log.view());
         assertThat(join(b.find(KEY)), is(Optional.of(claim)));
@@ -121,125 +123,125 @@
     }
 
     /*
-     * While the log is down callers hear "not run" at once instead of waiting; when it is back they are served again.
-     * No time passes between the claim and its refusal, as the failed read is known already.
+     * While the log is unavailable, callers are answered "not run" immediately instead of after a timeout; when it is
+     * available again, claims are accepted. No time passes between the claim and its refusal, as the failed read is
+     * already known.
      */
     @Test
     void claimsAreRefusedAtOnceWhileTheLogIsDown() {
         LogClaims claims = start("a", log);
-        log.down(true);
-        settle();
+        log.setDown(true);
+        processMessages();
         assertThat(claim(claims, "job-1"), instanceOf(ClaimDecision.LogUnavailable.class));
         assertThat(join(claims.find(KEY)), is(Optional.empty()));
-        log.down(false);
-        pass(NOTICED);
+        log.setDown(false);
+        advance(DETECTION_TIME);
         assertThat(claim(claims, "job-2"), is(new ClaimDecision.Won(ClaimSamples.claim("job-2", "a", 1))));
     }
 
     /*
-     * An entry that was paused past its lease starts nothing, even before any of its timers has run.
-     * The clock jumps while the process stands still; the lease is a reading of the clock, so it is over at once, the
-     * listener hears of it with the first tick, and a renewal regains it.
+     * An entry that was paused past the end of its lease must start nothing, even before any of its timers has run. The
+     * clock jumps while the process is paused: the lease has ended immediately, the listener is called at the first
+     * tick, and a renewal regains the lease.
      */
     @Test
-    void leaseIsLostWhenPausedPastIt() {
+    void pausedProcessLosesExpiredLease() {
         List<Boolean> changes = Collections.synchronizedList(new ArrayList<>());
         LogClaims claims = start("a", log);
         claims.onLeaseChange(changes::add);
         assertThat(claims.holdsLease(), is(true));
         clock.advance(SETTINGS.lease());
         assertThat(claims.holdsLease(), is(false));
-        pass(NOTICED.multipliedBy(2));
+        advance(DETECTION_TIME.multipliedBy(2));
         assertThat(changes, contains(true, false, true));
         assertThat(claims.holdsLease(), is(true));
     }
 
     /*
-     * A job's coordinator dies and the caller resubmits at two other entries: exactly one goes on with the job.
-     * Before the lease has lapsed both attach to the dead one. Afterwards both append a takeover to generation 2; the
-     * first in the log's order wins, the other attaches to it.
+     * A job's coordinator dies and the caller resubmits at two other entries: exactly one continues the job. Before the
+     * lease has lapsed, both attach to the dead coordinator. Afterwards both append a takeover to generation 2; the
+     * first in the log wins, and the other attaches to it.
      */
     @Test
     void twoEntriesRaceToTakeOver() {
-        LogClaims dead = start("a", log.view());
+        LogClaims stopped = start("a", log.view());
         LogClaims b = start("b", log);
         LogClaims c = start("c", log.view());
-        claim(dead, "job-1");
+        claim(stopped, "job-1");
         Claim claim = ClaimSamples.claim("job-1", "a", 1);
-        dead.stop();
-        pass(Duration.ofSeconds(1));
+        stopped.stop();
+        advance(Duration.ofSeconds(1));
         assertThat(join(b.takeOver(claim)), is(new ClaimDecision.Attached(claim)));
-        pass(LAPSE.plus(SETTINGS.renewalInterval()));
+        advance(LAPSE.plus(SETTINGS.renewalInterval()));
         assertThat(b.hasLapsed(claim.coordinator()), is(true));
-        log.holdAppends(true);
-        CompletionStage<ClaimDecision> early = b.takeOver(claim);
-        CompletionStage<ClaimDecision> same = b.takeOver(claim);
-        settle();
+        log.setHoldAppends(true);
+        CompletionStage<ClaimDecision> takeover = b.takeOver(claim);
+        CompletionStage<ClaimDecision> duplicate = b.takeOver(claim);
+        processMessages();
         Claim winner = ClaimSamples.claim("job-1", "c", 2);
         assertThat(join(c.takeOver(claim)), is(new ClaimDecision.Won(winner)));
-        log.land(log.heldAppends().getFirst());
-        assertThat(join(early), is(new ClaimDecision.Attached(winner)));
-        assertThat(join(same), is(new ClaimDecision.Attached(winner)));
+        log.deliver(log.heldAppends().getFirst());
+        assertThat(join(takeover), is(new ClaimDecision.Attached(winner)));
+        assertThat(join(duplicate), is(new ClaimDecision.Attached(winner)));
     }
 
     /*
-     * An entry was cut off, lost its lease, and its job was taken over: when it is back it hears who has the job now.
-     * Its agents refuse its starts by generation anyway; hearing of it lets it drop the job. It hears of that before it
-     * hears that it holds its lease again, so that it starts nothing of the job in between.
+     * An entry was disconnected, lost its lease, and its job was taken over: after reconnecting it is notified of the
+     * successor, so that it drops the job, which agents would refuse to start for its outdated generation. The
+     * notification precedes that of the regained lease, so that it starts nothing of the job in between.
      */
     @Test
-    void replacedCoordinatorIsTold() {
-        List<Object> told = Collections.synchronizedList(new ArrayList<>());
+    void replacedCoordinatorIsNotified() {
+        List<Object> notifications = Collections.synchronizedList(new ArrayList<>());
         ScriptedLog viewOfA = log.view();
         LogClaims a = start("a", viewOfA);
         LogClaims b = start("b", log);
         claim(a, "job-1");
-        viewOfA.down(true);
-        pass(LAPSE.plus(SETTINGS.renewalInterval()));
+        viewOfA.setDown(true);
+        advance(LAPSE.plus(SETTINGS.renewalInterval()));
         join(b.takeOver(ClaimSamples.claim("job-1", "a", 1)));
         assertThat(a.holdsLease(), is(false));
-        a.onReplaced(told::add);
-        a.onLeaseExtended(until -> told.add(until > clock.nanos()));
-        settle();
-        assertThat(told, contains(false));
-        viewOfA.down(false);
-        pass(NOTICED);
-        assertThat(told, contains(false, ClaimSamples.claim("job-1", "b", 2), true));
+        a.onReplaced(notifications::add);
+        a.onLeaseExtended(until -> notifications.add(until > clock.nanos()));
+        processMessages();
+        assertThat(notifications, contains(false));
+        viewOfA.setDown(false);
+        advance(DETECTION_TIME);
+        assertThat(notifications, contains(false, ClaimSamples.claim("job-1", "b", 2), true));
     }
 
     /*
-     * A job's age is what a takeover goes by when agents say that they know nothing of it. One that another entry
-     * claimed while this one was cut off for long may be as old as the last read before that, whenever it was read; of
-     * one that an entry found when it started nothing is known.
+     * A takeover relies on a job's age when agents answer that they don't know the job, so the age must not be
+     * underestimated. A job that another entry claimed while this one was disconnected may be as old as the last read
+     * before the disconnection. For a job claimed before an entry started, the age is unknown.
      */
     @Test
-    void claimIsNeverTakenForYoungerThanItMayBe() {
+    void claimAgeIsNeverUnderestimated() {
         ScriptedLog viewOfB = log.view();
         LogClaims a = start("a", log);
         LogClaims b = start("b", viewOfB);
-        viewOfB.down(true);
-        pass(STEP);
-        long cutOff = clock.nanos();
+        viewOfB.setDown(true);
+        advance(STEP);
+        long disconnectedNanos = clock.nanos();
         claim(a, "job-1");
-        pass(LAPSE);
-        viewOfB.down(false);
-        pass(NOTICED);
+        advance(LAPSE);
+        viewOfB.setDown(false);
+        advance(DETECTION_TIME);
         assertThat(join(b.find(KEY)).isPresent(), is(true));
         JobId job = new JobId("job-1");
-        assertThat(join(b.claimedAfter(job)).orElseThrow(), lessThanOrEqualTo(cutOff));
-        assertThat(join(a.claimedAfter(job)).orElseThrow(), greaterThan(cutOff - LAPSE.toNanos()));
+        assertThat(join(b.claimedAfter(job)).orElseThrow(), lessThanOrEqualTo(disconnectedNanos));
+        assertThat(join(a.claimedAfter(job)).orElseThrow(), greaterThan(disconnectedNanos - LAPSE.toNanos()));
         assertThat(join(start("c", log.view()).claimedAfter(job)), is(OptionalLong.empty()));
     }
 
     /*
-     * An entry was cut off for longer than its lease, renews it and goes on with its job; its callers get their answer.
-     * Before that another entry had counted the lease as lapsed and sent a takeover, which lands only after
-     * the renewal.
-     * Were it to win, a process that holds its lease, and says "not run" of what it did not start, would have lost the
-     * job. All readers refuse it, as it names an earlier renewal as the last one that its sender had read.
+     * An entry was disconnected for longer than its lease, then renews the lease and continues its job. Meanwhile
+     * another entry counted the lease as lapsed and sent a takeover, which is written only after the renewal. If it
+     * won, a process that holds its lease, and answers "not run" for what it did not start, would have lost the job.
+     * All readers refuse it, as it specifies an earlier renewal as the last one read.
      */
     @Test
-    void takeoverThatLandsAfterAnUnreadRenewalLoses() {
+    void takeoverWrittenAfterUnreadRenewalLoses() {
         List<Claim> replaced = Collections.synchronizedList(new ArrayList<>());
         ScriptedLog viewOfA = log.view();
         LogClaims a = start("a", viewOfA);
@@ -247,142 +249,140 @@
         a.onReplaced(replaced::add);
         claim(a, "job-1");
         Claim claim = ClaimSamples.claim("job-1", "a", 1);
-        viewOfA.down(true);
-        pass(LAPSE.plus(SETTINGS.renewalInterval()));
-        log.holdAppends(true);
+        viewOfA.setDown(true);
+        advance(LAPSE.plus(SETTINGS.renewalInterval()));
+        log.setHoldAppends(true);
         CompletionStage<ClaimDecision> takeOver = b.takeOver(claim);
-        settle();
-        viewOfA.down(false);
-        pass(NOTICED);
+        processMessages();
+        viewOfA.setDown(false);
+        advance(DETECTION_TIME);
         assertThat(a.holdsLease(), is(true));
-        log.land(log.heldAppends().getLast());
+        log.deliver(log.heldAppends().getLast());
         assertThat(join(takeOver), is(new ClaimDecision.Attached(claim)));
         assertThat(join(a.find(KEY)), is(Optional.of(claim)));
         assertThat(replaced, is(empty()));
     }
 
     /*
-     * The caller hears "not run"; the claim lands in the log afterwards, as the winner; a resubmission is served.
-     * The entry gave the claim up after its time, will never act on it, and so withdraws it as soon as it reads it.
-     * Without that the key would belong, for the whole window, to a live process that doesn't know the job. The
-     * resubmission isn't attached to the withdrawn claim, but follows the withdrawal.
+     * The caller is answered "not run", the claim is then written and wins, and a resubmission is accepted. The entry
+     * abandoned the claim at its timeout and will never act on it, so it releases it as soon as it reads it. Otherwise
+     * the key would belong, for the whole window, to a live process that doesn't know the job. The resubmission does
+     * not attach to the abandoned claim but follows its release.
      */
     @Test
-    void givenUpClaimThatTurnsUpIsReleased() {
+    void abandonedClaimIsReleasedWhenItAppears() {
         LogClaims a = start("a", log);
         LogClaims b = start("b", log.view());
-        log.holdAppends(true);
+        log.setHoldAppends(true);
         CompletionStage<ClaimDecision> decision = a.claim(KEY, BODY, new JobId("job-1"));
-        pass(SETTINGS.claimTimeout().plus(STEP));
+        advance(SETTINGS.claimTimeout().plus(STEP));
         assertThat(join(decision), instanceOf(ClaimDecision.LogUnavailable.class));
-        log.holdAppends(false);
-        log.land(log.heldAppends().getFirst());
-        settle();
+        log.setHoldAppends(false);
+        log.deliver(log.heldAppends().getFirst());
+        processMessages();
         assertThat(join(b.find(KEY)), is(Optional.of(ClaimSamples.claim("job-1", "a", 1))));
         CompletionStage<ClaimDecision> second = a.claim(KEY, BODY, new JobId("job-2"));
-        pass(RECOVERED);
+        advance(RECOVERY_TIME);
         Claim claim = ClaimSamples.claim("job-2", "a", 1);
         assertThat(join(second), is(new ClaimDecision.Won(claim)));
         assertThat(claim(b, "job-3"), is(new ClaimDecision.Attached(claim)));
     }
 
     /*
-     * As above, but the caller resubmits at the same entry before the withdrawal stands in the log.
-     * The new claim isn't attached to the withdrawn one, which nobody works on; it follows the withdrawal and wins.
+     * The caller resubmits at the same entry before the release of its abandoned claim is in the log. The new claim
+     * must not attach to the abandoned one, which no process works on; it follows the release and wins.
      */
     @Test
     void resubmissionWaitsForTheRelease() {
         LogClaims a = start("a", log);
-        log.holdAppends(true);
-        CompletionStage<ClaimDecision> givenUp = a.claim(KEY, BODY, new JobId("job-1"));
-        pass(SETTINGS.claimTimeout().minus(STEP));
+        log.setHoldAppends(true);
+        CompletionStage<ClaimDecision> abandoned = a.claim(KEY, BODY, new JobId("job-1"));
+        advance(SETTINGS.claimTimeout().minus(STEP));
         CompletionStage<ClaimDecision> second = a.claim(KEY, BODY, new JobId("job-2"));
-        pass(STEP);
-        assertThat(join(givenUp), instanceOf(ClaimDecision.LogUnavailable.class));
+        advance(STEP);
+        assertThat(join(abandoned), instanceOf(ClaimDecision.LogUnavailable.class));
         log.heldAppends().forEach(held -> held.answer().complete(new AppendOutcome.Unknown("lost")));
-        log.holdAppends(false);
-        log.land(log.heldAppends().getFirst());
-        pass(SETTINGS.commit().settleTime().plus(STEP));
+        log.setHoldAppends(false);
+        log.deliver(log.heldAppends().getFirst());
+        advance(SETTINGS.commit().settleTime().plus(STEP));
         assertThat(join(second), is(new ClaimDecision.Won(ClaimSamples.claim("job-2", "a", 1))));
     }
 
     /*
-     * The caller hears "not run", and no record of the claim ever counts, though the append lands much later.
-     * A later record of the same process stands before it by then, and a record that comes after a later one of its
-     * writer is void for every reader.
+     * The caller is answered "not run", and the append of the claim is written much later. By then a later record of
+     * the same process precedes it, and a record that follows a later one of its writer is ignored by all readers.
      */
     @Test
-    void givenUpClaimThatLandsAfterLaterRecordsIsVoid() {
+    void abandonedClaimWrittenAfterLaterRecordsIsIgnored() {
         LogClaims a = start("a", log);
-        log.holdAppends(true);
+        log.setHoldAppends(true);
         CompletionStage<ClaimDecision> decision = a.claim(KEY, BODY, new JobId("job-1"));
-        pass(SETTINGS.claimTimeout().plus(STEP));
+        advance(SETTINGS.claimTimeout().plus(STEP));
         assertThat(join(decision), instanceOf(ClaimDecision.LogUnavailable.class));
-        log.holdAppends(false);
-        pass(RECOVERED);
-        log.land(log.heldAppends().getFirst());
-        settle();
+        log.setHoldAppends(false);
+        advance(RECOVERY_TIME);
+        log.deliver(log.heldAppends().getFirst());
+        processMessages();
         assertThat(join(a.find(KEY)), is(Optional.empty()));
         assertThat(join(start("b", log.view()).find(KEY)), is(Optional.empty()));
     }
 
     /*
-     * A takeover is given up and turns up as the winner: the key is not freed, as the first coordinator may
-     * have started
-     * tasks. The claim stays, of nobody, so that the next resubmission can take it over at once and inquire first.
+     * An abandoned takeover is written and wins. Its release must not free the key, as the first coordinator may have
+     * started tasks. The claim stays without a coordinator, so that the next resubmission can take it over immediately
+     * and inquire at the agents first.
      */
     @Test
-    void givenUpTakeoverThatTurnsUpIsLeftToNobody() {
-        LogClaims dead = start("a", log.view());
+    void abandonedTakeoverLeavesClaimWithoutCoordinator() {
+        LogClaims stopped = start("a", log.view());
         LogClaims b = start("b", log);
         LogClaims c = start("c", log.view());
-        claim(dead, "job-1");
-        dead.stop();
-        pass(LAPSE.plus(SETTINGS.renewalInterval()));
-        log.holdAppends(true);
+        claim(stopped, "job-1");
+        stopped.stop();
+        advance(LAPSE.plus(SETTINGS.renewalInterval()));
+        log.setHoldAppends(true);
         CompletionStage<ClaimDecision> takeOver = b.takeOver(ClaimSamples.claim("job-1", "a", 1));
-        pass(SETTINGS.claimTimeout().plus(STEP));
+        advance(SETTINGS.claimTimeout().plus(STEP));
         assertThat(join(takeOver), instanceOf(ClaimDecision.LogUnavailable.class));
-        log.holdAppends(false);
-        log.land(log.heldAppends().getFirst());
-        pass(RECOVERED);
+        log.setHoldAppends(false);
+        log.deliver(log.heldAppends().getFirst());
+        advance(RECOVERY_TIME);
         Claim abandoned = join(c.find(KEY)).orElseThrow();
-        assertThat(abandoned, is(new Claim(KEY, BODY, new JobId("job-1"), Coordinator.NOBODY, 2, false)));
+        assertThat(abandoned, is(new Claim(KEY, BODY, new JobId("job-1"), Coordinator.NONE, 2, false)));
         assertThat(c.hasLapsed(abandoned.coordinator()), is(true));
         assertThat(join(c.takeOver(abandoned)), is(new ClaimDecision.Won(ClaimSamples.claim("job-1", "c", 3))));
     }
 
     /*
-     * A takeover is given up, asked for again, and then both stand in the log. The first wins, and its sender
-     * gives it up
-     * as soon as it reads it; told that the second had won, it would go on with a job that it leaves to nobody, beside
-     * the next process that takes it over.
+     * A takeover is abandoned and requested again, and then both records are written. The first one wins and is
+     * released by its sender as soon as it reads it; if the second one were reported as won, the sender would continue
+     * a job that it leaves without a coordinator, beside the next process that takes it over.
      */
     @Test
-    void takeoverAskedForAgainDoesNotWinWhatIsGivenUp() {
-        LogClaims dead = start("a", log.view());
+    void repeatedTakeoverDoesNotWinAbandonedClaim() {
+        LogClaims stopped = start("a", log.view());
         LogClaims b = start("b", log);
-        claim(dead, "job-1");
-        dead.stop();
-        pass(LAPSE.plus(SETTINGS.renewalInterval()));
+        claim(stopped, "job-1");
+        stopped.stop();
+        advance(LAPSE.plus(SETTINGS.renewalInterval()));
         Claim claim = ClaimSamples.claim("job-1", "a", 1);
-        log.holdAppends(true);
+        log.setHoldAppends(true);
         CompletionStage<ClaimDecision> first = b.takeOver(claim);
-        pass(SETTINGS.claimTimeout().plus(STEP));
+        advance(SETTINGS.claimTimeout().plus(STEP));
         assertThat(join(first), instanceOf(ClaimDecision.LogUnavailable.class));
         CompletionStage<ClaimDecision> second = b.takeOver(claim);
-        settle();
+        processMessages();
         log.heldAppends().getLast().answer().complete(new AppendOutcome.Unknown("lost"));
-        pass(SETTINGS.commit().settleTime().plus(STEP));
-        log.holdAppends(false);
-        log.heldAppends().forEach(log::land);
-        pass(RECOVERED);
+        advance(SETTINGS.commit().settleTime().plus(STEP));
+        log.setHoldAppends(false);
+        log.heldAppends().forEach(log::deliver);
+        advance(RECOVERY_TIME);
         assertThat(join(second), not(instanceOf(ClaimDecision.Won.class)));
     }
 
     /*
-     * After a departure other entries may take jobs over without waiting for the lease, once no start of the departed
-     * one can be accepted any more.
+     * After a departure other entries may take jobs over without waiting for the lease, as soon as no start of the
+     * departed process can be accepted any more.
      */
     @Test
     void departedCoordinatorLapsesAfterTheTicketAge() {
@@ -391,95 +391,97 @@
         join(a.depart());
         assertThat(a.holdsLease(), is(false));
         assertThat(claim(a, "job-1"), instanceOf(ClaimDecision.LogUnavailable.class));
-        pass(SETTINGS.longestTicketAge());
+        advance(SETTINGS.longestTicketAge());
         assertThat(b.hasLapsed(ClaimSamples.process("a")), is(false));
-        pass(STEP);
+        advance(STEP);
         assertThat(b.hasLapsed(ClaimSamples.process("a")), is(true));
     }
 
     /*
-     * With claims in memory, callers are served while the log is down; afterwards the claim stands in the log, so that
-     * other entries attach to it.
+     * With claims in memory, submissions are accepted while the log is unavailable; afterwards the claim is in the log,
+     * so that other entries attach to it.
      */
     @Test
-    void claimInMemoryIsAppendedLate() {
+    void claimInMemoryIsAppendedAfterOutage() {
         ScriptedLog viewOfA = log.view();
         LogClaims a = start("a", viewOfA);
         LogClaims b = start("b", log);
-        viewOfA.down(true);
-        settle();
+        viewOfA.setDown(true);
+        processMessages();
         Claim claim = ClaimSamples.claim("job-1", "a", 1);
         assertThat(claimInMemory(a, "job-1"), is(new ClaimDecision.Won(claim)));
         assertThat(claimInMemory(a, "job-2"), is(new ClaimDecision.Attached(claim)));
-        viewOfA.down(false);
-        pass(SETTINGS.renewalInterval().plus(NOTICED));
+        viewOfA.setDown(false);
+        advance(SETTINGS.renewalInterval().plus(DETECTION_TIME));
         assertThat(claim(b, "job-3"), is(new ClaimDecision.Attached(claim)));
     }
 
     /*
-     * Two entries claimed one key, one of them in memory during its outage: both jobs go on, as the service allows, and
-     * from then on all resubmissions attach to the one that came first in the log.
+     * Two entries claim one key, one of them in memory during its outage: both jobs continue, as the service allows,
+     * and from then on all resubmissions attach to the claim that is first in the log.
      */
     @Test
     void claimInMemoryLosesToAnEarlierOneInTheLog() {
         ScriptedLog viewOfA = log.view();
         LogClaims a = start("a", viewOfA);
         LogClaims b = start("b", log);
-        viewOfA.down(true);
-        settle();
+        viewOfA.setDown(true);
+        processMessages();
         assertThat(claimInMemory(a, "job-a"), is(new ClaimDecision.Won(ClaimSamples.claim("job-a", "a", 1))));
         Claim first = ClaimSamples.claim("job-b", "b", 1);
         assertThat(claim(b, "job-b"), is(new ClaimDecision.Won(first)));
-        viewOfA.down(false);
-        pass(SETTINGS.renewalInterval().plus(NOTICED));
+        viewOfA.setDown(false);
+        advance(SETTINGS.renewalInterval().plus(DETECTION_TIME));
         assertThat(claimInMemory(a, "job-c"), is(new ClaimDecision.Attached(first)));
     }
 
     /*
-     * A caller was refused as not run for lack of room and submits again, here or elsewhere, when there is room.
-     * The refusing entry has given its claim up in the log, so the key is free for all; before that it is not.
+     * A job is refused as not run for lack of capacity, and the caller submits it again at any entry when there is
+     * capacity. The refusing entry releases its claim in the log, so the key becomes free for all entries, but not
+     * before.
      */
     @Test
-    void releasedClaimFreesItsKeyForAll() {
+    void releasedClaimFreesItsKeyForAllEntries() {
         LogClaims a = start("a", log);
         LogClaims b = start("b", log.view());
         claim(a, "job-1");
         Claim released = ClaimSamples.claim("job-1", "a", 1);
         assertThat(claim(b, "job-2"), is(new ClaimDecision.Attached(released)));
         a.release(released);
-        pass(NOTICED);
+        advance(DETECTION_TIME);
         assertThat(claim(b, "job-3"), is(new ClaimDecision.Won(ClaimSamples.claim("job-3", "b", 1))));
     }
 
     /*
-     * The same while the log is down, for a service that is claimed in memory: the key is free at once at this entry,
-     * and the record of the first claim, which is still to be written, takes no key when the log is back.
+     * The same while the log is unavailable, for a service whose claims are decided in memory: the key is free
+     * immediately at this entry, and the record of the first claim, which is written later, must not take the key
+     * again.
      */
     @Test
-    void releasedClaimInMemoryFreesItsKeyNowAndLater() {
+    void releasedClaimInMemoryFreesItsKeyDuringAndAfterOutage() {
         ScriptedLog viewOfA = log.view();
         LogClaims a = start("a", viewOfA);
         LogClaims b = start("b", log);
-        viewOfA.down(true);
-        settle();
+        viewOfA.setDown(true);
+        processMessages();
         claimInMemory(a, "job-1");
         a.release(ClaimSamples.claim("job-1", "a", 1));
         assertThat(join(a.find(KEY)), is(Optional.empty()));
-        viewOfA.down(false);
-        pass(SETTINGS.renewalInterval().plus(NOTICED).plus(NOTICED));
+        viewOfA.setDown(false);
+        advance(SETTINGS.renewalInterval().plus(DETECTION_TIME).plus(DETECTION_TIME));
         assertThat(claim(b, "job-2"), is(new ClaimDecision.Won(ClaimSamples.claim("job-2", "b", 1))));
     }
 
     /*
-     * The records of claims have expired in the log, yet a fresh entry attaches resubmissions to them.
-     * A snapshot was written before; the fresh entry reads it and then the stream from where it ends.
+     * The records of claims have expired in the log, yet a new entry attaches resubmissions to them. It reads a
+     * snapshot that was written before, and then the stream from the snapshot's offset.
      */
     @Test
     void freshProcessReadsSnapshotWhenRecordsExpired() {
         LogClaims a = start("a", log);
         claim(a, "job-1");
         CompletionStage<LogRecord> written = log.nextRecord(LogClaims.SNAPSHOT_STREAM);
-        pass(SNAPSHOT_INTERVAL);
+        advance(SNAPSHOT_INTERVAL);
         join(written);
         log.expire(LogClaims.STREAM, log.records(LogClaims.STREAM).size());
         LogClaims b = start("b", log.view());
@@ -487,27 +489,27 @@
     }
 
     /*
-     * An entry was cut off for so long that the records it has to read next have expired: it goes on from a
-     * snapshot, and knows claims that were made meanwhile.
+     * An entry was disconnected for so long that the records it has to read next have expired: it continues from a
+     * snapshot that includes claims made meanwhile.
      */
     @Test
-    void processCutOffForLongGoesOnFromSnapshot() {
+    void processResumesFromSnapshotAfterLongDisconnection() {
         ScriptedLog viewOfA = log.view();
         LogClaims a = start("a", viewOfA);
         LogClaims b = start("b", log);
         claim(a, "job-1");
-        viewOfA.down(true);
+        viewOfA.setDown(true);
         Claim missed = new Claim(ClaimSamples.OTHER_KEY, BODY, new JobId("job-2"), ClaimSamples.process("b"), 1, false);
         join(b.claim(missed.key(), BODY, missed.job()));
         CompletionStage<LogRecord> written = log.nextRecord(LogClaims.SNAPSHOT_STREAM);
-        pass(SNAPSHOT_INTERVAL);
+        advance(SNAPSHOT_INTERVAL);
         join(written);
         log.expire(LogClaims.STREAM, log.records(LogClaims.STREAM).size());
-        viewOfA.down(false);
+        viewOfA.setDown(false);
         CompletionStage<LogRecord> renewed = log.nextRecord(LogClaims.STREAM);
-        pass(NOTICED);
+        advance(DETECTION_TIME);
         join(renewed);
-        settleUntil(() -> join(a.find(missed.key())).isPresent());
+        awaitCondition(() -> join(a.find(missed.key())).isPresent());
         assertThat(join(a.find(missed.key())), is(Optional.of(missed)));
         assertThat(join(a.find(KEY)), is(Optional.of(ClaimSamples.claim("job-1", "a", 1))));
     }
@@ -516,22 +518,22 @@
         Coordinator self = ClaimSamples.process(process);
         LogClaims claims = LogClaims.start(kit.system(), view, SETTINGS, self, clock, new SimpleMeterRegistry());
         started.add(claims);
-        settleUntil(claims::caughtUp);
-        pass(STEP);
+        awaitCondition(claims::caughtUp);
+        advance(STEP);
         return claims;
     }
 
     private static ClaimSettings settings() {
-        ClaimSettings usual = ClaimSettings.defaults(Duration.ofMinutes(10), Duration.ofHours(1));
+        ClaimSettings defaults = ClaimSettings.defaults(Duration.ofMinutes(10), Duration.ofHours(1));
         return new ClaimSettings(
-                usual.window(),
-                usual.logRetention(),
-                usual.lease(),
-                usual.renewalInterval(),
-                usual.longestTicketAge(),
-                usual.claimTimeout(),
-                usual.commit(),
-                usual.tail(),
+                defaults.window(),
+                defaults.logRetention(),
+                defaults.lease(),
+                defaults.renewalInterval(),
+                defaults.longestTicketAge(),
+                defaults.claimTimeout(),
+                defaults.commit(),
+                defaults.tail(),
                 SnapshotSettings.every(SNAPSHOT_INTERVAL));
     }
 
@@ -549,30 +551,36 @@
                 .toList();
     }
 
-    /** Lets time pass in steps; before each the log answers reads that it held back, after it all processes work. */
-    private void pass(Duration duration) {
+    /**
+     * Advances time in steps. Before each step the log answers the reads that it holds back; after it all processes
+     * handle their messages.
+     */
+    private void advance(Duration duration) {
         for (Duration passed = Duration.ZERO; passed.compareTo(duration) < 0; passed = passed.plus(STEP)) {
             log.answerPolls();
-            settle();
+            processMessages();
             clock.advance(STEP);
             time.timePasses(STEP);
-            settle();
+            processMessages();
         }
     }
 
-    /** Waits until every process has handled what it has got, and what followed from it. */
-    private void settle() {
+    /** Waits until every process has handled its messages and those that resulted from them. */
+    private void processMessages() {
         for (int round = 0; round < 5; round++) {
             started.forEach(claims -> join(claims.find(KEY)));
         }
     }
 
-    /** Snapshots are read on another thread, whose work no message tells the end of. */
-    private void settleUntil(BooleanSupplier condition) {
+    /**
+     * Waits for a condition that depends on another thread: snapshots are read on one, and no message marks the end of
+     * its work.
+     */
+    private void awaitCondition(BooleanSupplier condition) {
         long start = System.nanoTime();
         while (!condition.getAsBoolean()) {
-            assertThat("not within 10 s", System.nanoTime() - start < TimeUnit.SECONDS.toNanos(10));
-            settle();
+            assertThat("condition not met within 10 s", System.nanoTime() - start < TimeUnit.SECONDS.toNanos(10));
+            processMessages();
         }
     }
 
--- a/library/src/test/java/org/chivetally/claim/SnapshotReaderTest.java
+++ b/library/src/test/java/org/chivetally/claim/SnapshotReaderTest.java
@@ -14,6 +14,7 @@
 import org.chivetally.log.NewRecord;
 import org.junit.jupiter.api.Test;
 
+/** Checks which snapshot is read; a wrong or incomplete one would let keys be claimed again. */
 class SnapshotReaderTest {
     private static final String STREAM = LogClaims.SNAPSHOT_STREAM;
     private static final int CHUNK_BYTES = 16 * 1024;
@@ -21,87 +22,93 @@
     private final ScriptedLog log = ScriptedLog.create();
     private final SnapshotReader reader = new SnapshotReader(log, Runnable::run);
 
+    /** A new installation has no snapshot and must start from the claims stream. */
     @Test
     void emptyStreamHasNoSnapshot() {
-        assertThat(load(), is(new SnapshotLoad.None()));
+        assertThat(load(), is(new SnapshotLoadResult.None()));
     }
 
+    /** An unavailable log must not be taken for an empty stream. */
     @Test
-    void logThatIsDownIsTold() {
-        log.down(true);
-        assertThat(load(), instanceOf(SnapshotLoad.Unavailable.class));
+    void unavailableLogIsReported() {
+        log.setDown(true);
+        assertThat(load(), instanceOf(SnapshotLoadResult.Unavailable.class));
     }
 
+    /** A snapshot may have more chunks than the reader fetches at first; none may exceed the maximum size. */
     @Test
-    void newestWholeSnapshotIsReadFromManyParts() {
+    void newestCompleteSnapshotIsReadFromManyChunks() {
         List<NewRecord> chunks = chunks(table(4_000), "a");
         assertThat(chunks.size(), greaterThan(32));
         chunks.forEach(chunk -> assertThat(chunk.payload().length, lessThanOrEqualTo(CHUNK_BYTES)));
         write(chunks(table(500), "b"));
         write(chunks);
-        assertThat(load(), is(new SnapshotLoad.Found(table(4_000).image())));
+        assertThat(load(), is(new SnapshotLoadResult.Found(table(4_000).image())));
     }
 
     /*
-     * A fresh process starts from the last whole snapshot, though a newer one was cut off half way.
-     * Its writer died between two chunks; a reader that took the parts for the whole would let keys be claimed again.
+     * The writer of the newest snapshot died between two chunks. A new process must start from the last complete one;
+     * with the chunks of the incomplete one it would let keys be claimed again.
      */
     @Test
-    void snapshotCutHalfWayIsPassedOver() {
+    void incompleteSnapshotIsIgnored() {
         write(chunks(table(500), "a"));
         List<NewRecord> newer = chunks(table(1_000), "b");
         write(newer.subList(0, newer.size() / 2));
-        assertThat(load(), is(new SnapshotLoad.Found(table(500).image())));
+        assertThat(load(), is(new SnapshotLoadResult.Found(table(500).image())));
     }
 
+    /** A corrupted chunk must make the whole snapshot unusable. */
     @Test
-    void damagedSnapshotIsPassedOver() {
+    void damagedSnapshotIsIgnored() {
         write(chunks(table(300), "a"));
         List<NewRecord> newer = chunks(table(1_000), "b");
         newer.getLast().payload()[newer.getLast().payload().length / 2]++;
         write(newer);
-        assertThat(load(), is(new SnapshotLoad.Found(table(300).image())));
+        assertThat(load(), is(new SnapshotLoadResult.Found(table(300).image())));
     }
 
     /*
-     * A process of the version before wrote the newest snapshot. It says nothing of renewals, and a reader that began
-     * with it would judge takeovers otherwise than all others; it is refused, and the stream itself is read instead.
+     * A process of an earlier version wrote the newest snapshot, which contains no renewals. A reader that started from
+     * it would decide takeovers differently from all others, so it is refused; the reader uses an older snapshot or the
+     * claims stream itself.
      */
     @Test
     void snapshotOfTheFirstFormatIsRefused() throws IOException {
         write(chunks(table(300), "a"));
-        try (InputStream first = SnapshotReaderTest.class.getResourceAsStream("claim-snapshot-format-1.txt")) {
-            write(List.of(new NewRecord("old", first.readAllBytes())));
+        try (InputStream formatOne = SnapshotReaderTest.class.getResourceAsStream("claim-snapshot-format-1.txt")) {
+            write(List.of(new NewRecord("old", formatOne.readAllBytes())));
         }
-        assertThat(load(), is(new SnapshotLoad.Found(table(300).image())));
+        assertThat(load(), is(new SnapshotLoadResult.Found(table(300).image())));
         SnapshotAssembler assembler = new SnapshotAssembler();
         log.records(STREAM).forEach(assembler::add);
-        assertThat(assembler.otherFormats(), contains(1));
+        assertThat(assembler.unsupportedFormats(), contains(1));
     }
 
     /*
-     * Two processes write snapshots at once, and some of their chunks land twice: a fresh process reads the newer one.
-     * Chunks name their snapshot and part, so that those of the two can't be taken for each other's.
+     * Two processes write snapshots concurrently, and some of their chunks are written twice: a new process reads the
+     * newer one. Chunks carry the id of their snapshot and their index, so those of the two are not mixed up.
      */
     @Test
-    void twoWritersDoNoHarm() {
+    void interleavedSnapshotsAreReadSeparately() {
         List<NewRecord> older = chunks(table(900), "a");
         List<NewRecord> newer = chunks(table(1_000), "b");
         for (int part = 0; part < newer.size(); part++) {
             log.write(STREAM, newer.get(part), older.get(Math.min(part, older.size() - 1)), newer.get(part));
         }
-        assertThat(load(), is(new SnapshotLoad.Found(table(1_000).image())));
+        assertThat(load(), is(new SnapshotLoadResult.Found(table(1_000).image())));
     }
 
+    /** A snapshot whose first chunks have expired in the log is incomplete. */
     @Test
-    void snapshotWhoseFirstPartsExpiredIsPassedOver() {
+    void snapshotWithExpiredChunksIsIgnored() {
         List<NewRecord> only = chunks(table(1_000), "a");
         write(only);
         log.expire(STREAM, 1);
-        assertThat(load(), is(new SnapshotLoad.None()));
+        assertThat(load(), is(new SnapshotLoadResult.None()));
     }
 
-    private SnapshotLoad load() {
+    private SnapshotLoadResult load() {
         return reader.load().toCompletableFuture().join();
     }
 
@@ -118,7 +125,7 @@
         IntStream.range(0, claims).forEach(number -> {
             SubmissionKey key = new SubmissionKey("team", "key \"" + number);
             ClaimRecord content = ClaimSamples.claimed(key, ClaimSamples.BODY, "job-" + number, "p" + number % 3);
-            table.fold(number, ClaimSamples.id("p" + number % 3, number + 1), new ClaimEntry(content, number));
+            table.fold(number, ClaimSamples.id("p" + number % 3, number + 1), new TimestampedRecord(content, number));
         });
         return table;
     }
--- a/library/src/test/java/org/chivetally/daemon/SeedIntroductionTest.java
+++ b/library/src/test/java/org/chivetally/daemon/SeedIntroducingLogTest.java
@@ -24,7 +24,7 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-class SeedIntroductionTest {
+class SeedIntroducingLogTest {
     private static final String HOST = "127.0.0.1";
 
     private final FrameTransport transport = new FrameTransport(new SimpleMeterRegistry());
@@ -36,17 +36,17 @@
     }
 
     /**
-     * An agent starts while the log is down: its announcement is refused, so no entry can read of it. It dials the seed
-     * and says who it is, and the seed may dial it at once.
+     * An agent starts while the log is unavailable: its announcement is refused, so no entry can read it. The agent
+     * must connect to the seed and send its Hello, so that the seed can connect to the agent at once.
      */
     @Test
-    void aRefusedAnnouncementIsToldToTheSeeds() throws Exception {
+    void aRefusedAnnouncementIsSentToTheSeeds() throws Exception {
         InetSocketAddress seed =
                 transport.listen(HOST, 0, new Seed()).toCompletableFuture().get(5, TimeUnit.SECONDS);
         MinionCapacity capacity = new MinionCapacity(8, 64, 0, 0, 0);
         Member agent = new Member("agent-1", "i", "agent", HOST, 7000, "north", "routing", "minion-1", capacity);
-        SeedIntroduction log =
-                new SeedIntroduction(new DownLog(), transport, List.of(new HostPort(HOST, seed.getPort())), agent);
+        SeedIntroducingLog log = new SeedIntroducingLog(
+                new UnavailableLog(), transport, List.of(new HostPort(HOST, seed.getPort())), agent);
         AppendOutcome outcome =
                 log.append("members", List.of()).toCompletableFuture().join();
         assertThat(outcome, is(new AppendOutcome.Refused("down")));
@@ -59,7 +59,7 @@
     private final class Seed implements FrameListener {
         @Override
         public void connected(FrameConnection connection) {
-            // The dialling side speaks first.
+            // The connecting side sends the first frame.
         }
 
         @Override
@@ -69,11 +69,11 @@
 
         @Override
         public void disconnected(FrameConnection connection, String reason) {
-            // The test looks at the first frame only.
+            // The test checks the first frame only.
         }
     }
 
-    private static final class DownLog implements PlatformLog {
+    private static final class UnavailableLog implements PlatformLog {
         @Override
         public CompletionStage<AppendOutcome> append(String stream, List<NewRecord> records) {
             return CompletableFuture.completedFuture(new AppendOutcome.Refused("down"));
--- a/library/src/test/java/org/chivetally/entry/dispatch/ConfigurationPushesTest.java
+++ b/library/src/test/java/org/chivetally/entry/dispatch/ConfigurationPushesTest.java
@@ -25,39 +25,41 @@
     ConfigurationPushesTest() {
         for (String entry : ENTRIES) {
             ConfigurationPushes pushes = new ConfigurationPushes(entry, new Versioned());
-            pushes.entries(ENTRIES);
+            pushes.setEntries(ENTRIES);
             pushes.connected(Hello.newBuilder().setProcessId("agent").build(), now);
             entries.add(pushes);
         }
     }
 
+    // All entries are connected to the agent; if each pushed every version, the agent would receive it three times.
     @Test
-    void oneEntryPushesEachVersionWhenTheAgentTellsAll() {
+    void onlyOneEntryPushesEachVersionWhenTheAgentReportsIt() {
         assertThat(dueWithin(Duration.ZERO), hasSize(1));
-        tellAll();
+        reportVersionToAll();
         assertThat(dueWithin(Duration.ofSeconds(5)), is(empty()));
         version = 8;
         assertThat(dueWithin(Duration.ZERO), hasSize(1));
-        tellAll();
+        reportVersionToAll();
         assertThat(dueWithin(Duration.ofSeconds(5)), is(empty()));
     }
 
     @Test
-    void othersTakeTheirTurnWhenTheFirstOnesPushIsLost() {
-        // The first entry's connection goes silent with the push in it. The agent would stay behind until that is
-        // noticed; the next entry pushes half a second later.
+    void anotherEntryPushesWhenTheFirstPushIsLost() {
+        // The push of the first entry is lost on a dead connection. The agent would keep the old version until the
+        // entry detects that; the next entry pushes half a second later instead.
         assertThat(dueWithin(Duration.ZERO), hasSize(1));
         assertThat(dueWithin(Duration.ofMillis(600)), hasSize(1));
         assertThat(dueWithin(Duration.ofMillis(100)), is(empty()));
     }
 
+    // Another entry may have pushed a version that this entry has not read yet.
     @Test
-    void anAgentThatIsAheadGetsNothing() {
+    void agentsWithANewerVersionReceiveNoPush() {
         entries.forEach(entry -> entry.reported("agent", 9));
         assertThat(dueWithin(Duration.ofSeconds(5)), is(empty()));
     }
 
-    private void tellAll() {
+    private void reportVersionToAll() {
         entries.forEach(entry -> entry.reported("agent", version));
     }
 
@@ -89,7 +91,7 @@
 
         @Override
         public void offer(long offered, byte[] snapshot) {
-            throw new IllegalStateException("nobody offers");
+            throw new IllegalStateException("offer is not expected");
         }
     }
 }
--- a/library/src/test/java/org/chivetally/entry/member/MembershipViewTest.java
+++ b/library/src/test/java/org/chivetally/entry/member/MembershipViewTest.java
@@ -13,14 +13,15 @@
 import java.util.Optional;
 import org.junit.jupiter.api.Test;
 
+/** Transitions of the membership view: joining, suspicion, declared failures, rejoining and retention. */
 class MembershipViewTest {
     private static final Member AGENT = MembershipDriver.agent("agent-1", "1");
     private static final Member SUCCESSOR = MembershipDriver.agent("agent-1", "2");
-    private static final Member NEIGHBOUR = MembershipDriver.entry("entry-2", "north");
+    private static final Member SAME_DOMAIN_ENTRY = MembershipDriver.entry("entry-2", "north");
     private static final Member SOUTH = MembershipDriver.entry("entry-3", "south");
     private static final Member EAST = MembershipDriver.entry("entry-4", "east");
     private static final MemberRecord GONE = new MemberRecord.Gone("agent-1", "1", "entry-1");
-    private static final Duration TURNS = Duration.ofMillis(5_500);
+    private static final Duration DECLARATION_WAIT = Duration.ofMillis(5_500);
 
     private final MembershipDriver driver = new MembershipDriver();
 
@@ -35,13 +36,14 @@
     private void loseAgentWith(Member... entries) {
         driver.join(entries);
         driver.join(AGENT);
-        driver.lose(AGENT);
+        driver.disconnect(AGENT);
     }
 
     @Test
-    void agentOnlyThisEntryLosesStaysInTheView() {
-        // One connection goes silent while the agent serves all others. This entry stops using it; were it declared
-        // gone, every entry would lose a healthy agent for one bad connection.
+    void agentUnreachableFromOneEntryOnlyStaysInTheView() {
+        // One connection fails while the agent serves all other entries. Only this entry may stop using it: if the
+        // agent
+        // were declared gone, every entry would lose a healthy agent because of one bad connection.
         loseAgentWith(SOUTH, EAST);
         assertThat(state(AGENT), is(Optional.of(MemberState.SUSPECT)));
         driver.advance(Duration.ofMillis(300));
@@ -54,7 +56,10 @@
     }
 
     @Test
-    void agentThatAnotherFailureDomainLosesTooIsDeclaredGoneOnce() {
+    void agentUnreachableFromTwoFailureDomainsIsDeclaredGoneOnce() {
+        // A crashed agent is unreachable from two failure domains. The view must request its gone record, and must not
+        // append
+        // one per query round.
         loseAgentWith(SOUTH);
         for (int second = 0; second < 20; second++) {
             driver.answer(AGENT, SOUTH, false);
@@ -62,53 +67,55 @@
         }
         assertThat(driver.appended(), contains(GONE));
         assertThat("in the view until the record is read", members(), hasItem(AGENT));
-        driver.gone(AGENT);
+        driver.declareGone(AGENT);
         assertThat(members(), not(hasItem(AGENT)));
         assertThat(driver.view.list().ended(), contains(EndedMember.of(AGENT, EndedMember.Reason.PRESUMED_GONE)));
     }
 
     @Test
-    void neighbourInTheSameFailureDomainConfirmsNothing() {
-        // A switch of one failure domain fails: all entries in it lose agents that serve the rest of the world.
-        loseAgentWith(NEIGHBOUR);
+    void entryInTheSameFailureDomainDoesNotConfirm() {
+        // A switch of one failure domain fails: its entries lose agents that still serve all other failure domains.
+        loseAgentWith(SAME_DOMAIN_ENTRY);
         driver.advance(Duration.ofMillis(300));
-        driver.answer(AGENT, NEIGHBOUR, false);
+        driver.answer(AGENT, SAME_DOMAIN_ENTRY, false);
         driver.advance(Duration.ofSeconds(30));
         assertThat(driver.effects(MembershipEffect.Ask.class), empty());
         assertThat(driver.appended(), empty());
     }
 
     @Test
-    void shortSilenceInABurstRemovesNobody() {
-        // A burst keeps an agent from answering anyone for two seconds. Both entries lose it, and it is back.
+    void shortOutageDuringABurstRemovesNoMember() {
+        // A load burst keeps an agent from answering for two seconds: two entries lose it, then it reconnects.
         loseAgentWith(SOUTH);
         driver.advance(Duration.ofMillis(1_300));
         driver.answer(AGENT, SOUTH, false);
         driver.advance(Duration.ofMillis(700));
-        driver.reach(AGENT);
-        driver.advance(TURNS);
+        driver.connect(AGENT);
+        driver.advance(DECLARATION_WAIT);
         assertThat(driver.appended(), empty());
         assertThat(state(AGENT), is(Optional.of(MemberState.ALIVE)));
     }
 
     @Test
-    void answerToAnEarlierQuestionConfirmsNothing() {
+    void answerToAnEarlierQueryDoesNotConfirm() {
+        // An answer to a query that a later query has replaced must not confirm: the agent may be reachable again
+        // since.
         loseAgentWith(SOUTH);
         driver.advance(Duration.ofMillis(300));
         driver.answer(AGENT, SOUTH, false);
         driver.advance(Duration.ofSeconds(1));
-        driver.advance(TURNS);
+        driver.advance(DECLARATION_WAIT);
         assertThat(driver.appended(), empty());
     }
 
     @Test
-    void pausedAgentIsAcceptedAgainOnlyOnceItAnnouncesAnew() {
-        // An agent's process is paused, declared gone, and resumes unaware. Its connection works again at once, but the
-        // others have dropped it; it is told, announces itself anew, and is a member for all again.
+    void pausedAgentRejoinsOnlyAfterItAnnouncesItselfAgain() {
+        // An agent process is paused, declared gone, and resumes. This entry reconnects at once, but other entries have
+        // removed the agent: it must be notified and announce itself again to become a member for all entries.
         driver.join(AGENT);
-        driver.lose(AGENT);
-        driver.gone(AGENT);
-        driver.reach(AGENT);
+        driver.disconnect(AGENT);
+        driver.declareGone(AGENT);
+        driver.connect(AGENT);
         assertThat(members(), not(hasItem(AGENT)));
         assertThat(driver.effects(MembershipEffect.TellGone.class), contains(new MembershipEffect.TellGone(AGENT)));
         driver.announce(AGENT);
@@ -117,27 +124,30 @@
     }
 
     @Test
-    void secondGoneOfAnIncarnationIsIgnored() {
+    void secondGoneRecordOfAnIncarnationIsIgnored() {
+        // A duplicate gone record must not remove an agent that has announced itself again since the first one.
         driver.join(AGENT);
-        driver.lose(AGENT);
-        driver.gone(AGENT);
+        driver.disconnect(AGENT);
+        driver.declareGone(AGENT);
         driver.announce(AGENT);
-        driver.gone(AGENT);
+        driver.declareGone(AGENT);
         assertThat(members(), hasItem(AGENT));
     }
 
     @Test
     void newIncarnationAtTheSameAddressSupersedes() {
+        // A restarted agent replaces its predecessor. A late announcement must not restore the stopped incarnation.
         driver.join(AGENT);
         driver.announce(SUCCESSOR);
         assertThat(members(), hasItem(SUCCESSOR));
         assertThat(driver.view.list().ended(), contains(EndedMember.of(AGENT, EndedMember.Reason.SUPERSEDED)));
         driver.announce(AGENT);
-        assertThat("a late announcement", members(), not(hasItem(AGENT)));
+        assertThat("after a late announcement", members(), not(hasItem(AGENT)));
     }
 
     @Test
-    void leaveOfAPredecessorDoesNotTakeOutItsSuccessor() {
+    void leaveOfAPredecessorDoesNotRemoveItsSuccessor() {
+        // The leave record of a stopped incarnation may be read after its successor's announcement.
         driver.announce(AGENT);
         driver.announce(SUCCESSOR);
         driver.leave(AGENT);
@@ -147,17 +157,18 @@
     }
 
     @Test
-    void leaveOfAProcessNeverSeenIsNamedToo() {
-        // The log has dropped its announcements already; it may have run tasks of jobs that are taken over.
+    void leaveOfAnUnknownIncarnationIsListedAsEnded() {
+        // The log has expired its announcements, but it may have run tasks of jobs that are taken over.
         driver.leave(AGENT);
-        EndedMember unseen = new EndedMember(AGENT.id(), "", "", EndedMember.Reason.LEFT);
-        assertThat(driver.view.list().ended(), contains(unseen));
+        EndedMember departed = new EndedMember(AGENT.id(), "", "", EndedMember.Reason.LEFT);
+        assertThat(driver.view.list().ended(), contains(departed));
         driver.announce(AGENT);
         assertThat(members(), contains(driver.self));
     }
 
     @Test
-    void agentThatTheLogDoesNotKnowIsAnnouncedFromHere() {
+    void unannouncedAgentIsAnnouncedOnItsBehalf() {
+        // An entry that takes over a job finds agents through the log, so an agent missing there must be announced.
         driver.handle(new MembershipEvent.Introduced(AGENT));
         driver.advance(Duration.ofSeconds(2));
         assertThat(driver.appended(), contains(new MemberRecord.Announce(AGENT)));
@@ -165,6 +176,7 @@
 
     @Test
     void repeatedAnnouncementChangesNothing() {
+        // Members announce themselves periodically; that must not publish a new list each time.
         driver.announce(AGENT);
         driver.effects.clear();
         driver.announce(AGENT);
@@ -172,32 +184,35 @@
     }
 
     @Test
-    void openConnectionKnowsBetterThanTheOrderOfRecords() {
+    void openConnectionOverridesTheOrderOfRecords() {
+        // Records out of order make the older incarnation the member; a connection to the newer one must correct that.
         driver.announce(SUCCESSOR);
         driver.announce(AGENT);
-        driver.reach(SUCCESSOR);
+        driver.connect(SUCCESSOR);
         assertThat(members(), hasItem(SUCCESSOR));
         assertThat(driver.view.list().ended(), contains(EndedMember.of(AGENT, EndedMember.Reason.SUPERSEDED)));
     }
 
     @Test
-    void leaveTakesOutAtOnceAndForGood() {
+    void leaveRemovesAtOnceAndPermanently() {
+        // Late announcements and open connections must not restore an incarnation that left, even after the retention.
         driver.join(AGENT);
         driver.leave(AGENT);
         assertThat(members(), not(hasItem(AGENT)));
         driver.announce(AGENT);
-        driver.reach(AGENT);
+        driver.connect(AGENT);
         assertThat(members(), not(hasItem(AGENT)));
-        driver.skip(MembershipDriver.WINDOW.multipliedBy(3));
-        driver.lose(AGENT);
-        driver.skip(MembershipDriver.WINDOW.multipliedBy(3));
+        driver.advanceAtOnce(MembershipDriver.CLAIM_WINDOW.multipliedBy(3));
+        driver.disconnect(AGENT);
+        driver.advanceAtOnce(MembershipDriver.CLAIM_WINDOW.multipliedBy(3));
         assertThat(driver.view.list().ended(), empty());
         driver.announce(AGENT);
-        assertThat("long after", members(), not(hasItem(AGENT)));
+        assertThat("after the retention", members(), not(hasItem(AGENT)));
     }
 
     @Test
-    void membersThatOnlyIntroducedThemselvesCount() {
+    void introducedMembersAreListedAsUnannounced() {
+        // While the log is down, processes are known by their introductions only, and must be members nevertheless.
         driver.handle(new MembershipEvent.Introduced(AGENT));
         assertThat(members(), hasItem(AGENT));
         assertThat(driver.view.list().unannounced(), contains(AGENT.id()));
@@ -206,8 +221,8 @@
     }
 
     @Test
-    void agentNeverReachedIsSuspectedAndAskedFor() {
-        // The records still name an agent that died before this entry started.
+    void agentNeverConnectedIsSuspectedAndQueried() {
+        // The log still lists an agent that crashed before this entry started.
         driver.join(SOUTH);
         driver.announce(AGENT);
         driver.advance(Duration.ofSeconds(10));
@@ -220,14 +235,15 @@
     }
 
     @Test
-    void connectionsThatFlapHoldTheAgentDownForLongerEachTime() {
-        // A bad cable drops an agent's connection every few seconds. Used fully each time it is back, it would have a
-        // share of all tasks in doubt each time it drops.
+    void flappingAgentIsHeldDownForLongerEachTime() {
+        // A bad cable drops an agent's connection every few seconds. If the agent got its full share of tasks after
+        // each
+        // reconnection, each drop would leave that share of all tasks with an unknown outcome.
         driver.join(AGENT);
         for (int failure = 0; failure < 3; failure++) {
-            driver.lose(AGENT);
+            driver.disconnect(AGENT);
             driver.advance(Duration.ofMillis(100));
-            driver.reach(AGENT);
+            driver.connect(AGENT);
         }
         assertThat(
                 driver.effects(MembershipEffect.HoldDown.class),
@@ -244,29 +260,33 @@
     }
 
     @Test
-    void entryDeclaredGoneByMistakeAnnouncesItselfAnew() {
-        driver.gone(driver.self);
+    void entryDeclaredGoneByMistakeAnnouncesItselfAgain() {
+        // An entry that reads its own gone record must announce itself again, or other entries would keep it removed.
+        driver.declareGone(driver.self);
         assertThat(driver.appended(), contains(new MemberRecord.Announce(driver.self)));
         assertThat(members(), hasItem(driver.self));
     }
 
     @Test
-    void memberOfWhichNothingIsHeardIsPresumedGoneInTheEnd() {
+    void memberWithoutContactIsPresumedGoneAfterTheTimeout() {
+        // No other entry confirms the failure of this agent; without the timeout of 25 minutes it would stay a member.
         driver.announce(AGENT);
-        driver.skip(Duration.ofMinutes(24));
+        driver.advanceAtOnce(Duration.ofMinutes(24));
         assertThat(members(), hasItem(AGENT));
         driver.announce(AGENT);
-        driver.skip(Duration.ofMinutes(25));
+        driver.advanceAtOnce(Duration.ofMinutes(25));
         assertThat(driver.view.list().ended(), contains(EndedMember.of(AGENT, EndedMember.Reason.PRESUMED_GONE)));
     }
 
     @Test
-    void whatEndedIsNamedForAsLongAsItsJobsMayBeTakenOver() {
+    void endedMembersAreListedForTheRetention() {
+        // Jobs may be taken over for that long, and the new owner has to query ended agents that may have run their
+        // tasks.
         driver.announce(AGENT);
         driver.announce(SUCCESSOR);
-        driver.skip(MembershipDriver.WINDOW.multipliedBy(2).minusMillis(1));
+        driver.advanceAtOnce(MembershipDriver.CLAIM_WINDOW.multipliedBy(2).minusMillis(1));
         assertThat(driver.view.list().ended(), hasSize(1));
-        driver.skip(Duration.ofMillis(1));
+        driver.advanceAtOnce(Duration.ofMillis(1));
         assertThat(driver.view.list().ended(), empty());
     }
 }
--- a/library/src/test/java/org/chivetally/entry/peer/PeerActorTest.java
+++ b/library/src/test/java/org/chivetally/entry/peer/PeerActorTest.java
@@ -42,38 +42,37 @@
             () -> true,
             () -> now)));
 
-    // The log's claims can't be read any more; then another entry claims a key, runs its job and leaves. It can't be
-    // asked, and nobody else knows the key, which is no proof that nothing ran. Only claims that were read after it
-    // left
-    // would have shown it.
+    // While this entry can't read the claims, another entry claims a key, runs its job and leaves. It can't be queried,
+    // and that no other entry knows the key is no proof that nothing ran. Only claims read after it left would show the
+    // key.
     @Test
-    void nothingIsCertainOfAKeyIfAnEntryLeftSinceTheClaimsWereRead() {
-        assertThat(nobodyHas(DEPARTURE - 1), is(true));
+    void aKeyIsNotUnknownToAllIfAnEntryLeftSinceTheClaimsWereRead() {
+        assertThat(isUnknownToAll(DEPARTURE - 1), is(true));
         view(List.of(member()), List.of());
         now = DEPARTURE;
         view(List.of(), List.of());
-        assertThat(nobodyHas(DEPARTURE - 1), is(false));
-        assertThat(nobodyHas(DEPARTURE + 1), is(true));
+        assertThat(isUnknownToAll(DEPARTURE - 1), is(false));
+        assertThat(isUnknownToAll(DEPARTURE + 1), is(true));
     }
 
-    // As above, but the entry came and left between two reads of the members, so that it was never in the view.
+    // As above, but the entry joined and left between two reads of the members, so that it was never listed as one.
     @Test
-    void anEntryThatCameAndLeftUnseenCountsAsWell() {
+    void anEntryThatJoinedAndLeftBetweenTwoReadsIsADeparture() {
         view(List.of(), List.of());
         now = DEPARTURE;
         view(List.of(), List.of(EndedMember.of(member(), EndedMember.Reason.LEFT)));
-        assertThat(nobodyHas(DEPARTURE - 1), is(false));
-        assertThat(nobodyHas(DEPARTURE + 1), is(true));
+        assertThat(isUnknownToAll(DEPARTURE - 1), is(false));
+        assertThat(isUnknownToAll(DEPARTURE + 1), is(true));
     }
 
-    private boolean nobodyHas(long sinceNanos) {
-        CompletableFuture<Boolean> nobody = new CompletableFuture<>();
-        actor.run(new PeerCommand.AskKey(KEY, sinceNanos, nobody));
-        return nobody.join();
+    private boolean isUnknownToAll(long sinceNanos) {
+        CompletableFuture<Boolean> unknownToAll = new CompletableFuture<>();
+        actor.run(new PeerCommand.QueryKey(KEY, sinceNanos, unknownToAll));
+        return unknownToAll.join();
     }
 
     private void view(List<Member> members, List<EndedMember> ended) {
-        actor.run(new PeerCommand.View(new MemberList(members, Set.of(), ended)));
+        actor.run(new PeerCommand.MembersChanged(new MemberList(members, Set.of(), ended)));
     }
 
     private LinkSet.Wiring wiring(Consumer<LinkSignal> signals) {
--- a/library/src/test/java/org/chivetally/log/InMemoryPlatformLogTest.java
+++ b/library/src/test/java/org/chivetally/log/InMemoryPlatformLogTest.java
@@ -30,6 +30,7 @@
         kit.shutdownTestKit();
     }
 
+    /** A read must neither skip nor repeat records. */
     @Test
     void readsFromAnOffsetUpToTheLimit() {
         InMemoryPlatformLog log = log(InMemoryLogSettings.immediate());
@@ -39,26 +40,29 @@
         MatcherAssert.assertThat(read(log, 4, 2), Matchers.is(found(4)));
     }
 
+    /** A missed wake-up would delay a reader; a wrong one would return a read without records. */
     @Test
     void appendCompletesTheReadThatWaitsForItsOffset() {
         InMemoryPlatformLog log = log(InMemoryLogSettings.immediate());
         CompletionStage<ReadOutcome> first = log.read(STREAM, 0, 10, WAIT);
         CompletionStage<ReadOutcome> second = log.read(STREAM, 1, 10, WAIT);
         append(log, "a");
-        MatcherAssert.assertThat(shown(first), Matchers.is(found(1, "0a")));
-        MatcherAssert.assertThat(shown(second), Matchers.nullValue());
+        MatcherAssert.assertThat(comparable(first), Matchers.is(found(1, "0a")));
+        MatcherAssert.assertThat(comparable(second), Matchers.nullValue());
     }
 
+    /** A read whose wait is over must complete even if no record is appended. */
     @Test
     void waitingReadReturnsNoRecordsAfterItsTimeout() {
         InMemoryPlatformLog log = log(InMemoryLogSettings.immediate());
         CompletionStage<ReadOutcome> read = log.read(STREAM, 0, 10, WAIT);
         time.timePasses(WAIT.minusMillis(1));
-        MatcherAssert.assertThat(shown(read), Matchers.nullValue());
+        MatcherAssert.assertThat(comparable(read), Matchers.nullValue());
         time.timePasses(Duration.ofMillis(1));
-        MatcherAssert.assertThat(shown(read), Matchers.is(found(0)));
+        MatcherAssert.assertThat(comparable(read), Matchers.is(found(0)));
     }
 
+    /** A reader below the retained offsets must get Expired instead of silently missing records. */
     @Test
     void retainsTheNewestRecordsAndReportsTheEarliestOffset() {
         InMemoryPlatformLog log = log(new InMemoryLogSettings(3, Duration.ofHours(1), Duration.ZERO, 0, 0));
@@ -69,6 +73,7 @@
         MatcherAssert.assertThat(read(log, 97, 10), Matchers.is(found(100, "97b", "98a", "99b")));
     }
 
+    /** Records over the maximum age must not be returned, although nothing is appended meanwhile. */
     @Test
     void recordsExpireByAge() {
         InMemoryPlatformLog log = log(new InMemoryLogSettings(10, Duration.ofNanos(100), Duration.ZERO, 0, 0));
@@ -99,9 +104,9 @@
         CompletionStage<ReadOutcome> waiting = log.read(STREAM, 0, 10, WAIT);
         CompletionStage<AppendOutcome> inFlight = log.append(STREAM, records("a"));
         log.setFaults(LogFaults.NONE.withDown(true));
-        MatcherAssert.assertThat(shown(waiting), Matchers.instanceOf(ReadOutcome.Unavailable.class));
+        MatcherAssert.assertThat(comparable(waiting), Matchers.instanceOf(ReadOutcome.Unavailable.class));
         time.timePasses(Duration.ofMillis(4));
-        MatcherAssert.assertThat(now(inFlight), Matchers.instanceOf(AppendOutcome.Refused.class));
+        MatcherAssert.assertThat(getNow(inFlight), Matchers.instanceOf(AppendOutcome.Refused.class));
         MatcherAssert.assertThat(append(log, "b"), Matchers.instanceOf(AppendOutcome.Refused.class));
         log.setFaults(LogFaults.NONE);
         MatcherAssert.assertThat(read(log, 0, 10), Matchers.is(found(0)));
@@ -135,6 +140,7 @@
         MatcherAssert.assertThat(read(log, 0, 10), Matchers.is(found(3, "0a", "1a", "2a")));
     }
 
+    /** At 500 appends per second, each further append must take effect 2 ms after the previous one. */
     @Test
     void delaysAppendsOverTheRateLimit() {
         InMemoryPlatformLog log = log(new InMemoryLogSettings(10, Duration.ofHours(1), Duration.ofMillis(4), 500, 0));
@@ -143,15 +149,17 @@
             appends.add(log.append(STREAM, records("a")));
         }
         time.timePasses(Duration.ofMillis(4));
-        MatcherAssert.assertThat(now(appends.get(0)), Matchers.is(new AppendOutcome.Appended(0)));
-        MatcherAssert.assertThat(now(appends.get(1)), Matchers.nullValue());
+        MatcherAssert.assertThat(getNow(appends.get(0)), Matchers.is(new AppendOutcome.Appended(0)));
+        MatcherAssert.assertThat(getNow(appends.get(1)), Matchers.nullValue());
         time.timePasses(Duration.ofMillis(2));
-        MatcherAssert.assertThat(now(appends.get(1)), Matchers.is(new AppendOutcome.Appended(1)));
-        MatcherAssert.assertThat(now(appends.get(2)), Matchers.nullValue());
+        MatcherAssert.assertThat(getNow(appends.get(1)), Matchers.is(new AppendOutcome.Appended(1)));
+        MatcherAssert.assertThat(getNow(appends.get(2)), Matchers.nullValue());
         time.timePasses(Duration.ofMillis(2));
-        MatcherAssert.assertThat(now(appends.get(2)), Matchers.is(new AppendOutcome.Appended(2)));
+        MatcherAssert.assertThat(getNow(appends.get(2)), Matchers.is(new AppendOutcome.Appended(2)));
     }
 
+    // Four writers append while a reader waits: a lost update would skip or repeat offsets, and a lost wake-up would
+    // delay the reader.
     @Test
     void concurrentAppendsGetDistinctOffsetsAndCompleteTheRead() throws InterruptedException {
         InMemoryPlatformLog log = log(InMemoryLogSettings.immediate());
@@ -192,29 +200,33 @@
     }
 
     private static AppendOutcome append(InMemoryPlatformLog log, String... ids) {
-        return now(log.append(STREAM, records(ids)));
+        return getNow(log.append(STREAM, records(ids)));
     }
 
     private static Object read(InMemoryPlatformLog log, long from, int limit) {
-        return shown(log.read(STREAM, from, limit, Duration.ZERO));
+        return comparable(log.read(STREAM, from, limit, Duration.ZERO));
     }
 
     /** Returns the outcome of a read in a form with value equality for payloads, or null while the read waits. */
-    private static Object shown(CompletionStage<ReadOutcome> read) {
-        return now(read) instanceof ReadOutcome.Records(List<LogRecord> records, long endOffset)
-                ? new Found(records.stream().map(InMemoryPlatformLogTest::shown).toList(), endOffset)
-                : now(read);
+    private static Object comparable(CompletionStage<ReadOutcome> read) {
+        return getNow(read) instanceof ReadOutcome.Records(List<LogRecord> records, long endOffset)
+                ? new Found(
+                        records.stream()
+                                .map(InMemoryPlatformLogTest::comparable)
+                                .toList(),
+                        endOffset)
+                : getNow(read);
     }
 
-    private static String shown(LogRecord one) {
-        return one.offset() + new String(one.payload(), StandardCharsets.UTF_8);
+    private static String comparable(LogRecord logRecord) {
+        return logRecord.offset() + new String(logRecord.payload(), StandardCharsets.UTF_8);
     }
 
     private static Object found(long endOffset, String... offsetsAndPayloads) {
         return new Found(List.of(offsetsAndPayloads), endOffset);
     }
 
-    private static <T> T now(CompletionStage<T> stage) {
+    private static <T> T getNow(CompletionStage<T> stage) {
         return stage.toCompletableFuture().getNow(null);
     }
 
--- a/library/src/test/java/org/chivetally/settings/SettingsTest.java
+++ b/library/src/test/java/org/chivetally/settings/SettingsTest.java
@@ -22,6 +22,7 @@
 class SettingsTest {
     private static final Path EXAMPLES = Path.of("..", "examples", "settings");
 
+    /** Operators should not have to restart a daemon once for each mistake in its settings. */
     @ParameterizedTest
     @ValueSource(strings = {"entry", "agent"})
     void reportsAllMistakesOfAFileTogether(String daemon) throws IOException {
@@ -55,6 +56,7 @@
         assertThat(settings.process().drainTimeout(), is(Duration.ofMinutes(2)));
     }
 
+    /** A missing file must be reported as invalid input; the daemon must not start with defaults. */
     @Test
     void rejectsAMissingFile() {
         ChivetallyException refusal = Assertions.assertThrows(
--- a/library/src/test/java/org/chivetally/transport/DelayRoundingIoHandlerTest.java
+++ b/library/src/test/java/org/chivetally/transport/DelayRoundingIoHandlerTest.java
@@ -28,14 +28,13 @@
                     executor -> new CountingHandler(NioIoHandler.newFactory().newHandler(executor))));
 
     @AfterEach
-    void end() {
+    void stop() {
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS).awaitUninterruptibly();
     }
 
     /**
-     * A hundred timers expire one after the other, each after a fraction of a millisecond. Without rounding up, the
-     * loop busy-polls during the half millisecond before each timer, up to a hundred times; one or two iterations
-     * suffice.
+     * A hundred timers expire one after the other, each 2.3 ms after the previous one. Without rounding up, the loop
+     * busy-polls during the half millisecond before each timer, up to a hundred times; one or two iterations suffice.
      */
     @Test
     void sleepsUntilTheNextTimerIsDue() throws InterruptedException {
@@ -61,14 +60,15 @@
                         TimeUnit.MICROSECONDS);
     }
 
+    /** Rounding the delay down would fire timers up to a millisecond early. */
     @Test
     void neverFiresEarly() throws Exception {
-        long begun = System.nanoTime();
+        long start = System.nanoTime();
         long fired = group.next()
                 .schedule(System::nanoTime, 3_700, TimeUnit.MICROSECONDS)
                 .get();
 
-        assertThat(fired - begun, is(greaterThanOrEqualTo(3_700_000L)));
+        assertThat(fired - start, is(greaterThanOrEqualTo(3_700_000L)));
     }
 
     /** Counts the iterations of the event loop. */
--- a/load/src/main/java/org/chivetally/load/ProcessUsage.java
+++ b/load/src/main/java/org/chivetally/load/ProcessUsage.java
@@ -11,30 +11,36 @@
 import java.util.Optional;
 import java.util.TreeMap;
 
-/** Processor time and memory of the processes whose ids stand in a folder, by the role their names begin with. */
+/**
+ * Measures processor time and memory of the processes whose IDs are in a folder, by role. The role is the process name
+ * without its number.
+ */
 final class ProcessUsage {
     private static final String PROCESS_ID_FILES = "*.pid";
     private static final String RESIDENT_SIZE_KEY = "VmRSS:";
     private static final long BYTES_PER_KIBIBYTE = 1024;
 
     private final Path folder;
-    private final Map<String, Sample> begin;
+    private final Map<String, Sample> samplesAtBegin;
 
-    private ProcessUsage(Path folder, Map<String, Sample> begin) {
+    private ProcessUsage(Path folder, Map<String, Sample> samplesAtBegin) {
         this.folder = folder;
-        this.begin = begin;
+        this.samplesAtBegin = samplesAtBegin;
     }
 
-    /** Reads all processes at the beginning of a run. */
+    /** Takes the first sample of all processes at the beginning of a run. */
     static ProcessUsage begin(Path folder) {
         return new ProcessUsage(folder, read(folder));
     }
 
-    /** Reads them again and returns the cost of each role; processes that were replaced meanwhile are left out. */
+    /**
+     * Samples the processes again and returns the usage by role. Processes that were replaced during the run are left
+     * out.
+     */
     Map<String, RoleUsage> end() {
         Map<String, RoleUsage> usageByRole = new TreeMap<>();
         read(folder).forEach((name, atEnd) -> {
-            Sample atBegin = begin.get(name);
+            Sample atBegin = samplesAtBegin.get(name);
             if (atBegin != null && atBegin.processId == atEnd.processId) {
                 RoleUsage usage =
                         new RoleUsage(1, atEnd.processorTime.minus(atBegin.processorTime), atEnd.residentBytes);
--- a/load/src/test/java/org/chivetally/load/LoadRunTest.java
+++ b/load/src/test/java/org/chivetally/load/LoadRunTest.java
@@ -13,10 +13,12 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
+/** Guards against a run that leaves jobs unchecked or passes despite violated guarantees. */
 class LoadRunTest {
     private static final Duration DURATION = Duration.ofSeconds(1);
     private static final PrintStream DISCARDED = new PrintStream(OutputStream.nullOutputStream());
 
+    /** A fake entry that works correctly must not be reported for any violation. */
     @Test
     void everyJobIsCheckedAgainstStartRecords() throws IOException, InterruptedException {
         try (FakeEntry entry = new FakeEntry(1)) {
@@ -28,6 +30,7 @@
         }
     }
 
+    /** The fake entry records two starts of each task, which the service does not allow. */
     @Test
     void duplicateStartsFailTheRun() throws IOException, InterruptedException {
         try (FakeEntry entry = new FakeEntry(2)) {
--- a/load/src/test/java/org/chivetally/load/experiment/PolicyExperimentTest.java
+++ b/load/src/test/java/org/chivetally/load/experiment/PolicyExperimentTest.java
@@ -19,9 +19,11 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
+/** Guards against experiments whose results are not reproducible from their seeds, and against a wrong line fit. */
 class PolicyExperimentTest {
     private static final Path PLAN = Path.of("..", "examples", "load-jylland-50.yaml");
 
+    /** Any source of randomness or time other than the seeds would change the second table. */
     @Test
     void tableAndPlotsAreWrittenAndReproducible(@TempDir Path folder) throws IOException {
         String first = table(folder.resolve("first"));
@@ -30,6 +32,7 @@
         assertThat(Files.size(folder.resolve("first/policies-p99-2.png")) > 0, is(true));
     }
 
+    /** The points are on y = 2x + 3. */
     @Test
     void fitOfCollinearPointsHasNoResidual() {
         LineFit fit =
--- a/standins/src/test/java/org/chivetally/standins/RelayStandInTest.java
+++ b/standins/src/test/java/org/chivetally/standins/RelayStandInTest.java
@@ -8,11 +8,12 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
+/** Checks that faults can be set over HTTP and that unknown values are refused. */
 class RelayStandInTest {
-    private static final int NEVER_DIALLED = 1;
+    private static final int UNUSED_PORT = 1;
 
     private final ActorTestKit kit = ActorTestKit.create();
-    private final TcpRelay relay = TcpRelay.start(0, "127.0.0.1", NEVER_DIALLED);
+    private final TcpRelay relay = TcpRelay.start(0, "127.0.0.1", UNUSED_PORT);
 
     @AfterEach
     void stop() {
