--- a/library/src/main/java/org/chivetally/logging/BoundedLogHandler.java
+++ b/library/src/main/java/org/chivetally/logging/BoundedLogHandler.java
@@ -15,7 +15,7 @@
  * logged.
  */
 public final class BoundedLogHandler extends Handler {
-    /** Capacity of the queue: an entry's lines of two seconds at the highest load measured, less than 2 MB. */
+    /** Capacity of the queue: an entry's lines of two seconds under peak load, less than 2 MB. */
     static final int MAXIMUM_QUEUED_LINES = 8_192;
 
     private static final Logger ROOT = Logger.getLogger("");
--- a/library/src/main/java/org/chivetally/queue/entry/InMemoryJobs.java
+++ b/library/src/main/java/org/chivetally/queue/entry/InMemoryJobs.java
@@ -22,9 +22,9 @@
 import org.chivetally.time.Timers;
 
 /**
- * Jobs that are held in memory only ({@code unkept} in messages and metrics): their callers wait for the outcome,
- * nobody queries them later, and a caller whose entry fails submits its job again elsewhere. So these jobs depend
- * neither on the log nor on another entry.
+ * Jobs that are held in memory only ({@code unkept} in messages and metrics): their callers wait for the outcome and
+ * don't query it later, and a caller whose entry fails submits its job to another entry. So these jobs depend neither
+ * on the log nor on another entry.
  */
 public final class InMemoryJobs implements JobOwner {
     /** Retry delay sent to a caller whose job could not be started before its deadline. */
--- a/library/src/main/java/org/chivetally/queue/speed/EstimateCalibrator.java
+++ b/library/src/main/java/org/chivetally/queue/speed/EstimateCalibrator.java
@@ -11,8 +11,8 @@
  *
  * <p>Estimates are off by 40% while the tasks of a queue are much alike. With uncorrected estimates, tasks that are
  * estimated too short seem to end in time even on a slow worker. The slow workers then get exactly these tasks, their
- * ratio of durations to estimates rises, and they get even more of them: in a simulation, workers of stretch 1.5 were
- * measured at 3 to 4.
+ * ratio of durations to estimates rises, and they get even more of them: in a simulation, workers of stretch 1.5
+ * appeared to have one of 3 to 4.
  */
 public final class EstimateCalibrator {
     /** Time in which the weight of a run falls to 1/e. The accuracy of a queue's callers changes slowly. */
--- a/library/src/test/java/org/chivetally/queue/share/QueueAdmissionTest.java
+++ b/library/src/test/java/org/chivetally/queue/share/QueueAdmissionTest.java
@@ -49,8 +49,8 @@
     }
 
     /**
-     * If retries were refused in favor of new jobs, a caller that retries as told would never be served during a long
-     * burst.
+     * If retries were refused in favor of new jobs, a caller that retries after the given delay would never be served
+     * during a long burst.
      */
     @Property
     void retriedJobIsNotRefusedWhileANewOneIsAdmitted(
